--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return ignoreEnd(ctx, err)
 		}
-		a.Controller.Token = runner.Token(offset + 1)
+		a.Controller.BaseToken = runner.FencingToken(offset + 1)
 		listener := &link.Listener{Address: a.Settings.sessionAddress(), Handler: a.routes()}
 		group.Go(func() error { return runListener(ctx, listener) })
 		group.Go(func() error { return a.report(ctx) })
@@ -109,14 +109,14 @@
 		if err != nil {
 			return nil, err
 		}
-		a.Controller.Start(a.ctx, runner.Incarnation{ID: in.GetRunner(), Born: in.GetRecordedBornUnixMs()}, startFromWire(id, s))
+		a.Controller.Start(a.ctx, runner.Incarnation{ID: in.GetRunner(), StartedUnixMs: in.GetRecordedBornUnixMs()}, startFromWire(id, s))
 	}
 	for _, s := range in.GetDescriptions() {
 		id, err := workflow.ParseTaskID(s.GetTask())
 		if err != nil {
 			return nil, err
 		}
-		a.Controller.Describe(startFromWire(id, s))
+		a.Controller.CompleteRun(startFromWire(id, s))
 	}
 	a.meters.orders(len(in.GetStarts()), len(in.GetStops()))
 	for _, s := range in.GetStops() {
@@ -127,14 +127,14 @@
 		a.Controller.Stop(a.ctx, id, workflow.Attempt(s.GetAttempt()))
 	}
 	a.suggest(in.GetPairs())
-	a.Controller.Record(in.GetRecordedBornUnixMs(), in.GetRecorded())
-	return &wire.OrdersReply{Sequence: a.Controller.Sequence()}, nil
+	a.Controller.MarkRecorded(in.GetRecordedBornUnixMs(), in.GetRecorded())
+	return &wire.OrdersReply{Sequence: a.Controller.LastReportSequence()}, nil
 }
 
-func startFromWire(id workflow.TaskID, s *wire.StartOrder) runner.Start {
-	return runner.Start{
+func startFromWire(id workflow.TaskID, s *wire.StartOrder) runner.StartOrder {
+	return runner.StartOrder{
 		Task: id, Attempt: workflow.Attempt(s.GetAttempt()), Spec: s.GetSpec(), Checkpoint: s.GetCheckpoint(),
-		Ticket: s.GetTicket(), Fills: s.GetFills(), Target: time.Duration(s.GetLatencyTargetMs()) * time.Millisecond,
+		Ticket: s.GetTicket(), BestEffort: s.GetFills(), LatencyTarget: time.Duration(s.GetLatencyTargetMs()) * time.Millisecond,
 		Image: s.GetImage(), Processors: units.Millicores(s.GetMillicores()),
 	}
 }
@@ -160,7 +160,7 @@
 	for i, p := range pairs {
 		estimates[i] = interference.Estimate{Serving: p.GetServing(), Filling: p.GetFilling(), PerCore: p.GetLossPerCore(), Variance: p.GetVariance()}
 	}
-	a.Controller.Suggest(estimates)
+	a.Controller.SetEstimates(estimates)
 }
 
 func (a *Agent) notify() {
@@ -206,12 +206,12 @@
 		return
 	}
 	a.meters.report(len(report.GetEnded()), rejections)
-	a.Controller.Delivered(rejections)
+	a.Controller.DropRejections(rejections)
 	if reply.GetGranted() {
-		a.Controller.Grant(sent.Add(grantFor))
+		a.Controller.ExtendGrant(sent.Add(grantFor))
 	}
 	a.suggest(reply.GetPairs())
-	a.Controller.Record(reply.GetRecordedBornUnixMs(), reply.GetRecorded())
+	a.Controller.MarkRecorded(reply.GetRecordedBornUnixMs(), reply.GetRecorded())
 }
 
 // runListener accepts sessions until ctx ends, then ends them.
--- a/internal/node/agentlink.go
+++ b/internal/node/agentlink.go
@@ -199,10 +199,10 @@
 	return message
 }
 
-func startToWire(s runner.Start) *wire.StartOrder {
+func startToWire(s runner.StartOrder) *wire.StartOrder {
 	return &wire.StartOrder{
 		Task: s.Task.String(), Attempt: int64(s.Attempt), Spec: s.Spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket,
-		Fills: s.Fills, LatencyTargetMs: s.Target.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
+		Fills: s.BestEffort, LatencyTargetMs: s.LatencyTarget.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
 	}
 }
 
--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -63,16 +63,16 @@
 }
 
 // Start is an order to start a run.
-type Start struct {
-	Task       workflow.TaskID
-	Attempt    workflow.Attempt
-	Spec       string
-	Checkpoint string
-	Ticket     string
-	Fills      bool
-	Target     time.Duration // tail latency that a serving task must keep; 0 for another
-	Image      string
-	Processors units.Millicores // requested
+type StartOrder struct {
+	Task          workflow.TaskID
+	Attempt       workflow.Attempt
+	Spec          string
+	Checkpoint    string
+	Ticket        string
+	BestEffort    bool
+	LatencyTarget time.Duration // tail latency that a serving task must keep; 0 for another
+	Image         string
+	Processors    units.Millicores // requested
 }
 
 // Controller owns the table of a runner. Set the exported fields before Run.
@@ -80,23 +80,23 @@
 type Controller struct {
 	API API
 	// Token orders the agent processes of a machine; calls carry fencingToken.
-	Token        Token
+	BaseToken    FencingToken
 	LongestLease time.Duration
 	OnChange     func() // called without locks after a change that the scheduler waits for
 
 	mu         sync.Mutex
-	info       *Info // nil before the first announcement
-	lives      Token // incarnations that this process has known
-	known      bool  // the lists have been read since the incarnation appeared
-	silent     bool  // the last hold was not answered
+	info       *Info        // nil before the first announcement
+	lives      FencingToken // incarnations that this process has known
+	known      bool         // the lists have been read since the incarnation appeared
+	silent     bool         // the last hold was not answered
 	runs       map[workflow.TaskID]*run
-	ended      []Ended // listed and not recorded, by number
+	ended      []EndedRun // listed and not recorded, by number
 	rejected   []Rejection
 	recorded   uint64            // ends up to this number are durable
 	grant      bootclock.Instant // until when the scheduler lets runs go on
-	clock      Clock             // last reading of the runner's clock
+	clock      ClockTime         // last reading of the runner's clock
 	clockRead  bootclock.Instant // when clock arrived
-	leaseUntil Clock             // highest lease sent to this incarnation
+	leaseUntil ClockTime         // highest lease sent to this incarnation
 	sequence   uint64            // of the last report
 	started    bootclock.Instant // when Run began
 	reborn     bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
@@ -111,14 +111,14 @@
 
 // Announce takes what the runner says of itself. It reports false when the
 // announcement is older than what is known.
-func (c *Controller) Announce(info Info, clock Clock) bool {
+func (c *Controller) HandleAnnouncement(info Info, clock ClockTime) bool {
 	c.mu.Lock()
 	changed := false
 	switch {
-	case c.info == nil || c.info.Born < info.Born || c.info.Born == info.Born && c.info.ID != info.ID:
+	case c.info == nil || c.info.StartedUnixMs < info.StartedUnixMs || c.info.StartedUnixMs == info.StartedUnixMs && c.info.ID != info.ID:
 		c.replace(info)
 		changed = true
-	case info.Born < c.info.Born:
+	case info.StartedUnixMs < c.info.StartedUnixMs:
 		c.mu.Unlock()
 		return false
 	case info.Sequence < c.info.Sequence:
@@ -133,7 +133,7 @@
 	}
 	c.mu.Unlock()
 	if changed {
-		klog.InfoS("runner announced", "runner", info.ID, "born", info.Born, "draining", info.Draining, "capacity", info.Capacity.String())
+		klog.InfoS("runner announced", "runner", info.ID, "born", info.StartedUnixMs, "draining", info.Draining, "capacity", info.Capacity.String())
 		c.changed()
 	}
 	return true
@@ -168,10 +168,10 @@
 // fencingToken returns the token of calls to the present incarnation. It is
 // higher than those of every earlier one under the same id, so that a call which
 // was meant for an earlier life and arrives late does nothing. c.mu is held.
-func (c *Controller) fencingToken() Token { return c.Token<<lifeBits + c.lives }
+func (c *Controller) fencingToken() FencingToken { return c.BaseToken<<lifeBits + c.lives }
 
 // Withdraw takes note that the runner has left.
-func (c *Controller) Withdraw(id string) {
+func (c *Controller) MarkDraining(id string) {
 	c.mu.Lock()
 	if c.info != nil && c.info.ID == id {
 		c.info.Draining = true
@@ -187,17 +187,17 @@
 }
 
 // Grant lets runs go on until the instant; it never shortens.
-func (c *Controller) Grant(until bootclock.Instant) {
+func (c *Controller) ExtendGrant(until bootclock.Instant) {
 	c.mu.Lock()
 	c.grant = max(c.grant, until)
 	c.mu.Unlock()
 }
 
 // Record takes note that the ends up to number of an incarnation are durable.
-func (c *Controller) Record(born int64, number uint64) {
+func (c *Controller) MarkRecorded(born int64, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.info == nil || c.info.Born != born || number <= c.recorded {
+	if c.info == nil || c.info.StartedUnixMs != born || number <= c.recorded {
 		return
 	}
 	c.recorded = number
@@ -215,19 +215,19 @@
 }
 
 // readClock remembers a reading of the runner's clock. c.mu is held.
-func (c *Controller) readClock(clock Clock) {
+func (c *Controller) readClock(clock ClockTime) {
 	c.clock, c.clockRead = clock, bootclock.Now()
 }
 
 // lease returns the lease that the grant allows, on the runner's clock, and
 // false when the grant has ended. The reading was taken before it arrived and
 // the clock may be slow, so the lease ends before the grant does.
-func (c *Controller) lease(now bootclock.Instant) (Clock, bool) {
+func (c *Controller) lease(now bootclock.Instant) (ClockTime, bool) {
 	if !now.Before(c.grant) || c.clock == 0 {
 		return 0, false
 	}
 	left := min(c.grant.Sub(c.clockRead), c.LongestLease)
-	until := c.clock + Clock(float64(left.Milliseconds())*(1-clockSlowness))
+	until := c.clock + ClockTime(float64(left.Milliseconds())*(1-clockSlowness))
 	c.leaseUntil = max(c.leaseUntil, until)
 	return c.leaseUntil, true
 }
@@ -263,7 +263,7 @@
 		}
 		sent := bootclock.Now()
 		callCtx, cancel := context.WithTimeout(ctx, call.Wait+holdSlack)
-		listing, err := c.API.Hold(callCtx, call)
+		listing, err := c.API.Poll(callCtx, call)
 		cancel()
 		if err != nil {
 			c.holdFailed(ctx, call.Runner, err)
@@ -310,13 +310,13 @@
 	}
 }
 
-func (c *Controller) nextHold() (call HoldCall, known, ok bool) {
+func (c *Controller) nextHold() (call PollCall, known, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil {
-		return HoldCall{}, false, false
+		return PollCall{}, false, false
 	}
-	call = HoldCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recorded, Wait: holdWait}
+	call = PollCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recorded, Wait: holdWait}
 	if serving, filling := c.neighbours(); len(serving) > 0 && len(filling) > 0 {
 		call.Wait = guardedWait
 	}
@@ -351,12 +351,12 @@
 	if c.info == nil || c.info.ID != id {
 		return false
 	}
-	if l.Born != 0 && l.Born != c.info.Born {
-		if l.Born < c.info.Born {
+	if l.StartedUnixMs != 0 && l.StartedUnixMs != c.info.StartedUnixMs {
+		if l.StartedUnixMs < c.info.StartedUnixMs {
 			return false // answered before the runner was replaced
 		}
 		info := *c.info
-		info.Born, info.Sequence = l.Born, 0
+		info.StartedUnixMs, info.Sequence = l.StartedUnixMs, 0
 		c.replace(info)
 	}
 	urgent := !c.known || c.silent
@@ -382,7 +382,7 @@
 	return urgent
 }
 
-func (c *Controller) mergeRow(row Row) {
+func (c *Controller) mergeRow(row RunStatus) {
 	r := c.runs[row.Task]
 	if r == nil || r.attempt < row.Attempt {
 		r = &run{attempt: row.Attempt, pace: fullPace, unknown: true}
@@ -404,7 +404,7 @@
 }
 
 // mergeEnd reports whether the end is new.
-func (c *Controller) mergeEnd(e Ended) bool {
+func (c *Controller) mergeEnd(e EndedRun) bool {
 	if e.Number <= c.recorded {
 		return false
 	}
--- a/internal/runner/guard.go
+++ b/internal/runner/guard.go
@@ -72,7 +72,7 @@
 	calls := c.paces(bootclock.Now())
 	c.mu.Unlock()
 	for _, call := range calls {
-		if err := c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Pace(ctx, call) }); err != nil {
+		if err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.SetPace(ctx, call) }); err != nil {
 			klog.V(1).InfoS("pace is not set", "task", call.Task.String(), "err", err)
 			c.mu.Lock()
 			if r := c.runs[call.Task]; r != nil && r.attempt == call.Attempt {
@@ -265,17 +265,17 @@
 }
 
 // Describe completes a run that this process has adopted.
-func (c *Controller) Describe(s Start) {
+func (c *Controller) CompleteRun(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.unknown {
-		r.unknown, r.fills, r.target, r.image, r.processors = false, s.Fills, s.Target, s.Image, s.Processors
-		r.paceUnset = s.Fills // whatever the previous process has set
+		r.unknown, r.fills, r.target, r.image, r.processors = false, s.BestEffort, s.LatencyTarget, s.Image, s.Processors
+		r.paceUnset = s.BestEffort // whatever the previous process has set
 	}
 }
 
 // Suggest takes over what the leader has learned on all workers.
-func (c *Controller) Suggest(estimates []interference.Estimate) {
+func (c *Controller) SetEstimates(estimates []interference.Estimate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
--- a/internal/runner/guard_test.go
+++ b/internal/runner/guard_test.go
@@ -61,7 +61,7 @@
 func TestKnownHarmFallsWhenQueueBuildsUp(t *testing.T) {
 	harmful, harmless := &run{image: "press", load: 1400, pace: fullPace}, &run{image: "quiet", load: 1400, pace: fullPace}
 	c := guarded(400, harmful, harmless)
-	c.Suggest([]interference.Estimate{
+	c.SetEstimates([]interference.Estimate{
 		{Serving: "web", Filling: "press", PerCore: 0.5, Variance: 0.01}, {Serving: "web", Filling: "quiet", PerCore: 0.002, Variance: 0.01},
 	})
 	c.runs[workflow.TaskID{Job: "serving"}].rate = 18.0 / 400
--- a/internal/runner/report.go
+++ b/internal/runner/report.go
@@ -33,7 +33,7 @@
 func (c *Controller) runnerState() *wire.RunnerState {
 	i := c.info
 	return &wire.RunnerState{
-		Id: i.ID, BornUnixMs: i.Born, Service: string(i.Service), Domain: string(i.Domain), Labels: i.Labels,
+		Id: i.ID, BornUnixMs: i.StartedUnixMs, Service: string(i.Service), Domain: string(i.Domain), Labels: i.Labels,
 		Millicores: int64(i.Capacity.Processors), MemoryBytes: int64(i.Capacity.Memory), Accelerators: i.Capacity.Accelerators,
 		Draining: i.Draining, RemainingMs: i.Remaining.Milliseconds(),
 		Silent: c.silent || !c.known, Empty: (c.silent || !c.known) && c.lapsed(bootclock.Now()),
@@ -41,14 +41,14 @@
 }
 
 // Delivered forgets the first n rejections.
-func (c *Controller) Delivered(n int) {
+func (c *Controller) DropRejections(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rejected = append(c.rejected[:0], c.rejected[n:]...)
 }
 
 // Sequence returns the sequence of the last report.
-func (c *Controller) Sequence() uint64 {
+func (c *Controller) LastReportSequence() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sequence
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -15,8 +15,8 @@
 // Incarnation identifies one life of a runner. A runner may return under its
 // old id, so the id alone does not.
 type Incarnation struct {
-	ID   string
-	Born int64 // Unix milliseconds of its start
+	ID            string
+	StartedUnixMs int64 // Unix milliseconds of its start
 }
 
 // Info is what a runner says of itself.
@@ -32,27 +32,27 @@
 }
 
 // Clock is the runner's own clock, in milliseconds.
-type Clock int64
+type ClockTime int64
 
 // Token is a fencing token: a runner does nothing for a lower one than it has seen.
-type Token uint64
+type FencingToken uint64
 
 // StartCall orders a run.
 type StartCall struct {
 	Runner     string // incarnation that the call is meant for
-	Token      Token
+	Token      FencingToken
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
 	Spec       string
-	Checkpoint string // empty to start from the beginning
-	Ticket     string // of the advice service; empty where none is needed
-	Until      Clock  // lease of everything on the runner
+	Checkpoint string    // empty to start from the beginning
+	Ticket     string    // of the advice service; empty where none is needed
+	Until      ClockTime // lease of everything on the runner
 }
 
 // StopCall ends a run.
 type StopCall struct {
 	Runner  string
-	Token   Token
+	Token   FencingToken
 	Task    workflow.TaskID
 	Attempt workflow.Attempt
 }
@@ -64,16 +64,16 @@
 }
 
 // HoldCall extends the lease and reads the lists.
-type HoldCall struct {
+type PollCall struct {
 	Runner   string
-	Token    Token
+	Token    FencingToken
 	Recorded uint64        // ends up to this number may be forgotten
-	Until    Clock         // 0 leaves the lease as it is
+	Until    ClockTime     // 0 leaves the lease as it is
 	Wait     time.Duration // the answer waits at most this long for an end
 }
 
 // Row is a run on the runner.
-type Row struct {
+type RunStatus struct {
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
 	Checkpoint string
@@ -82,7 +82,7 @@
 }
 
 // Ended is a run that has ended and whose end may not be recorded yet.
-type Ended struct {
+type EndedRun struct {
 	Number     uint64 // from 1, rising
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
@@ -92,10 +92,10 @@
 
 // Listing is the answer to a hold.
 type Listing struct {
-	Born    int64
-	Clock   Clock
-	Running []Row
-	Ended   []Ended
+	StartedUnixMs int64
+	Clock         ClockTime
+	Running       []RunStatus
+	Ended         []EndedRun
 }
 
 // Kind tells the failures of a call apart.
@@ -103,16 +103,16 @@
 
 // The kinds of Error.
 const (
-	Fenced      Kind = "fenced"      // a higher token has been seen
-	Superseded  Kind = "superseded"  // this or a higher attempt has ended there
-	Late        Kind = "late"        // the lease in the call has expired
-	NoRoom      Kind = "noRoom"      // it does not fit
-	NoTicket    Kind = "noTicket"    // the ticket is missing or no longer valid
-	Unhealthy   Kind = "unhealthy"   // the runner refuses and has done nothing
-	Reborn      Kind = "reborn"      // another incarnation answered
-	Invalid     Kind = "invalid"     // the call was refused as malformed
-	Unreachable Kind = "unreachable" // the call did not leave this machine
-	Unanswered  Kind = "unanswered"  // the call may have been, or may still be, carried out
+	Fenced               Kind = "fenced"      // a higher token has been seen
+	Superseded           Kind = "superseded"  // this or a higher attempt has ended there
+	LeaseExpired         Kind = "late"        // the lease in the call has expired
+	InsufficientCapacity Kind = "noRoom"      // it does not fit
+	InvalidTicket        Kind = "noTicket"    // the ticket is missing or no longer valid
+	Unavailable          Kind = "unhealthy"   // the runner refuses and has done nothing
+	WrongIncarnation     Kind = "reborn"      // another incarnation answered
+	Invalid              Kind = "invalid"     // the call was refused as malformed
+	NotSent              Kind = "unreachable" // the call did not leave this machine
+	Unanswered           Kind = "unanswered"  // the call may have been, or may still be, carried out
 )
 
 // Error is the error type of this package.
@@ -121,8 +121,8 @@
 // API is the interface of a runner. Calls may be made concurrently. Errors are
 // of type *Error.
 type API interface {
-	Start(ctx context.Context, call StartCall) (Clock, error)
-	Stop(ctx context.Context, call StopCall) (Clock, error)
-	Pace(ctx context.Context, call PaceCall) (Clock, error)
-	Hold(ctx context.Context, call HoldCall) (Listing, error)
+	Start(ctx context.Context, call StartCall) (ClockTime, error)
+	Stop(ctx context.Context, call StopCall) (ClockTime, error)
+	SetPace(ctx context.Context, call PaceCall) (ClockTime, error)
+	Poll(ctx context.Context, call PollCall) (Listing, error)
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -24,12 +24,12 @@
 // Start begins a run in the background. The run is in the table at once, and
 // leaves it with a Rejection when it did not start. The order is meant for one
 // incarnation of the runner.
-func (c *Controller) Start(ctx context.Context, meant Incarnation, s Start) {
+func (c *Controller) Start(ctx context.Context, meant Incarnation, s StartOrder) {
 	c.mu.Lock()
 	reason := c.refusal(meant, s)
 	if reason == "" {
 		c.runs[s.Task] = &run{attempt: s.Attempt, starting: true, pace: fullPace,
-			fills: s.Fills, target: s.Target, image: s.Image, processors: s.Processors}
+			fills: s.BestEffort, target: s.LatencyTarget, image: s.Image, processors: s.Processors}
 	} else if reason != repeated {
 		c.rejected = append(c.rejected, Rejection{s.Task, s.Attempt, reason})
 	}
@@ -47,21 +47,21 @@
 const repeated Kind = "repeated"
 
 // refusal returns why an order is not carried out. c.mu is held.
-func (c *Controller) refusal(meant Incarnation, s Start) Kind {
+func (c *Controller) refusal(meant Incarnation, s StartOrder) Kind {
 	switch r := c.runs[s.Task]; {
 	case c.info == nil || c.info.Incarnation != meant:
-		return Reborn
+		return WrongIncarnation
 	case r != nil && r.attempt == s.Attempt:
 		return repeated
 	case r != nil || c.info.Draining || !c.known:
-		return Unhealthy
+		return Unavailable
 	case c.grant != 0 && !bootclock.Now().Before(c.grant):
-		return Late
+		return LeaseExpired
 	}
 	return ""
 }
 
-func (c *Controller) start(ctx context.Context, meant Incarnation, s Start) {
+func (c *Controller) start(ctx context.Context, meant Incarnation, s StartOrder) {
 	mayArrive := false // a try without an answer may still be carried out
 	var err error
 	for try := 0; try < startTries; try++ {
@@ -73,9 +73,9 @@
 			err = fault.New("start", refused, "no further try")
 			break
 		}
-		err = c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Start(ctx, call) })
+		err = c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
 		mayArrive = mayArrive || Is(err, Unanswered)
-		if err == nil || !Is(err, Unanswered) && !Is(err, Unreachable) || ctx.Err() != nil {
+		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -101,18 +101,18 @@
 // lease has ended, the runner is another one than was meant, or the lists have
 // shown the run or its end (repeated). Another life under the same id would carry
 // the start out although the run may have ended in the life that was meant.
-func (c *Controller) nextTry(meant Incarnation, s Start) (StartCall, Kind) {
+func (c *Controller) nextTry(meant Incarnation, s StartOrder) (StartCall, Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r == nil || r.attempt != s.Attempt || !r.starting {
 		return StartCall{}, repeated
 	}
 	if c.info.Incarnation != meant {
-		return StartCall{}, Reborn
+		return StartCall{}, WrongIncarnation
 	}
 	until, granted := c.lease(bootclock.Now())
 	if !granted {
-		return StartCall{}, Late
+		return StartCall{}, LeaseExpired
 	}
 	return StartCall{Runner: meant.ID, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt, Spec: s.Spec,
 		Checkpoint: s.Checkpoint, Ticket: s.Ticket, Until: until}, ""
@@ -128,19 +128,19 @@
 
 // settles lists the refusals after which no earlier try of the same attempt
 // can be carried out any more.
-var settles = map[Kind]bool{Superseded: true, Fenced: true, Reborn: true}
+var settles = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
 
 func kindOf(err error) Kind {
 	if e, ok := err.(*Error); ok {
 		return e.Kind
 	}
-	return Unhealthy
+	return Unavailable
 }
 
 // cancelStart makes an unanswered start impossible: the runner refuses an
 // attempt that was stopped before it arrived. It reports false when the run
 // is in the lists or the table no longer has it.
-func (c *Controller) cancelStart(ctx context.Context, id string, s Start) bool {
+func (c *Controller) cancelStart(ctx context.Context, id string, s StartOrder) bool {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		r := c.runs[s.Task]
@@ -154,8 +154,8 @@
 		if lapsed {
 			return true
 		}
-		err := c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Stop(ctx, call) })
-		if err == nil || Is(err, Reborn) || Is(err, Fenced) {
+		err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		if err == nil || Is(err, WrongIncarnation) || Is(err, Fenced) {
 			return true
 		}
 		pause.For(ctx, retryPause)
@@ -163,7 +163,7 @@
 	return false
 }
 
-func (c *Controller) confirm(s Start) {
+func (c *Controller) confirm(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
@@ -171,7 +171,7 @@
 	}
 }
 
-func (c *Controller) reject(s Start, err error) {
+func (c *Controller) reject(s StartOrder, err error) {
 	c.mu.Lock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
 		delete(c.runs, s.Task)
@@ -204,8 +204,8 @@
 
 func (c *Controller) stop(ctx context.Context, call StopCall) {
 	for ctx.Err() == nil {
-		err := c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Stop(ctx, call) })
-		if err == nil || !Is(err, Unanswered) && !Is(err, Unreachable) && !Is(err, Unhealthy) {
+		err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) && !Is(err, Unavailable) {
 			return
 		}
 		c.mu.Lock()
@@ -218,7 +218,7 @@
 	}
 }
 
-func (c *Controller) call(ctx context.Context, fn func(context.Context) (Clock, error)) error {
+func (c *Controller) call(ctx context.Context, fn func(context.Context) (ClockTime, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := fn(ctx)
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -20,7 +20,7 @@
 	calls  []string
 }
 
-func (s *scripted) next(name string, answers *[]Kind) (Clock, error) {
+func (s *scripted) next(name string, answers *[]Kind) (ClockTime, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, name)
@@ -34,12 +34,14 @@
 	return 1, nil
 }
 
-func (s *scripted) Start(context.Context, StartCall) (Clock, error) {
+func (s *scripted) Start(context.Context, StartCall) (ClockTime, error) {
 	return s.next("start", &s.starts)
 }
-func (s *scripted) Stop(context.Context, StopCall) (Clock, error)   { return s.next("stop", &s.stops) }
-func (s *scripted) Pace(context.Context, PaceCall) (Clock, error)   { return 1, nil }
-func (s *scripted) Hold(context.Context, HoldCall) (Listing, error) { return Listing{}, nil }
+func (s *scripted) Stop(context.Context, StopCall) (ClockTime, error) {
+	return s.next("stop", &s.stops)
+}
+func (s *scripted) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
+func (s *scripted) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
 
 func (s *scripted) seen() []string {
 	s.mu.Lock()
@@ -53,7 +55,7 @@
 	c.info, c.known = &Info{Incarnation: Incarnation{ID: "r"}}, true
 	c.runs = make(map[workflow.TaskID]*run)
 	c.readClock(1000)
-	c.Grant(bootclock.Now().Add(time.Minute))
+	c.ExtendGrant(bootclock.Now().Add(time.Minute))
 	return c
 }
 
@@ -69,13 +71,13 @@
 		reason Kind // of the rejection; empty when the lists have to tell
 	}{
 		"then done":             {[]Kind{Unanswered}, nil, []string{"start", "start"}, ""},
-		"then no room":          {[]Kind{Unanswered, NoRoom}, nil, []string{"start", "start", "stop"}, ""},
-		"then unhealthy":        {[]Kind{Unanswered, Unhealthy}, nil, []string{"start", "start", "stop"}, ""},
-		"then no ticket":        {[]Kind{Unanswered, NoTicket}, nil, []string{"start", "start", "stop"}, ""},
+		"then no room":          {[]Kind{Unanswered, InsufficientCapacity}, nil, []string{"start", "start", "stop"}, ""},
+		"then unhealthy":        {[]Kind{Unanswered, Unavailable}, nil, []string{"start", "start", "stop"}, ""},
+		"then no ticket":        {[]Kind{Unanswered, InvalidTicket}, nil, []string{"start", "start", "stop"}, ""},
 		"then superseded":       {[]Kind{Unanswered, Superseded}, nil, []string{"start", "start"}, ""},
-		"stop unanswered":       {[]Kind{Unanswered, NoRoom}, []Kind{Unanswered}, []string{"start", "start", "stop", "stop"}, ""},
-		"no room at once":       {[]Kind{NoRoom}, nil, []string{"start"}, NoRoom},
-		"never sent, then room": {[]Kind{Unreachable, NoRoom}, nil, []string{"start", "start"}, NoRoom},
+		"stop unanswered":       {[]Kind{Unanswered, InsufficientCapacity}, []Kind{Unanswered}, []string{"start", "start", "stop", "stop"}, ""},
+		"no room at once":       {[]Kind{InsufficientCapacity}, nil, []string{"start"}, InsufficientCapacity},
+		"never sent, then room": {[]Kind{NotSent, InsufficientCapacity}, nil, []string{"start", "start"}, InsufficientCapacity},
 		"never answered":        {[]Kind{Unanswered, Unanswered, Unanswered, Unanswered}, nil, []string{"start", "start", "start", "start", "stop"}, ""},
 	}
 	for name, test := range cases {
@@ -84,7 +86,7 @@
 			c := ready(api)
 			task := workflow.TaskID{Job: "a"}
 			c.runs[task] = &run{attempt: 1, starting: true}
-			c.start(context.Background(), Incarnation{ID: "r"}, Start{Task: task, Attempt: 1})
+			c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
 			if got := api.seen(); !slices.Equal(got, test.want) {
 				t.Errorf("calls: got %v, want %v", got, test.want)
 			}
@@ -110,8 +112,8 @@
 	c := ready(api)
 	task := workflow.TaskID{Job: "a"}
 	c.runs[task] = &run{attempt: 1, starting: true}
-	c.start(context.Background(), Incarnation{ID: "r"}, Start{Task: task, Attempt: 1})
-	c.merge("r", Listing{Clock: 2000, Ended: []Ended{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
+	c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
+	c.merge("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
 	report, _ := c.Report()
 	if len(report.GetEnded()) != 1 || len(report.GetRejected()) != 0 || len(report.GetRunning()) != 0 {
 		t.Errorf("got report %v, want the end alone", report)
@@ -124,7 +126,7 @@
 	api := &scripted{}
 	c := ready(api)
 	c.grant = bootclock.Now().Add(-time.Second)
-	c.Start(context.Background(), Incarnation{ID: "r"}, Start{Task: workflow.TaskID{Job: "a"}, Attempt: 1})
+	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: workflow.TaskID{Job: "a"}, Attempt: 1})
 	if got := api.seen(); len(got) != 0 || len(c.rejected) != 1 {
 		t.Errorf("got calls %v and %d rejections, want none and one", got, len(c.rejected))
 	}
@@ -138,7 +140,7 @@
 	c.clock, c.clockRead = 1000, begin
 	c.grant = begin.Add(5 * time.Second)
 	until, ok := c.lease(begin.Add(time.Second))
-	if want := Clock(1000 + 5000*(1-clockSlowness)); !ok || until > want {
+	if want := ClockTime(1000 + 5000*(1-clockSlowness)); !ok || until > want {
 		t.Errorf("lease: got %d, %t, want at most %d", until, ok, want)
 	}
 }
@@ -150,18 +152,18 @@
 	api := &slowStart{release: make(chan struct{}), arrived: make(chan struct{})}
 	c := ready(api)
 	task := workflow.TaskID{Job: "a"}
-	c.Start(context.Background(), Incarnation{ID: "r"}, Start{Task: task, Attempt: 1})
+	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
 	<-api.arrived
-	c.Announce(Info{Incarnation: Incarnation{ID: "r", Born: 2}}, 1)
+	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
 	if got := len(report.GetRunning()); got != 1 {
 		t.Errorf("runs in the report while the call is under way: got %d, want 1", got)
 	}
 	close(api.release)
-	c.Start(context.Background(), Incarnation{ID: "r"}, Start{Task: workflow.TaskID{Job: "b"}, Attempt: 1})
+	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: workflow.TaskID{Job: "b"}, Attempt: 1})
 	report, _ = c.Report()
-	if got := len(report.GetRejected()); got != 1 || report.GetRejected()[0].GetReason() != string(Reborn) {
-		t.Errorf("an order for the earlier incarnation: got rejections %v, want one for %s", report.GetRejected(), Reborn)
+	if got := len(report.GetRejected()); got != 1 || report.GetRejected()[0].GetReason() != string(WrongIncarnation) {
+		t.Errorf("an order for the earlier incarnation: got rejections %v, want one for %s", report.GetRejected(), WrongIncarnation)
 	}
 }
 
@@ -173,7 +175,7 @@
 	asked := bootclock.Now()
 	c.runs[old] = &run{attempt: 1, confirmed: asked.Add(-time.Second)}
 	c.runs[fresh] = &run{attempt: 1, confirmed: asked.Add(time.Millisecond)}
-	empty := Listing{Born: 5, Clock: 1}
+	empty := Listing{StartedUnixMs: 5, Clock: 1}
 	c.merge("r", empty, asked)
 	if c.runs[old] != nil || c.runs[fresh] == nil {
 		t.Errorf("after a listing of the new life: got runs %v, want only that of job b", c.runs)
@@ -190,7 +192,7 @@
 func TestRebornRunnerIsNotReportedAsEmpty(t *testing.T) {
 	c := ready(&scripted{})
 	c.started = bootclock.Now().Add(-time.Hour)
-	c.Announce(Info{Incarnation: Incarnation{ID: "r", Born: 2}}, 1)
+	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
 	if r := report.GetRunner(); !r.GetSilent() || r.GetEmpty() {
 		t.Errorf("after the rebirth: got silent %t, empty %t; want true, false", r.GetSilent(), r.GetEmpty())
@@ -208,7 +210,7 @@
 	release, arrived chan struct{}
 }
 
-func (s *slowStart) Start(context.Context, StartCall) (Clock, error) {
+func (s *slowStart) Start(context.Context, StartCall) (ClockTime, error) {
 	close(s.arrived)
 	<-s.release
 	return 1, nil
@@ -225,13 +227,13 @@
 		running int // runs in the report afterwards
 	}{
 		"its end is listed": {func(c *Controller) {
-			c.merge("r", Listing{Clock: 2000, Ended: []Ended{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
+			c.merge("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
 		}, 1, 0},
 		"it is listed": {func(c *Controller) {
-			c.merge("r", Listing{Clock: 2000, Running: []Row{{Task: task, Attempt: 1}}}, bootclock.Now())
+			c.merge("r", Listing{Clock: 2000, Running: []RunStatus{{Task: task, Attempt: 1}}}, bootclock.Now())
 		}, 1, 1},
 		"the runner is born again": {func(c *Controller) {
-			c.Announce(Info{Incarnation: Incarnation{ID: "r", Born: 2}}, 1)
+			c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 		}, 1, 1}, // until a listing of the new life says more
 	}
 	for name, test := range cases {
@@ -240,7 +242,7 @@
 			c := ready(api)
 			api.between = func() { test.between(c) }
 			c.runs[task] = &run{attempt: 1, starting: true}
-			c.start(context.Background(), Incarnation{ID: "r"}, Start{Task: task, Attempt: 1})
+			c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
 			if got := len(api.seen()); got != test.starts {
 				t.Errorf("calls: got %v, want %d starts", api.seen(), test.starts)
 			}
@@ -257,15 +259,15 @@
 // process must have a higher one than both.
 func TestEachLifeRaisesTheFencingToken(t *testing.T) {
 	c := ready(&scripted{})
-	c.Token = 7
+	c.BaseToken = 7
 	before, _, _ := c.nextHold()
-	c.Announce(Info{Incarnation: Incarnation{ID: "r", Born: 2}}, 1)
+	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	after, _, _ := c.nextHold()
 	if after.Token <= before.Token {
 		t.Errorf("token of the new life: got %d, want more than %d", after.Token, before.Token)
 	}
 	next := ready(&scripted{})
-	next.Token = 8
+	next.BaseToken = 8
 	if got, _, _ := next.nextHold(); got.Token <= after.Token {
 		t.Errorf("token of the next process: got %d, want more than %d", got.Token, after.Token)
 	}
@@ -278,7 +280,7 @@
 	c := ready(api)
 	task := workflow.TaskID{Job: "a"}
 	c.runs[task] = &run{attempt: 1, confirmed: bootclock.Now(), stopping: true}
-	c.Announce(Info{Incarnation: Incarnation{ID: "r", Born: 2}}, 1)
+	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	if c.runs[task].stopping {
 		t.Error("after the rebirth the run still counts as being stopped")
 	}
@@ -291,7 +293,7 @@
 	once    sync.Once
 }
 
-func (i *interrupted) Start(ctx context.Context, call StartCall) (Clock, error) {
+func (i *interrupted) Start(ctx context.Context, call StartCall) (ClockTime, error) {
 	i.once.Do(i.between)
 	return i.scripted.Start(ctx, call)
 }
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -122,14 +122,14 @@
 // lists.
 func (s *Scheduler) setRunner(w *worker, in *wire.RunnerState, now Now) {
 	info := runner.Info{
-		Incarnation: runner.Incarnation{ID: in.GetId(), Born: in.GetBornUnixMs()},
+		Incarnation: runner.Incarnation{ID: in.GetId(), StartedUnixMs: in.GetBornUnixMs()},
 		Service:     units.ServiceName(in.GetService()), Domain: units.DomainName(in.GetDomain()), Labels: in.GetLabels(),
 		Capacity: units.Resources{Processors: units.Millicores(in.GetMillicores()), Memory: units.Bytes(in.GetMemoryBytes()), Accelerators: in.GetAccelerators()},
 		Draining: in.GetDraining(), Remaining: time.Duration(in.GetRemainingMs()) * time.Millisecond,
 	}
 	if w.info.Incarnation != info.Incarnation {
 		if w.info.ID != "" {
-			klog.InfoS("runner replaced", "worker", w.id, "old", w.info.ID, "new", info.ID, "born", info.Born, "tasks", len(w.tasks))
+			klog.InfoS("runner replaced", "worker", w.id, "old", w.info.ID, "new", info.ID, "born", info.StartedUnixMs, "tasks", len(w.tasks))
 			if w.info.ID != info.ID {
 				s.loseTasks(w, now, func(t *task) bool { return true })
 			}
@@ -168,9 +168,9 @@
 	t.release()
 	s.breakGang(t, now)
 	switch runner.Kind(in.GetReason()) {
-	case runner.NoRoom:
+	case runner.InsufficientCapacity:
 		w.avoid(now, roomBackoff)
-	case runner.Superseded, runner.Reborn, runner.Late, runner.NoTicket:
+	case runner.Superseded, runner.WrongIncarnation, runner.LeaseExpired, runner.InvalidTicket:
 	default:
 		w.failed(now)
 	}
@@ -385,7 +385,7 @@
 // are durable.
 func (s *Scheduler) Recorded(id units.WorkerID) (born int64, number uint64) {
 	if w := s.workers[id]; w != nil {
-		return w.info.Born, w.recordedEnd
+		return w.info.StartedUnixMs, w.recordedEnd
 	}
 	return 0, 0
 }
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -15,9 +15,9 @@
 type Orders struct {
 	Worker       units.WorkerID
 	Runner       string // incarnation that they are meant for
-	Starts       []runner.Start
+	Starts       []runner.StartOrder
 	Stops        []Stop
-	Descriptions []runner.Start          // of runs that the agent knows only from its runner's lists
+	Descriptions []runner.StartOrder     // of runs that the agent knows only from its runner's lists
 	Estimates    []interference.Estimate // of the images that run there
 	Born         int64                   // incarnation to which Recorded belongs
 	Recorded     uint64                  // ends up to this number are durable
@@ -84,7 +84,7 @@
 		if !w.attached || w.orders.empty() {
 			continue
 		}
-		orders := Orders{Worker: w.id, Runner: w.info.ID, Born: w.info.Born, Recorded: w.recordedEnd}
+		orders := Orders{Worker: w.id, Runner: w.info.ID, Born: w.info.StartedUnixMs, Recorded: w.recordedEnd}
 		for _, t := range w.orders.starts {
 			t.ordered = true
 			orders.Starts = append(orders.Starts, t.order())
@@ -105,7 +105,7 @@
 }
 
 // order returns what an agent must know of the task's run.
-func (t *task) order() runner.Start {
-	return runner.Start{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
-		Fills: t.step.Fills, Target: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
+func (t *task) order() runner.StartOrder {
+	return runner.StartOrder{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
+		BestEffort: t.step.Fills, LatencyTarget: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
 }
