--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -67,7 +67,7 @@
 
 // mayGrant reports whether this agent may speak as a lessor: it has had evidence
 // that its epoch is in force, and the worker has just confirmed it. Its own
-// lease is not needed: an expiry by chain waits for leases.GrantRight.
+// lease is not needed: an expiry by chain waits for leases.GrantWindow.
 func (a *Agent) mayGrant(now time.Time) bool {
 	return a.adopted && a.failure == nil && now.Before(a.lease.mayGrant) && now.Sub(a.worker.confirmed) < confirmWindow
 }
--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -70,7 +70,7 @@
 const HighestRate = 6.0
 
 // Serving is a reading of a serving task.
-type Serving struct {
+type LatencyReading struct {
 	Task    workflow.TaskID
 	Image   string
 	Latency float64 // tail, in ms
@@ -78,7 +78,7 @@
 }
 
 // Filling is a reading of a task that fills.
-type Filling struct {
+type UsageReading struct {
 	Image string
 	Cores float64 // in use
 	Ended bool    // since the reading before this one
@@ -114,7 +114,7 @@
 
 // PerCore returns by how much one core of the filling image lowers the rate of
 // the serving image.
-func (m *Model) PerCore(serving, filling string) float64 {
+func (m *Model) LossPerCore(serving, filling string) float64 {
 	if e := m.pairs[pair{serving, filling}]; e != nil {
 		return e.value
 	}
@@ -122,25 +122,25 @@
 }
 
 // Filling returns the images that were observed filling.
-func (m *Model) Filling() []string { return m.filling }
+func (m *Model) BestEffortImages() []string { return m.filling }
 
 // Observe takes in the readings of one worker, and returns the rate that each
 // serving task has beside the tasks that still run; it is HighestRate without a
 // reading.
-func (m *Model) Observe(at bootclock.Instant, serving []Serving, filling []Filling) []float64 {
+func (m *Model) Observe(at bootclock.Instant, serving []LatencyReading, filling []UsageReading) []float64 {
 	return m.read(at, serving, filling, true)
 }
 
 // Rates returns what Observe does, and learns nothing: for a worker whose tasks
 // are slow for another reason.
-func (m *Model) Rates(at bootclock.Instant, serving []Serving, filling []Filling) []float64 {
+func (m *Model) Rates(at bootclock.Instant, serving []LatencyReading, filling []UsageReading) []float64 {
 	return m.read(at, serving, filling, false)
 }
 
-func (m *Model) read(at bootclock.Instant, serving []Serving, filling []Filling, learn bool) []float64 {
+func (m *Model) read(at bootclock.Instant, serving []LatencyReading, filling []UsageReading, learn bool) []float64 {
 	m.init()
 	cores := make(map[string]float64)
-	var ended []Filling
+	var ended []UsageReading
 	for _, f := range filling {
 		if f.Ended {
 			f.Cores *= endedShare
@@ -160,7 +160,7 @@
 			rates[i] = rate
 		}
 		for _, f := range ended {
-			rates[i] += m.PerCore(s.Image, f.Image) * f.Cores
+			rates[i] += m.LossPerCore(s.Image, f.Image) * f.Cores
 		}
 	}
 	m.forget()
@@ -190,7 +190,7 @@
 
 // learn corrects the estimates by one reading. stale is the share of it that the
 // reading before explains.
-func (m *Model) learn(at bootclock.Instant, s Serving, rate, stale float64, images []string, cores map[string]float64) {
+func (m *Model) learn(at bootclock.Instant, s LatencyReading, rate, stale float64, images []string, cores map[string]float64) {
 	base := m.base(at, s.Task, rate)
 	predicted := base.value
 	deviation := noise * max(rate, lowestNoiseRate) / (1 - stale)
@@ -215,7 +215,7 @@
 // rate returns the rate that a reading shows, and the share of the reading that
 // the one before it explains: a reading follows the latency with a delay, so that
 // what harmed a moment ago still shows when it has gone.
-func (m *Model) rate(at bootclock.Instant, s Serving) (rate, stale float64) {
+func (m *Model) rate(at bootclock.Instant, s LatencyReading) (rate, stale float64) {
 	latency := s.Latency / s.Target
 	last := m.readings[s.Task]
 	if last == nil {
@@ -287,9 +287,9 @@
 
 // Estimate is what a model knows of a pair of images.
 type Estimate struct {
-	Serving, Filling string
-	PerCore          float64 // loss of rate per core
-	Variance         float64 // of PerCore
+	LatencyCriticalImage, BestEffortImage string
+	LossPerCore                           float64 // loss of rate per core
+	Variance                              float64 // of PerCore
 }
 
 // Estimates returns what is known of the serving images beside the filling ones.
@@ -304,14 +304,14 @@
 }
 
 // Suggest takes over the estimate of a model that has seen more workers.
-func (m *Model) Suggest(at bootclock.Instant, in Estimate) {
+func (m *Model) SetEstimate(at bootclock.Instant, in Estimate) {
 	m.init()
-	e := m.pair(pair{in.Serving, in.Filling}, at)
-	e.value, e.variance, e.at = in.PerCore, in.Variance, at
+	e := m.pair(pair{in.LatencyCriticalImage, in.BestEffortImage}, at)
+	e.value, e.variance, e.at = in.LossPerCore, in.Variance, at
 }
 
 // Known reports whether enough was observed of a pair to trust the estimate.
-func (m *Model) Known(serving, filling string) bool {
+func (m *Model) IsReliable(serving, filling string) bool {
 	e := m.pairs[pair{serving, filling}]
 	return e != nil && e.variance < knownVariance
 }
--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -16,8 +16,8 @@
 func task(index int) workflow.TaskID { return workflow.TaskID{Job: "a", Index: index} }
 
 // at returns a reading of a task at a rate.
-func at(index int, rate float64) Serving {
-	return Serving{Task: task(index), Image: "web", Latency: target / rate, Target: target}
+func at(index int, rate float64) LatencyReading {
+	return LatencyReading{Task: task(index), Image: "web", Latency: target / rate, Target: target}
 }
 
 // A harmful image must stand out from a harmless one although both run at the
@@ -32,12 +32,12 @@
 		harmful, harmless := 4*random.Float64(), 8*random.Float64()
 		swing := 0.5 * math.Sin(float64(i)/20*math.Pi)
 		rate := (2.5 + swing - 0.3*harmful) * (1 + 0.05*random.NormFloat64())
-		m.Observe(now, []Serving{at(0, rate)}, []Filling{{Image: "press", Cores: harmful}, {Image: "quiet", Cores: harmless}})
+		m.Observe(now, []LatencyReading{at(0, rate)}, []UsageReading{{Image: "press", Cores: harmful}, {Image: "quiet", Cores: harmless}})
 	}
-	if got := m.PerCore("web", "press"); got < 0.2 || got > 0.4 {
+	if got := m.LossPerCore("web", "press"); got < 0.2 || got > 0.4 {
 		t.Errorf("harmful image: got %.3f per core, want about 0.3", got)
 	}
-	if got := m.PerCore("web", "quiet"); got > 0.06 {
+	if got := m.LossPerCore("web", "quiet"); got > 0.06 {
 		t.Errorf("harmless image: got %.3f per core, want about 0", got)
 	}
 }
@@ -52,11 +52,11 @@
 		now = now.Add(2 * time.Second)
 		rate := 3 - 0.08*float64(i)
 		for sibling := 1; sibling < 4; sibling++ {
-			m.Observe(now, []Serving{at(sibling, rate)}, nil)
+			m.Observe(now, []LatencyReading{at(sibling, rate)}, nil)
 		}
-		m.Observe(now, []Serving{at(0, rate)}, []Filling{{Image: "quiet", Cores: 3}})
+		m.Observe(now, []LatencyReading{at(0, rate)}, []UsageReading{{Image: "quiet", Cores: 3}})
 	}
-	if got := m.PerCore("web", "quiet"); got > 0.03 {
+	if got := m.LossPerCore("web", "quiet"); got > 0.03 {
 		t.Errorf("image beside the rising load: got %.3f per core, want about 0", got)
 	}
 }
@@ -75,9 +75,9 @@
 		}
 		s := at(0, base-0.5*cores)
 		s.Task.Job = workflow.JobID([]string{"busy", "idle"}[i%2])
-		m.Observe(now, []Serving{s}, []Filling{{Image: "press", Cores: cores}})
+		m.Observe(now, []LatencyReading{s}, []UsageReading{{Image: "press", Cores: cores}})
 	}
-	if got := m.PerCore("web", "press"); got < 0.4 || got > 0.6 {
+	if got := m.LossPerCore("web", "press"); got < 0.4 || got > 0.6 {
 		t.Errorf("got %.3f per core, want about 0.5", got)
 	}
 }
@@ -88,21 +88,21 @@
 	var m Model
 	now := bootclock.Instant(0)
 	shown := target / 2.5 // the delayed reading
-	read := func(rate float64, filling ...Filling) float64 {
+	read := func(rate float64, filling ...UsageReading) float64 {
 		now = now.Add(500 * time.Millisecond)
 		shown += (target/rate - shown) * (1 - math.Exp(-0.5/readingFade.Seconds()))
-		return m.Observe(now, []Serving{{Task: task(0), Image: "web", Latency: shown, Target: target}}, filling)[0]
+		return m.Observe(now, []LatencyReading{{Task: task(0), Image: "web", Latency: shown, Target: target}}, filling)[0]
 	}
 	for range 20 {
 		read(2.5)
 	}
-	read(0.3, Filling{Image: "press", Cores: 2})
+	read(0.3, UsageReading{Image: "press", Cores: 2})
 	for i := range 4 {
-		if got := read(2.5, Filling{Image: "quiet", Cores: 3}); got < 2 {
+		if got := read(2.5, UsageReading{Image: "quiet", Cores: 3}); got < 2 {
 			t.Errorf("rate %d readings after the peak: got %.2f, want about 2.5", i+1, got)
 		}
 	}
-	if got := m.PerCore("web", "quiet"); got > firstPerCore {
+	if got := m.LossPerCore("web", "quiet"); got > firstPerCore {
 		t.Errorf("image that started after the peak: got %.3f per core, want at most %.3f", got, firstPerCore)
 	}
 }
@@ -115,15 +115,15 @@
 	for i := range 60 {
 		now = now.Add(2 * time.Second)
 		busy := float64(i % 3)
-		m.Observe(now, []Serving{at(0, 2.5-0.6*busy)}, []Filling{{Image: "press", Cores: busy}, {Image: "quiet", Cores: float64(i % 2)}})
+		m.Observe(now, []LatencyReading{at(0, 2.5-0.6*busy)}, []UsageReading{{Image: "press", Cores: busy}, {Image: "quiet", Cores: float64(i % 2)}})
 	}
-	before := m.PerCore("web", "quiet")
+	before := m.LossPerCore("web", "quiet")
 	now = now.Add(2 * time.Second)
-	rate := m.Observe(now, []Serving{at(0, 1.9)}, []Filling{{Image: "press", Cores: 2, Ended: true}, {Image: "quiet", Cores: 2}})[0]
+	rate := m.Observe(now, []LatencyReading{at(0, 1.9)}, []UsageReading{{Image: "press", Cores: 2, Ended: true}, {Image: "quiet", Cores: 2}})[0]
 	if rate < 2.3 {
 		t.Errorf("rate beside what runs on: got %.2f, want about 2.5", rate)
 	}
-	if got := m.PerCore("web", "quiet"); got > before+0.02 {
+	if got := m.LossPerCore("web", "quiet"); got > before+0.02 {
 		t.Errorf("image that runs on: got %.3f per core, want about %.3f", got, before)
 	}
 }
@@ -132,13 +132,13 @@
 func TestTablesAreBounded(t *testing.T) {
 	var m Model
 	for i := range 3 * maxTasks {
-		m.Observe(bootclock.Instant(i), []Serving{{Task: workflow.TaskID{Job: "a", Index: i}, Image: "web", Latency: 5, Target: 18}}, nil)
+		m.Observe(bootclock.Instant(i), []LatencyReading{{Task: workflow.TaskID{Job: "a", Index: i}, Image: "web", Latency: 5, Target: 18}}, nil)
 	}
 	if got := len(m.readings); got > maxTasks {
 		t.Errorf("got %d tasks, want at most %d", got, maxTasks)
 	}
 	for i := range 3 * maxSteps {
-		m.Observe(bootclock.Instant(i), []Serving{{Task: workflow.TaskID{Job: "a", Step: i}, Image: "web", Latency: 5, Target: 18}}, nil)
+		m.Observe(bootclock.Instant(i), []LatencyReading{{Task: workflow.TaskID{Job: "a", Step: i}, Image: "web", Latency: 5, Target: 18}}, nil)
 	}
 	if got := len(m.bases); got > maxSteps {
 		t.Errorf("got %d steps, want at most %d", got, maxSteps)
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -158,7 +158,7 @@
 	}
 	estimates := make([]interference.Estimate, len(pairs))
 	for i, p := range pairs {
-		estimates[i] = interference.Estimate{Serving: p.GetServing(), Filling: p.GetFilling(), PerCore: p.GetLossPerCore(), Variance: p.GetVariance()}
+		estimates[i] = interference.Estimate{LatencyCriticalImage: p.GetServing(), BestEffortImage: p.GetFilling(), LossPerCore: p.GetLossPerCore(), Variance: p.GetVariance()}
 	}
 	a.Controller.SetEstimates(estimates)
 }
--- a/internal/node/agentlink.go
+++ b/internal/node/agentlink.go
@@ -209,7 +209,7 @@
 func estimatesToWire(estimates []interference.Estimate) []*wire.PairEstimate {
 	pairs := make([]*wire.PairEstimate, len(estimates))
 	for i, e := range estimates {
-		pairs[i] = &wire.PairEstimate{Serving: e.Serving, Filling: e.Filling, LossPerCore: e.PerCore, Variance: e.Variance}
+		pairs[i] = &wire.PairEstimate{Serving: e.LatencyCriticalImage, Filling: e.BestEffortImage, LossPerCore: e.LossPerCore, Variance: e.Variance}
 	}
 	return pairs
 }
--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -101,12 +101,12 @@
 	started    bootclock.Instant // when Run began
 	reborn     bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
 	model      interference.Model
-	observed   bootclock.Instant      // last reading that the model took in
-	finished   []interference.Filling // tasks that fill and have ended since then
-	slowed     bootclock.Instant      // last time a pace was lowered
-	raised     bootclock.Instant      // last time a pace was raised
-	appeared   chan struct{}          // closed and replaced when a runner appears
-	advanced   chan struct{}          // closed and replaced when recorded rises; nil while nobody waits
+	observed   bootclock.Instant           // last reading that the model took in
+	finished   []interference.UsageReading // tasks that fill and have ended since then
+	slowed     bootclock.Instant           // last time a pace was lowered
+	raised     bootclock.Instant           // last time a pace was raised
+	appeared   chan struct{}               // closed and replaced when a runner appears
+	advanced   chan struct{}               // closed and replaced when recorded rises; nil while nobody waits
 }
 
 // Announce takes what the runner says of itself. It reports false when the
@@ -410,7 +410,7 @@
 	}
 	if r := c.runs[e.Task]; r != nil && r.attempt <= e.Attempt {
 		if r.fills {
-			c.finished = append(c.finished, interference.Filling{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
+			c.finished = append(c.finished, interference.UsageReading{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
 		}
 		delete(c.runs, e.Task)
 	}
--- a/internal/runner/guard.go
+++ b/internal/runner/guard.go
@@ -107,18 +107,18 @@
 // observe feeds the readings to the model and keeps the rates that they show.
 // c.mu is held.
 func (c *Controller) observe(now bootclock.Instant, filling []neighbour) {
-	var readings []interference.Serving
+	var readings []interference.LatencyReading
 	var rows []*run
 	for task, r := range c.runs {
 		if r.target > 0 && !r.starting {
-			readings = append(readings, interference.Serving{Task: task, Image: r.image, Latency: float64(r.load), Target: float64(r.target.Milliseconds())})
+			readings = append(readings, interference.LatencyReading{Task: task, Image: r.image, Latency: float64(r.load), Target: float64(r.target.Milliseconds())})
 			rows = append(rows, r)
 		}
 	}
 	uses := c.finished
 	c.finished = nil
 	for _, f := range filling {
-		uses = append(uses, interference.Filling{Image: f.run.image, Cores: f.cores})
+		uses = append(uses, interference.UsageReading{Image: f.run.image, Cores: f.cores})
 	}
 	for i, rate := range c.model.Observe(now, readings, uses) {
 		rows[i].rate = rate
@@ -200,7 +200,7 @@
 	order := make([]int, len(filling))
 	total := 0.0
 	for i, f := range filling {
-		harm[i] = c.model.PerCore(s.image, f.run.image) * f.cores
+		harm[i] = c.model.LossPerCore(s.image, f.run.image) * f.cores
 		order[i] = i
 		total += harm[i]
 	}
@@ -220,7 +220,7 @@
 	}
 	if excess-explained > excess/2 {
 		for i := range wanted {
-			if wanted[i] == filling[i].run.pace && !c.model.Known(s.image, filling[i].run.image) {
+			if wanted[i] == filling[i].run.pace && !c.model.IsReliable(s.image, filling[i].run.image) {
 				wanted[i] = lowered(wanted[i], cutUnknown)
 			}
 		}
@@ -249,7 +249,7 @@
 		}
 		cores := float64(f.run.processors) / 1000 * float64(step) / fullPace
 		for k, s := range serving {
-			if harm := c.model.PerCore(s.image, f.run.image); harm > 0 {
+			if harm := c.model.LossPerCore(s.image, f.run.image); harm > 0 {
 				cores = min(cores, max(room[k], 0)/harm)
 			}
 		}
@@ -259,7 +259,7 @@
 		}
 		wanted[i] += step
 		for k, s := range serving {
-			room[k] -= c.model.PerCore(s.image, f.run.image) * cores
+			room[k] -= c.model.LossPerCore(s.image, f.run.image) * cores
 		}
 	}
 }
@@ -280,6 +280,6 @@
 	defer c.mu.Unlock()
 	now := bootclock.Now()
 	for _, e := range estimates {
-		c.model.Suggest(now, e)
+		c.model.SetEstimate(now, e)
 	}
 }
--- a/internal/runner/guard_test.go
+++ b/internal/runner/guard_test.go
@@ -62,7 +62,7 @@
 	harmful, harmless := &run{image: "press", load: 1400, pace: fullPace}, &run{image: "quiet", load: 1400, pace: fullPace}
 	c := guarded(400, harmful, harmless)
 	c.SetEstimates([]interference.Estimate{
-		{Serving: "web", Filling: "press", PerCore: 0.5, Variance: 0.01}, {Serving: "web", Filling: "quiet", PerCore: 0.002, Variance: 0.01},
+		{LatencyCriticalImage: "web", BestEffortImage: "press", LossPerCore: 0.5, Variance: 0.01}, {LatencyCriticalImage: "web", BestEffortImage: "quiet", LossPerCore: 0.002, Variance: 0.01},
 	})
 	c.runs[workflow.TaskID{Job: "serving"}].rate = 18.0 / 400
 	c.observed = at(time.Hour) // the reading itself is not what is tested
--- a/internal/scheduler/filling.go
+++ b/internal/scheduler/filling.go
@@ -56,12 +56,12 @@
 type use struct {
 	serving  float64           // learned share of the request of serving tasks; 0 before the first reading
 	read     bootclock.Instant // of the last reading
-	latency  []interference.Serving
-	rates    []float64              // of latency, as the readings show them
-	ended    []interference.Filling // tasks that fill and have left since the last reading
-	expected []float64              // rate of each serving task once it shows all that has started
-	unseen   []float64              // what expected has less than rates
-	rooms    map[string]fillRoom    // by image, as expected says
+	latency  []interference.LatencyReading
+	rates    []float64                   // of latency, as the readings show them
+	ended    []interference.UsageReading // tasks that fill and have left since the last reading
+	expected []float64                   // rate of each serving task once it shows all that has started
+	unseen   []float64                   // what expected has less than rates
+	rooms    map[string]fillRoom         // by image, as expected says
 	// sensitivity is the rate that one core of an image takes here on average.
 	sensitivity   float64
 	estimatesSent bootclock.Instant // when the agent last received the estimates
@@ -89,12 +89,12 @@
 					steadyGot += cores
 					steadyAsked += request * float64(t.pace) / 100
 				}
-				filling = append(filling, interference.Filling{Image: t.step.Image, Cores: cores})
+				filling = append(filling, interference.UsageReading{Image: t.step.Image, Cores: cores})
 			}
 		case t.step.LatencyTarget > 0:
 			servingRequest += request
 			if t.confirmed {
-				w.use.latency = append(w.use.latency, interference.Serving{Task: t.id, Image: t.step.Image,
+				w.use.latency = append(w.use.latency, interference.LatencyReading{Task: t.id, Image: t.step.Image,
 					Latency: float64(t.load), Target: float64(t.step.LatencyTarget.Milliseconds())})
 			}
 		default:
@@ -162,7 +162,7 @@
 func (s *Scheduler) addExpected(w *worker, image string, cores float64) {
 	clear(w.use.rooms)
 	for i, reading := range w.use.latency {
-		loss := s.model.PerCore(reading.Image, image) * cores
+		loss := s.model.LossPerCore(reading.Image, image) * cores
 		w.use.expected[i] -= loss
 		w.use.unseen[i] += loss
 	}
@@ -171,7 +171,7 @@
 // sensitivityOf returns how much images that fill harm the serving tasks of w on
 // average.
 func (s *Scheduler) sensitivityOf(w *worker) float64 {
-	images := s.model.Filling()
+	images := s.model.BestEffortImages()
 	if len(images) == 0 {
 		return 0
 	}
@@ -200,7 +200,7 @@
 		if unseen := w.use.unseen[i]; unseen > 0 {
 			left = min(left, unseenLoss-unseen)
 		}
-		switch perCore := s.model.PerCore(reading.Image, image); {
+		switch perCore := s.model.LossPerCore(reading.Image, image); {
 		case perCore > 0:
 			r.cores = min(r.cores, left/perCore)
 			r.harm = max(r.harm, perCore)
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -71,8 +71,8 @@
 	for i := range 60 { // 4 ms for each core of the harmful image
 		busy := float64(i % 3)
 		f.pass(learnEvery)
-		f.s.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: "other"}, Image: "web", Latency: 7 + 4*busy, Target: 18}},
-			[]interference.Filling{{Image: "press", Cores: busy}})
+		f.s.model.Observe(f.now.Boot, []interference.LatencyReading{{Task: workflow.TaskID{Job: "other"}, Image: "web", Latency: 7 + 4*busy, Target: 18}},
+			[]interference.UsageReading{{Image: "press", Cores: busy}})
 	}
 	f.report("serves")
 	f.submit("runs", filling("press", 3))
@@ -168,8 +168,8 @@
 	for i := range 60 {
 		busy := float64(i % 3)
 		f.pass(2 * time.Second)
-		f.s.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: "other"}, Image: "web", Latency: 18 / (base - perCore*busy), Target: 18}},
-			[]interference.Filling{{Image: "press", Cores: busy}})
+		f.s.model.Observe(f.now.Boot, []interference.LatencyReading{{Task: workflow.TaskID{Job: "other"}, Image: "web", Latency: 18 / (base - perCore*busy), Target: 18}},
+			[]interference.UsageReading{{Image: "press", Cores: busy}})
 	}
 	f.report("a")
 	return a, web
@@ -214,10 +214,10 @@
 		busy := float64(i % 4)
 		f.pass(learnEvery)
 		for serving, perCore := range map[string]float64{"delicate": 3, "robust": 0} {
-			f.s.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(serving)}, Image: serving, Latency: 7 + perCore*busy, Target: 18}},
-				[]interference.Filling{{Image: "press", Cores: busy}})
-			f.s.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(serving + "2")}, Image: serving, Latency: 7, Target: 18}},
-				[]interference.Filling{{Image: "quiet", Cores: busy}})
+			f.s.model.Observe(f.now.Boot, []interference.LatencyReading{{Task: workflow.TaskID{Job: workflow.JobID(serving)}, Image: serving, Latency: 7 + perCore*busy, Target: 18}},
+				[]interference.UsageReading{{Image: "press", Cores: busy}})
+			f.s.model.Observe(f.now.Boot, []interference.LatencyReading{{Task: workflow.TaskID{Job: workflow.JobID(serving + "2")}, Image: serving, Latency: 7, Target: 18}},
+				[]interference.UsageReading{{Image: "quiet", Cores: busy}})
 		}
 	}
 	for id := range f.agents {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -214,7 +214,7 @@
 	delete(w.tasks, t.id)
 	w.orders.drop(t)
 	if t.step.Fills && t.load > 0 {
-		w.use.ended = append(w.use.ended, interference.Filling{Image: t.step.Image, Cores: float64(t.load) / 1000, Ended: true})
+		w.use.ended = append(w.use.ended, interference.UsageReading{Image: t.step.Image, Cores: float64(t.load) / 1000, Ended: true})
 		t.load = 0
 	}
 	w.used = w.used.Sub(t.step.claim())
--- a/internal/scheduler/speed_test.go
+++ b/internal/scheduler/speed_test.go
@@ -163,7 +163,7 @@
 		}
 		f.progressed(600*time.Millisecond, map[string]float64{"a": 0.05})
 	}
-	if got := f.s.model.PerCore("web", "press"); got > 0.1 {
+	if got := f.s.model.LossPerCore("web", "press"); got > 0.1 {
 		t.Errorf("loss by the image beside the slow serving task: got %.2f per core, want about 0", got)
 	}
 }
