--- a/internal/agent/guarding.go
+++ b/internal/agent/guarding.go
@@ -34,7 +34,7 @@
 		if t == nil || t.attempt != action.Attempt || t.phase != running || t.intent != keep || t.busy {
 			continue
 		}
-		if action.Verb == guard.Evict {
+		if action.Kind == guard.Evict {
 			a.evict(t, "evicted to protect service "+string(action.Service), now)
 			continue
 		}
@@ -44,7 +44,7 @@
 
 func (a *Agent) guardInputs(now time.Time) guard.Inputs {
 	document := a.config.document
-	in := guard.Inputs{Now: now, Enabled: document.Guards.Enabled, Ratio: document.Guards.LatencyRatio}
+	in := guard.Inputs{Now: now, Enabled: document.Guards.Enabled, LatencyRatio: document.Guards.LatencyRatio}
 	for _, report := range a.endpoints {
 		name := units.ServiceName(report.Service)
 		service := document.Service(name)
@@ -52,7 +52,7 @@
 			continue
 		}
 		measured := a.measured(name, time.Duration(report.LatencyMicroseconds)*time.Microsecond, now)
-		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, Measured: measured.at})
+		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, MeasuredAt: measured.at})
 	}
 	for _, t := range a.tasks {
 		if t.phase != running || !t.isBatch() || t.intent != keep {
@@ -61,7 +61,7 @@
 		in.Tasks = append(in.Tasks, guard.Task{
 			Task: t.name, Attempt: t.attempt, Kind: units.JobKind(t.spec.GetJobKind()), Priority: t.priority(),
 			OverQuota: a.OverQuota != nil && a.OverQuota(units.TeamName(t.spec.GetTeam())),
-			Share:     t.share, Usage: t.usage.Processors, Measured: t.usageAt,
+			Share:     t.share, Usage: t.usage.Processors, MeasuredAt: t.usageAt,
 		})
 	}
 	return in
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -37,46 +37,46 @@
 
 // Service is the state of one service whose endpoint is on the worker.
 type Service struct {
-	Name     units.ServiceName
-	Latency  time.Duration // decayed service time; 0 while there is no request
-	Target   time.Duration
-	Measured time.Time // when Latency last took in a request
+	Name       units.ServiceName
+	Latency    time.Duration // decayed service time; 0 while there is no request
+	Target     time.Duration
+	MeasuredAt time.Time // when Latency last took in a request
 }
 
 // Task is one running batch task.
 type Task struct {
-	Task      units.Task
-	Attempt   units.Attempt
-	Kind      units.JobKind
-	Priority  units.Priority
-	OverQuota bool             // its team is over its quota
-	Share     float64          // share of its processors that it may use now
-	Usage     units.Millicores // lagging
-	Measured  time.Time        // when Usage was taken
+	Task       units.Task
+	Attempt    units.Attempt
+	Kind       units.JobKind
+	Priority   units.Priority
+	OverQuota  bool             // its team is over its quota
+	Share      float64          // share of its processors that it may use now
+	Usage      units.Millicores // lagging
+	MeasuredAt time.Time        // when Usage was taken
 }
 
 // Inputs are what one tick decides on.
 type Inputs struct {
-	Now      time.Time
-	Enabled  bool
-	Ratio    float64 // tolerated latency with batch against without; at least 1
-	Services []Service
-	Tasks    []Task
+	Now          time.Time
+	Enabled      bool
+	LatencyRatio float64 // tolerated latency with batch against without; at least 1
+	Services     []Service
+	Tasks        []Task
 }
 
 // Verb says what an action does.
-type Verb string
+type ActionKind string
 
 // The verbs of actions.
 const (
-	Throttle Verb = "throttle" // lower the task's share to Share
-	Restore  Verb = "restore"  // raise the task's share to Share
-	Evict    Verb = "evict"    // checkpoint the task and stop it
+	Throttle ActionKind = "throttle" // lower the task's share to Share
+	Restore  ActionKind = "restore"  // raise the task's share to Share
+	Evict    ActionKind = "evict"    // checkpoint the task and stop it
 )
 
 // Action is one command for the worker.
 type Action struct {
-	Verb    Verb
+	Kind    ActionKind
 	Task    units.Task
 	Attempt units.Attempt
 	Share   float64 // for Throttle and Restore
@@ -110,10 +110,10 @@
 	}
 	if excess > 1 {
 		c.calmSince = time.Time{}
-		if !worst.Measured.After(c.lastAction) || !worst.Measured.After(c.considered) {
+		if !worst.MeasuredAt.After(c.lastAction) || !worst.MeasuredAt.After(c.considered) {
 			return nil
 		}
-		c.considered = worst.Measured
+		c.considered = worst.MeasuredAt
 		return c.protect(in, worst)
 	}
 	c.stuck = 0
@@ -140,7 +140,7 @@
 		if s.Latency <= 0 || s.Target <= 0 {
 			continue
 		}
-		if excess := float64(s.Latency) / float64(c.limit(s, in.Ratio)); excess > highest {
+		if excess := float64(s.Latency) / float64(c.limit(s, in.LatencyRatio)); excess > highest {
 			worst, highest = s, excess
 		}
 	}
@@ -164,7 +164,7 @@
 	for _, t := range in.Tasks {
 		total += c.charge(t, s.Name)
 	}
-	need := total * c.surplus(s, in.Ratio)
+	need := total * c.surplus(s, in.LatencyRatio)
 	var actions []Action
 	for _, t := range tasks {
 		if need <= 0 {
@@ -225,7 +225,7 @@
 // enough. Calm means below the middle between baseline and limit, so that a
 // restore does not lead straight to the next throttle.
 func (c *Controller) relax(in Inputs, s *Service, excess float64) []Action {
-	middle := (1 + 1/max(in.Ratio, 1)) / 2
+	middle := (1 + 1/max(in.LatencyRatio, 1)) / 2
 	if excess > middle {
 		c.calmSince = time.Time{}
 		return nil
@@ -256,7 +256,7 @@
 func (c *Controller) release(in Inputs) []Action {
 	var actions []Action
 	for _, t := range in.Tasks {
-		if t.Share < 1 && t.Measured.After(c.lastAction) {
+		if t.Share < 1 && t.MeasuredAt.After(c.lastAction) {
 			actions = append(actions, Action{Restore, t.Task, t.Attempt, 1, ""})
 		}
 	}
@@ -277,7 +277,7 @@
 func (c *Controller) victims(in Inputs, s units.ServiceName) []Task {
 	var tasks []Task
 	for _, t := range in.Tasks {
-		if t.Priority < units.PriorityUrgent && t.Measured.After(c.lastAction) {
+		if t.Priority < units.PriorityUrgent && t.MeasuredAt.After(c.lastAction) {
 			tasks = append(tasks, t)
 		}
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -59,11 +59,11 @@
 	if b.blind {
 		at = b.now
 	}
-	in := Inputs{Now: b.now, Enabled: true, Ratio: 1.2, Services: []Service{{"desk", seen.latency, 50 * time.Millisecond, at}}}
+	in := Inputs{Now: b.now, Enabled: true, LatencyRatio: 1.2, Services: []Service{{"desk", seen.latency, 50 * time.Millisecond, at}}}
 	for _, t := range b.tasks {
 		share, known := seen.shares[t.Task]
 		if known {
-			t.Usage, t.Measured = units.Millicores(2000*share), at
+			t.Usage, t.MeasuredAt = units.Millicores(2000*share), at
 		}
 		in.Tasks = append(in.Tasks, t)
 	}
@@ -82,7 +82,7 @@
 			if b.tasks[i].Task != a.Task {
 				continue
 			}
-			if a.Verb == Evict {
+			if a.Kind == Evict {
 				b.evicted = append(b.evicted, a.Task)
 				b.tasks = append(b.tasks[:i:i], b.tasks[i+1:]...)
 				break
@@ -148,7 +148,7 @@
 	seen := map[units.Task]bool{}
 	for range 200 {
 		for _, a := range b.step(c) {
-			if a.Verb == Throttle && !seen[a.Task] {
+			if a.Kind == Throttle && !seen[a.Task] {
 				seen[a.Task] = true
 				order = append(order, a.Task.Job)
 			}
@@ -211,9 +211,9 @@
 func TestReleasesWhenDisabled(t *testing.T) {
 	c := &Controller{}
 	now := time.Unix(1000, 0)
-	task := Task{Task: units.Task{Job: "job"}, Attempt: 1, Priority: units.PriorityLow, Share: 0.1, Measured: now}
+	task := Task{Task: units.Task{Job: "job"}, Attempt: 1, Priority: units.PriorityLow, Share: 0.1, MeasuredAt: now}
 	got := c.Tick(Inputs{Now: now, Tasks: []Task{task}})
-	if len(got) != 1 || got[0].Verb != Restore || got[0].Share != 1 {
+	if len(got) != 1 || got[0].Kind != Restore || got[0].Share != 1 {
 		t.Errorf("got %+v, want one restore to share 1", got)
 	}
 }
--- a/internal/guard/learning.go
+++ b/internal/guard/learning.go
@@ -84,10 +84,10 @@
 				c.observe(s, float64(s.Latency)/b.latency-1, in.Tasks)
 			}
 		case b == nil:
-			c.baselines[s.Name] = &baseline{float64(s.Latency), s.Measured}
-		case s.Measured.After(b.at):
-			keep := decay(s.Measured.Sub(b.at), baselineHalfLife)
-			b.latency, b.at = b.latency*keep+float64(s.Latency)*(1-keep), s.Measured
+			c.baselines[s.Name] = &baseline{float64(s.Latency), s.MeasuredAt}
+		case s.MeasuredAt.After(b.at):
+			keep := decay(s.MeasuredAt.Sub(b.at), baselineHalfLife)
+			b.latency, b.at = b.latency*keep+float64(s.Latency)*(1-keep), s.MeasuredAt
 		}
 	}
 	c.export(in.Now)
@@ -108,11 +108,11 @@
 	rows := make([]*slowdown, 0, len(kinds))
 	predicted, spread := 0.0, noise
 	for _, kind := range kinds {
-		r := c.row(pair{kind, s.Name}, s.Measured)
-		if !s.Measured.After(r.at) {
+		r := c.row(pair{kind, s.Name}, s.MeasuredAt)
+		if !s.MeasuredAt.After(r.at) {
 			return
 		}
-		elapsed := s.Measured.Sub(r.at)
+		elapsed := s.MeasuredAt.Sub(r.at)
 		r.perCore *= decay(elapsed, forgetHalfLife)
 		r.variance = min(r.variance+drift*elapsed.Seconds(), firstVariance)
 		keep := decay(elapsed, usageHalfLife)
@@ -129,7 +129,7 @@
 		gain := r.variance * x / spread
 		r.perCore = max(r.perCore+gain*(excess-predicted), 0)
 		r.variance *= 1 - gain*x
-		r.at = s.Measured
+		r.at = s.MeasuredAt
 	}
 }
 
