--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -82,7 +82,7 @@
 		a.event("workerRegistered", string(a.WorkerID), "")
 	}
 	l.available = reply.LessorAvailable
-	if until := sent.Add(leases.GrantRight - leases.EvidenceAge); reply.LogReachable && until.After(l.mayGrant) {
+	if until := sent.Add(leases.GrantWindow - leases.MaxEvidenceAge); reply.LogReachable && until.After(l.mayGrant) {
 		l.mayGrant = until
 	}
 	if term := units.Term(reply.LeaseTerm); term > l.term {
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -183,9 +183,9 @@
 			if _, ok := r.ChainExpirable(w.ID); !ok || !w.Holds() {
 				continue
 			}
-			d := chainedExpiry{w.Term, leases.ExpiredChainWait}
+			d := chainedExpiry{w.Term, leases.ExpiredLessorWait}
 			if lessor, ok := r.Worker(w.Lessor.Worker); ok && lessor.Holds() {
-				d.wait = leases.ReplacedChainWait
+				d.wait = leases.ReplacedLessorWait
 				if !c.accounted(lessor) {
 					continue
 				}
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -15,14 +15,14 @@
 	// its own epoch is in force. It spans an outage of the log, in which nobody
 	// can have such evidence: if a grant needed the lessor's own lease, one
 	// death in an outage would stop lessee after lessee, every 8 s one more.
-	GrantRight = 15 * time.Minute
+	GrantWindow = 15 * time.Minute
 	// EvidenceAge is how old the view of an entry process may be that counts
 	// as evidence. The lessor subtracts it from GrantRight.
-	EvidenceAge = 5 * time.Second
+	MaxEvidenceAge = 5 * time.Second
 	// ExpiredChainWait and ReplacedChainWait are how long after the end of a
 	// lessor's epoch is recorded the lease of a lessee that has not changed
 	// lessor has certainly ended. An epoch that a higher one has replaced grants
 	// nothing any more, because its worker no longer confirms it.
-	ExpiredChainWait  = GrantRight + Duration + Margin
-	ReplacedChainWait = Duration + Margin
+	ExpiredLessorWait  = GrantWindow + Duration + Margin
+	ReplacedLessorWait = Duration + Margin
 )
