--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -18,21 +18,21 @@
 const (
 	// minimumShare keeps a throttled task alive: below a tenth it holds
 	// memory for hours without finishing, and eviction serves everyone better.
-	minimumShare = 0.1
+	minShare = 0.1
 	// targetHeadroom relates the decayed mean that endpoints report to the
 	// 99th percentile that the target bounds; the tail of a busy endpoint is
 	// about twice its mean.
-	targetHeadroom = 0.5
+	meanToTailRatio = 0.5
 	// restoreStep is smaller than the throttle step so that the loop backs off
 	// faster than it recovers.
-	restoreStep = 1.5
+	restoreFactor = 1.5
 	// evictAfter is how many measurements in a row must exceed the limit with
 	// every batch task at its minimum share before one is evicted.
-	evictAfter = 3
+	evictAfterMeasurements = 3
 	// minimumCalm and maximumCalm bound how long a service must be calm before
 	// batch is restored. A relapse soon after a restore doubles the wait.
-	minimumCalm = 5 * time.Second
-	maximumCalm = 2 * time.Minute
+	minCalmPeriod = 5 * time.Second
+	maxCalmPeriod = 2 * time.Minute
 )
 
 // Service is the state of one service whose endpoint is on the worker.
@@ -89,42 +89,42 @@
 	pairs     map[pair]*slowdown
 	version   uint64 // of the newest change in pairs
 
-	lastAction  time.Time
-	lastRestore time.Time
-	calmSince   time.Time     // zero while a service is over its limit or not measured
-	calm        time.Duration // required before the next restore
-	stuck       int           // measurements in a row over the limit with nothing left to throttle
-	considered  time.Time     // newest latency measurement that has been acted on or counted
+	lastAction      time.Time
+	lastRestore     time.Time
+	calmSince       time.Time     // zero while a service is over its limit or not measured
+	calmPeriod      time.Duration // required before the next restore
+	exhaustedCount  int           // measurements in a row over the limit with nothing left to throttle
+	lastMeasurement time.Time     // newest latency measurement that has been acted on or counted
 }
 
 // Tick learns from the inputs and returns the actions to take now.
 func (c *Controller) Tick(in Inputs) []Action {
 	c.learn(in)
 	if !in.Enabled {
-		return c.release(in)
+		return c.restoreAll(in)
 	}
-	worst, excess := c.worst(in)
+	worst, excess := c.worstService(in)
 	if worst == nil {
 		c.calmSince = time.Time{}
 		return nil
 	}
 	if excess > 1 {
 		c.calmSince = time.Time{}
-		if !worst.MeasuredAt.After(c.lastAction) || !worst.MeasuredAt.After(c.considered) {
+		if !worst.MeasuredAt.After(c.lastAction) || !worst.MeasuredAt.After(c.lastMeasurement) {
 			return nil
 		}
-		c.considered = worst.MeasuredAt
+		c.lastMeasurement = worst.MeasuredAt
 		return c.protect(in, worst)
 	}
-	c.stuck = 0
-	return c.relax(in, worst, excess)
+	c.exhaustedCount = 0
+	return c.restore(in, worst, excess)
 }
 
 // limit is the latency above which the loop acts: the tolerated ratio over the
 // baseline, but no tighter than the target asks for. A service that misses its
 // target without batch is not helped by stopping batch.
-func (c *Controller) limit(s *Service, ratio float64) time.Duration {
-	limit := time.Duration(float64(s.Target) * targetHeadroom)
+func (c *Controller) latencyLimit(s *Service, ratio float64) time.Duration {
+	limit := time.Duration(float64(s.Target) * meanToTailRatio)
 	if b := c.baselines[s.Name]; b != nil {
 		limit = max(limit, time.Duration(b.latency*max(ratio, 1)))
 	}
@@ -132,7 +132,7 @@
 }
 
 // worst returns the service with the highest latency relative to its limit.
-func (c *Controller) worst(in Inputs) (*Service, float64) {
+func (c *Controller) worstService(in Inputs) (*Service, float64) {
 	var worst *Service
 	highest := 0.0
 	for i := range in.Services {
@@ -140,7 +140,7 @@
 		if s.Latency <= 0 || s.Target <= 0 {
 			continue
 		}
-		if excess := float64(s.Latency) / float64(c.limit(s, in.LatencyRatio)); excess > highest {
+		if excess := float64(s.Latency) / float64(c.latencyLimit(s, in.LatencyRatio)); excess > highest {
 			worst, highest = s, excess
 		}
 	}
@@ -151,46 +151,46 @@
 // batch has fallen by as much as the service exceeds its limit, and evicts one
 // when throttling is exhausted.
 func (c *Controller) protect(in Inputs, s *Service) []Action {
-	if !c.lastRestore.IsZero() && in.Now.Sub(c.lastRestore) < 2*c.calm {
-		c.calm = min(2*c.calm, maximumCalm)
+	if !c.lastRestore.IsZero() && in.Now.Sub(c.lastRestore) < 2*c.calmPeriod {
+		c.calmPeriod = min(2*c.calmPeriod, maxCalmPeriod)
 		c.lastRestore = time.Time{}
 	}
-	tasks := c.victims(in, s.Name)
+	tasks := c.candidates(in, s.Name)
 	if exhausted(in.Tasks) {
 		return c.evict(in, s, tasks)
 	}
-	c.stuck = 0
+	c.exhaustedCount = 0
 	total := 0.0
 	for _, t := range in.Tasks {
-		total += c.charge(t, s.Name)
+		total += c.attributedSlowdown(t, s.Name)
 	}
-	need := total * c.surplus(s, in.LatencyRatio)
+	need := total * c.requiredReduction(s, in.LatencyRatio)
 	var actions []Action
 	for _, t := range tasks {
 		if need <= 0 {
 			break
 		}
-		charge := c.charge(t, s.Name)
-		if t.Share <= minimumShare || charge <= 0 {
+		charge := c.attributedSlowdown(t, s.Name)
+		if t.Share <= minShare || charge <= 0 {
 			continue
 		}
-		cut := min(need/charge, 1-minimumShare/t.Share)
+		cut := min(need/charge, 1-minShare/t.Share)
 		need -= cut * charge
 		// A cut smaller than a twentieth costs a command and shows no effect.
-		share := max(t.Share*(1-max(cut, 0.05)), minimumShare)
+		share := max(t.Share*(1-max(cut, 0.05)), minShare)
 		actions = append(actions, Action{Throttle, t.Task, t.Attempt, share, s.Name})
 	}
-	return c.acted(in.Now, actions)
+	return c.recordActions(in.Now, actions)
 }
 
 // surplus is the part of what batch adds to the latency that must go, 0..1.
-func (c *Controller) surplus(s *Service, ratio float64) float64 {
-	base := float64(c.limit(s, ratio)) / max(ratio, 1)
+func (c *Controller) requiredReduction(s *Service, ratio float64) float64 {
+	base := float64(c.latencyLimit(s, ratio)) / max(ratio, 1)
 	if b := c.baselines[s.Name]; b != nil {
 		base = min(b.latency, base)
 	}
 	if latency := float64(s.Latency); latency > base {
-		return min((latency-float64(c.limit(s, ratio)))/(latency-base), 1)
+		return min((latency-float64(c.latencyLimit(s, ratio)))/(latency-base), 1)
 	}
 	return 0
 }
@@ -204,7 +204,7 @@
 			continue
 		}
 		any = true
-		if t.Share > minimumShare {
+		if t.Share > minShare {
 			return false
 		}
 	}
@@ -212,19 +212,19 @@
 }
 
 func (c *Controller) evict(in Inputs, s *Service, tasks []Task) []Action {
-	c.stuck++
-	if c.stuck < evictAfter || len(tasks) == 0 {
+	c.exhaustedCount++
+	if c.exhaustedCount < evictAfterMeasurements || len(tasks) == 0 {
 		return nil
 	}
-	c.stuck = 0
+	c.exhaustedCount = 0
 	t := tasks[0]
-	return c.acted(in.Now, []Action{{Evict, t.Task, t.Attempt, 0, s.Name}})
+	return c.recordActions(in.Now, []Action{{Evict, t.Task, t.Attempt, 0, s.Name}})
 }
 
 // relax raises the share of one task after the services have been calm for long
 // enough. Calm means below the middle between baseline and limit, so that a
 // restore does not lead straight to the next throttle.
-func (c *Controller) relax(in Inputs, s *Service, excess float64) []Action {
+func (c *Controller) restore(in Inputs, s *Service, excess float64) []Action {
 	middle := (1 + 1/max(in.LatencyRatio, 1)) / 2
 	if excess > middle {
 		c.calmSince = time.Time{}
@@ -233,37 +233,37 @@
 	if c.calmSince.IsZero() {
 		c.calmSince = in.Now
 	}
-	c.calm = max(c.calm, minimumCalm)
-	if in.Now.Sub(c.calmSince) < c.calm {
+	c.calmPeriod = max(c.calmPeriod, minCalmPeriod)
+	if in.Now.Sub(c.calmSince) < c.calmPeriod {
 		return nil
 	}
-	tasks := c.victims(in, s.Name)
+	tasks := c.candidates(in, s.Name)
 	slices.Reverse(tasks) // the last to be throttled is the first to be restored
 	for _, t := range tasks {
 		if t.Share < 1 {
-			if in.Now.Sub(c.lastRestore) > 4*c.calm {
-				c.calm = max(c.calm/2, minimumCalm)
+			if in.Now.Sub(c.lastRestore) > 4*c.calmPeriod {
+				c.calmPeriod = max(c.calmPeriod/2, minCalmPeriod)
 			}
 			c.lastRestore = in.Now
 			c.calmSince = in.Now
-			return c.acted(in.Now, []Action{{Restore, t.Task, t.Attempt, min(t.Share*restoreStep, 1), s.Name}})
+			return c.recordActions(in.Now, []Action{{Restore, t.Task, t.Attempt, min(t.Share*restoreFactor, 1), s.Name}})
 		}
 	}
 	return nil
 }
 
 // release gives back every share when the guards are switched off.
-func (c *Controller) release(in Inputs) []Action {
+func (c *Controller) restoreAll(in Inputs) []Action {
 	var actions []Action
 	for _, t := range in.Tasks {
 		if t.Share < 1 && t.MeasuredAt.After(c.lastAction) {
 			actions = append(actions, Action{Restore, t.Task, t.Attempt, 1, ""})
 		}
 	}
-	return c.acted(in.Now, actions)
+	return c.recordActions(in.Now, actions)
 }
 
-func (c *Controller) acted(now time.Time, actions []Action) []Action {
+func (c *Controller) recordActions(now time.Time, actions []Action) []Action {
 	if len(actions) > 0 {
 		c.lastAction = now
 	}
@@ -274,7 +274,7 @@
 // over quota, then lowest priority, then the kind that slows the service most.
 // A task whose usage is older than the last action is left out, because that
 // sample does not show what the action did.
-func (c *Controller) victims(in Inputs, s units.ServiceName) []Task {
+func (c *Controller) candidates(in Inputs, s units.ServiceName) []Task {
 	var tasks []Task
 	for _, t := range in.Tasks {
 		if t.Priority < units.PriorityUrgent && t.MeasuredAt.After(c.lastAction) {
@@ -290,7 +290,7 @@
 		}
 		return cmp.Or(
 			cmp.Compare(a.Priority, b.Priority),
-			cmp.Compare(c.charge(b, s), c.charge(a, s)),
+			cmp.Compare(c.attributedSlowdown(b, s), c.attributedSlowdown(a, s)),
 			cmp.Compare(a.Task.Job, b.Task.Job),
 			cmp.Compare(a.Task.Index, b.Task.Index),
 		)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -10,21 +10,21 @@
 
 // bench is a worker with one service and batch tasks that slow it in proportion
 // to their share. Latency and usage show with a lag.
-type bench struct {
-	now     time.Time
-	tasks   []Task
-	effect  map[units.JobKind]float64 // added latency ratio at full share
-	load    float64                   // latency without batch, in milliseconds
-	lag     time.Duration
-	history []moment
-	blind   bool // pretends that every sample is fresh
-
-	over, work float64 // seconds over the limit, task seconds done
-	changes    int
-	evicted    []units.Task
+type simulation struct {
+	now           time.Time
+	tasks         []Task
+	addedRatio    map[units.JobKind]float64 // added latency ratio at full share
+	baseLatencyMs float64                   // latency without batch, in milliseconds
+	lag           time.Duration
+	history       []sample
+	ignoreLag     bool // pretends that every sample is fresh
+
+	secondsOverLimit, taskSeconds float64 // seconds over the limit, task seconds done
+	actionCount                   int
+	evicted                       []units.Task
 }
 
-type moment struct {
+type sample struct {
 	at      time.Time
 	latency time.Duration
 	shares  map[units.Task]float64
@@ -32,22 +32,22 @@
 
 const tick = 500 * time.Millisecond
 
-func (b *bench) latency() time.Duration {
+func (b *simulation) latency() time.Duration {
 	ratio := 1.0
 	for _, t := range b.tasks {
-		ratio += b.effect[t.Kind] * t.Share
+		ratio += b.addedRatio[t.Kind] * t.Share
 	}
-	return time.Duration(b.load * ratio * float64(time.Millisecond))
+	return time.Duration(b.baseLatencyMs * ratio * float64(time.Millisecond))
 }
 
-func (b *bench) step(c *Controller) []Action {
+func (b *simulation) step(c *Controller) []Action {
 	b.now = b.now.Add(tick)
 	shares := make(map[units.Task]float64)
 	for _, t := range b.tasks {
 		shares[t.Task] = t.Share
-		b.work += t.Share * tick.Seconds()
+		b.taskSeconds += t.Share * tick.Seconds()
 	}
-	b.history = append(b.history, moment{b.now, b.latency(), shares})
+	b.history = append(b.history, sample{b.now, b.latency(), shares})
 	b.history = b.history[max(0, len(b.history)-int(b.lag/tick)-1):]
 	seen := b.history[0]
 	for _, m := range b.history {
@@ -56,7 +56,7 @@
 		}
 	}
 	at := seen.at
-	if b.blind {
+	if b.ignoreLag {
 		at = b.now
 	}
 	in := Inputs{Now: b.now, Enabled: true, LatencyRatio: 1.2, Services: []Service{{"desk", seen.latency, 50 * time.Millisecond, at}}}
@@ -68,15 +68,15 @@
 		in.Tasks = append(in.Tasks, t)
 	}
 	if b.latency() > 25*time.Millisecond {
-		b.over += tick.Seconds()
+		b.secondsOverLimit += tick.Seconds()
 	}
 	actions := c.Tick(in)
 	b.apply(actions)
 	return actions
 }
 
-func (b *bench) apply(actions []Action) {
-	b.changes += len(actions)
+func (b *simulation) apply(actions []Action) {
+	b.actionCount += len(actions)
 	for _, a := range actions {
 		for i := range b.tasks {
 			if b.tasks[i].Task != a.Task {
@@ -92,57 +92,57 @@
 	}
 }
 
-func newBench(kinds ...units.JobKind) *bench {
-	b := &bench{now: time.Unix(1000, 0), load: 16, lag: 3 * time.Second, effect: map[units.JobKind]float64{"mild": 0.02, "noisy": 0.5, "wild": 30}}
+func newSimulation(kinds ...units.JobKind) *simulation {
+	b := &simulation{now: time.Unix(1000, 0), baseLatencyMs: 16, lag: 3 * time.Second, addedRatio: map[units.JobKind]float64{"mild": 0.02, "noisy": 0.5, "wild": 30}}
 	for i, kind := range kinds {
 		b.tasks = append(b.tasks, Task{Task: units.Task{Job: units.JobID(fmt.Sprintf("job%02d", i))}, Attempt: 1, Kind: kind, Priority: units.PriorityNormal, Share: 1})
 	}
 	return b
 }
 
-func (b *bench) run(c *Controller, d time.Duration) {
+func (b *simulation) run(c *Controller, d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.step(c)
 	}
 }
 
 // learnBaseline lets the controller see the service alone.
-func learnBaseline(b *bench, c *Controller) {
+func learnBaseline(b *simulation, c *Controller) {
 	tasks := b.tasks
 	b.tasks = nil
 	b.run(c, 20*time.Second)
-	b.tasks, b.over, b.work, b.changes = tasks, 0, 0, 0
+	b.tasks, b.secondsOverLimit, b.taskSeconds, b.actionCount = tasks, 0, 0, 0
 }
 
 // Guards against a loop that reacts to samples older than its last action: it
 // throttles far more than needed, or swings between throttling and restoring.
 func TestActsOnNewMeasurementsOnly(t *testing.T) {
-	results := map[bool]*bench{}
+	results := map[bool]*simulation{}
 	for _, blind := range []bool{false, true} {
-		b, c := newBench("noisy", "noisy", "mild", "mild", "mild", "mild"), &Controller{}
-		b.blind = blind
+		b, c := newSimulation("noisy", "noisy", "mild", "mild", "mild", "mild"), &Controller{}
+		b.ignoreLag = blind
 		learnBaseline(b, c)
 		b.run(c, 5*time.Minute)
-		t.Logf("blind=%t: %.1f s over the limit, %.0f task seconds, %d changes, %d evicted", blind, b.over, b.work, b.changes, len(b.evicted))
+		t.Logf("blind=%t: %.1f s over the limit, %.0f task seconds, %d changes, %d evicted", blind, b.secondsOverLimit, b.taskSeconds, b.actionCount, len(b.evicted))
 		results[blind] = b
 	}
 	informed, blind := results[false], results[true]
-	if len(informed.evicted) != 0 || informed.over > 60 {
-		t.Errorf("got %d evictions, %.0f s over the limit, want none and at most 60 s", len(informed.evicted), informed.over)
+	if len(informed.evicted) != 0 || informed.secondsOverLimit > 60 {
+		t.Errorf("got %d evictions, %.0f s over the limit, want none and at most 60 s", len(informed.evicted), informed.secondsOverLimit)
 	}
-	if informed.changes >= blind.changes {
-		t.Errorf("got %d changes, want fewer than the %d of a loop that takes every sample as fresh", informed.changes, blind.changes)
+	if informed.actionCount >= blind.actionCount {
+		t.Errorf("got %d changes, want fewer than the %d of a loop that takes every sample as fresh", informed.actionCount, blind.actionCount)
 	}
 }
 
 // Guards against throttling the wrong task first.
-func TestOrderOfVictims(t *testing.T) {
-	b, c := newBench("noisy", "noisy", "noisy", "noisy"), &Controller{}
+func TestThrottleOrder(t *testing.T) {
+	b, c := newSimulation("noisy", "noisy", "noisy", "noisy"), &Controller{}
 	b.tasks[0].Priority = units.PriorityUrgent
 	b.tasks[1].Priority = units.PriorityHigh
 	b.tasks[2].Priority = units.PriorityLow
 	b.tasks[3].OverQuota = true
-	b.effect["noisy"] = 0.2
+	b.addedRatio["noisy"] = 0.2
 	learnBaseline(b, c)
 	var order []units.JobID
 	seen := map[units.Task]bool{}
@@ -165,7 +165,7 @@
 // Guards against a task that ruins the service at any share and is never
 // evicted, and against evicting more than it takes.
 func TestEvictsWhenThrottlingIsExhausted(t *testing.T) {
-	b, c := newBench("wild", "mild", "mild"), &Controller{}
+	b, c := newSimulation("wild", "mild", "mild"), &Controller{}
 	learnBaseline(b, c)
 	wild := b.tasks[0]
 	b.tasks = b.tasks[1:]
@@ -186,8 +186,8 @@
 // Guards against interference that is never learned, charged to the wrong kind,
 // sent although unchanged, or kept for ever.
 func TestInterferenceIsLearnedAndForgotten(t *testing.T) {
-	b, c := newBench("noisy"), &Controller{}
-	b.effect["noisy"] = 0.4
+	b, c := newSimulation("noisy"), &Controller{}
+	b.addedRatio["noisy"] = 0.4
 	learnBaseline(b, c)
 	b.run(c, 2*time.Minute)
 	changed, version := c.Changed(0)
@@ -199,7 +199,7 @@
 	}
 	b.tasks = nil
 	b.run(c, 2*time.Hour)
-	if got := c.pairs[pair{"noisy", "desk"}].current(b.now); got > 1.01 {
+	if got := c.pairs[pair{"noisy", "desk"}].currentRatio(b.now); got > 1.01 {
 		t.Errorf("after two hours without the kind: got %.3f, want 1", got)
 	}
 	if changed, _ := c.Changed(version); len(changed) != 1 || changed[0].Slowdown > 1.2 {
--- a/internal/guard/learning.go
+++ b/internal/guard/learning.go
@@ -26,9 +26,9 @@
 	// firstVariance, drift and noise set how the estimator trusts what it
 	// knows: a kind seen for minutes keeps its estimate when a new kind arrives
 	// together with a jump in latency, and the jump is charged to the new one.
-	firstVariance = 1.0
-	drift         = 1e-4 // added variance per second
-	noise         = 0.01 // variance of one latency ratio
+	initialVariance = 1.0
+	varianceGrowth  = 1e-4 // added variance per second
+	noiseVariance   = 0.01 // variance of one latency ratio
 )
 
 type pair struct {
@@ -38,18 +38,18 @@
 
 // baseline is the latency of a service with no batch task running.
 type baseline struct {
-	latency float64 // nanoseconds
-	at      time.Time
+	latency   float64 // nanoseconds
+	updatedAt time.Time
 }
 
 // slowdown is what the loop knows about one pair.
 type slowdown struct {
-	perCore  float64 // latency ratio added per core used
-	variance float64 // of perCore
-	cores    float64 // decayed use of the kind while it runs
-	at       time.Time
-	exported float64
-	version  uint64 // of the change that set exported
+	perCore   float64 // latency ratio added per core used
+	variance  float64 // of perCore
+	cores     float64 // decayed use of the kind while it runs
+	updatedAt time.Time
+	exported  float64
+	version   uint64 // of the change that set exported
 }
 
 // Interference is what the loop has learned about one pair.
@@ -60,7 +60,7 @@
 }
 
 // decay returns the weight left of an old value after elapsed.
-func decay(elapsed, halfLife time.Duration) float64 {
+func decayWeight(elapsed, halfLife time.Duration) float64 {
 	if elapsed <= 0 {
 		return 1
 	}
@@ -85,12 +85,12 @@
 			}
 		case b == nil:
 			c.baselines[s.Name] = &baseline{float64(s.Latency), s.MeasuredAt}
-		case s.MeasuredAt.After(b.at):
-			keep := decay(s.MeasuredAt.Sub(b.at), baselineHalfLife)
-			b.latency, b.at = b.latency*keep+float64(s.Latency)*(1-keep), s.MeasuredAt
+		case s.MeasuredAt.After(b.updatedAt):
+			keep := decayWeight(s.MeasuredAt.Sub(b.updatedAt), baselineHalfLife)
+			b.latency, b.updatedAt = b.latency*keep+float64(s.Latency)*(1-keep), s.MeasuredAt
 		}
 	}
-	c.export(in.Now)
+	c.updateExported(in.Now)
 }
 
 // observe corrects the estimates of the kinds in use by one measurement: a
@@ -106,16 +106,16 @@
 	}
 	slices.Sort(kinds) // sums in a fixed order, for equal results in equal runs
 	rows := make([]*slowdown, 0, len(kinds))
-	predicted, spread := 0.0, noise
+	predicted, spread := 0.0, noiseVariance
 	for _, kind := range kinds {
-		r := c.row(pair{kind, s.Name}, s.MeasuredAt)
-		if !s.MeasuredAt.After(r.at) {
+		r := c.pairSlowdown(pair{kind, s.Name}, s.MeasuredAt)
+		if !s.MeasuredAt.After(r.updatedAt) {
 			return
 		}
-		elapsed := s.MeasuredAt.Sub(r.at)
-		r.perCore *= decay(elapsed, forgetHalfLife)
-		r.variance = min(r.variance+drift*elapsed.Seconds(), firstVariance)
-		keep := decay(elapsed, usageHalfLife)
+		elapsed := s.MeasuredAt.Sub(r.updatedAt)
+		r.perCore *= decayWeight(elapsed, forgetHalfLife)
+		r.variance = min(r.variance+varianceGrowth*elapsed.Seconds(), initialVariance)
+		keep := decayWeight(elapsed, usageHalfLife)
 		if r.cores == 0 {
 			keep = 0 // the first use is the average so far
 		}
@@ -129,17 +129,17 @@
 		gain := r.variance * x / spread
 		r.perCore = max(r.perCore+gain*(excess-predicted), 0)
 		r.variance *= 1 - gain*x
-		r.at = s.MeasuredAt
+		r.updatedAt = s.MeasuredAt
 	}
 }
 
-func (c *Controller) row(p pair, at time.Time) *slowdown {
+func (c *Controller) pairSlowdown(p pair, at time.Time) *slowdown {
 	r := c.pairs[p]
 	if r == nil {
 		if len(c.pairs) >= maxPairs {
 			c.dropOldest()
 		}
-		r = &slowdown{variance: firstVariance, exported: 1, at: at.Add(-time.Second)}
+		r = &slowdown{variance: initialVariance, exported: 1, updatedAt: at.Add(-time.Second)}
 		c.pairs[p] = r
 	}
 	return r
@@ -147,23 +147,23 @@
 
 // charge is how much of the latency ratio is charged to the task. A kind about
 // which nothing is known is charged by its use of processors.
-func (c *Controller) charge(t Task, service units.ServiceName) float64 {
-	perCore := unknownPerCore
+func (c *Controller) attributedSlowdown(t Task, service units.ServiceName) float64 {
+	perCore := defaultPerCore
 	if r := c.pairs[pair{t.Kind, service}]; r != nil {
-		perCore = max(r.perCore, unknownPerCore)
+		perCore = max(r.perCore, defaultPerCore)
 	}
 	return perCore * float64(t.Usage) / 1000
 }
 
 // unknownPerCore is below any effect that matters, so that known kinds go first.
-const unknownPerCore = 1e-3
+const defaultPerCore = 1e-3
 
 func (c *Controller) dropOldest() {
 	var oldest pair
 	var at time.Time
 	for p, s := range c.pairs {
-		if at.IsZero() || s.at.Before(at) || s.at.Equal(at) && p.less(oldest) {
-			oldest, at = p, s.at
+		if at.IsZero() || s.updatedAt.Before(at) || s.updatedAt.Equal(at) && p.less(oldest) {
+			oldest, at = p, s.updatedAt
 		}
 	}
 	delete(c.pairs, oldest)
@@ -174,13 +174,13 @@
 }
 
 // current is the learned ratio, faded by the time since it was observed.
-func (s *slowdown) current(now time.Time) float64 {
-	return 1 + s.perCore*s.cores*decay(now.Sub(s.at), forgetHalfLife)
+func (s *slowdown) currentRatio(now time.Time) float64 {
+	return 1 + s.perCore*s.cores*decayWeight(now.Sub(s.updatedAt), forgetHalfLife)
 }
 
-func (c *Controller) export(now time.Time) {
+func (c *Controller) updateExported(now time.Time) {
 	for _, s := range c.pairs {
-		if ratio := s.current(now); math.Abs(ratio-s.exported) >= exportStep*s.exported {
+		if ratio := s.currentRatio(now); math.Abs(ratio-s.exported) >= exportStep*s.exported {
 			c.version++
 			s.exported, s.version = ratio, c.version
 		}
--- a/internal/interference/interference.go
+++ b/internal/interference/interference.go
@@ -25,13 +25,13 @@
 
 const (
 	// firstPerCore is assumed of a pair that was never observed, in rate per core.
-	firstPerCore = 0.05
+	initialLossPerCore = 0.05
 	// firstBase is the least that is assumed of a step before it ran alone: half
 	// of its target.
-	firstBase = 2.0
+	initialBaseRate = 2.0
 	// firstPairVariance and firstBaseVariance are those of a first observation.
-	firstPairVariance = 0.1
-	firstBaseVariance = 0.6
+	initialPairVariance = 0.1
+	initialBaseVariance = 0.6
 	// pairDrift and baseDrift are the variance added per second. The base
 	// follows the step's own load, which changes faster than a pair.
 	pairDrift = 0.001
@@ -39,25 +39,25 @@
 	// noise is the standard deviation of a reading relative to its rate, which
 	// counts as lowestNoiseRate at least: latencies are whole milliseconds and
 	// harm is not quite linear near saturation.
-	noise           = 0.1
-	lowestNoiseRate = 1.0
+	relativeNoise = 0.1
+	minNoiseRate  = 1.0
 	// lowestRate is the least rate that is told apart: beyond it a queue grows
 	// for as long as it lasts, whatever its cause.
-	lowestRate = 0.4
+	minRate = 0.4
 	// maxPerCore bounds an estimate per core.
-	maxPerCore = 5.0
+	maxLossPerCore = 5.0
 	// readingFade is the time constant with which a reading follows the latency.
-	readingFade = 400 * time.Millisecond
+	readingTimeConstant = 400 * time.Millisecond
 	// longestGap is the time after which an earlier reading no longer shows in
 	// the next one.
-	longestGap = 3 * readingFade
+	maxReadingGap = 3 * readingTimeConstant
 	// knownVariance is below what two or three readings leave.
-	knownVariance = 0.03
+	reliableVariance = 0.03
 	// endedShare is the part of a reading's window in which a task that has ended
 	// since the one before was at work, on average.
 	endedShare = 0.5
 	// leastCores are too few to show in a reading.
-	leastCores = 0.02
+	minVisibleCores = 0.02
 	// maxTasks, maxSteps, maxPairs and maxImages bound the tables against ever
 	// new names.
 	maxTasks  = 4096
@@ -67,7 +67,7 @@
 )
 
 // HighestRate is the highest rate that is told apart.
-const HighestRate = 6.0
+const MaxRate = 6.0
 
 // Serving is a reading of a serving task.
 type LatencyReading struct {
@@ -84,32 +84,32 @@
 	Ended bool    // since the reading before this one
 }
 
-type pair struct{ serving, filling string }
+type pair struct{ latencyCritical, bestEffort string }
 
 type estimate struct {
-	value    float64
-	variance float64
-	at       bootclock.Instant
+	value     float64
+	variance  float64
+	updatedAt bootclock.Instant
 }
 
 // advance adds the variance that has grown since the last reading.
 func (e *estimate) advance(at bootclock.Instant, drift, limit float64) {
-	e.variance = min(e.variance+drift*at.Sub(e.at).Seconds(), limit)
-	e.at = at
+	e.variance = min(e.variance+drift*at.Sub(e.updatedAt).Seconds(), limit)
+	e.updatedAt = at
 }
 
 // reading is the last one of a task.
 type reading struct {
 	latency float64 // relative to the target
-	at      bootclock.Instant
+	readAt  bootclock.Instant
 }
 
 // Model holds the estimates. It is not safe for concurrent use.
 type Model struct {
-	filling  []string // images that were observed filling, the newest last; at most maxImages
-	pairs    map[pair]*estimate
-	bases    map[workflow.TaskID]*estimate // by the step's first task
-	readings map[workflow.TaskID]*reading
+	bestEffortImages []string // images that were observed filling, the newest last; at most maxImages
+	pairs            map[pair]*estimate
+	baseRates        map[workflow.TaskID]*estimate // by the step's first task
+	readings         map[workflow.TaskID]*reading
 }
 
 // PerCore returns by how much one core of the filling image lowers the rate of
@@ -118,27 +118,27 @@
 	if e := m.pairs[pair{serving, filling}]; e != nil {
 		return e.value
 	}
-	return firstPerCore
+	return initialLossPerCore
 }
 
 // Filling returns the images that were observed filling.
-func (m *Model) BestEffortImages() []string { return m.filling }
+func (m *Model) BestEffortImages() []string { return m.bestEffortImages }
 
 // Observe takes in the readings of one worker, and returns the rate that each
 // serving task has beside the tasks that still run; it is HighestRate without a
 // reading.
 func (m *Model) Observe(at bootclock.Instant, serving []LatencyReading, filling []UsageReading) []float64 {
-	return m.read(at, serving, filling, true)
+	return m.update(at, serving, filling, true)
 }
 
 // Rates returns what Observe does, and learns nothing: for a worker whose tasks
 // are slow for another reason.
 func (m *Model) Rates(at bootclock.Instant, serving []LatencyReading, filling []UsageReading) []float64 {
-	return m.read(at, serving, filling, false)
+	return m.update(at, serving, filling, false)
 }
 
-func (m *Model) read(at bootclock.Instant, serving []LatencyReading, filling []UsageReading, learn bool) []float64 {
-	m.init()
+func (m *Model) update(at bootclock.Instant, serving []LatencyReading, filling []UsageReading, learn bool) []float64 {
+	m.initTables()
 	cores := make(map[string]float64)
 	var ended []UsageReading
 	for _, f := range filling {
@@ -148,12 +148,12 @@
 		}
 		cores[f.Image] += f.Cores
 	}
-	images := shown(cores)
+	images := visibleImages(cores)
 	rates := make([]float64, len(serving))
 	for i, s := range serving {
-		rates[i] = HighestRate
+		rates[i] = MaxRate
 		if s.Latency > 0 && s.Target > 0 {
-			rate, stale := m.rate(at, s)
+			rate, stale := m.currentRate(at, s)
 			if learn {
 				m.learn(at, s, rate, stale, images, cores)
 			}
@@ -163,16 +163,16 @@
 			rates[i] += m.LossPerCore(s.Image, f.Image) * f.Cores
 		}
 	}
-	m.forget()
+	m.trimTables()
 	return rates
 }
 
 // shown returns the images with enough cores to show in a reading, sorted, so that
 // equal runs give equal sums.
-func shown(cores map[string]float64) []string {
+func visibleImages(cores map[string]float64) []string {
 	images := make([]string, 0, len(cores))
 	for image, n := range cores {
-		if n > leastCores {
+		if n > minVisibleCores {
 			images = append(images, image)
 		}
 	}
@@ -180,10 +180,10 @@
 	return images
 }
 
-func (m *Model) init() {
+func (m *Model) initTables() {
 	if m.pairs == nil {
 		m.pairs = make(map[pair]*estimate)
-		m.bases = make(map[workflow.TaskID]*estimate)
+		m.baseRates = make(map[workflow.TaskID]*estimate)
 		m.readings = make(map[workflow.TaskID]*reading)
 	}
 }
@@ -191,31 +191,31 @@
 // learn corrects the estimates by one reading. stale is the share of it that the
 // reading before explains.
 func (m *Model) learn(at bootclock.Instant, s LatencyReading, rate, stale float64, images []string, cores map[string]float64) {
-	base := m.base(at, s.Task, rate)
+	base := m.baseRate(at, s.Task, rate)
 	predicted := base.value
-	deviation := noise * max(rate, lowestNoiseRate) / (1 - stale)
+	deviation := relativeNoise * max(rate, minNoiseRate) / (1 - stale)
 	spread := base.variance + deviation*deviation
 	rows := make([]*estimate, len(images))
 	for i, image := range images {
-		e := m.pair(pair{s.Image, image}, at)
-		e.advance(at, pairDrift, firstPairVariance)
+		e := m.pairEstimate(pair{s.Image, image}, at)
+		e.advance(at, pairDrift, initialPairVariance)
 		predicted -= e.value * cores[image]
 		spread += e.variance * cores[image] * cores[image]
 		rows[i] = e
 	}
-	surprise := max(rate, lowestRate) - max(predicted, lowestRate)
+	surprise := max(rate, minRate) - max(predicted, minRate)
 	base.correct(surprise, 1, spread)
-	base.value = min(max(base.value, lowestRate), HighestRate)
+	base.value = min(max(base.value, minRate), MaxRate)
 	for i, e := range rows {
 		e.correct(surprise, -cores[images[i]], spread)
-		e.value = min(max(e.value, 0), maxPerCore)
+		e.value = min(max(e.value, 0), maxLossPerCore)
 	}
 }
 
 // rate returns the rate that a reading shows, and the share of the reading that
 // the one before it explains: a reading follows the latency with a delay, so that
 // what harmed a moment ago still shows when it has gone.
-func (m *Model) rate(at bootclock.Instant, s LatencyReading) (rate, stale float64) {
+func (m *Model) currentRate(at bootclock.Instant, s LatencyReading) (rate, stale float64) {
 	latency := s.Latency / s.Target
 	last := m.readings[s.Task]
 	if last == nil {
@@ -223,23 +223,23 @@
 		m.readings[s.Task] = last
 	}
 	now := latency
-	if gap := at.Sub(last.at); last.latency > 0 && gap < longestGap {
-		stale = math.Exp(-gap.Seconds() / readingFade.Seconds())
+	if gap := at.Sub(last.readAt); last.latency > 0 && gap < maxReadingGap {
+		stale = math.Exp(-gap.Seconds() / readingTimeConstant.Seconds())
 		now = (latency - stale*last.latency) / (1 - stale)
 	}
 	*last = reading{latency, at}
-	return 1 / max(now, 1/HighestRate), stale
+	return 1 / max(now, 1/MaxRate), stale
 }
 
 // base returns the estimate of the step of a task.
-func (m *Model) base(at bootclock.Instant, task workflow.TaskID, rate float64) *estimate {
+func (m *Model) baseRate(at bootclock.Instant, task workflow.TaskID, rate float64) *estimate {
 	task.Index = 0
-	e := m.bases[task]
+	e := m.baseRates[task]
 	if e == nil {
-		e = &estimate{value: max(rate, firstBase), variance: firstBaseVariance, at: at}
-		m.bases[task] = e
+		e = &estimate{value: max(rate, initialBaseRate), variance: initialBaseVariance, updatedAt: at}
+		m.baseRates[task] = e
 	}
-	e.advance(at, baseDrift, firstBaseVariance)
+	e.advance(at, baseDrift, initialBaseVariance)
 	return e
 }
 
@@ -250,24 +250,24 @@
 	e.variance *= 1 - gain*x
 }
 
-func (m *Model) pair(p pair, at bootclock.Instant) *estimate {
+func (m *Model) pairEstimate(p pair, at bootclock.Instant) *estimate {
 	e := m.pairs[p]
 	if e == nil {
-		e = &estimate{value: firstPerCore, variance: firstPairVariance, at: at}
+		e = &estimate{value: initialLossPerCore, variance: initialPairVariance, updatedAt: at}
 		m.pairs[p] = e
-		if !slices.Contains(m.filling, p.filling) {
-			m.filling = append(m.filling, p.filling)
-			m.filling = m.filling[max(0, len(m.filling)-maxImages):]
+		if !slices.Contains(m.bestEffortImages, p.bestEffort) {
+			m.bestEffortImages = append(m.bestEffortImages, p.bestEffort)
+			m.bestEffortImages = m.bestEffortImages[max(0, len(m.bestEffortImages)-maxImages):]
 		}
 	}
 	return e
 }
 
 // forget bounds the tables by dropping what was read longest ago.
-func (m *Model) forget() {
-	dropOldest(m.readings, maxTasks, func(r *reading) bootclock.Instant { return r.at })
-	read := func(e *estimate) bootclock.Instant { return e.at }
-	dropOldest(m.bases, maxSteps, read)
+func (m *Model) trimTables() {
+	dropOldest(m.readings, maxTasks, func(r *reading) bootclock.Instant { return r.readAt })
+	read := func(e *estimate) bootclock.Instant { return e.updatedAt }
+	dropOldest(m.baseRates, maxSteps, read)
 	dropOldest(m.pairs, maxPairs, read)
 }
 
@@ -296,8 +296,8 @@
 func (m *Model) Estimates(serving, filling map[string]bool) []Estimate {
 	var known []Estimate
 	for p, e := range m.pairs {
-		if serving[p.serving] && filling[p.filling] {
-			known = append(known, Estimate{p.serving, p.filling, e.value, e.variance})
+		if serving[p.latencyCritical] && filling[p.bestEffort] {
+			known = append(known, Estimate{p.latencyCritical, p.bestEffort, e.value, e.variance})
 		}
 	}
 	return known
@@ -305,13 +305,13 @@
 
 // Suggest takes over the estimate of a model that has seen more workers.
 func (m *Model) SetEstimate(at bootclock.Instant, in Estimate) {
-	m.init()
-	e := m.pair(pair{in.LatencyCriticalImage, in.BestEffortImage}, at)
-	e.value, e.variance, e.at = in.LossPerCore, in.Variance, at
+	m.initTables()
+	e := m.pairEstimate(pair{in.LatencyCriticalImage, in.BestEffortImage}, at)
+	e.value, e.variance, e.updatedAt = in.LossPerCore, in.Variance, at
 }
 
 // Known reports whether enough was observed of a pair to trust the estimate.
 func (m *Model) IsReliable(serving, filling string) bool {
 	e := m.pairs[pair{serving, filling}]
-	return e != nil && e.variance < knownVariance
+	return e != nil && e.variance < reliableVariance
 }
--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -45,7 +45,7 @@
 // Something always fills beside a task whose load rises. Its siblings, which run
 // alone on other workers, show that the load is the cause; without them the image
 // beside it is blamed and slowed for nothing.
-func TestSiblingsTellLoadFromHarm(t *testing.T) {
+func TestSiblingsSeparateLoadFromInterference(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
 	for i := range 20 {
@@ -84,13 +84,13 @@
 
 // A reading follows the latency with a delay. What starts while the reading still
 // falls from an earlier peak must not be blamed for the rest of it.
-func TestPeakThatHasPassedIsNotBlamed(t *testing.T) {
+func TestPassedPeakIsNotAttributed(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
 	shown := target / 2.5 // the delayed reading
 	read := func(rate float64, filling ...UsageReading) float64 {
 		now = now.Add(500 * time.Millisecond)
-		shown += (target/rate - shown) * (1 - math.Exp(-0.5/readingFade.Seconds()))
+		shown += (target/rate - shown) * (1 - math.Exp(-0.5/readingTimeConstant.Seconds()))
 		return m.Observe(now, []LatencyReading{{Task: task(0), Image: "web", Latency: shown, Target: target}}, filling)[0]
 	}
 	for range 20 {
@@ -102,14 +102,14 @@
 			t.Errorf("rate %d readings after the peak: got %.2f, want about 2.5", i+1, got)
 		}
 	}
-	if got := m.LossPerCore("web", "quiet"); got > firstPerCore {
-		t.Errorf("image that started after the peak: got %.3f per core, want at most %.3f", got, firstPerCore)
+	if got := m.LossPerCore("web", "quiet"); got > initialLossPerCore {
+		t.Errorf("image that started after the peak: got %.3f per core, want at most %.3f", got, initialLossPerCore)
 	}
 }
 
 // A harmful task ends shortly before a reading, which still shows its harm. What
 // runs on beside the serving task must not be blamed for it or slowed.
-func TestEndedTaskTakesItsHarmAlong(t *testing.T) {
+func TestLossOfEndedTaskIsNotAttributedToOthers(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
 	for i := range 60 {
@@ -140,7 +140,7 @@
 	for i := range 3 * maxSteps {
 		m.Observe(bootclock.Instant(i), []LatencyReading{{Task: workflow.TaskID{Job: "a", Step: i}, Image: "web", Latency: 5, Target: 18}}, nil)
 	}
-	if got := len(m.bases); got > maxSteps {
+	if got := len(m.baseRates); got > maxSteps {
 		t.Errorf("got %d steps, want at most %d", got, maxSteps)
 	}
 }
--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -17,42 +17,42 @@
 
 const (
 	// holdWait bounds how old the lease and the lists get without an end.
-	holdWait = time.Second
+	pollWait = time.Second
 	// holdSlack is the time for an answer beyond its wait.
-	holdSlack = 700 * time.Millisecond
+	pollSlack = 700 * time.Millisecond
 	// endsPause spaces holds while the runner lists ends that are not recorded
 	// yet: it then answers at once instead of waiting for an end.
-	endsPause = 20 * time.Millisecond
+	unrecordedPollInterval = 20 * time.Millisecond
 	// retryPause follows a hold without an answer.
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 	// clockSlowness is the share by which a runner's clock may be slow.
-	clockSlowness = 0.02
+	maxClockDrift = 0.02
 	// lapseMargin covers the time between a lease's end and the end of its runs.
-	lapseMargin = 200 * time.Millisecond
+	leaseExpiryMargin = 200 * time.Millisecond
 	// lifeBits is the part of a fencing token that counts the lives of the runner:
 	// a million within one agent process. The rest still fits the integers that any
 	// JSON decoder keeps exactly.
-	lifeBits = 20
+	incarnationBits = 20
 )
 
 // run is a row of the controller's table.
 type run struct {
-	attempt    workflow.Attempt
-	starting   bool              // the runner has not confirmed the start
-	confirmed  bootclock.Instant // when the runner confirmed it; zero while starting
-	stopping   bool
-	checkpoint string
-	percent    int
-	load       int64
-	rate       float64           // of a serving task: target / latency, as the last reading shows it; 0 before the first
-	over       bootclock.Instant // since when a serving task exceeds its target; 0 while it does not
-	fills      bool
-	image      string
-	processors units.Millicores // requested
-	target     time.Duration    // tail latency to keep; 0 for a task that does not serve
-	pace       int              // percent in force
-	paceUnset  bool             // the runner may have another pace
-	unknown    bool             // adopted from the lists, which do not say all of this
+	attempt         workflow.Attempt
+	starting        bool              // the runner has not confirmed the start
+	confirmedAt     bootclock.Instant // when the runner confirmed it; zero while starting
+	stopping        bool
+	checkpoint      string
+	percent         int
+	load            int64
+	rate            float64           // of a serving task: target / latency, as the last reading shows it; 0 before the first
+	overTargetSince bootclock.Instant // since when a serving task exceeds its target; 0 while it does not
+	bestEffort      bool
+	image           string
+	processors      units.Millicores // requested
+	latencyTarget   time.Duration    // tail latency to keep; 0 for a task that does not serve
+	pace            int              // percent in force
+	paceUnconfirmed bool             // the runner may have another pace
+	incomplete      bool             // adopted from the lists, which do not say all of this
 }
 
 // Rejection is a start that did not happen and never will.
@@ -84,29 +84,29 @@
 	LongestLease time.Duration
 	OnChange     func() // called without locks after a change that the scheduler waits for
 
-	mu         sync.Mutex
-	info       *Info        // nil before the first announcement
-	lives      FencingToken // incarnations that this process has known
-	known      bool         // the lists have been read since the incarnation appeared
-	silent     bool         // the last hold was not answered
-	runs       map[workflow.TaskID]*run
-	ended      []EndedRun // listed and not recorded, by number
-	rejected   []Rejection
-	recorded   uint64            // ends up to this number are durable
-	grant      bootclock.Instant // until when the scheduler lets runs go on
-	clock      ClockTime         // last reading of the runner's clock
-	clockRead  bootclock.Instant // when clock arrived
-	leaseUntil ClockTime         // highest lease sent to this incarnation
-	sequence   uint64            // of the last report
-	started    bootclock.Instant // when Run began
-	reborn     bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
-	model      interference.Model
-	observed   bootclock.Instant           // last reading that the model took in
-	finished   []interference.UsageReading // tasks that fill and have ended since then
-	slowed     bootclock.Instant           // last time a pace was lowered
-	raised     bootclock.Instant           // last time a pace was raised
-	appeared   chan struct{}               // closed and replaced when a runner appears
-	advanced   chan struct{}               // closed and replaced when recorded rises; nil while nobody waits
+	mu                  sync.Mutex
+	info                *Info        // nil before the first announcement
+	incarnations        FencingToken // incarnations that this process has known
+	listed              bool         // the lists have been read since the incarnation appeared
+	unresponsive        bool         // the last hold was not answered
+	runs                map[workflow.TaskID]*run
+	ended               []EndedRun // listed and not recorded, by number
+	rejections          []Rejection
+	recordedEnd         uint64            // ends up to this number are durable
+	grantedUntil        bootclock.Instant // until when the scheduler lets runs go on
+	runnerClock         ClockTime         // last reading of the runner's clock
+	clockReadAt         bootclock.Instant // when clock arrived
+	leaseUntil          ClockTime         // highest lease sent to this incarnation
+	reportSequence      uint64            // of the last report
+	startedAt           bootclock.Instant // when Run began
+	restartedAt         bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
+	model               interference.Model
+	observedAt          bootclock.Instant           // last reading that the model took in
+	endedReadings       []interference.UsageReading // tasks that fill and have ended since then
+	loweredAt           bootclock.Instant           // last time a pace was lowered
+	raisedAt            bootclock.Instant           // last time a pace was raised
+	incarnationAppeared chan struct{}               // closed and replaced when a runner appears
+	recordedAdvanced    chan struct{}               // closed and replaced when recorded rises; nil while nobody waits
 }
 
 // Announce takes what the runner says of itself. It reports false when the
@@ -116,7 +116,7 @@
 	changed := false
 	switch {
 	case c.info == nil || c.info.StartedUnixMs < info.StartedUnixMs || c.info.StartedUnixMs == info.StartedUnixMs && c.info.ID != info.ID:
-		c.replace(info)
+		c.replaceIncarnation(info)
 		changed = true
 	case info.StartedUnixMs < c.info.StartedUnixMs:
 		c.mu.Unlock()
@@ -128,13 +128,13 @@
 		info.Draining = info.Draining || c.info.Draining
 		c.info = &info
 	}
-	if clock > c.clock {
-		c.readClock(clock)
+	if clock > c.runnerClock {
+		c.setClock(clock)
 	}
 	c.mu.Unlock()
 	if changed {
 		klog.InfoS("runner announced", "runner", info.ID, "born", info.StartedUnixMs, "draining", info.Draining, "capacity", info.Capacity.String())
-		c.changed()
+		c.notifyChange()
 	}
 	return true
 }
@@ -144,31 +144,33 @@
 // also such as were answered before anybody knew of the new life. So the table
 // stays, and the first listing that was asked for later tells what is gone: it
 // is asked for with a higher token, which fences off all earlier calls.
-func (c *Controller) replace(info Info) {
+func (c *Controller) replaceIncarnation(info Info) {
 	reborn := c.info != nil && c.info.ID == info.ID
 	c.info = &info
-	c.lives++
-	c.known, c.silent = false, false
-	c.reborn = 0
+	c.incarnations++
+	c.listed, c.unresponsive = false, false
+	c.restartedAt = 0
 	if reborn {
-		c.reborn = bootclock.Now()
+		c.restartedAt = bootclock.Now()
 		for _, r := range c.runs {
 			r.stopping = false // the stop went to the previous life
 		}
 	} else {
 		c.runs = make(map[workflow.TaskID]*run)
 	}
-	c.ended, c.recorded, c.clock, c.leaseUntil = nil, 0, 0, 0
-	if c.appeared != nil {
-		close(c.appeared)
+	c.ended, c.recordedEnd, c.runnerClock, c.leaseUntil = nil, 0, 0, 0
+	if c.incarnationAppeared != nil {
+		close(c.incarnationAppeared)
 	}
-	c.appeared = make(chan struct{})
+	c.incarnationAppeared = make(chan struct{})
 }
 
 // fencingToken returns the token of calls to the present incarnation. It is
 // higher than those of every earlier one under the same id, so that a call which
 // was meant for an earlier life and arrives late does nothing. c.mu is held.
-func (c *Controller) fencingToken() FencingToken { return c.BaseToken<<lifeBits + c.lives }
+func (c *Controller) fencingToken() FencingToken {
+	return c.BaseToken<<incarnationBits + c.incarnations
+}
 
 // Withdraw takes note that the runner has left.
 func (c *Controller) MarkDraining(id string) {
@@ -177,10 +179,10 @@
 		c.info.Draining = true
 	}
 	c.mu.Unlock()
-	c.changed()
+	c.notifyChange()
 }
 
-func (c *Controller) changed() {
+func (c *Controller) notifyChange() {
 	if c.OnChange != nil {
 		c.OnChange()
 	}
@@ -189,7 +191,7 @@
 // Grant lets runs go on until the instant; it never shortens.
 func (c *Controller) ExtendGrant(until bootclock.Instant) {
 	c.mu.Lock()
-	c.grant = max(c.grant, until)
+	c.grantedUntil = max(c.grantedUntil, until)
 	c.mu.Unlock()
 }
 
@@ -197,13 +199,13 @@
 func (c *Controller) MarkRecorded(born int64, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.info == nil || c.info.StartedUnixMs != born || number <= c.recorded {
+	if c.info == nil || c.info.StartedUnixMs != born || number <= c.recordedEnd {
 		return
 	}
-	c.recorded = number
-	if c.advanced != nil {
-		close(c.advanced)
-		c.advanced = nil
+	c.recordedEnd = number
+	if c.recordedAdvanced != nil {
+		close(c.recordedAdvanced)
+		c.recordedAdvanced = nil
 	}
 	keep := c.ended[:0]
 	for _, e := range c.ended {
@@ -215,45 +217,45 @@
 }
 
 // readClock remembers a reading of the runner's clock. c.mu is held.
-func (c *Controller) readClock(clock ClockTime) {
-	c.clock, c.clockRead = clock, bootclock.Now()
+func (c *Controller) setClock(clock ClockTime) {
+	c.runnerClock, c.clockReadAt = clock, bootclock.Now()
 }
 
 // lease returns the lease that the grant allows, on the runner's clock, and
 // false when the grant has ended. The reading was taken before it arrived and
 // the clock may be slow, so the lease ends before the grant does.
-func (c *Controller) lease(now bootclock.Instant) (ClockTime, bool) {
-	if !now.Before(c.grant) || c.clock == 0 {
+func (c *Controller) extendLease(now bootclock.Instant) (ClockTime, bool) {
+	if !now.Before(c.grantedUntil) || c.runnerClock == 0 {
 		return 0, false
 	}
-	left := min(c.grant.Sub(c.clockRead), c.LongestLease)
-	until := c.clock + ClockTime(float64(left.Milliseconds())*(1-clockSlowness))
+	left := min(c.grantedUntil.Sub(c.clockReadAt), c.LongestLease)
+	until := c.runnerClock + ClockTime(float64(left.Milliseconds())*(1-maxClockDrift))
 	c.leaseUntil = max(c.leaseUntil, until)
 	return c.leaseUntil, true
 }
 
 // lapsed reports whether every lease has certainly expired.
-func (c *Controller) lapsed(now bootclock.Instant) bool {
+func (c *Controller) allLeasesExpired(now bootclock.Instant) bool {
 	if c.leaseUntil == 0 {
 		// An earlier agent process may have granted a lease, or a start that was
 		// meant for an earlier life under this id.
-		return c.started != 0 && now.After(max(c.started, c.reborn).Add(c.LongestLease+c.LongestLease/10))
+		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.LongestLease+c.LongestLease/10))
 	}
-	left := time.Duration(c.leaseUntil-c.clock) * time.Millisecond
-	end := c.clockRead.Add(time.Duration(float64(left)*(1+2*clockSlowness)) + lapseMargin)
+	left := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
+	end := c.clockReadAt.Add(time.Duration(float64(left)*(1+2*maxClockDrift)) + leaseExpiryMargin)
 	return now.After(end)
 }
 
 // Run holds the lease and reads the lists until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.mu.Lock()
-	c.started = bootclock.Now()
-	if c.appeared == nil {
-		c.appeared = make(chan struct{})
+	c.startedAt = bootclock.Now()
+	if c.incarnationAppeared == nil {
+		c.incarnationAppeared = make(chan struct{})
 	}
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		call, known, ok := c.nextHold()
+		call, known, ok := c.nextPoll()
 		if !ok {
 			c.awaitRunner(ctx)
 			continue
@@ -262,36 +264,36 @@
 			call.Wait = 0
 		}
 		sent := bootclock.Now()
-		callCtx, cancel := context.WithTimeout(ctx, call.Wait+holdSlack)
+		callCtx, cancel := context.WithTimeout(ctx, call.Wait+pollSlack)
 		listing, err := c.API.Poll(callCtx, call)
 		cancel()
 		if err != nil {
-			c.holdFailed(ctx, call.Runner, err)
+			c.handlePollError(ctx, call.Runner, err)
 			continue
 		}
-		if c.merge(call.Runner, listing, sent) {
-			c.changed()
+		if c.mergeListing(call.Runner, listing, sent) {
+			c.notifyChange()
 		}
 		c.protectLatency(ctx)
 		c.stopExpired(ctx)
-		c.awaitRecord(ctx, listing)
+		c.awaitRecorded(ctx, listing)
 	}
 	return nil
 }
 
 // awaitRecord waits for a record when the listing holds ends that lack one.
-func (c *Controller) awaitRecord(ctx context.Context, l Listing) {
+func (c *Controller) awaitRecorded(ctx context.Context, l Listing) {
 	c.mu.Lock()
-	if len(l.Ended) == 0 || l.Ended[len(l.Ended)-1].Number <= c.recorded {
+	if len(l.Ended) == 0 || l.Ended[len(l.Ended)-1].Number <= c.recordedEnd {
 		c.mu.Unlock()
 		return
 	}
-	if c.advanced == nil {
-		c.advanced = make(chan struct{})
+	if c.recordedAdvanced == nil {
+		c.recordedAdvanced = make(chan struct{})
 	}
-	advanced := c.advanced
+	advanced := c.recordedAdvanced
 	c.mu.Unlock()
-	timer := time.NewTimer(endsPause)
+	timer := time.NewTimer(unrecordedPollInterval)
 	defer timer.Stop()
 	select {
 	case <-advanced:
@@ -302,7 +304,7 @@
 
 func (c *Controller) awaitRunner(ctx context.Context) {
 	c.mu.Lock()
-	appeared := c.appeared
+	appeared := c.incarnationAppeared
 	c.mu.Unlock()
 	select {
 	case <-appeared:
@@ -310,42 +312,42 @@
 	}
 }
 
-func (c *Controller) nextHold() (call PollCall, known, ok bool) {
+func (c *Controller) nextPoll() (call PollCall, known, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil {
 		return PollCall{}, false, false
 	}
-	call = PollCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recorded, Wait: holdWait}
-	if serving, filling := c.neighbours(); len(serving) > 0 && len(filling) > 0 {
-		call.Wait = guardedWait
+	call = PollCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recordedEnd, Wait: pollWait}
+	if serving, filling := c.activeTasks(); len(serving) > 0 && len(filling) > 0 {
+		call.Wait = protectedPollWait
 	}
-	if until, granted := c.lease(bootclock.Now()); granted {
+	if until, granted := c.extendLease(bootclock.Now()); granted {
 		call.Until = until
 	}
-	return call, c.known, true
+	return call, c.listed, true
 }
 
-func (c *Controller) holdFailed(ctx context.Context, id string, err error) {
+func (c *Controller) handlePollError(ctx context.Context, id string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	first := !c.silent && c.info != nil && c.info.ID == id
+	first := !c.unresponsive && c.info != nil && c.info.ID == id
 	if first {
-		c.silent = true
+		c.unresponsive = true
 	}
 	c.mu.Unlock()
 	if first {
 		klog.InfoS("runner does not answer", "runner", id, "err", err)
-		c.changed()
+		c.notifyChange()
 	}
-	pause.For(ctx, retryPause)
+	pause.For(ctx, retryDelay)
 }
 
 // merge takes over a listing that was requested at sent, and reports whether
 // something changed that the scheduler waits for.
-func (c *Controller) merge(id string, l Listing, sent bootclock.Instant) bool {
+func (c *Controller) mergeListing(id string, l Listing, sent bootclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil || c.info.ID != id {
@@ -357,60 +359,60 @@
 		}
 		info := *c.info
 		info.StartedUnixMs, info.Sequence = l.StartedUnixMs, 0
-		c.replace(info)
+		c.replaceIncarnation(info)
 	}
-	urgent := !c.known || c.silent
-	if c.silent {
+	urgent := !c.listed || c.unresponsive
+	if c.unresponsive {
 		klog.InfoS("runner answers again", "runner", id)
 	}
-	c.known, c.silent = true, false
-	c.readClock(l.Clock)
+	c.listed, c.unresponsive = true, false
+	c.setClock(l.Clock)
 	listed := make(map[workflow.TaskID]bool, len(l.Running))
 	for _, row := range l.Running {
 		listed[row.Task] = true
-		c.mergeRow(row)
+		c.mergeStatus(row)
 	}
 	for task, r := range c.runs {
-		if !listed[task] && !r.starting && r.confirmed.Before(sent) {
+		if !listed[task] && !r.starting && r.confirmedAt.Before(sent) {
 			delete(c.runs, task)
 			urgent = true
 		}
 	}
 	for _, e := range l.Ended {
-		urgent = c.mergeEnd(e) || urgent
+		urgent = c.mergeEndedRun(e) || urgent
 	}
 	return urgent
 }
 
-func (c *Controller) mergeRow(row RunStatus) {
+func (c *Controller) mergeStatus(row RunStatus) {
 	r := c.runs[row.Task]
 	if r == nil || r.attempt < row.Attempt {
-		r = &run{attempt: row.Attempt, pace: fullPace, unknown: true}
+		r = &run{attempt: row.Attempt, pace: fullPace, incomplete: true}
 		c.runs[row.Task] = r
 	}
 	if r.attempt != row.Attempt {
 		return
 	}
-	if r.starting || r.confirmed == 0 {
-		r.starting, r.confirmed = false, bootclock.Now()
+	if r.starting || r.confirmedAt == 0 {
+		r.starting, r.confirmedAt = false, bootclock.Now()
 	}
 	r.checkpoint, r.percent, r.load = row.Checkpoint, row.Percent, row.Load
 	switch {
-	case r.target == 0 || time.Duration(r.load)*time.Millisecond <= r.target:
-		r.over = 0
-	case r.over == 0:
-		r.over = bootclock.Now()
+	case r.latencyTarget == 0 || time.Duration(r.load)*time.Millisecond <= r.latencyTarget:
+		r.overTargetSince = 0
+	case r.overTargetSince == 0:
+		r.overTargetSince = bootclock.Now()
 	}
 }
 
 // mergeEnd reports whether the end is new.
-func (c *Controller) mergeEnd(e EndedRun) bool {
-	if e.Number <= c.recorded {
+func (c *Controller) mergeEndedRun(e EndedRun) bool {
+	if e.Number <= c.recordedEnd {
 		return false
 	}
 	if r := c.runs[e.Task]; r != nil && r.attempt <= e.Attempt {
-		if r.fills {
-			c.finished = append(c.finished, interference.UsageReading{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
+		if r.bestEffort {
+			c.endedReadings = append(c.endedReadings, interference.UsageReading{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
 		}
 		delete(c.runs, e.Task)
 	}
@@ -426,7 +428,7 @@
 func (c *Controller) stopExpired(ctx context.Context) {
 	c.mu.Lock()
 	var stops []Rejection
-	if !bootclock.Now().Before(c.grant) && c.grant != 0 {
+	if !bootclock.Now().Before(c.grantedUntil) && c.grantedUntil != 0 {
 		for task, r := range c.runs {
 			if !r.stopping {
 				stops = append(stops, Rejection{Task: task, Attempt: r.attempt})
--- a/internal/runner/guard.go
+++ b/internal/runner/latency.go
@@ -32,36 +32,36 @@
 	haltAfter = 1200 * time.Millisecond
 	// observeEvery spaces the readings that are taken in: between two that are
 	// nearer to each other little has changed but the noise.
-	observeEvery = 240 * time.Millisecond
+	observeInterval = 240 * time.Millisecond
 	// readingDelay is the time from a change of pace until the readings show
 	// it: the change's own delay and the window of a reading.
 	readingDelay = 600 * time.Millisecond
 	// riseEvery spaces the rises of paces; each goes as far as the model allows.
-	riseEvery = 500 * time.Millisecond
+	raiseInterval = 500 * time.Millisecond
 	// cutUnknown is the factor of the pace when the cause is not known.
-	cutUnknown = 0.5
+	unknownCauseFactor = 0.5
 	// cutKnown is the part of all known harm that goes when it can't explain the
 	// excess: the next reading, after alarmDelay, tells whether that is enough.
-	cutKnown = 0.5
+	knownLossShare = 0.5
 	// smallShare is the part of the harm to take away below which a task is not
 	// worth slowing.
-	smallShare = 0.05
+	minLossShare = 0.05
 	// lowestPace in percent: below it a task does not run at all.
-	lowestPace = 5
+	minPace = 5
 	// guardedWait is the longest wait of a hold while serving and filling tasks
 	// run side by side.
-	guardedWait = 300 * time.Millisecond
+	protectedPollWait = 300 * time.Millisecond
 )
 
 // neighbour is a running task that fills.
-type neighbour struct {
+type bestEffortTask struct {
 	task  workflow.TaskID
 	run   *run
 	cores float64 // in use
 }
 
 // served is a running serving task.
-type served struct {
+type latencyCriticalTask struct {
 	image string
 	rate  float64 // target / latency, as the last reading shows it
 }
@@ -69,14 +69,14 @@
 // protectLatency adjusts the pace of the tasks that fill.
 func (c *Controller) protectLatency(ctx context.Context) {
 	c.mu.Lock()
-	calls := c.paces(bootclock.Now())
+	calls := c.paceChanges(bootclock.Now())
 	c.mu.Unlock()
 	for _, call := range calls {
-		if err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.SetPace(ctx, call) }); err != nil {
+		if err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.SetPace(ctx, call) }); err != nil {
 			klog.V(1).InfoS("pace is not set", "task", call.Task.String(), "err", err)
 			c.mu.Lock()
 			if r := c.runs[call.Task]; r != nil && r.attempt == call.Attempt {
-				r.paceUnset = true
+				r.paceUnconfirmed = true
 			}
 			c.mu.Unlock()
 		}
@@ -84,21 +84,21 @@
 }
 
 // neighbours returns the tasks that run side by side, in a fixed order.
-func (c *Controller) neighbours() (serving []served, filling []neighbour) {
+func (c *Controller) activeTasks() (serving []latencyCriticalTask, filling []bestEffortTask) {
 	for task, r := range c.runs {
 		switch {
 		case r.starting || r.stopping:
-		case r.fills:
-			filling = append(filling, neighbour{task, r, float64(r.load) / 1000})
-		case r.target > 0:
+		case r.bestEffort:
+			filling = append(filling, bestEffortTask{task, r, float64(r.load) / 1000})
+		case r.latencyTarget > 0:
 			rate := r.rate
 			if rate == 0 { // not read yet
-				rate = interference.HighestRate
+				rate = interference.MaxRate
 			}
-			serving = append(serving, served{r.image, rate})
+			serving = append(serving, latencyCriticalTask{r.image, rate})
 		}
 	}
-	slices.SortFunc(filling, func(a, b neighbour) int {
+	slices.SortFunc(filling, func(a, b bestEffortTask) int {
 		return cmp.Or(cmp.Compare(b.run.percent, a.run.percent), cmp.Compare(a.task.String(), b.task.String()))
 	})
 	return serving, filling
@@ -106,17 +106,17 @@
 
 // observe feeds the readings to the model and keeps the rates that they show.
 // c.mu is held.
-func (c *Controller) observe(now bootclock.Instant, filling []neighbour) {
+func (c *Controller) updateModel(now bootclock.Instant, filling []bestEffortTask) {
 	var readings []interference.LatencyReading
 	var rows []*run
 	for task, r := range c.runs {
-		if r.target > 0 && !r.starting {
-			readings = append(readings, interference.LatencyReading{Task: task, Image: r.image, Latency: float64(r.load), Target: float64(r.target.Milliseconds())})
+		if r.latencyTarget > 0 && !r.starting {
+			readings = append(readings, interference.LatencyReading{Task: task, Image: r.image, Latency: float64(r.load), Target: float64(r.latencyTarget.Milliseconds())})
 			rows = append(rows, r)
 		}
 	}
-	uses := c.finished
-	c.finished = nil
+	uses := c.endedReadings
+	c.endedReadings = nil
 	for _, f := range filling {
 		uses = append(uses, interference.UsageReading{Image: f.run.image, Cores: f.cores})
 	}
@@ -126,28 +126,28 @@
 }
 
 // paces returns the changes of pace that the last lists ask for. c.mu is held.
-func (c *Controller) paces(now bootclock.Instant) []PaceCall {
-	serving, filling := c.neighbours()
+func (c *Controller) paceChanges(now bootclock.Instant) []PaceCall {
+	serving, filling := c.activeTasks()
 	if len(filling) == 0 {
-		c.finished = nil
+		c.endedReadings = nil
 		return nil
 	}
-	if now.Sub(c.observed) >= observeEvery {
-		c.observed = now
-		c.observe(now, filling)
-		serving, filling = c.neighbours()
+	if now.Sub(c.observedAt) >= observeInterval {
+		c.observedAt = now
+		c.updateModel(now, filling)
+		serving, filling = c.activeTasks()
 	}
 	wanted := make([]int, len(filling))
 	for i, f := range filling {
 		wanted[i] = f.run.pace
 	}
-	var worst served
+	var worst latencyCriticalTask
 	if len(serving) > 0 {
-		worst = worstServed(serving)
+		worst = lowestRateTask(serving)
 	}
 	switch {
-	case c.overFor(now) >= haltAfter:
-		c.slowed = now
+	case c.timeOverTarget(now) >= haltAfter:
+		c.loweredAt = now
 		for i := range wanted {
 			wanted[i] = 0
 		}
@@ -156,18 +156,18 @@
 			wanted[i] = fullPace
 		}
 	case worst.rate < limitRate:
-		if now.Sub(c.slowed) >= readingDelay || worst.rate < alarmRate && now.Sub(c.slowed) >= alarmDelay {
-			c.slowed = now
-			c.slowDown(worst, filling, wanted)
+		if now.Sub(c.loweredAt) >= readingDelay || worst.rate < alarmRate && now.Sub(c.loweredAt) >= alarmDelay {
+			c.loweredAt = now
+			c.lowerPaces(worst, filling, wanted)
 		}
-	case now.Sub(c.slowed) >= readingDelay && now.Sub(c.raised) >= riseEvery:
-		c.raised = now
-		c.speedUp(serving, filling, wanted)
+	case now.Sub(c.loweredAt) >= readingDelay && now.Sub(c.raisedAt) >= raiseInterval:
+		c.raisedAt = now
+		c.raisePaces(serving, filling, wanted)
 	}
 	var calls []PaceCall
 	for i, f := range filling {
-		if wanted[i] != f.run.pace || f.run.paceUnset {
-			f.run.pace, f.run.paceUnset = wanted[i], false
+		if wanted[i] != f.run.pace || f.run.paceUnconfirmed {
+			f.run.pace, f.run.paceUnconfirmed = wanted[i], false
 			calls = append(calls, PaceCall{StopCall{c.info.ID, c.fencingToken(), f.task, f.run.attempt}, wanted[i]})
 		}
 	}
@@ -175,16 +175,16 @@
 }
 
 // worstServed returns the serving task with the lowest rate.
-func worstServed(serving []served) served {
-	return slices.MinFunc(serving, func(a, b served) int { return cmp.Compare(a.rate, b.rate) })
+func lowestRateTask(serving []latencyCriticalTask) latencyCriticalTask {
+	return slices.MinFunc(serving, func(a, b latencyCriticalTask) int { return cmp.Compare(a.rate, b.rate) })
 }
 
 // overFor returns for how long a serving task has exceeded its target.
-func (c *Controller) overFor(now bootclock.Instant) time.Duration {
+func (c *Controller) timeOverTarget(now bootclock.Instant) time.Duration {
 	longest := time.Duration(0)
 	for _, r := range c.runs {
-		if r.over != 0 && !r.stopping {
-			longest = max(longest, now.Sub(r.over))
+		if r.overTargetSince != 0 && !r.stopping {
+			longest = max(longest, now.Sub(r.overTargetSince))
 		}
 	}
 	return longest
@@ -194,7 +194,7 @@
 // much as the model says is needed. A queue that builds up answers out of all
 // proportion to its cause: then part of all known harm goes with each reading.
 // What the model can't explain slows all those that it does not know yet.
-func (c *Controller) slowDown(s served, filling []neighbour, wanted []int) {
+func (c *Controller) lowerPaces(s latencyCriticalTask, filling []bestEffortTask, wanted []int) {
 	excess := goalRate - s.rate
 	harm := make([]float64, len(filling))
 	order := make([]int, len(filling))
@@ -207,29 +207,29 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(harm[b], harm[a]) })
 	explained := excess
 	if excess > total {
-		explained = cutKnown * total
+		explained = knownLossShare * total
 	}
 	left := explained
 	for _, i := range order {
-		if left <= 0 || harm[i] < smallShare*explained {
+		if left <= 0 || harm[i] < minLossShare*explained {
 			break
 		}
 		cut := min(harm[i], left)
-		wanted[i] = lowered(wanted[i], 1-cut/harm[i])
+		wanted[i] = scaledPace(wanted[i], 1-cut/harm[i])
 		left -= cut
 	}
 	if excess-explained > excess/2 {
 		for i := range wanted {
 			if wanted[i] == filling[i].run.pace && !c.model.IsReliable(s.image, filling[i].run.image) {
-				wanted[i] = lowered(wanted[i], cutUnknown)
+				wanted[i] = scaledPace(wanted[i], unknownCauseFactor)
 			}
 		}
 	}
 }
 
-func lowered(pace int, factor float64) int {
+func scaledPace(pace int, factor float64) int {
 	pace = int(float64(pace) * factor)
-	if pace < lowestPace {
+	if pace < minPace {
 		return 0
 	}
 	return pace
@@ -237,7 +237,7 @@
 
 // speedUp raises paces, of the tasks that are nearest to their end first, as
 // far as the model predicts that every serving task stays below its goal.
-func (c *Controller) speedUp(serving []served, filling []neighbour, wanted []int) {
+func (c *Controller) raisePaces(serving []latencyCriticalTask, filling []bestEffortTask, wanted []int) {
 	room := make([]float64, len(serving))
 	for i, s := range serving {
 		room[i] = s.rate - goalRate
@@ -254,7 +254,7 @@
 			}
 		}
 		step = int(cores * 1000 / float64(max(f.run.processors, 1)) * fullPace)
-		if step < lowestPace && wanted[i]+step < fullPace {
+		if step < minPace && wanted[i]+step < fullPace {
 			continue
 		}
 		wanted[i] += step
@@ -268,9 +268,9 @@
 func (c *Controller) CompleteRun(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.unknown {
-		r.unknown, r.fills, r.target, r.image, r.processors = false, s.BestEffort, s.LatencyTarget, s.Image, s.Processors
-		r.paceUnset = s.BestEffort // whatever the previous process has set
+	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.incomplete {
+		r.incomplete, r.bestEffort, r.latencyTarget, r.image, r.processors = false, s.BestEffort, s.LatencyTarget, s.Image, s.Processors
+		r.paceUnconfirmed = s.BestEffort // whatever the previous process has set
 	}
 }
 
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -17,8 +17,8 @@
 	callTimeout = 250 * time.Millisecond
 	// startTries is how often an unanswered start is repeated. Repeating is
 	// idempotent, and quicker than giving the run up.
-	startTries = 4
-	fullPace   = 100
+	maxStartCalls = 4
+	fullPace      = 100
 )
 
 // Start begins a run in the background. The run is in the table at once, and
@@ -26,91 +26,91 @@
 // incarnation of the runner.
 func (c *Controller) Start(ctx context.Context, meant Incarnation, s StartOrder) {
 	c.mu.Lock()
-	reason := c.refusal(meant, s)
+	reason := c.refusalReason(meant, s)
 	if reason == "" {
 		c.runs[s.Task] = &run{attempt: s.Attempt, starting: true, pace: fullPace,
-			fills: s.BestEffort, target: s.LatencyTarget, image: s.Image, processors: s.Processors}
-	} else if reason != repeated {
-		c.rejected = append(c.rejected, Rejection{s.Task, s.Attempt, reason})
+			bestEffort: s.BestEffort, latencyTarget: s.LatencyTarget, image: s.Image, processors: s.Processors}
+	} else if reason != duplicateStart {
+		c.rejections = append(c.rejections, Rejection{s.Task, s.Attempt, reason})
 	}
 	c.mu.Unlock()
 	switch reason {
 	case "":
-		go c.start(ctx, meant, s)
-	case repeated:
+		go c.callStart(ctx, meant, s)
+	case duplicateStart:
 	default:
-		c.changed()
+		c.notifyChange()
 	}
 }
 
 // repeated marks an order that is being carried out already.
-const repeated Kind = "repeated"
+const duplicateStart Kind = "repeated"
 
 // refusal returns why an order is not carried out. c.mu is held.
-func (c *Controller) refusal(meant Incarnation, s StartOrder) Kind {
+func (c *Controller) refusalReason(meant Incarnation, s StartOrder) Kind {
 	switch r := c.runs[s.Task]; {
 	case c.info == nil || c.info.Incarnation != meant:
 		return WrongIncarnation
 	case r != nil && r.attempt == s.Attempt:
-		return repeated
-	case r != nil || c.info.Draining || !c.known:
+		return duplicateStart
+	case r != nil || c.info.Draining || !c.listed:
 		return Unavailable
-	case c.grant != 0 && !bootclock.Now().Before(c.grant):
+	case c.grantedUntil != 0 && !bootclock.Now().Before(c.grantedUntil):
 		return LeaseExpired
 	}
 	return ""
 }
 
-func (c *Controller) start(ctx context.Context, meant Incarnation, s StartOrder) {
+func (c *Controller) callStart(ctx context.Context, meant Incarnation, s StartOrder) {
 	mayArrive := false // a try without an answer may still be carried out
 	var err error
-	for try := 0; try < startTries; try++ {
-		call, refused := c.nextTry(meant, s)
-		if refused == repeated {
+	for try := 0; try < maxStartCalls; try++ {
+		call, refused := c.nextStartCall(meant, s)
+		if refused == duplicateStart {
 			return
 		}
 		if refused != "" {
 			err = fault.New("start", refused, "no further try")
 			break
 		}
-		err = c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
+		err = c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
 		mayArrive = mayArrive || Is(err, Unanswered)
 		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) || ctx.Err() != nil {
 			break
 		}
 	}
 	if err == nil {
-		c.confirm(s)
+		c.confirmStart(s)
 		return
 	}
 	klog.InfoS("start failed", "task", s.Task.String(), "attempt", s.Attempt, "runner", meant.ID, "mayArrive", mayArrive, "err", err)
-	if mayArrive && !settles[kindOf(err)] && !c.cancelStart(ctx, meant.ID, s) {
+	if mayArrive && !finalRefusals[errorKind(err)] && !c.cancelStart(ctx, meant.ID, s) {
 		return // it runs after all, or the runner is another one
 	}
-	if kindOf(err) == Superseded || mayArrive && !c.replacedBy(meant) {
+	if errorKind(err) == Superseded || mayArrive && !c.hasOtherID(meant) {
 		// An earlier try may have been carried out, and the run may even have
 		// ended well. Only the lists can tell: the run stays in the table until
 		// one that is asked for from now on shows it, its end, or neither.
-		c.confirm(s)
+		c.confirmStart(s)
 		return
 	}
-	c.reject(s, err)
+	c.rejectStart(s, err)
 }
 
 // nextTry returns the call of the next try of a start, or why there is none: the
 // lease has ended, the runner is another one than was meant, or the lists have
 // shown the run or its end (repeated). Another life under the same id would carry
 // the start out although the run may have ended in the life that was meant.
-func (c *Controller) nextTry(meant Incarnation, s StartOrder) (StartCall, Kind) {
+func (c *Controller) nextStartCall(meant Incarnation, s StartOrder) (StartCall, Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r == nil || r.attempt != s.Attempt || !r.starting {
-		return StartCall{}, repeated
+		return StartCall{}, duplicateStart
 	}
 	if c.info.Incarnation != meant {
 		return StartCall{}, WrongIncarnation
 	}
-	until, granted := c.lease(bootclock.Now())
+	until, granted := c.extendLease(bootclock.Now())
 	if !granted {
 		return StartCall{}, LeaseExpired
 	}
@@ -120,7 +120,7 @@
 
 // replacedBy reports whether the runner has another id than was meant. It then
 // refuses everything that is still on its way.
-func (c *Controller) replacedBy(meant Incarnation) bool {
+func (c *Controller) hasOtherID(meant Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.info.ID != meant.ID
@@ -128,9 +128,9 @@
 
 // settles lists the refusals after which no earlier try of the same attempt
 // can be carried out any more.
-var settles = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
+var finalRefusals = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
 
-func kindOf(err error) Kind {
+func errorKind(err error) Kind {
 	if e, ok := err.(*Error); ok {
 		return e.Kind
 	}
@@ -145,7 +145,7 @@
 		c.mu.Lock()
 		r := c.runs[s.Task]
 		gone := r == nil || r.attempt != s.Attempt || !r.starting
-		lapsed := c.lapsed(bootclock.Now())
+		lapsed := c.allLeasesExpired(bootclock.Now())
 		call := StopCall{Runner: id, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt}
 		c.mu.Unlock()
 		if gone {
@@ -154,31 +154,31 @@
 		if lapsed {
 			return true
 		}
-		err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
 		if err == nil || Is(err, WrongIncarnation) || Is(err, Fenced) {
 			return true
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 	return false
 }
 
-func (c *Controller) confirm(s StartOrder) {
+func (c *Controller) confirmStart(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
-		r.starting, r.confirmed = false, bootclock.Now()
+		r.starting, r.confirmedAt = false, bootclock.Now()
 	}
 }
 
-func (c *Controller) reject(s StartOrder, err error) {
+func (c *Controller) rejectStart(s StartOrder, err error) {
 	c.mu.Lock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
 		delete(c.runs, s.Task)
 	}
-	c.rejected = append(c.rejected, Rejection{s.Task, s.Attempt, kindOf(err)})
+	c.rejections = append(c.rejections, Rejection{s.Task, s.Attempt, errorKind(err)})
 	c.mu.Unlock()
-	c.changed()
+	c.notifyChange()
 }
 
 // Stop ends a run in the background and repeats the call until it is answered,
@@ -198,27 +198,27 @@
 	}
 	c.mu.Unlock()
 	if id != "" {
-		go c.stop(ctx, StopCall{Runner: id, Token: token, Task: task, Attempt: attempt})
+		go c.callStop(ctx, StopCall{Runner: id, Token: token, Task: task, Attempt: attempt})
 	}
 }
 
-func (c *Controller) stop(ctx context.Context, call StopCall) {
+func (c *Controller) callStop(ctx context.Context, call StopCall) {
 	for ctx.Err() == nil {
-		err := c.call(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
 		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) && !Is(err, Unavailable) {
 			return
 		}
 		c.mu.Lock()
-		over := c.lapsed(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
+		over := c.allLeasesExpired(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
 		c.mu.Unlock()
 		if over {
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-func (c *Controller) call(ctx context.Context, fn func(context.Context) (ClockTime, error)) error {
+func (c *Controller) callRunner(ctx context.Context, fn func(context.Context) (ClockTime, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := fn(ctx)
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -13,14 +13,14 @@
 )
 
 // scripted answers starts in order and records every call.
-type scripted struct {
+type scriptedAPI struct {
 	mu     sync.Mutex
 	starts []Kind // answers to starts; "" is success
 	stops  []Kind // answers to stops
 	calls  []string
 }
 
-func (s *scripted) next(name string, answers *[]Kind) (ClockTime, error) {
+func (s *scriptedAPI) next(name string, answers *[]Kind) (ClockTime, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, name)
@@ -34,27 +34,27 @@
 	return 1, nil
 }
 
-func (s *scripted) Start(context.Context, StartCall) (ClockTime, error) {
+func (s *scriptedAPI) Start(context.Context, StartCall) (ClockTime, error) {
 	return s.next("start", &s.starts)
 }
-func (s *scripted) Stop(context.Context, StopCall) (ClockTime, error) {
+func (s *scriptedAPI) Stop(context.Context, StopCall) (ClockTime, error) {
 	return s.next("stop", &s.stops)
 }
-func (s *scripted) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
-func (s *scripted) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
+func (s *scriptedAPI) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
+func (s *scriptedAPI) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
 
-func (s *scripted) seen() []string {
+func (s *scriptedAPI) recordedCalls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
 // ready returns a controller whose runner is known and whose grant is long.
-func ready(api API) *Controller {
+func newReadyController(api API) *Controller {
 	c := &Controller{API: api, LongestLease: 10 * time.Second}
-	c.info, c.known = &Info{Incarnation: Incarnation{ID: "r"}}, true
+	c.info, c.listed = &Info{Incarnation: Incarnation{ID: "r"}}, true
 	c.runs = make(map[workflow.TaskID]*run)
-	c.readClock(1000)
+	c.setClock(1000)
 	c.ExtendGrant(bootclock.Now().Add(time.Minute))
 	return c
 }
@@ -82,17 +82,17 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &scripted{starts: test.starts, stops: test.stops}
-			c := ready(api)
+			api := &scriptedAPI{starts: test.starts, stops: test.stops}
+			c := newReadyController(api)
 			task := workflow.TaskID{Job: "a"}
 			c.runs[task] = &run{attempt: 1, starting: true}
-			c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
-			if got := api.seen(); !slices.Equal(got, test.want) {
+			c.callStart(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
+			if got := api.recordedCalls(); !slices.Equal(got, test.want) {
 				t.Errorf("calls: got %v, want %v", got, test.want)
 			}
 			reason := Kind("")
-			if len(c.rejected) > 0 {
-				reason = c.rejected[0].Reason
+			if len(c.rejections) > 0 {
+				reason = c.rejections[0].Reason
 			}
 			if reason != test.reason {
 				t.Errorf("rejection: got %q, want %q", reason, test.reason)
@@ -108,12 +108,12 @@
 // next try is refused as an old attempt. The end must reach the scheduler before
 // anything tells it that the attempt is gone.
 func TestEndOfUnansweredStartIsReported(t *testing.T) {
-	api := &scripted{starts: []Kind{Unanswered, Superseded}}
-	c := ready(api)
+	api := &scriptedAPI{starts: []Kind{Unanswered, Superseded}}
+	c := newReadyController(api)
 	task := workflow.TaskID{Job: "a"}
 	c.runs[task] = &run{attempt: 1, starting: true}
-	c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
-	c.merge("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
+	c.callStart(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
+	c.mergeListing("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
 	report, _ := c.Report()
 	if len(report.GetEnded()) != 1 || len(report.GetRejected()) != 0 || len(report.GetRunning()) != 0 {
 		t.Errorf("got report %v, want the end alone", report)
@@ -123,24 +123,24 @@
 // After its grant has ended an agent must not start anything: the scheduler may
 // have given the worker up.
 func TestNoStartWithoutGrant(t *testing.T) {
-	api := &scripted{}
-	c := ready(api)
-	c.grant = bootclock.Now().Add(-time.Second)
+	api := &scriptedAPI{}
+	c := newReadyController(api)
+	c.grantedUntil = bootclock.Now().Add(-time.Second)
 	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: workflow.TaskID{Job: "a"}, Attempt: 1})
-	if got := api.seen(); len(got) != 0 || len(c.rejected) != 1 {
-		t.Errorf("got calls %v and %d rejections, want none and one", got, len(c.rejected))
+	if got := api.recordedCalls(); len(got) != 0 || len(c.rejections) != 1 {
+		t.Errorf("got calls %v and %d rejections, want none and one", got, len(c.rejections))
 	}
 }
 
 // The lease on the runner's clock must end before the grant does, also when
 // that clock is slow.
 func TestLeaseEndsWithinGrant(t *testing.T) {
-	c := ready(&scripted{})
+	c := newReadyController(&scriptedAPI{})
 	begin := bootclock.Now()
-	c.clock, c.clockRead = 1000, begin
-	c.grant = begin.Add(5 * time.Second)
-	until, ok := c.lease(begin.Add(time.Second))
-	if want := ClockTime(1000 + 5000*(1-clockSlowness)); !ok || until > want {
+	c.runnerClock, c.clockReadAt = 1000, begin
+	c.grantedUntil = begin.Add(5 * time.Second)
+	until, ok := c.extendLease(begin.Add(time.Second))
+	if want := ClockTime(1000 + 5000*(1-maxClockDrift)); !ok || until > want {
 		t.Errorf("lease: got %d, %t, want at most %d", until, ok, want)
 	}
 }
@@ -148,9 +148,9 @@
 // A start on its way may reach a runner that is born again under its id, which
 // takes it: until its call has ended, the run must stay in the reports. Otherwise
 // the scheduler takes it for lost and starts the task elsewhere, twice at a time.
-func TestStartUnderWayOutlivesRebirth(t *testing.T) {
-	api := &slowStart{release: make(chan struct{}), arrived: make(chan struct{})}
-	c := ready(api)
+func TestStartInFlightSurvivesRunnerRestart(t *testing.T) {
+	api := &blockingAPI{release: make(chan struct{}), arrived: make(chan struct{})}
+	c := newReadyController(api)
 	task := workflow.TaskID{Job: "a"}
 	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
 	<-api.arrived
@@ -169,18 +169,18 @@
 
 // A start that the new life has answered may be missing in a listing that was
 // asked for before: the listing says nothing about it. A later one does.
-func TestStartAnsweredByNewLifeOutlivesOlderListing(t *testing.T) {
-	c := ready(&scripted{})
+func TestConfirmedStartSurvivesOlderListing(t *testing.T) {
+	c := newReadyController(&scriptedAPI{})
 	old, fresh := workflow.TaskID{Job: "a"}, workflow.TaskID{Job: "b"}
 	asked := bootclock.Now()
-	c.runs[old] = &run{attempt: 1, confirmed: asked.Add(-time.Second)}
-	c.runs[fresh] = &run{attempt: 1, confirmed: asked.Add(time.Millisecond)}
+	c.runs[old] = &run{attempt: 1, confirmedAt: asked.Add(-time.Second)}
+	c.runs[fresh] = &run{attempt: 1, confirmedAt: asked.Add(time.Millisecond)}
 	empty := Listing{StartedUnixMs: 5, Clock: 1}
-	c.merge("r", empty, asked)
+	c.mergeListing("r", empty, asked)
 	if c.runs[old] != nil || c.runs[fresh] == nil {
 		t.Errorf("after a listing of the new life: got runs %v, want only that of job b", c.runs)
 	}
-	c.merge("r", empty, asked.Add(time.Second))
+	c.mergeListing("r", empty, asked.Add(time.Second))
 	if got := len(c.runs); got != 0 {
 		t.Errorf("after a listing that was asked for later: got %d runs, want 0", got)
 	}
@@ -189,15 +189,15 @@
 // Right after a rebirth under the same id the new life may hold a start that was
 // on its way. An agent that has run for long must not report it as empty, or the
 // scheduler starts what runs there elsewhere.
-func TestRebornRunnerIsNotReportedAsEmpty(t *testing.T) {
-	c := ready(&scripted{})
-	c.started = bootclock.Now().Add(-time.Hour)
+func TestRestartedRunnerIsNotReportedAsEmpty(t *testing.T) {
+	c := newReadyController(&scriptedAPI{})
+	c.startedAt = bootclock.Now().Add(-time.Hour)
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
 	if r := report.GetRunner(); !r.GetSilent() || r.GetEmpty() {
 		t.Errorf("after the rebirth: got silent %t, empty %t; want true, false", r.GetSilent(), r.GetEmpty())
 	}
-	c.reborn = c.reborn.Add(-2 * c.LongestLease)
+	c.restartedAt = c.restartedAt.Add(-2 * c.LongestLease)
 	report, _ = c.Report()
 	if !report.GetRunner().GetEmpty() {
 		t.Error("after the longest lease: got not empty, want empty")
@@ -205,12 +205,12 @@
 }
 
 // slowStart answers a start when it is released.
-type slowStart struct {
-	scripted
+type blockingAPI struct {
+	scriptedAPI
 	release, arrived chan struct{}
 }
 
-func (s *slowStart) Start(context.Context, StartCall) (ClockTime, error) {
+func (s *blockingAPI) Start(context.Context, StartCall) (ClockTime, error) {
 	close(s.arrived)
 	<-s.release
 	return 1, nil
@@ -219,7 +219,7 @@
 // A start that gets no answer may be carried out by the life that was meant and
 // end well there. A further try that reaches another life under the same id runs
 // the task a second time.
-func TestStartIsNotRepeatedOnceTheListsTell(t *testing.T) {
+func TestStartIsNotRepeatedOnceListed(t *testing.T) {
 	task := workflow.TaskID{Job: "a"}
 	cases := map[string]struct {
 		between func(*Controller) // happens while the first try is unanswered
@@ -227,10 +227,10 @@
 		running int // runs in the report afterwards
 	}{
 		"its end is listed": {func(c *Controller) {
-			c.merge("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
+			c.mergeListing("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
 		}, 1, 0},
 		"it is listed": {func(c *Controller) {
-			c.merge("r", Listing{Clock: 2000, Running: []RunStatus{{Task: task, Attempt: 1}}}, bootclock.Now())
+			c.mergeListing("r", Listing{Clock: 2000, Running: []RunStatus{{Task: task, Attempt: 1}}}, bootclock.Now())
 		}, 1, 1},
 		"the runner is born again": {func(c *Controller) {
 			c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
@@ -238,13 +238,13 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &interrupted{scripted: scripted{starts: []Kind{Unanswered, "", ""}}}
-			c := ready(api)
+			api := &interruptingAPI{scriptedAPI: scriptedAPI{starts: []Kind{Unanswered, "", ""}}}
+			c := newReadyController(api)
 			api.between = func() { test.between(c) }
 			c.runs[task] = &run{attempt: 1, starting: true}
-			c.start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
-			if got := len(api.seen()); got != test.starts {
-				t.Errorf("calls: got %v, want %d starts", api.seen(), test.starts)
+			c.callStart(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
+			if got := len(api.recordedCalls()); got != test.starts {
+				t.Errorf("calls: got %v, want %d starts", api.recordedCalls(), test.starts)
 			}
 			report, rejections := c.Report()
 			if got := len(report.GetRunning()); got != test.running || rejections != 0 {
@@ -257,29 +257,29 @@
 // A start that was meant for an earlier life and arrives after the first call of
 // the new one must be refused by the runner: its token is lower. The next agent
 // process must have a higher one than both.
-func TestEachLifeRaisesTheFencingToken(t *testing.T) {
-	c := ready(&scripted{})
+func TestEachIncarnationRaisesTheFencingToken(t *testing.T) {
+	c := newReadyController(&scriptedAPI{})
 	c.BaseToken = 7
-	before, _, _ := c.nextHold()
+	before, _, _ := c.nextPoll()
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
-	after, _, _ := c.nextHold()
+	after, _, _ := c.nextPoll()
 	if after.Token <= before.Token {
 		t.Errorf("token of the new life: got %d, want more than %d", after.Token, before.Token)
 	}
-	next := ready(&scripted{})
+	next := newReadyController(&scriptedAPI{})
 	next.BaseToken = 8
-	if got, _, _ := next.nextHold(); got.Token <= after.Token {
+	if got, _, _ := next.nextPoll(); got.Token <= after.Token {
 		t.Errorf("token of the next process: got %d, want more than %d", got.Token, after.Token)
 	}
 }
 
 // A stop that went to the earlier life must be ordered again for a run that the
 // new life holds.
-func TestStopIsRepeatedAfterRebirth(t *testing.T) {
-	api := &scripted{}
-	c := ready(api)
+func TestStopIsRepeatedAfterRunnerRestart(t *testing.T) {
+	api := &scriptedAPI{}
+	c := newReadyController(api)
 	task := workflow.TaskID{Job: "a"}
-	c.runs[task] = &run{attempt: 1, confirmed: bootclock.Now(), stopping: true}
+	c.runs[task] = &run{attempt: 1, confirmedAt: bootclock.Now(), stopping: true}
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	if c.runs[task].stopping {
 		t.Error("after the rebirth the run still counts as being stopped")
@@ -287,13 +287,13 @@
 }
 
 // interrupted calls between while its first start is under way.
-type interrupted struct {
-	scripted
+type interruptingAPI struct {
+	scriptedAPI
 	between func()
 	once    sync.Once
 }
 
-func (i *interrupted) Start(ctx context.Context, call StartCall) (ClockTime, error) {
+func (i *interruptingAPI) Start(ctx context.Context, call StartCall) (ClockTime, error) {
 	i.once.Do(i.between)
-	return i.scripted.Start(ctx, call)
+	return i.scriptedAPI.Start(ctx, call)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -63,7 +63,7 @@
 	}{
 		{1, ""},
 		{2, ""},
-		{663123972, "a start under way reached a runner born again under its id and was taken for lost (runner.replace, scheduler.setRunner)"},
+		{663123972, "a start under way reached a runner born again under its id and was taken for lost (runner.replaceIncarnation, scheduler.setRunner)"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
 			result := soakOf(t, c.seed, binary, "")
