--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -16,53 +16,57 @@
 )
 
 const (
-	// holdWait bounds how old the lease and the lists get without an end.
+	// pollWait limits how long the runner may delay its reply to a poll when no
+	// run ends, and so the age of the lease and of the lists.
 	pollWait = time.Second
-	// holdSlack is the time for an answer beyond its wait.
+	// pollSlack is added to the wait of a poll to get the timeout of the call.
 	pollSlack = 700 * time.Millisecond
-	// endsPause spaces holds while the runner lists ends that are not recorded
-	// yet: it then answers at once instead of waiting for an end.
+	// unrecordedPollInterval separates polls while the runner lists ended runs
+	// that are not recorded yet, because it then replies immediately instead of
+	// waiting for a run to end.
 	unrecordedPollInterval = 20 * time.Millisecond
-	// retryPause follows a hold without an answer.
+	// retryDelay is the delay before an unanswered call is repeated.
 	retryDelay = 100 * time.Millisecond
-	// clockSlowness is the share by which a runner's clock may be slow.
+	// maxClockDrift is the fraction by which a runner's clock may run slow.
 	maxClockDrift = 0.02
-	// lapseMargin covers the time between a lease's end and the end of its runs.
+	// leaseExpiryMargin allows for the time that the runner needs to end its
+	// runs after the lease has expired.
 	leaseExpiryMargin = 200 * time.Millisecond
-	// lifeBits is the part of a fencing token that counts the lives of the runner:
-	// a million within one agent process. The rest still fits the integers that any
-	// JSON decoder keeps exactly.
+	// incarnationBits is the number of low bits of a fencing token that count
+	// the incarnations of the runner. 20 bits allow a million of them within one
+	// agent process, and the whole token still fits the integers that every JSON
+	// decoder represents exactly.
 	incarnationBits = 20
 )
 
-// run is a row of the controller's table.
+// run is the state of a run on the runner, or of one that is being started.
 type run struct {
 	attempt         workflow.Attempt
-	starting        bool              // the runner has not confirmed the start
-	confirmedAt     bootclock.Instant // when the runner confirmed it; zero while starting
+	starting        bool              // the runner has not confirmed the start yet
+	confirmedAt     bootclock.Instant // when the start was confirmed; zero while starting
 	stopping        bool
 	checkpoint      string
 	percent         int
-	load            int64
-	rate            float64           // of a serving task: target / latency, as the last reading shows it; 0 before the first
-	overTargetSince bootclock.Instant // since when a serving task exceeds its target; 0 while it does not
+	load            int64             // as in RunStatus
+	rate            float64           // latency-critical task: target / latency at the last reading; 0 before the first
+	overTargetSince bootclock.Instant // latency-critical task: when its latency rose above the target; 0 while it is not above
 	bestEffort      bool
 	image           string
 	processors      units.Millicores // requested
-	latencyTarget   time.Duration    // tail latency to keep; 0 for a task that does not serve
-	pace            int              // percent in force
-	paceUnconfirmed bool             // the runner may have another pace
-	incomplete      bool             // adopted from the lists, which do not say all of this
+	latencyTarget   time.Duration    // limit of the tail latency; 0 unless the task is latency-critical
+	pace            int              // limit of the speed, in percent of full speed
+	paceUnconfirmed bool             // the runner may apply another pace
+	incomplete      bool             // found in a listing, which lacks the fields of the start order
 }
 
-// Rejection is a start that did not happen and never will.
+// Rejection reports a start that was not carried out and never will be.
 type Rejection struct {
 	Task    workflow.TaskID
 	Attempt workflow.Attempt
 	Reason  Kind
 }
 
-// Start is an order to start a run.
+// StartOrder is an order of the scheduler to start a run.
 type StartOrder struct {
 	Task          workflow.TaskID
 	Attempt       workflow.Attempt
@@ -70,47 +74,50 @@
 	Checkpoint    string
 	Ticket        string
 	BestEffort    bool
-	LatencyTarget time.Duration // tail latency that a serving task must keep; 0 for another
+	LatencyTarget time.Duration // limit of the tail latency; 0 unless the task is latency-critical
 	Image         string
 	Processors    units.Millicores // requested
 }
 
-// Controller owns the table of a runner. Set the exported fields before Run.
-// Its methods may be called concurrently.
+// Controller starts and stops runs on one runner, renews their lease and tracks
+// their state. Set the exported fields before calling Run. Its methods may be
+// called concurrently.
 type Controller struct {
 	API API
-	// Token orders the agent processes of a machine; calls carry fencingToken.
+	// BaseToken is higher for each later agent process of the machine. The
+	// fencing tokens of calls are derived from it.
 	BaseToken    FencingToken
 	LongestLease time.Duration
-	OnChange     func() // called without locks after a change that the scheduler waits for
+	OnChange     func() // called without locks after a change that the scheduler must receive promptly
 
 	mu                  sync.Mutex
 	info                *Info        // nil before the first announcement
-	incarnations        FencingToken // incarnations that this process has known
-	listed              bool         // the lists have been read since the incarnation appeared
-	unresponsive        bool         // the last hold was not answered
+	incarnations        FencingToken // number of incarnations seen by this process
+	listed              bool         // a listing of this incarnation has been received
+	unresponsive        bool         // the last poll was not answered
 	runs                map[workflow.TaskID]*run
-	ended               []EndedRun // listed and not recorded, by number
+	ended               []EndedRun // listed but not recorded yet, ordered by number
 	rejections          []Rejection
-	recordedEnd         uint64            // ends up to this number are durable
-	grantedUntil        bootclock.Instant // until when the scheduler lets runs go on
+	recordedEnd         uint64            // ended runs up to this number are durably recorded
+	grantedUntil        bootclock.Instant // when the scheduler's permission to run tasks ends
 	runnerClock         ClockTime         // last reading of the runner's clock
-	clockReadAt         bootclock.Instant // when clock arrived
-	leaseUntil          ClockTime         // highest lease sent to this incarnation
-	reportSequence      uint64            // of the last report
-	startedAt           bootclock.Instant // when Run began
-	restartedAt         bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
+	clockReadAt         bootclock.Instant // when runnerClock was received
+	leaseUntil          ClockTime         // latest lease expiry sent to this incarnation
+	reportSequence      uint64            // sequence number of the last report
+	startedAt           bootclock.Instant // when Run was called
+	restartedAt         bootclock.Instant // when a new incarnation with the same id was first seen; 0 if the id is new
 	model               interference.Model
-	observedAt          bootclock.Instant           // last reading that the model took in
-	endedReadings       []interference.UsageReading // tasks that fill and have ended since then
-	loweredAt           bootclock.Instant           // last time a pace was lowered
-	raisedAt            bootclock.Instant           // last time a pace was raised
-	incarnationAppeared chan struct{}               // closed and replaced when a runner appears
-	recordedAdvanced    chan struct{}               // closed and replaced when recorded rises; nil while nobody waits
+	observedAt          bootclock.Instant           // when the model was last updated
+	endedReadings       []interference.UsageReading // best-effort tasks that have ended since observedAt
+	loweredAt           bootclock.Instant           // when a pace was last lowered
+	raisedAt            bootclock.Instant           // when a pace was last raised
+	incarnationAppeared chan struct{}               // closed and replaced when a new incarnation appears
+	recordedAdvanced    chan struct{}               // closed and cleared when recordedEnd increases; nil while nobody waits
 }
 
-// Announce takes what the runner says of itself. It reports false when the
-// announcement is older than what is known.
+// HandleAnnouncement updates the state of the runner from an announcement of the
+// runner. It reports false when the announcement comes from an incarnation that
+// has already been replaced.
 func (c *Controller) HandleAnnouncement(info Info, clock ClockTime) bool {
 	c.mu.Lock()
 	changed := false
@@ -122,7 +129,8 @@
 		c.mu.Unlock()
 		return false
 	case info.Sequence < c.info.Sequence:
-		// A delayed announcement; a runner that drains never stops draining.
+		// A delayed announcement is ignored, because a draining runner never
+		// leaves that state.
 	default:
 		changed = info.Draining != c.info.Draining
 		info.Draining = info.Draining || c.info.Draining
@@ -133,27 +141,28 @@
 	}
 	c.mu.Unlock()
 	if changed {
-		klog.InfoS("runner announced", "runner", info.ID, "born", info.StartedUnixMs, "draining", info.Draining, "capacity", info.Capacity.String())
+		klog.InfoS("runner announced a new state", "runner", info.ID, "born", info.StartedUnixMs, "draining", info.Draining, "capacity", info.Capacity.String())
 		c.notifyChange()
 	}
 	return true
 }
 
-// replace forgets the previous incarnation, which holds nothing any more. One
-// under the same id may have taken starts that were meant for the previous one,
-// also such as were answered before anybody knew of the new life. So the table
-// stays, and the first listing that was asked for later tells what is gone: it
-// is asked for with a higher token, which fences off all earlier calls.
+// replaceIncarnation drops the state of the previous incarnation, which no
+// longer runs anything. If the new incarnation has the same id, it may have accepted starts
+// that were sent to the previous one, including starts that it confirmed before
+// the agent detected the restart. The table of runs is therefore kept, and the
+// first listing requested from now on shows which runs are gone: that request
+// carries a higher token, which fences all earlier calls.
 func (c *Controller) replaceIncarnation(info Info) {
-	reborn := c.info != nil && c.info.ID == info.ID
+	sameID := c.info != nil && c.info.ID == info.ID
 	c.info = &info
 	c.incarnations++
 	c.listed, c.unresponsive = false, false
 	c.restartedAt = 0
-	if reborn {
+	if sameID {
 		c.restartedAt = bootclock.Now()
 		for _, r := range c.runs {
-			r.stopping = false // the stop went to the previous life
+			r.stopping = false // the stop was sent to the previous incarnation
 		}
 	} else {
 		c.runs = make(map[workflow.TaskID]*run)
@@ -165,14 +174,15 @@
 	c.incarnationAppeared = make(chan struct{})
 }
 
-// fencingToken returns the token of calls to the present incarnation. It is
-// higher than those of every earlier one under the same id, so that a call which
-// was meant for an earlier life and arrives late does nothing. c.mu is held.
+// fencingToken returns the token for calls to the current incarnation. It is
+// higher than the tokens of all earlier incarnations with the same id, so that
+// the runner rejects a delayed call that was sent to one of them. The caller
+// holds c.mu.
 func (c *Controller) fencingToken() FencingToken {
 	return c.BaseToken<<incarnationBits + c.incarnations
 }
 
-// Withdraw takes note that the runner has left.
+// MarkDraining marks the runner as draining after it has deregistered.
 func (c *Controller) MarkDraining(id string) {
 	c.mu.Lock()
 	if c.info != nil && c.info.ID == id {
@@ -188,18 +198,20 @@
 	}
 }
 
-// Grant lets runs go on until the instant; it never shortens.
+// ExtendGrant permits runs to continue until the given instant. It never shortens
+// an earlier grant.
 func (c *Controller) ExtendGrant(until bootclock.Instant) {
 	c.mu.Lock()
 	c.grantedUntil = max(c.grantedUntil, until)
 	c.mu.Unlock()
 }
 
-// Record takes note that the ends up to number of an incarnation are durable.
-func (c *Controller) MarkRecorded(born int64, number uint64) {
+// MarkRecorded drops the ended runs up to number, which are durably recorded. It
+// ignores the numbers of another incarnation than the current one.
+func (c *Controller) MarkRecorded(startedUnixMs int64, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.info == nil || c.info.StartedUnixMs != born || number <= c.recordedEnd {
+	if c.info == nil || c.info.StartedUnixMs != startedUnixMs || number <= c.recordedEnd {
 		return
 	}
 	c.recordedEnd = number
@@ -207,23 +219,24 @@
 		close(c.recordedAdvanced)
 		c.recordedAdvanced = nil
 	}
-	keep := c.ended[:0]
+	unrecorded := c.ended[:0]
 	for _, e := range c.ended {
 		if e.Number > number {
-			keep = append(keep, e)
+			unrecorded = append(unrecorded, e)
 		}
 	}
-	c.ended = keep
+	c.ended = unrecorded
 }
 
-// readClock remembers a reading of the runner's clock. c.mu is held.
+// setClock stores a reading of the runner's clock. The caller holds c.mu.
 func (c *Controller) setClock(clock ClockTime) {
 	c.runnerClock, c.clockReadAt = clock, bootclock.Now()
 }
 
-// lease returns the lease that the grant allows, on the runner's clock, and
-// false when the grant has ended. The reading was taken before it arrived and
-// the clock may be slow, so the lease ends before the grant does.
+// extendLease returns the lease expiry that the grant allows, on the runner's
+// clock, or false when the grant has ended. The lease expires before the grant
+// ends, because the clock reading is older than the time of its receipt and
+// because the expiry allows for a slow clock. The caller holds c.mu.
 func (c *Controller) extendLease(now bootclock.Instant) (ClockTime, bool) {
 	if !now.Before(c.grantedUntil) || c.runnerClock == 0 {
 		return 0, false
@@ -234,11 +247,12 @@
 	return c.leaseUntil, true
 }
 
-// lapsed reports whether every lease has certainly expired.
+// allLeasesExpired reports whether every lease that the runner may hold has
+// certainly expired. The caller holds c.mu.
 func (c *Controller) allLeasesExpired(now bootclock.Instant) bool {
 	if c.leaseUntil == 0 {
-		// An earlier agent process may have granted a lease, or a start that was
-		// meant for an earlier life under this id.
+		// An earlier agent process may have granted a lease, or a start sent to
+		// an earlier incarnation with this id may have carried one.
 		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.LongestLease+c.LongestLease/10))
 	}
 	left := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
@@ -246,7 +260,8 @@
 	return now.After(end)
 }
 
-// Run holds the lease and reads the lists until ctx ends.
+// Run polls the runner, which renews the lease and returns the lists, until ctx
+// is done.
 func (c *Controller) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.startedAt = bootclock.Now()
@@ -255,12 +270,12 @@
 	}
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		call, known, ok := c.nextPoll()
+		call, listed, ok := c.nextPoll()
 		if !ok {
 			c.awaitRunner(ctx)
 			continue
 		}
-		if !known {
+		if !listed {
 			call.Wait = 0
 		}
 		sent := bootclock.Now()
@@ -281,7 +296,8 @@
 	return nil
 }
 
-// awaitRecord waits for a record when the listing holds ends that lack one.
+// awaitRecorded waits briefly for more ended runs to be recorded when the listing
+// contains some that are not.
 func (c *Controller) awaitRecorded(ctx context.Context, l Listing) {
 	c.mu.Lock()
 	if len(l.Ended) == 0 || l.Ended[len(l.Ended)-1].Number <= c.recordedEnd {
@@ -291,12 +307,12 @@
 	if c.recordedAdvanced == nil {
 		c.recordedAdvanced = make(chan struct{})
 	}
-	advanced := c.recordedAdvanced
+	recorded := c.recordedAdvanced
 	c.mu.Unlock()
 	timer := time.NewTimer(unrecordedPollInterval)
 	defer timer.Stop()
 	select {
-	case <-advanced:
+	case <-recorded:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -312,14 +328,14 @@
 	}
 }
 
-func (c *Controller) nextPoll() (call PollCall, known, ok bool) {
+func (c *Controller) nextPoll() (call PollCall, listed, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil {
 		return PollCall{}, false, false
 	}
 	call = PollCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recordedEnd, Wait: pollWait}
-	if serving, filling := c.activeTasks(); len(serving) > 0 && len(filling) > 0 {
+	if latencyCritical, bestEffort := c.activeTasks(); len(latencyCritical) > 0 && len(bestEffort) > 0 {
 		call.Wait = protectedPollWait
 	}
 	if until, granted := c.extendLease(bootclock.Now()); granted {
@@ -345,8 +361,8 @@
 	pause.For(ctx, retryDelay)
 }
 
-// merge takes over a listing that was requested at sent, and reports whether
-// something changed that the scheduler waits for.
+// mergeListing updates the table from a listing that was requested at sent, and
+// reports whether the scheduler must receive the change promptly.
 func (c *Controller) mergeListing(id string, l Listing, sent bootclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -355,13 +371,13 @@
 	}
 	if l.StartedUnixMs != 0 && l.StartedUnixMs != c.info.StartedUnixMs {
 		if l.StartedUnixMs < c.info.StartedUnixMs {
-			return false // answered before the runner was replaced
+			return false // the reply of an incarnation that has been replaced
 		}
 		info := *c.info
 		info.StartedUnixMs, info.Sequence = l.StartedUnixMs, 0
 		c.replaceIncarnation(info)
 	}
-	urgent := !c.listed || c.unresponsive
+	prompt := !c.listed || c.unresponsive
 	if c.unresponsive {
 		klog.InfoS("runner answers again", "runner", id)
 	}
@@ -375,15 +391,16 @@
 	for task, r := range c.runs {
 		if !listed[task] && !r.starting && r.confirmedAt.Before(sent) {
 			delete(c.runs, task)
-			urgent = true
+			prompt = true
 		}
 	}
 	for _, e := range l.Ended {
-		urgent = c.mergeEndedRun(e) || urgent
+		prompt = c.mergeEndedRun(e) || prompt
 	}
-	return urgent
+	return prompt
 }
 
+// mergeStatus updates the table from a run in a listing. The caller holds c.mu.
 func (c *Controller) mergeStatus(row RunStatus) {
 	r := c.runs[row.Task]
 	if r == nil || r.attempt < row.Attempt {
@@ -405,7 +422,8 @@
 	}
 }
 
-// mergeEnd reports whether the end is new.
+// mergeEndedRun updates the table from an ended run in a listing, and reports
+// whether that end was not known yet. The caller holds c.mu.
 func (c *Controller) mergeEndedRun(e EndedRun) bool {
 	if e.Number <= c.recordedEnd {
 		return false
@@ -423,8 +441,9 @@
 	return true
 }
 
-// stopExpired ends what still runs although the grant has ended. The runner
-// does that itself, unless the machine was suspended: its clock stood still.
+// stopExpired stops runs that continue after the grant has ended. The runner
+// normally ends them itself, but its clock does not advance while the machine is
+// suspended.
 func (c *Controller) stopExpired(ctx context.Context) {
 	c.mu.Lock()
 	var stops []Rejection
@@ -437,10 +456,10 @@
 	}
 	c.mu.Unlock()
 	for _, s := range stops {
-		klog.InfoS("run is stopped because its lease has ended", "task", s.Task.String(), "attempt", s.Attempt)
+		klog.InfoS("stopping a run because the lease from the scheduler has ended", "task", s.Task.String(), "attempt", s.Attempt)
 		c.Stop(ctx, s.Task, s.Attempt)
 	}
 }
 
-// Is reports whether err is of the kind.
+// Is reports whether err is, or wraps, an Error of the given kind.
 func Is(err error, kind Kind) bool { return fault.Is(err, kind) }
--- a/internal/runner/latency.go
+++ b/internal/runner/latency.go
@@ -14,66 +14,71 @@
 )
 
 const (
-	// latencyLimit is the share of its target above which a serving task is
-	// protected, and latencyGoal the share to which it is brought back.
+	// latencyLimit is the fraction of its target above which the latency of a
+	// latency-critical task is reduced by throttling best-effort tasks.
+	// latencyGoal is the fraction to which it is reduced.
 	latencyLimit = 0.95
 	latencyGoal  = 0.8
-	// limitRate and goalRate are the rates that belong to them.
+	// limitRate and goalRate are the corresponding rates (target / latency).
 	limitRate = 1 / latencyLimit
 	goalRate  = 1 / latencyGoal
 	// alarmRate is the rate below which latency grows faster than the model
-	// knows; the pace then falls after alarmDelay already.
+	// predicts. Paces are then lowered again after alarmDelay instead of
+	// readingDelay.
 	alarmRate  = 1 / 1.3
 	alarmDelay = 250 * time.Millisecond
-	// haltAfter is how long a serving task may exceed its target before every
-	// task that fills beside it is halted, whatever the model says. With the
-	// delay of the readings it stays well below the time after which the excess
-	// counts as harm.
+	// haltAfter is how long a latency-critical task may exceed its target before
+	// all best-effort tasks on the worker are halted, regardless of the model.
+	// Together with the delay of the readings it is well below the time after
+	// which the excess counts as a violation.
 	haltAfter = 1200 * time.Millisecond
-	// observeEvery spaces the readings that are taken in: between two that are
-	// nearer to each other little has changed but the noise.
+	// observeInterval is the shortest time between readings that update the
+	// model. Readings closer together differ by little more than noise.
 	observeInterval = 240 * time.Millisecond
-	// readingDelay is the time from a change of pace until the readings show
-	// it: the change's own delay and the window of a reading.
+	// readingDelay is the time until readings show a change of pace: the time to
+	// apply the change plus the window of a reading.
 	readingDelay = 600 * time.Millisecond
-	// riseEvery spaces the rises of paces; each goes as far as the model allows.
+	// raiseInterval is the shortest time between raises of paces. Each raise goes
+	// as far as the model allows.
 	raiseInterval = 500 * time.Millisecond
-	// cutUnknown is the factor of the pace when the cause is not known.
+	// unknownCauseFactor multiplies the pace of a task without a reliable
+	// estimate when the model does not explain the excess latency.
 	unknownCauseFactor = 0.5
-	// cutKnown is the part of all known harm that goes when it can't explain the
-	// excess: the next reading, after alarmDelay, tells whether that is enough.
+	// knownLossShare is the fraction of the total estimated rate loss that is
+	// removed when that loss is too small to explain the excess latency. The next
+	// reading, after alarmDelay, shows whether this is enough.
 	knownLossShare = 0.5
-	// smallShare is the part of the harm to take away below which a task is not
-	// worth slowing.
+	// minLossShare is the fraction of the rate loss to remove that a task must
+	// cause to be throttled.
 	minLossShare = 0.05
-	// lowestPace in percent: below it a task does not run at all.
+	// minPace is in percent. A task with a lower pace is halted.
 	minPace = 5
-	// guardedWait is the longest wait of a hold while serving and filling tasks
-	// run side by side.
+	// protectedPollWait is the longest wait of a poll while latency-critical and
+	// best-effort tasks run on the worker.
 	protectedPollWait = 300 * time.Millisecond
 )
 
-// neighbour is a running task that fills.
+// bestEffortTask is an active best-effort task.
 type bestEffortTask struct {
 	task  workflow.TaskID
 	run   *run
-	cores float64 // in use
+	cores float64 // processors in use
 }
 
-// served is a running serving task.
+// latencyCriticalTask is an active latency-critical task.
 type latencyCriticalTask struct {
 	image string
-	rate  float64 // target / latency, as the last reading shows it
+	rate  float64 // target / latency at the last reading
 }
 
-// protectLatency adjusts the pace of the tasks that fill.
+// protectLatency adjusts the paces of the best-effort tasks.
 func (c *Controller) protectLatency(ctx context.Context) {
 	c.mu.Lock()
 	calls := c.paceChanges(bootclock.Now())
 	c.mu.Unlock()
 	for _, call := range calls {
 		if err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.SetPace(ctx, call) }); err != nil {
-			klog.V(1).InfoS("pace is not set", "task", call.Task.String(), "err", err)
+			klog.V(1).InfoS("failed to set the pace of a run", "task", call.Task.String(), "err", err)
 			c.mu.Lock()
 			if r := c.runs[call.Task]; r != nil && r.attempt == call.Attempt {
 				r.paceUnconfirmed = true
@@ -83,103 +88,107 @@
 	}
 }
 
-// neighbours returns the tasks that run side by side, in a fixed order.
-func (c *Controller) activeTasks() (serving []latencyCriticalTask, filling []bestEffortTask) {
+// activeTasks returns the tasks that are neither starting nor stopping. The
+// best-effort tasks are sorted, those closest to completion first. The caller holds
+// c.mu.
+func (c *Controller) activeTasks() (latencyCritical []latencyCriticalTask, bestEffort []bestEffortTask) {
 	for task, r := range c.runs {
 		switch {
 		case r.starting || r.stopping:
 		case r.bestEffort:
-			filling = append(filling, bestEffortTask{task, r, float64(r.load) / 1000})
+			bestEffort = append(bestEffort, bestEffortTask{task, r, float64(r.load) / 1000})
 		case r.latencyTarget > 0:
 			rate := r.rate
-			if rate == 0 { // not read yet
+			if rate == 0 { // no reading yet
 				rate = interference.MaxRate
 			}
-			serving = append(serving, latencyCriticalTask{r.image, rate})
+			latencyCritical = append(latencyCritical, latencyCriticalTask{r.image, rate})
 		}
 	}
-	slices.SortFunc(filling, func(a, b bestEffortTask) int {
+	slices.SortFunc(bestEffort, func(a, b bestEffortTask) int {
 		return cmp.Or(cmp.Compare(b.run.percent, a.run.percent), cmp.Compare(a.task.String(), b.task.String()))
 	})
-	return serving, filling
+	return latencyCritical, bestEffort
 }
 
-// observe feeds the readings to the model and keeps the rates that they show.
-// c.mu is held.
-func (c *Controller) updateModel(now bootclock.Instant, filling []bestEffortTask) {
+// updateModel updates the model from the last readings and stores the resulting
+// rates of the latency-critical tasks. The caller holds c.mu.
+func (c *Controller) updateModel(now bootclock.Instant, bestEffort []bestEffortTask) {
 	var readings []interference.LatencyReading
-	var rows []*run
+	var runs []*run
 	for task, r := range c.runs {
 		if r.latencyTarget > 0 && !r.starting {
 			readings = append(readings, interference.LatencyReading{Task: task, Image: r.image, Latency: float64(r.load), Target: float64(r.latencyTarget.Milliseconds())})
-			rows = append(rows, r)
+			runs = append(runs, r)
 		}
 	}
-	uses := c.endedReadings
+	usage := c.endedReadings
 	c.endedReadings = nil
-	for _, f := range filling {
-		uses = append(uses, interference.UsageReading{Image: f.run.image, Cores: f.cores})
+	for _, b := range bestEffort {
+		usage = append(usage, interference.UsageReading{Image: b.run.image, Cores: b.cores})
 	}
-	for i, rate := range c.model.Observe(now, readings, uses) {
-		rows[i].rate = rate
+	for i, rate := range c.model.Observe(now, readings, usage) {
+		runs[i].rate = rate
 	}
 }
 
-// paces returns the changes of pace that the last lists ask for. c.mu is held.
+// paceChanges returns the calls that adjust the paces to the last listing. The
+// caller holds c.mu.
 func (c *Controller) paceChanges(now bootclock.Instant) []PaceCall {
-	serving, filling := c.activeTasks()
-	if len(filling) == 0 {
+	latencyCritical, bestEffort := c.activeTasks()
+	if len(bestEffort) == 0 {
 		c.endedReadings = nil
 		return nil
 	}
 	if now.Sub(c.observedAt) >= observeInterval {
 		c.observedAt = now
-		c.updateModel(now, filling)
-		serving, filling = c.activeTasks()
+		c.updateModel(now, bestEffort)
+		latencyCritical, bestEffort = c.activeTasks()
 	}
-	wanted := make([]int, len(filling))
-	for i, f := range filling {
-		wanted[i] = f.run.pace
+	paces := make([]int, len(bestEffort))
+	for i, b := range bestEffort {
+		paces[i] = b.run.pace
 	}
 	var worst latencyCriticalTask
-	if len(serving) > 0 {
-		worst = lowestRateTask(serving)
+	if len(latencyCritical) > 0 {
+		worst = lowestRateTask(latencyCritical)
 	}
 	switch {
 	case c.timeOverTarget(now) >= haltAfter:
 		c.loweredAt = now
-		for i := range wanted {
-			wanted[i] = 0
+		for i := range paces {
+			paces[i] = 0
 		}
-	case len(serving) == 0:
-		for i := range wanted {
-			wanted[i] = fullPace
+	case len(latencyCritical) == 0:
+		for i := range paces {
+			paces[i] = fullPace
 		}
 	case worst.rate < limitRate:
 		if now.Sub(c.loweredAt) >= readingDelay || worst.rate < alarmRate && now.Sub(c.loweredAt) >= alarmDelay {
 			c.loweredAt = now
-			c.lowerPaces(worst, filling, wanted)
+			c.lowerPaces(worst, bestEffort, paces)
 		}
 	case now.Sub(c.loweredAt) >= readingDelay && now.Sub(c.raisedAt) >= raiseInterval:
 		c.raisedAt = now
-		c.raisePaces(serving, filling, wanted)
+		c.raisePaces(latencyCritical, bestEffort, paces)
 	}
 	var calls []PaceCall
-	for i, f := range filling {
-		if wanted[i] != f.run.pace || f.run.paceUnconfirmed {
-			f.run.pace, f.run.paceUnconfirmed = wanted[i], false
-			calls = append(calls, PaceCall{StopCall{c.info.ID, c.fencingToken(), f.task, f.run.attempt}, wanted[i]})
+	for i, b := range bestEffort {
+		if paces[i] != b.run.pace || b.run.paceUnconfirmed {
+			b.run.pace, b.run.paceUnconfirmed = paces[i], false
+			calls = append(calls, PaceCall{StopCall{c.info.ID, c.fencingToken(), b.task, b.run.attempt}, paces[i]})
 		}
 	}
 	return calls
 }
 
-// worstServed returns the serving task with the lowest rate.
-func lowestRateTask(serving []latencyCriticalTask) latencyCriticalTask {
-	return slices.MinFunc(serving, func(a, b latencyCriticalTask) int { return cmp.Compare(a.rate, b.rate) })
+// lowestRateTask returns the task with the lowest rate.
+func lowestRateTask(latencyCritical []latencyCriticalTask) latencyCriticalTask {
+	return slices.MinFunc(latencyCritical, func(a, b latencyCriticalTask) int { return cmp.Compare(a.rate, b.rate) })
 }
 
-// overFor returns for how long a serving task has exceeded its target.
+// timeOverTarget returns the longest time for which a latency-critical task has
+// exceeded its target. The caller holds c.mu.
 func (c *Controller) timeOverTarget(now bootclock.Instant) time.Duration {
 	longest := time.Duration(0)
 	for _, r := range c.runs {
@@ -190,43 +199,46 @@
 	return longest
 }
 
-// slowDown lowers the pace of the tasks that harm the serving task most, by as
-// much as the model says is needed. A queue that builds up answers out of all
-// proportion to its cause: then part of all known harm goes with each reading.
-// What the model can't explain slows all those that it does not know yet.
-func (c *Controller) lowerPaces(s latencyCriticalTask, filling []bestEffortTask, wanted []int) {
-	excess := goalRate - s.rate
-	harm := make([]float64, len(filling))
-	order := make([]int, len(filling))
+// lowerPaces lowers the paces of the tasks that cost worst the most rate, by as much as
+// the model predicts is needed to reach goalRate. A growing queue raises latency
+// out of proportion to its cause; the estimated losses then do not explain the
+// excess, and part of their total is removed with each reading. If more than half
+// of the excess remains unexplained, tasks without a reliable estimate are
+// throttled too.
+func (c *Controller) lowerPaces(worst latencyCriticalTask, bestEffort []bestEffortTask, paces []int) {
+	excess := goalRate - worst.rate
+	loss := make([]float64, len(bestEffort))
+	order := make([]int, len(bestEffort))
 	total := 0.0
-	for i, f := range filling {
-		harm[i] = c.model.LossPerCore(s.image, f.run.image) * f.cores
+	for i, b := range bestEffort {
+		loss[i] = c.model.LossPerCore(worst.image, b.run.image) * b.cores
 		order[i] = i
-		total += harm[i]
+		total += loss[i]
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(harm[b], harm[a]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(loss[b], loss[a]) })
 	explained := excess
 	if excess > total {
 		explained = knownLossShare * total
 	}
-	left := explained
+	remaining := explained
 	for _, i := range order {
-		if left <= 0 || harm[i] < minLossShare*explained {
+		if remaining <= 0 || loss[i] < minLossShare*explained {
 			break
 		}
-		cut := min(harm[i], left)
-		wanted[i] = scaledPace(wanted[i], 1-cut/harm[i])
-		left -= cut
+		cut := min(loss[i], remaining)
+		paces[i] = scaledPace(paces[i], 1-cut/loss[i])
+		remaining -= cut
 	}
 	if excess-explained > excess/2 {
-		for i := range wanted {
-			if wanted[i] == filling[i].run.pace && !c.model.IsReliable(s.image, filling[i].run.image) {
-				wanted[i] = scaledPace(wanted[i], unknownCauseFactor)
+		for i := range paces {
+			if paces[i] == bestEffort[i].run.pace && !c.model.IsReliable(worst.image, bestEffort[i].run.image) {
+				paces[i] = scaledPace(paces[i], unknownCauseFactor)
 			}
 		}
 	}
 }
 
+// scaledPace returns pace multiplied by factor, or 0 if the result is below minPace.
 func scaledPace(pace int, factor float64) int {
 	pace = int(float64(pace) * factor)
 	if pace < minPace {
@@ -235,46 +247,48 @@
 	return pace
 }
 
-// speedUp raises paces, of the tasks that are nearest to their end first, as
-// far as the model predicts that every serving task stays below its goal.
-func (c *Controller) raisePaces(serving []latencyCriticalTask, filling []bestEffortTask, wanted []int) {
-	room := make([]float64, len(serving))
-	for i, s := range serving {
-		room[i] = s.rate - goalRate
+// raisePaces raises paces as far as the model predicts that every latency-critical
+// task meets latencyGoal, starting with the tasks that are closest to completion.
+func (c *Controller) raisePaces(latencyCritical []latencyCriticalTask, bestEffort []bestEffortTask, paces []int) {
+	headroom := make([]float64, len(latencyCritical))
+	for i, t := range latencyCritical {
+		headroom[i] = t.rate - goalRate
 	}
-	for i, f := range filling {
-		step := fullPace - wanted[i]
+	for i, b := range bestEffort {
+		step := fullPace - paces[i]
 		if step <= 0 {
 			continue
 		}
-		cores := float64(f.run.processors) / 1000 * float64(step) / fullPace
-		for k, s := range serving {
-			if harm := c.model.LossPerCore(s.image, f.run.image); harm > 0 {
-				cores = min(cores, max(room[k], 0)/harm)
+		cores := float64(b.run.processors) / 1000 * float64(step) / fullPace
+		for k, t := range latencyCritical {
+			if loss := c.model.LossPerCore(t.image, b.run.image); loss > 0 {
+				cores = min(cores, max(headroom[k], 0)/loss)
 			}
 		}
-		step = int(cores * 1000 / float64(max(f.run.processors, 1)) * fullPace)
-		if step < minPace && wanted[i]+step < fullPace {
+		step = int(cores * 1000 / float64(max(b.run.processors, 1)) * fullPace)
+		if step < minPace && paces[i]+step < fullPace {
 			continue
 		}
-		wanted[i] += step
-		for k, s := range serving {
-			room[k] -= c.model.LossPerCore(s.image, f.run.image) * cores
+		paces[i] += step
+		for k, t := range latencyCritical {
+			headroom[k] -= c.model.LossPerCore(t.image, b.run.image) * cores
 		}
 	}
 }
 
-// Describe completes a run that this process has adopted.
+// CompleteRun adds the fields of a start order to a run that this process knows
+// only from a listing.
 func (c *Controller) CompleteRun(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.incomplete {
 		r.incomplete, r.bestEffort, r.latencyTarget, r.image, r.processors = false, s.BestEffort, s.LatencyTarget, s.Image, s.Processors
-		r.paceUnconfirmed = s.BestEffort // whatever the previous process has set
+		r.paceUnconfirmed = s.BestEffort // the previous process may have set any pace
 	}
 }
 
-// Suggest takes over what the leader has learned on all workers.
+// SetEstimates replaces estimates of the model by those of the leader, which has
+// readings of all workers.
 func (c *Controller) SetEstimates(estimates []interference.Estimate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/runner/report.go
+++ b/internal/runner/report.go
@@ -5,8 +5,9 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Report returns everything that is known of the runner, and the number of
-// rejections that it includes; Delivered forgets those.
+// Report returns the complete state of the runner for the scheduler, and the number
+// of rejections in it. Pass that number to DropRejections once the report is
+// acknowledged.
 func (c *Controller) Report() (*wire.WorkerReport, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,24 +31,26 @@
 	return report, len(c.rejections)
 }
 
+// runnerState returns the part of a report that describes the runner itself. The
+// caller holds c.mu.
 func (c *Controller) runnerState() *wire.RunnerState {
-	i := c.info
+	info := c.info
 	return &wire.RunnerState{
-		Id: i.ID, BornUnixMs: i.StartedUnixMs, Service: string(i.Service), Domain: string(i.Domain), Labels: i.Labels,
-		Millicores: int64(i.Capacity.Processors), MemoryBytes: int64(i.Capacity.Memory), Accelerators: i.Capacity.Accelerators,
-		Draining: i.Draining, RemainingMs: i.Remaining.Milliseconds(),
+		Id: info.ID, BornUnixMs: info.StartedUnixMs, Service: string(info.Service), Domain: string(info.Domain), Labels: info.Labels,
+		Millicores: int64(info.Capacity.Processors), MemoryBytes: int64(info.Capacity.Memory), Accelerators: info.Capacity.Accelerators,
+		Draining: info.Draining, RemainingMs: info.Remaining.Milliseconds(),
 		Silent: c.unresponsive || !c.listed, Empty: (c.unresponsive || !c.listed) && c.allLeasesExpired(bootclock.Now()),
 	}
 }
 
-// Delivered forgets the first n rejections.
+// DropRejections removes the first n rejections, which the scheduler has received.
 func (c *Controller) DropRejections(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rejections = append(c.rejections[:0], c.rejections[n:]...)
 }
 
-// Sequence returns the sequence of the last report.
+// LastReportSequence returns the sequence number of the last report.
 func (c *Controller) LastReportSequence() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,6 +1,7 @@
-// Package runner controls the one runner beside an agent: it starts and stops
-// runs, keeps their lease, and knows what runs there and how runs have ended.
-// The agent is the only caller of its runner, so its table is complete.
+// Package runner controls the runner on the machine of an agent. It starts and
+// stops runs, renews their lease, and tracks which runs are active and how runs
+// have ended. The agent is the only caller of its runner, so the table of runs
+// that it keeps is complete.
 package runner
 
 import (
@@ -12,14 +13,14 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Incarnation identifies one life of a runner. A runner may return under its
-// old id, so the id alone does not.
+// Incarnation identifies one process lifetime of a runner. The id alone does not,
+// because a runner may keep its id across a restart.
 type Incarnation struct {
 	ID            string
-	StartedUnixMs int64 // Unix milliseconds of its start
+	StartedUnixMs int64 // start of the process; "born" on the wire
 }
 
-// Info is what a runner says of itself.
+// Info describes a runner as the runner announces itself.
 type Info struct {
 	Incarnation
 	Service   units.ServiceName
@@ -27,29 +28,30 @@
 	Labels    []string // its kind and its rack
 	Capacity  units.Resources
 	Draining  bool
-	Remaining time.Duration // lower bound of its time left while draining; 0 when unknown
-	Sequence  int64         // rises with each announcement of one incarnation
+	Remaining time.Duration // while draining, lower bound of the time until the runner leaves; 0 when unknown
+	Sequence  int64         // increases with each announcement of one incarnation
 }
 
-// Clock is the runner's own clock, in milliseconds.
+// ClockTime is a reading of the runner's own clock, in milliseconds.
 type ClockTime int64
 
-// Token is a fencing token: a runner does nothing for a lower one than it has seen.
+// FencingToken orders the callers of a runner. The runner rejects a call whose
+// token is lower than one that it has seen.
 type FencingToken uint64
 
-// StartCall orders a run.
+// StartCall starts a run.
 type StartCall struct {
-	Runner     string // incarnation that the call is meant for
+	Runner     string // id of the runner that must carry out the call
 	Token      FencingToken
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
 	Spec       string
-	Checkpoint string    // empty to start from the beginning
-	Ticket     string    // of the advice service; empty where none is needed
-	Until      ClockTime // lease of everything on the runner
+	Checkpoint string    // empty to start without a checkpoint
+	Ticket     string    // issued by the advice service; empty where none is needed
+	Until      ClockTime // new lease expiry of all runs on the runner
 }
 
-// StopCall ends a run.
+// StopCall stops a run.
 type StopCall struct {
 	Runner  string
 	Token   FencingToken
@@ -57,40 +59,40 @@
 	Attempt workflow.Attempt
 }
 
-// PaceCall limits the speed of a run.
+// PaceCall sets the pace of a run, which limits its speed.
 type PaceCall struct {
 	StopCall
-	Percent int // 0 to 100
+	Percent int // of full speed; 0 halts the run
 }
 
-// HoldCall extends the lease and reads the lists.
+// PollCall renews the lease and requests a listing.
 type PollCall struct {
 	Runner   string
 	Token    FencingToken
-	Recorded uint64        // ends up to this number may be forgotten
-	Until    ClockTime     // 0 leaves the lease as it is
-	Wait     time.Duration // the answer waits at most this long for an end
+	Recorded uint64        // the runner may drop ended runs up to this number
+	Until    ClockTime     // new lease expiry; 0 leaves the lease unchanged
+	Wait     time.Duration // longest time that the reply may wait for a run to end
 }
 
-// Row is a run on the runner.
+// RunStatus describes an active run.
 type RunStatus struct {
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
 	Checkpoint string
-	Percent    int   // of its work
-	Load       int64 // a serving task: tail latency in ms; another: processors in use
+	Percent    int   // completed part of the work
+	Load       int64 // latency-critical task: tail latency in milliseconds; other tasks: processors in use, in millicores
 }
 
-// Ended is a run that has ended and whose end may not be recorded yet.
+// EndedRun describes a run that has ended and whose end may not be recorded yet.
 type EndedRun struct {
-	Number     uint64 // from 1, rising
+	Number     uint64 // starts at 1 and increases with each ended run
 	Task       workflow.TaskID
 	Attempt    workflow.Attempt
 	End        workflow.End
 	Checkpoint string
 }
 
-// Listing is the answer to a hold.
+// Listing is the reply to a poll.
 type Listing struct {
 	StartedUnixMs int64
 	Clock         ClockTime
@@ -98,28 +100,28 @@
 	Ended         []EndedRun
 }
 
-// Kind tells the failures of a call apart.
+// Kind classifies the failures of a call.
 type Kind string
 
 // The kinds of Error.
 const (
-	Fenced               Kind = "fenced"      // a higher token has been seen
-	Superseded           Kind = "superseded"  // this or a higher attempt has ended there
-	LeaseExpired         Kind = "late"        // the lease in the call has expired
-	InsufficientCapacity Kind = "noRoom"      // it does not fit
+	Fenced               Kind = "fenced"      // the runner has seen a higher token
+	Superseded           Kind = "superseded"  // this or a later attempt has already ended on the runner
+	LeaseExpired         Kind = "late"        // the lease in the call has already expired
+	InsufficientCapacity Kind = "noRoom"      // the free resources do not suffice
 	InvalidTicket        Kind = "noTicket"    // the ticket is missing or no longer valid
-	Unavailable          Kind = "unhealthy"   // the runner refuses and has done nothing
-	WrongIncarnation     Kind = "reborn"      // another incarnation answered
-	Invalid              Kind = "invalid"     // the call was refused as malformed
+	Unavailable          Kind = "unhealthy"   // the runner rejected the call and has not carried it out
+	WrongIncarnation     Kind = "reborn"      // another incarnation received the call
+	Invalid              Kind = "invalid"     // the call was rejected as malformed
 	NotSent              Kind = "unreachable" // the call did not leave this machine
-	Unanswered           Kind = "unanswered"  // the call may have been, or may still be, carried out
+	Unanswered           Kind = "unanswered"  // no usable reply; the call may have been carried out or may still be
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// API is the interface of a runner. Calls may be made concurrently. Errors are
-// of type *Error.
+// API is the interface of a runner. Its methods may be called concurrently and
+// return errors of type *Error.
 type API interface {
 	Start(ctx context.Context, call StartCall) (ClockTime, error)
 	Stop(ctx context.Context, call StopCall) (ClockTime, error)
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// callTimeout bounds a call to the runner on the same machine.
+	// callTimeout limits a call to the runner, which is on the same machine.
 	callTimeout = 250 * time.Millisecond
-	// startTries is how often an unanswered start is repeated. Repeating is
-	// idempotent, and quicker than giving the run up.
+	// maxStartCalls limits the calls for one start order. An unanswered call is
+	// repeated because that is idempotent and faster than giving up the run.
 	maxStartCalls = 4
-	fullPace      = 100
+	fullPace      = 100 // percent
 )
 
-// Start begins a run in the background. The run is in the table at once, and
-// leaves it with a Rejection when it did not start. The order is meant for one
-// incarnation of the runner.
-func (c *Controller) Start(ctx context.Context, meant Incarnation, s StartOrder) {
+// Start starts a run in the background on the given incarnation of the runner.
+// The run is added to the table immediately. If it does not start, it is removed
+// and a Rejection is reported.
+func (c *Controller) Start(ctx context.Context, incarnation Incarnation, s StartOrder) {
 	c.mu.Lock()
-	reason := c.refusalReason(meant, s)
+	reason := c.refusalReason(incarnation, s)
 	if reason == "" {
 		c.runs[s.Task] = &run{attempt: s.Attempt, starting: true, pace: fullPace,
 			bestEffort: s.BestEffort, latencyTarget: s.LatencyTarget, image: s.Image, processors: s.Processors}
@@ -36,20 +36,22 @@
 	c.mu.Unlock()
 	switch reason {
 	case "":
-		go c.callStart(ctx, meant, s)
+		go c.callStart(ctx, incarnation, s)
 	case duplicateStart:
 	default:
 		c.notifyChange()
 	}
 }
 
-// repeated marks an order that is being carried out already.
+// duplicateStart marks an order that needs no call, because it is already being
+// carried out or a listing has already shown its run.
 const duplicateStart Kind = "repeated"
 
-// refusal returns why an order is not carried out. c.mu is held.
-func (c *Controller) refusalReason(meant Incarnation, s StartOrder) Kind {
+// refusalReason returns why an order is not carried out, or "" if it is. The
+// caller holds c.mu.
+func (c *Controller) refusalReason(incarnation Incarnation, s StartOrder) Kind {
 	switch r := c.runs[s.Task]; {
-	case c.info == nil || c.info.Incarnation != meant:
+	case c.info == nil || c.info.Incarnation != incarnation:
 		return WrongIncarnation
 	case r != nil && r.attempt == s.Attempt:
 		return duplicateStart
@@ -61,16 +63,16 @@
 	return ""
 }
 
-func (c *Controller) callStart(ctx context.Context, meant Incarnation, s StartOrder) {
-	mayArrive := false // a try without an answer may still be carried out
+func (c *Controller) callStart(ctx context.Context, incarnation Incarnation, s StartOrder) {
+	mayArrive := false // the runner may still carry out an unanswered call
 	var err error
-	for try := 0; try < maxStartCalls; try++ {
-		call, refused := c.nextStartCall(meant, s)
+	for i := 0; i < maxStartCalls; i++ {
+		call, refused := c.nextStartCall(incarnation, s)
 		if refused == duplicateStart {
 			return
 		}
 		if refused != "" {
-			err = fault.New("start", refused, "no further try")
+			err = fault.New("start", refused, "no further start call is made")
 			break
 		}
 		err = c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
@@ -83,51 +85,53 @@
 		c.confirmStart(s)
 		return
 	}
-	klog.InfoS("start failed", "task", s.Task.String(), "attempt", s.Attempt, "runner", meant.ID, "mayArrive", mayArrive, "err", err)
-	if mayArrive && !finalRefusals[errorKind(err)] && !c.cancelStart(ctx, meant.ID, s) {
-		return // it runs after all, or the runner is another one
+	klog.InfoS("failed to start a run", "task", s.Task.String(), "attempt", s.Attempt, "runner", incarnation.ID, "mayArrive", mayArrive, "err", err)
+	if mayArrive && !finalRefusals[errorKind(err)] && !c.cancelStart(ctx, incarnation.ID, s) {
+		return // a listing has shown the run, or the runner was replaced
 	}
-	if errorKind(err) == Superseded || mayArrive && !c.hasOtherID(meant) {
-		// An earlier try may have been carried out, and the run may even have
-		// ended well. Only the lists can tell: the run stays in the table until
-		// one that is asked for from now on shows it, its end, or neither.
+	if errorKind(err) == Superseded || mayArrive && !c.hasOtherID(incarnation) {
+		// An earlier call may have been carried out, and the run may even have
+		// completed. Only a listing can show that, so the run stays in the table
+		// until a listing requested from now on contains the run, its end, or
+		// neither.
 		c.confirmStart(s)
 		return
 	}
 	c.rejectStart(s, err)
 }
 
-// nextTry returns the call of the next try of a start, or why there is none: the
-// lease has ended, the runner is another one than was meant, or the lists have
-// shown the run or its end (repeated). Another life under the same id would carry
-// the start out although the run may have ended in the life that was meant.
-func (c *Controller) nextStartCall(meant Incarnation, s StartOrder) (StartCall, Kind) {
+// nextStartCall returns the next call for a start order, or why there is none: the
+// lease has expired, the incarnation has been replaced, or a listing has shown the
+// run or its end (duplicateStart). The call is not sent to a new incarnation with
+// the same id, which would carry it out although the run may already have ended in
+// the previous one.
+func (c *Controller) nextStartCall(incarnation Incarnation, s StartOrder) (StartCall, Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r == nil || r.attempt != s.Attempt || !r.starting {
 		return StartCall{}, duplicateStart
 	}
-	if c.info.Incarnation != meant {
+	if c.info.Incarnation != incarnation {
 		return StartCall{}, WrongIncarnation
 	}
 	until, granted := c.extendLease(bootclock.Now())
 	if !granted {
 		return StartCall{}, LeaseExpired
 	}
-	return StartCall{Runner: meant.ID, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt, Spec: s.Spec,
+	return StartCall{Runner: incarnation.ID, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt, Spec: s.Spec,
 		Checkpoint: s.Checkpoint, Ticket: s.Ticket, Until: until}, ""
 }
 
-// replacedBy reports whether the runner has another id than was meant. It then
-// refuses everything that is still on its way.
-func (c *Controller) hasOtherID(meant Incarnation) bool {
+// hasOtherID reports whether the current runner has another id than incarnation.
+// It then rejects all calls to incarnation that are still in flight.
+func (c *Controller) hasOtherID(incarnation Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.info.ID != meant.ID
+	return c.info.ID != incarnation.ID
 }
 
-// settles lists the refusals after which no earlier try of the same attempt
-// can be carried out any more.
+// finalRefusals are the failures after which the runner can no longer carry out an
+// earlier call for the same attempt.
 var finalRefusals = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
 
 func errorKind(err error) Kind {
@@ -137,21 +141,23 @@
 	return Unavailable
 }
 
-// cancelStart makes an unanswered start impossible: the runner refuses an
-// attempt that was stopped before it arrived. It reports false when the run
-// is in the lists or the table no longer has it.
+// cancelStart prevents an unanswered start from being carried out later, by
+// stopping the attempt: the runner rejects the start of an attempt for
+// which it has received a stop. It returns true once the start can no longer take effect, and
+// false when a listing has shown the run, the run is no longer in the table, or
+// ctx is done.
 func (c *Controller) cancelStart(ctx context.Context, id string, s StartOrder) bool {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		r := c.runs[s.Task]
-		gone := r == nil || r.attempt != s.Attempt || !r.starting
-		lapsed := c.allLeasesExpired(bootclock.Now())
+		settled := r == nil || r.attempt != s.Attempt || !r.starting
+		expired := c.allLeasesExpired(bootclock.Now())
 		call := StopCall{Runner: id, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt}
 		c.mu.Unlock()
-		if gone {
+		if settled {
 			return false
 		}
-		if lapsed {
+		if expired {
 			return true
 		}
 		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
@@ -181,8 +187,8 @@
 	c.notifyChange()
 }
 
-// Stop ends a run in the background and repeats the call until it is answered,
-// the run has ended or its lease has.
+// Stop stops a run in the background. It repeats the call until the runner answers,
+// the leases have expired or the runner is replaced.
 func (c *Controller) Stop(ctx context.Context, task workflow.TaskID, attempt workflow.Attempt) {
 	c.mu.Lock()
 	id := ""
@@ -209,9 +215,9 @@
 			return
 		}
 		c.mu.Lock()
-		over := c.allLeasesExpired(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
+		obsolete := c.allLeasesExpired(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
 		c.mu.Unlock()
-		if over {
+		if obsolete {
 			return
 		}
 		pause.For(ctx, retryDelay)
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -12,11 +12,11 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// scripted answers starts in order and records every call.
+// scriptedAPI returns scripted results and records the starts and stops.
 type scriptedAPI struct {
 	mu     sync.Mutex
-	starts []Kind // answers to starts; "" is success
-	stops  []Kind // answers to stops
+	starts []Kind // results of starts in order; "" or none left is success
+	stops  []Kind // results of stops in order
 	calls  []string
 }
 
@@ -49,7 +49,8 @@
 	return slices.Clone(s.calls)
 }
 
-// ready returns a controller whose runner is known and whose grant is long.
+// newReadyController returns a controller that has read the runner's lists and has a
+// grant of one minute.
 func newReadyController(api API) *Controller {
 	c := &Controller{API: api, LongestLease: 10 * time.Second}
 	c.info, c.listed = &Info{Incarnation: Incarnation{ID: "r"}}, true
@@ -59,26 +60,26 @@
 	return c
 }
 
-// A start without an answer may be carried out seconds later, or may have been
-// carried out and ended. Whatever the next try is told, the attempt must be made
-// impossible and the lists must be read before it is given up, or the task runs
-// a second time.
+// Guards against a task that runs twice after an unanswered start. Such a start may
+// be carried out seconds later, or may have been carried out and have ended. Whatever
+// the next call returns, the controller must stop the attempt and read the lists
+// before it gives up the run.
 func TestUnansweredStartIsCancelled(t *testing.T) {
 	cases := map[string]struct {
 		starts []Kind
 		stops  []Kind
 		want   []string
-		reason Kind // of the rejection; empty when the lists have to tell
+		reason Kind // of the rejection; empty when only a listing can decide
 	}{
-		"then done":             {[]Kind{Unanswered}, nil, []string{"start", "start"}, ""},
-		"then no room":          {[]Kind{Unanswered, InsufficientCapacity}, nil, []string{"start", "start", "stop"}, ""},
-		"then unhealthy":        {[]Kind{Unanswered, Unavailable}, nil, []string{"start", "start", "stop"}, ""},
-		"then no ticket":        {[]Kind{Unanswered, InvalidTicket}, nil, []string{"start", "start", "stop"}, ""},
-		"then superseded":       {[]Kind{Unanswered, Superseded}, nil, []string{"start", "start"}, ""},
-		"stop unanswered":       {[]Kind{Unanswered, InsufficientCapacity}, []Kind{Unanswered}, []string{"start", "start", "stop", "stop"}, ""},
-		"no room at once":       {[]Kind{InsufficientCapacity}, nil, []string{"start"}, InsufficientCapacity},
-		"never sent, then room": {[]Kind{NotSent, InsufficientCapacity}, nil, []string{"start", "start"}, InsufficientCapacity},
-		"never answered":        {[]Kind{Unanswered, Unanswered, Unanswered, Unanswered}, nil, []string{"start", "start", "start", "start", "stop"}, ""},
+		"then success":                         {[]Kind{Unanswered}, nil, []string{"start", "start"}, ""},
+		"then insufficient capacity":           {[]Kind{Unanswered, InsufficientCapacity}, nil, []string{"start", "start", "stop"}, ""},
+		"then unavailable":                     {[]Kind{Unanswered, Unavailable}, nil, []string{"start", "start", "stop"}, ""},
+		"then invalid ticket":                  {[]Kind{Unanswered, InvalidTicket}, nil, []string{"start", "start", "stop"}, ""},
+		"then superseded":                      {[]Kind{Unanswered, Superseded}, nil, []string{"start", "start"}, ""},
+		"stop unanswered":                      {[]Kind{Unanswered, InsufficientCapacity}, []Kind{Unanswered}, []string{"start", "start", "stop", "stop"}, ""},
+		"insufficient capacity at first":       {[]Kind{InsufficientCapacity}, nil, []string{"start"}, InsufficientCapacity},
+		"not sent, then insufficient capacity": {[]Kind{NotSent, InsufficientCapacity}, nil, []string{"start", "start"}, InsufficientCapacity},
+		"never answered":                       {[]Kind{Unanswered, Unanswered, Unanswered, Unanswered}, nil, []string{"start", "start", "start", "start", "stop"}, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -104,9 +105,9 @@
 	}
 }
 
-// The first try was carried out without an answer and its run has ended well; the
-// next try is refused as an old attempt. The end must reach the scheduler before
-// anything tells it that the attempt is gone.
+// The first start call is carried out but not answered, and its run completes; the
+// second call is rejected as superseded. Guards against reporting the attempt as
+// rejected or gone before the scheduler has received the end of the run.
 func TestEndOfUnansweredStartIsReported(t *testing.T) {
 	api := &scriptedAPI{starts: []Kind{Unanswered, Superseded}}
 	c := newReadyController(api)
@@ -120,8 +121,8 @@
 	}
 }
 
-// After its grant has ended an agent must not start anything: the scheduler may
-// have given the worker up.
+// Guards against a start after the grant has ended, when the scheduler may already
+// have given up the worker.
 func TestNoStartWithoutGrant(t *testing.T) {
 	api := &scriptedAPI{}
 	c := newReadyController(api)
@@ -132,8 +133,8 @@
 	}
 }
 
-// The lease on the runner's clock must end before the grant does, also when
-// that clock is slow.
+// Guards against a lease that outlasts the grant, in particular on a slow clock of the
+// runner.
 func TestLeaseEndsWithinGrant(t *testing.T) {
 	c := newReadyController(&scriptedAPI{})
 	begin := bootclock.Now()
@@ -145,9 +146,10 @@
 	}
 }
 
-// A start on its way may reach a runner that is born again under its id, which
-// takes it: until its call has ended, the run must stay in the reports. Otherwise
-// the scheduler takes it for lost and starts the task elsewhere, twice at a time.
+// A start call in flight may reach a runner that has restarted with the same id, and
+// the new incarnation may accept it. Guards against a report without that run before
+// the call has ended: the scheduler would consider the run lost and start the task on
+// another worker, so that it runs twice at the same time.
 func TestStartInFlightSurvivesRunnerRestart(t *testing.T) {
 	api := &blockingAPI{release: make(chan struct{}), arrived: make(chan struct{})}
 	c := newReadyController(api)
@@ -157,45 +159,46 @@
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
 	if got := len(report.GetRunning()); got != 1 {
-		t.Errorf("runs in the report while the call is under way: got %d, want 1", got)
+		t.Errorf("runs in the report while the call is in flight: got %d, want 1", got)
 	}
 	close(api.release)
 	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: workflow.TaskID{Job: "b"}, Attempt: 1})
 	report, _ = c.Report()
 	if got := len(report.GetRejected()); got != 1 || report.GetRejected()[0].GetReason() != string(WrongIncarnation) {
-		t.Errorf("an order for the earlier incarnation: got rejections %v, want one for %s", report.GetRejected(), WrongIncarnation)
+		t.Errorf("order for the earlier incarnation: got rejections %v, want one for %s", report.GetRejected(), WrongIncarnation)
 	}
 }
 
-// A start that the new life has answered may be missing in a listing that was
-// asked for before: the listing says nothing about it. A later one does.
+// A start that the new incarnation has confirmed may be missing from a listing that
+// was requested earlier. Guards against dropping the run because of that listing, and
+// against keeping it when it is missing from a later one.
 func TestConfirmedStartSurvivesOlderListing(t *testing.T) {
 	c := newReadyController(&scriptedAPI{})
-	old, fresh := workflow.TaskID{Job: "a"}, workflow.TaskID{Job: "b"}
-	asked := bootclock.Now()
-	c.runs[old] = &run{attempt: 1, confirmedAt: asked.Add(-time.Second)}
-	c.runs[fresh] = &run{attempt: 1, confirmedAt: asked.Add(time.Millisecond)}
+	earlier, later := workflow.TaskID{Job: "a"}, workflow.TaskID{Job: "b"}
+	requested := bootclock.Now()
+	c.runs[earlier] = &run{attempt: 1, confirmedAt: requested.Add(-time.Second)}
+	c.runs[later] = &run{attempt: 1, confirmedAt: requested.Add(time.Millisecond)}
 	empty := Listing{StartedUnixMs: 5, Clock: 1}
-	c.mergeListing("r", empty, asked)
-	if c.runs[old] != nil || c.runs[fresh] == nil {
-		t.Errorf("after a listing of the new life: got runs %v, want only that of job b", c.runs)
+	c.mergeListing("r", empty, requested)
+	if c.runs[earlier] != nil || c.runs[later] == nil {
+		t.Errorf("after a listing of the new incarnation: got runs %v, want only that of job b", c.runs)
 	}
-	c.mergeListing("r", empty, asked.Add(time.Second))
+	c.mergeListing("r", empty, requested.Add(time.Second))
 	if got := len(c.runs); got != 0 {
-		t.Errorf("after a listing that was asked for later: got %d runs, want 0", got)
+		t.Errorf("after a listing that was requested later: got %d runs, want 0", got)
 	}
 }
 
-// Right after a rebirth under the same id the new life may hold a start that was
-// on its way. An agent that has run for long must not report it as empty, or the
-// scheduler starts what runs there elsewhere.
+// Directly after a restart with the same id, the runner may have accepted a start
+// that was in flight. Guards against an agent that has run for long and reports the
+// runner as empty, so that the scheduler starts the same tasks on other workers.
 func TestRestartedRunnerIsNotReportedAsEmpty(t *testing.T) {
 	c := newReadyController(&scriptedAPI{})
 	c.startedAt = bootclock.Now().Add(-time.Hour)
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
 	if r := report.GetRunner(); !r.GetSilent() || r.GetEmpty() {
-		t.Errorf("after the rebirth: got silent %t, empty %t; want true, false", r.GetSilent(), r.GetEmpty())
+		t.Errorf("after the restart: got silent %t, empty %t; want true, false", r.GetSilent(), r.GetEmpty())
 	}
 	c.restartedAt = c.restartedAt.Add(-2 * c.LongestLease)
 	report, _ = c.Report()
@@ -204,7 +207,7 @@
 	}
 }
 
-// slowStart answers a start when it is released.
+// blockingAPI returns from a start when release is closed.
 type blockingAPI struct {
 	scriptedAPI
 	release, arrived chan struct{}
@@ -216,31 +219,31 @@
 	return 1, nil
 }
 
-// A start that gets no answer may be carried out by the life that was meant and
-// end well there. A further try that reaches another life under the same id runs
-// the task a second time.
+// An unanswered start may be carried out by the incarnation that it was sent to, and
+// its run may complete there. Guards against another call that reaches a new
+// incarnation with the same id, which would run the task a second time.
 func TestStartIsNotRepeatedOnceListed(t *testing.T) {
 	task := workflow.TaskID{Job: "a"}
 	cases := map[string]struct {
-		between func(*Controller) // happens while the first try is unanswered
-		starts  int
-		running int // runs in the report afterwards
+		duringStart func(*Controller) // called while the first start call is in flight
+		starts      int
+		running     int // number of runs in the report afterwards
 	}{
-		"its end is listed": {func(c *Controller) {
+		"end is listed": {func(c *Controller) {
 			c.mergeListing("r", Listing{Clock: 2000, Ended: []EndedRun{{Number: 1, Task: task, Attempt: 1, End: workflow.Done}}}, bootclock.Now())
 		}, 1, 0},
-		"it is listed": {func(c *Controller) {
+		"run is listed": {func(c *Controller) {
 			c.mergeListing("r", Listing{Clock: 2000, Running: []RunStatus{{Task: task, Attempt: 1}}}, bootclock.Now())
 		}, 1, 1},
-		"the runner is born again": {func(c *Controller) {
+		"runner has restarted": {func(c *Controller) {
 			c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
-		}, 1, 1}, // until a listing of the new life says more
+		}, 1, 1}, // until a listing of the new incarnation arrives
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			api := &interruptingAPI{scriptedAPI: scriptedAPI{starts: []Kind{Unanswered, "", ""}}}
 			c := newReadyController(api)
-			api.between = func() { test.between(c) }
+			api.duringStart = func() { test.duringStart(c) }
 			c.runs[task] = &run{attempt: 1, starting: true}
 			c.callStart(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: task, Attempt: 1})
 			if got := len(api.recordedCalls()); got != test.starts {
@@ -254,9 +257,9 @@
 	}
 }
 
-// A start that was meant for an earlier life and arrives after the first call of
-// the new one must be refused by the runner: its token is lower. The next agent
-// process must have a higher one than both.
+// Guards against a start that was sent to an earlier incarnation and is accepted by
+// the next one: calls to each incarnation, and calls of the next agent process, must
+// carry a higher token, so that the runner rejects the delayed call.
 func TestEachIncarnationRaisesTheFencingToken(t *testing.T) {
 	c := newReadyController(&scriptedAPI{})
 	c.BaseToken = 7
@@ -264,17 +267,18 @@
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	after, _, _ := c.nextPoll()
 	if after.Token <= before.Token {
-		t.Errorf("token of the new life: got %d, want more than %d", after.Token, before.Token)
+		t.Errorf("token for the new incarnation: got %d, want more than %d", after.Token, before.Token)
 	}
 	next := newReadyController(&scriptedAPI{})
 	next.BaseToken = 8
 	if got, _, _ := next.nextPoll(); got.Token <= after.Token {
-		t.Errorf("token of the next process: got %d, want more than %d", got.Token, after.Token)
+		t.Errorf("token of the next agent process: got %d, want more than %d", got.Token, after.Token)
 	}
 }
 
-// A stop that went to the earlier life must be ordered again for a run that the
-// new life holds.
+// A stop that was sent to an earlier incarnation has no effect on the next one. Guards
+// against a run of the new incarnation that counts as being stopped, so that no new
+// stop is sent.
 func TestStopIsRepeatedAfterRunnerRestart(t *testing.T) {
 	api := &scriptedAPI{}
 	c := newReadyController(api)
@@ -282,18 +286,18 @@
 	c.runs[task] = &run{attempt: 1, confirmedAt: bootclock.Now(), stopping: true}
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	if c.runs[task].stopping {
-		t.Error("after the rebirth the run still counts as being stopped")
+		t.Error("after the restart the run still counts as being stopped")
 	}
 }
 
-// interrupted calls between while its first start is under way.
+// interruptingAPI calls duringStart in its first start.
 type interruptingAPI struct {
 	scriptedAPI
-	between func()
-	once    sync.Once
+	duringStart func()
+	once        sync.Once
 }
 
 func (i *interruptingAPI) Start(ctx context.Context, call StartCall) (ClockTime, error) {
-	i.once.Do(i.between)
+	i.once.Do(i.duringStart)
 	return i.scriptedAPI.Start(ctx, call)
 }
