--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -32,11 +32,11 @@
 	// leaseExpiryMargin allows for the time that the runner needs to end its
 	// runs after the lease has expired.
 	leaseExpiryMargin = 200 * time.Millisecond
-	// incarnationBits is the number of low bits of a fencing token that count
-	// the incarnations of the runner. 20 bits allow a million of them within one
+	// ordinalBits is the number of low bits of a fencing token that hold the
+	// ordinal of the incarnation. 20 bits allow a million of them within one
 	// agent process, and the whole token still fits the integers that every JSON
 	// decoder represents exactly.
-	incarnationBits = 20
+	ordinalBits = 20
 )
 
 // run is the state of a run on the runner, or of one that is being started.
@@ -92,7 +92,7 @@
 
 	mu                  sync.Mutex
 	info                *Info        // nil before the first announcement
-	incarnations        FencingToken // number of incarnations seen by this process
+	ordinal             FencingToken // of the current incarnation, counted by this process
 	listed              bool         // a listing of this incarnation has been received
 	unresponsive        bool         // the last poll was not answered
 	runs                map[workflow.TaskID]*run
@@ -156,7 +156,7 @@
 func (c *Controller) replaceIncarnation(info Info) {
 	sameID := c.info != nil && c.info.ID == info.ID
 	c.info = &info
-	c.incarnations++
+	c.ordinal++
 	c.listed, c.unresponsive = false, false
 	c.restartedAt = 0
 	if sameID {
@@ -178,9 +178,7 @@
 // higher than the tokens of all earlier incarnations with the same id, so that
 // the runner rejects a delayed call that was sent to one of them. The caller
 // holds c.mu.
-func (c *Controller) fencingToken() FencingToken {
-	return c.BaseToken<<incarnationBits + c.incarnations
-}
+func (c *Controller) fencingToken() FencingToken { return c.BaseToken<<ordinalBits + c.ordinal }
 
 // MarkDraining marks the runner as draining after it has deregistered.
 func (c *Controller) MarkDraining(id string) {
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -12,15 +12,15 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// scriptedAPI returns scripted results and records the starts and stops.
-type scriptedAPI struct {
+// fakeAPI returns scripted results and records the starts and stops.
+type fakeAPI struct {
 	mu     sync.Mutex
 	starts []Kind // results of starts in order; "" or none left is success
 	stops  []Kind // results of stops in order
 	calls  []string
 }
 
-func (s *scriptedAPI) next(name string, answers *[]Kind) (ClockTime, error) {
+func (s *fakeAPI) next(name string, answers *[]Kind) (ClockTime, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, name)
@@ -34,16 +34,14 @@
 	return 1, nil
 }
 
-func (s *scriptedAPI) Start(context.Context, StartCall) (ClockTime, error) {
+func (s *fakeAPI) Start(context.Context, StartCall) (ClockTime, error) {
 	return s.next("start", &s.starts)
 }
-func (s *scriptedAPI) Stop(context.Context, StopCall) (ClockTime, error) {
-	return s.next("stop", &s.stops)
-}
-func (s *scriptedAPI) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
-func (s *scriptedAPI) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
+func (s *fakeAPI) Stop(context.Context, StopCall) (ClockTime, error)    { return s.next("stop", &s.stops) }
+func (s *fakeAPI) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
+func (s *fakeAPI) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
 
-func (s *scriptedAPI) recordedCalls() []string {
+func (s *fakeAPI) recordedCalls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
@@ -83,7 +81,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &scriptedAPI{starts: test.starts, stops: test.stops}
+			api := &fakeAPI{starts: test.starts, stops: test.stops}
 			c := newReadyController(api)
 			task := workflow.TaskID{Job: "a"}
 			c.runs[task] = &run{attempt: 1, starting: true}
@@ -109,7 +107,7 @@
 // second call is rejected as superseded. Guards against reporting the attempt as
 // rejected or gone before the scheduler has received the end of the run.
 func TestEndOfUnansweredStartIsReported(t *testing.T) {
-	api := &scriptedAPI{starts: []Kind{Unanswered, Superseded}}
+	api := &fakeAPI{starts: []Kind{Unanswered, Superseded}}
 	c := newReadyController(api)
 	task := workflow.TaskID{Job: "a"}
 	c.runs[task] = &run{attempt: 1, starting: true}
@@ -124,7 +122,7 @@
 // Guards against a start after the grant has ended, when the scheduler may already
 // have given up the worker.
 func TestNoStartWithoutGrant(t *testing.T) {
-	api := &scriptedAPI{}
+	api := &fakeAPI{}
 	c := newReadyController(api)
 	c.grantedUntil = bootclock.Now().Add(-time.Second)
 	c.Start(context.Background(), Incarnation{ID: "r"}, StartOrder{Task: workflow.TaskID{Job: "a"}, Attempt: 1})
@@ -136,7 +134,7 @@
 // Guards against a lease that outlasts the grant, in particular on a slow clock of the
 // runner.
 func TestLeaseEndsWithinGrant(t *testing.T) {
-	c := newReadyController(&scriptedAPI{})
+	c := newReadyController(&fakeAPI{})
 	begin := bootclock.Now()
 	c.runnerClock, c.clockReadAt = 1000, begin
 	c.grantedUntil = begin.Add(5 * time.Second)
@@ -173,7 +171,7 @@
 // was requested earlier. Guards against dropping the run because of that listing, and
 // against keeping it when it is missing from a later one.
 func TestConfirmedStartSurvivesOlderListing(t *testing.T) {
-	c := newReadyController(&scriptedAPI{})
+	c := newReadyController(&fakeAPI{})
 	earlier, later := workflow.TaskID{Job: "a"}, workflow.TaskID{Job: "b"}
 	requested := bootclock.Now()
 	c.runs[earlier] = &run{attempt: 1, confirmedAt: requested.Add(-time.Second)}
@@ -193,7 +191,7 @@
 // that was in flight. Guards against an agent that has run for long and reports the
 // runner as empty, so that the scheduler starts the same tasks on other workers.
 func TestRestartedRunnerIsNotReportedAsEmpty(t *testing.T) {
-	c := newReadyController(&scriptedAPI{})
+	c := newReadyController(&fakeAPI{})
 	c.startedAt = bootclock.Now().Add(-time.Hour)
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
 	report, _ := c.Report()
@@ -209,7 +207,7 @@
 
 // blockingAPI returns from a start when release is closed.
 type blockingAPI struct {
-	scriptedAPI
+	fakeAPI
 	release, arrived chan struct{}
 }
 
@@ -241,7 +239,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &interruptingAPI{scriptedAPI: scriptedAPI{starts: []Kind{Unanswered, "", ""}}}
+			api := &interruptingAPI{fakeAPI: fakeAPI{starts: []Kind{Unanswered, "", ""}}}
 			c := newReadyController(api)
 			api.duringStart = func() { test.duringStart(c) }
 			c.runs[task] = &run{attempt: 1, starting: true}
@@ -261,7 +259,7 @@
 // the next one: calls to each incarnation, and calls of the next agent process, must
 // carry a higher token, so that the runner rejects the delayed call.
 func TestEachIncarnationRaisesTheFencingToken(t *testing.T) {
-	c := newReadyController(&scriptedAPI{})
+	c := newReadyController(&fakeAPI{})
 	c.BaseToken = 7
 	before, _, _ := c.nextPoll()
 	c.HandleAnnouncement(Info{Incarnation: Incarnation{ID: "r", StartedUnixMs: 2}}, 1)
@@ -269,7 +267,7 @@
 	if after.Token <= before.Token {
 		t.Errorf("token for the new incarnation: got %d, want more than %d", after.Token, before.Token)
 	}
-	next := newReadyController(&scriptedAPI{})
+	next := newReadyController(&fakeAPI{})
 	next.BaseToken = 8
 	if got, _, _ := next.nextPoll(); got.Token <= after.Token {
 		t.Errorf("token of the next agent process: got %d, want more than %d", got.Token, after.Token)
@@ -280,7 +278,7 @@
 // against a run of the new incarnation that counts as being stopped, so that no new
 // stop is sent.
 func TestStopIsRepeatedAfterRunnerRestart(t *testing.T) {
-	api := &scriptedAPI{}
+	api := &fakeAPI{}
 	c := newReadyController(api)
 	task := workflow.TaskID{Job: "a"}
 	c.runs[task] = &run{attempt: 1, confirmedAt: bootclock.Now(), stopping: true}
@@ -292,12 +290,12 @@
 
 // interruptingAPI calls duringStart in its first start.
 type interruptingAPI struct {
-	scriptedAPI
+	fakeAPI
 	duringStart func()
 	once        sync.Once
 }
 
 func (i *interruptingAPI) Start(ctx context.Context, call StartCall) (ClockTime, error) {
 	i.once.Do(i.duringStart)
-	return i.scriptedAPI.Start(ctx, call)
+	return i.fakeAPI.Start(ctx, call)
 }
