--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -20,10 +20,10 @@
 	calls  []string
 }
 
-func (s *fakeAPI) next(name string, answers *[]Kind) (ClockTime, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.calls = append(s.calls, name)
+func (f *fakeAPI) next(name string, answers *[]Kind) (ClockTime, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.calls = append(f.calls, name)
 	kind := Kind("")
 	if len(*answers) > 0 {
 		kind, *answers = (*answers)[0], (*answers)[1:]
@@ -34,17 +34,17 @@
 	return 1, nil
 }
 
-func (s *fakeAPI) Start(context.Context, StartCall) (ClockTime, error) {
-	return s.next("start", &s.starts)
+func (f *fakeAPI) Start(context.Context, StartCall) (ClockTime, error) {
+	return f.next("start", &f.starts)
 }
-func (s *fakeAPI) Stop(context.Context, StopCall) (ClockTime, error)    { return s.next("stop", &s.stops) }
-func (s *fakeAPI) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
-func (s *fakeAPI) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
+func (f *fakeAPI) Stop(context.Context, StopCall) (ClockTime, error)    { return f.next("stop", &f.stops) }
+func (f *fakeAPI) SetPace(context.Context, PaceCall) (ClockTime, error) { return 1, nil }
+func (f *fakeAPI) Poll(context.Context, PollCall) (Listing, error)      { return Listing{}, nil }
 
-func (s *fakeAPI) recordedCalls() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.calls)
+func (f *fakeAPI) recordedCalls() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.calls)
 }
 
 // newReadyController returns a controller that has read the runner's lists and has a
@@ -211,9 +211,9 @@
 	release, arrived chan struct{}
 }
 
-func (s *blockingAPI) Start(context.Context, StartCall) (ClockTime, error) {
-	close(s.arrived)
-	<-s.release
+func (b *blockingAPI) Start(context.Context, StartCall) (ClockTime, error) {
+	close(b.arrived)
+	<-b.release
 	return 1, nil
 }
 
