--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -10,28 +10,28 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-const target = 18 // ms
+const target = 18 // milliseconds
 
-// task returns a serving task of a step that all tests share.
+// task returns a latency-critical task of the step that all tests share.
 func task(index int) workflow.TaskID { return workflow.TaskID{Job: "a", Index: index} }
 
-// at returns a reading of a task at a rate.
+// at returns the reading of a task that has the given rate.
 func at(index int, rate float64) LatencyReading {
 	return LatencyReading{Task: task(index), Image: "web", Latency: target / rate, Target: target}
 }
 
-// A harmful image must stand out from a harmless one although both run at the
-// same time and the serving task's own load swings; otherwise the wrong task is
-// slowed down.
+// Guards against throttling the wrong task: the model must distinguish a harmful from
+// a harmless image although both run at the same time and the load of the
+// latency-critical task varies.
 func TestHarmfulImageIsFound(t *testing.T) {
 	var m Model
 	random := rand.New(rand.NewPCG(1, 2))
 	now := bootclock.Instant(0)
 	for i := range 240 {
-		now = now.Add(2 * time.Second) // far enough apart for readings without delay
+		now = now.Add(2 * time.Second) // long enough that the previous reading has no effect
 		harmful, harmless := 4*random.Float64(), 8*random.Float64()
-		swing := 0.5 * math.Sin(float64(i)/20*math.Pi)
-		rate := (2.5 + swing - 0.3*harmful) * (1 + 0.05*random.NormFloat64())
+		variation := 0.5 * math.Sin(float64(i)/20*math.Pi)
+		rate := (2.5 + variation - 0.3*harmful) * (1 + 0.05*random.NormFloat64())
 		m.Observe(now, []LatencyReading{at(0, rate)}, []UsageReading{{Image: "press", Cores: harmful}, {Image: "quiet", Cores: harmless}})
 	}
 	if got := m.LossPerCore("web", "press"); got < 0.2 || got > 0.4 {
@@ -42,9 +42,10 @@
 	}
 }
 
-// Something always fills beside a task whose load rises. Its siblings, which run
-// alone on other workers, show that the load is the cause; without them the image
-// beside it is blamed and slowed for nothing.
+// A best-effort task always runs beside a latency-critical task whose load rises.
+// Guards against attributing the rise to the best-effort image, which would then be
+// throttled without effect: the siblings of the latency-critical task, which run alone
+// on other workers, show that the load is the cause.
 func TestSiblingsSeparateLoadFromInterference(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
@@ -61,9 +62,9 @@
 	}
 }
 
-// Latency grows out of all proportion near saturation: the same two cores double
-// it for an idle task and multiply it for a busy one. The model has to predict
-// both from one estimate.
+// Near saturation latency grows faster than linearly: the same two cores double it for
+// an idle task and multiply it for a busy one. Guards against an estimate that holds
+// for only one of the two.
 func TestOneEstimateHoldsForIdleAndBusyTasks(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
@@ -82,16 +83,16 @@
 	}
 }
 
-// A reading follows the latency with a delay. What starts while the reading still
-// falls from an earlier peak must not be blamed for the rest of it.
+// A reading follows the latency with a delay. Guards against attributing the remainder
+// of an earlier peak to an image that starts while the reading still falls.
 func TestPassedPeakIsNotAttributed(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
-	shown := target / 2.5 // the delayed reading
-	read := func(rate float64, filling ...UsageReading) float64 {
+	delayed := target / 2.5
+	read := func(rate float64, usage ...UsageReading) float64 {
 		now = now.Add(500 * time.Millisecond)
-		shown += (target/rate - shown) * (1 - math.Exp(-0.5/readingTimeConstant.Seconds()))
-		return m.Observe(now, []LatencyReading{{Task: task(0), Image: "web", Latency: shown, Target: target}}, filling)[0]
+		delayed += (target/rate - delayed) * (1 - math.Exp(-0.5/readingTimeConstant.Seconds()))
+		return m.Observe(now, []LatencyReading{{Task: task(0), Image: "web", Latency: delayed, Target: target}}, usage)[0]
 	}
 	for range 20 {
 		read(2.5)
@@ -107,8 +108,9 @@
 	}
 }
 
-// A harmful task ends shortly before a reading, which still shows its harm. What
-// runs on beside the serving task must not be blamed for it or slowed.
+// A reading still shows the interference of a harmful task that has ended shortly
+// before. Guards against attributing it to the tasks that continue, which would then be
+// throttled.
 func TestLossOfEndedTaskIsNotAttributedToOthers(t *testing.T) {
 	var m Model
 	now := bootclock.Instant(0)
@@ -121,14 +123,15 @@
 	now = now.Add(2 * time.Second)
 	rate := m.Observe(now, []LatencyReading{at(0, 1.9)}, []UsageReading{{Image: "press", Cores: 2, Ended: true}, {Image: "quiet", Cores: 2}})[0]
 	if rate < 2.3 {
-		t.Errorf("rate beside what runs on: got %.2f, want about 2.5", rate)
+		t.Errorf("rate without the ended task: got %.2f, want about 2.5", rate)
 	}
 	if got := m.LossPerCore("web", "quiet"); got > before+0.02 {
-		t.Errorf("image that runs on: got %.3f per core, want about %.3f", got, before)
+		t.Errorf("image of the continuing task: got %.3f per core, want about %.3f", got, before)
 	}
 }
 
-// An endless stream of new tasks must not fill the memory of an agent.
+// Guards against tables that grow with each new task or step until the agent runs out
+// of memory.
 func TestTablesAreBounded(t *testing.T) {
 	var m Model
 	for i := range 3 * maxTasks {
