--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,9 +1,10 @@
-// Package guard is the control loop that protects the latency of the services
-// on one worker from the batch tasks beside them. It throttles batch, then
-// checkpoints and evicts it, and restores it when the service has recovered.
+// Package guard implements the control loop that protects the latency of the
+// services on one worker from the batch tasks on the same worker. It throttles
+// batch tasks, checkpoints and evicts them if that is not enough, and restores
+// their shares when the services have recovered.
 //
-// A Controller is a pure function of its inputs and of the time they carry; it
-// is not safe for concurrent use.
+// The decisions of a Controller depend only on its earlier inputs and on the times
+// in them; it reads no clock. It is not safe for concurrent use.
 package guard
 
 import (
@@ -14,60 +15,63 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Settings of the loop. docs/decisions/0004-guard.md has the measurements.
+// Parameters of the control loop. docs/decisions/0004-guard.md has the measurements.
 const (
-	// minimumShare keeps a throttled task alive: below a tenth it holds
-	// memory for hours without finishing, and eviction serves everyone better.
+	// minShare is the smallest share of a throttled task. With less than a tenth
+	// a task occupies memory for hours without finishing, and evicting it is
+	// better for all.
 	minShare = 0.1
-	// targetHeadroom relates the decayed mean that endpoints report to the
-	// 99th percentile that the target bounds; the tail of a busy endpoint is
-	// about twice its mean.
+	// meanToTailRatio converts the target, which limits the 99th percentile, to
+	// a limit of the decayed mean that endpoints report. The 99th percentile of a
+	// busy endpoint is about twice its mean.
 	meanToTailRatio = 0.5
-	// restoreStep is smaller than the throttle step so that the loop backs off
-	// faster than it recovers.
+	// restoreFactor multiplies the share of a task that is restored. A throttle
+	// may change a share by a larger factor, so that shares fall faster than they
+	// rise.
 	restoreFactor = 1.5
-	// evictAfter is how many measurements in a row must exceed the limit with
-	// every batch task at its minimum share before one is evicted.
+	// evictAfterMeasurements is how many consecutive measurements must exceed the
+	// limit with all batch tasks at minShare before a task is evicted.
 	evictAfterMeasurements = 3
-	// minimumCalm and maximumCalm bound how long a service must be calm before
-	// batch is restored. A relapse soon after a restore doubles the wait.
-	minCalmPeriod = 5 * time.Second
-	maxCalmPeriod = 2 * time.Minute
+	// minRecoveryPeriod and maxRecoveryPeriod limit how long latency must stay
+	// low before a share is restored. The period doubles when the limit is
+	// exceeded again soon after a restore.
+	minRecoveryPeriod = 5 * time.Second
+	maxRecoveryPeriod = 2 * time.Minute
 )
 
-// Service is the state of one service whose endpoint is on the worker.
+// Service is the state of a service with an endpoint on the worker.
 type Service struct {
 	Name       units.ServiceName
-	Latency    time.Duration // decayed service time; 0 while there is no request
+	Latency    time.Duration // decayed mean of the service time; 0 without requests
 	Target     time.Duration
-	MeasuredAt time.Time // when Latency last took in a request
+	MeasuredAt time.Time // when Latency last included a new request
 }
 
-// Task is one running batch task.
+// Task is a running batch task.
 type Task struct {
 	Task       units.Task
 	Attempt    units.Attempt
 	Kind       units.JobKind
 	Priority   units.Priority
-	OverQuota  bool             // its team is over its quota
-	Share      float64          // share of its processors that it may use now
-	Usage      units.Millicores // lagging
-	MeasuredAt time.Time        // when Usage was taken
+	OverQuota  bool             // the team of the task exceeds its quota
+	Share      float64          // fraction of its processors that it may use
+	Usage      units.Millicores // a delayed measurement
+	MeasuredAt time.Time        // when Usage was measured
 }
 
-// Inputs are what one tick decides on.
+// Inputs are the measurements that a tick evaluates.
 type Inputs struct {
 	Now          time.Time
 	Enabled      bool
-	LatencyRatio float64 // tolerated latency with batch against without; at least 1
+	LatencyRatio float64 // tolerated ratio of the latency with batch tasks to that without; at least 1
 	Services     []Service
 	Tasks        []Task
 }
 
-// Verb says what an action does.
+// ActionKind is what an action does to a task.
 type ActionKind string
 
-// The verbs of actions.
+// The kinds of actions.
 const (
 	Throttle ActionKind = "throttle" // lower the task's share to Share
 	Restore  ActionKind = "restore"  // raise the task's share to Share
@@ -83,33 +87,34 @@
 	Service units.ServiceName
 }
 
-// Controller holds what the loop remembers between ticks.
+// Controller holds the state of the control loop between ticks. The zero value is
+// ready to use.
 type Controller struct {
 	baselines map[units.ServiceName]*baseline
 	pairs     map[pair]*slowdown
-	version   uint64 // of the newest change in pairs
+	version   uint64 // of the latest exported change of a pair
 
 	lastAction      time.Time
 	lastRestore     time.Time
-	calmSince       time.Time     // zero while a service is over its limit or not measured
-	calmPeriod      time.Duration // required before the next restore
-	exhaustedCount  int           // measurements in a row over the limit with nothing left to throttle
-	lastMeasurement time.Time     // newest latency measurement that has been acted on or counted
+	recoveredSince  time.Time     // since when latencies are low; zero while they are not or no service is measured
+	recoveryPeriod  time.Duration // how long latencies must be low before the next restore
+	exhaustedCount  int           // consecutive measurements over the limit with all tasks at minShare
+	lastMeasurement time.Time     // time of the latest latency measurement over the limit that was evaluated
 }
 
-// Tick learns from the inputs and returns the actions to take now.
+// Tick updates the estimates from the inputs and returns the actions to take.
 func (c *Controller) Tick(in Inputs) []Action {
 	c.learn(in)
 	if !in.Enabled {
 		return c.restoreAll(in)
 	}
-	worst, excess := c.worstService(in)
+	worst, relative := c.worstService(in)
 	if worst == nil {
-		c.calmSince = time.Time{}
+		c.recoveredSince = time.Time{}
 		return nil
 	}
-	if excess > 1 {
-		c.calmSince = time.Time{}
+	if relative > 1 {
+		c.recoveredSince = time.Time{}
 		if !worst.MeasuredAt.After(c.lastAction) || !worst.MeasuredAt.After(c.lastMeasurement) {
 			return nil
 		}
@@ -117,12 +122,13 @@
 		return c.protect(in, worst)
 	}
 	c.exhaustedCount = 0
-	return c.restore(in, worst, excess)
+	return c.restore(in, worst, relative)
 }
 
-// limit is the latency above which the loop acts: the tolerated ratio over the
-// baseline, but no tighter than the target asks for. A service that misses its
-// target without batch is not helped by stopping batch.
+// latencyLimit returns the latency above which batch tasks are throttled. It is the
+// limit that follows from the target or, if that is higher, the tolerated multiple
+// of the baseline: throttling batch tasks does not help a service that misses its
+// target without them.
 func (c *Controller) latencyLimit(s *Service, ratio float64) time.Duration {
 	limit := time.Duration(float64(s.Target) * meanToTailRatio)
 	if b := c.baselines[s.Name]; b != nil {
@@ -131,7 +137,8 @@
 	return limit
 }
 
-// worst returns the service with the highest latency relative to its limit.
+// worstService returns the service with the highest latency relative to its limit,
+// and that relative latency. It returns nil if no service is measured.
 func (c *Controller) worstService(in Inputs) (*Service, float64) {
 	var worst *Service
 	highest := 0.0
@@ -140,19 +147,19 @@
 		if s.Latency <= 0 || s.Target <= 0 {
 			continue
 		}
-		if excess := float64(s.Latency) / float64(c.latencyLimit(s, in.LatencyRatio)); excess > highest {
-			worst, highest = s, excess
+		if relative := float64(s.Latency) / float64(c.latencyLimit(s, in.LatencyRatio)); relative > highest {
+			worst, highest = s, relative
 		}
 	}
 	return worst, highest
 }
 
-// protect throttles tasks until the part of the latency that is charged to
-// batch has fallen by as much as the service exceeds its limit, and evicts one
-// when throttling is exhausted.
+// protect throttles tasks until the latency attributed to batch tasks has fallen by
+// the amount by which the service exceeds its limit. It evicts a task when all
+// tasks are at minShare.
 func (c *Controller) protect(in Inputs, s *Service) []Action {
-	if !c.lastRestore.IsZero() && in.Now.Sub(c.lastRestore) < 2*c.calmPeriod {
-		c.calmPeriod = min(2*c.calmPeriod, maxCalmPeriod)
+	if !c.lastRestore.IsZero() && in.Now.Sub(c.lastRestore) < 2*c.recoveryPeriod {
+		c.recoveryPeriod = min(2*c.recoveryPeriod, maxRecoveryPeriod)
 		c.lastRestore = time.Time{}
 	}
 	tasks := c.candidates(in, s.Name)
@@ -164,26 +171,27 @@
 	for _, t := range in.Tasks {
 		total += c.attributedSlowdown(t, s.Name)
 	}
-	need := total * c.requiredReduction(s, in.LatencyRatio)
+	required := total * c.requiredReduction(s, in.LatencyRatio)
 	var actions []Action
 	for _, t := range tasks {
-		if need <= 0 {
+		if required <= 0 {
 			break
 		}
-		charge := c.attributedSlowdown(t, s.Name)
-		if t.Share <= minShare || charge <= 0 {
+		attributed := c.attributedSlowdown(t, s.Name)
+		if t.Share <= minShare || attributed <= 0 {
 			continue
 		}
-		cut := min(need/charge, 1-minShare/t.Share)
-		need -= cut * charge
-		// A cut smaller than a twentieth costs a command and shows no effect.
+		cut := min(required/attributed, 1-minShare/t.Share)
+		required -= cut * attributed
+		// A cut of less than a twentieth costs a command and has no visible effect.
 		share := max(t.Share*(1-max(cut, 0.05)), minShare)
 		actions = append(actions, Action{Throttle, t.Task, t.Attempt, share, s.Name})
 	}
 	return c.recordActions(in.Now, actions)
 }
 
-// surplus is the part of what batch adds to the latency that must go, 0..1.
+// requiredReduction returns the fraction, 0 to 1, of the latency added by batch tasks
+// that must be removed to meet the limit.
 func (c *Controller) requiredReduction(s *Service, ratio float64) float64 {
 	base := float64(c.latencyLimit(s, ratio)) / max(ratio, 1)
 	if b := c.baselines[s.Name]; b != nil {
@@ -195,22 +203,24 @@
 	return 0
 }
 
-// exhausted reports whether no task that may be acted on can be throttled
-// further.
+// exhausted reports whether there are tasks below urgent priority and none of them
+// can be throttled further.
 func exhausted(tasks []Task) bool {
-	any := false
+	found := false
 	for _, t := range tasks {
 		if t.Priority >= units.PriorityUrgent {
 			continue
 		}
-		any = true
+		found = true
 		if t.Share > minShare {
 			return false
 		}
 	}
-	return any
+	return found
 }
 
+// evict evicts the first candidate after evictAfterMeasurements consecutive
+// measurements over the limit.
 func (c *Controller) evict(in Inputs, s *Service, tasks []Task) []Action {
 	c.exhaustedCount++
 	if c.exhaustedCount < evictAfterMeasurements || len(tasks) == 0 {
@@ -221,38 +231,38 @@
 	return c.recordActions(in.Now, []Action{{Evict, t.Task, t.Attempt, 0, s.Name}})
 }
 
-// relax raises the share of one task after the services have been calm for long
-// enough. Calm means below the middle between baseline and limit, so that a
-// restore does not lead straight to the next throttle.
-func (c *Controller) restore(in Inputs, s *Service, excess float64) []Action {
+// restore raises the share of one task after the latencies have been low for
+// recoveryPeriod. Low means below the middle between baseline and limit, so that a
+// restore does not immediately cause the next throttle.
+func (c *Controller) restore(in Inputs, s *Service, relative float64) []Action {
 	middle := (1 + 1/max(in.LatencyRatio, 1)) / 2
-	if excess > middle {
-		c.calmSince = time.Time{}
+	if relative > middle {
+		c.recoveredSince = time.Time{}
 		return nil
 	}
-	if c.calmSince.IsZero() {
-		c.calmSince = in.Now
+	if c.recoveredSince.IsZero() {
+		c.recoveredSince = in.Now
 	}
-	c.calmPeriod = max(c.calmPeriod, minCalmPeriod)
-	if in.Now.Sub(c.calmSince) < c.calmPeriod {
+	c.recoveryPeriod = max(c.recoveryPeriod, minRecoveryPeriod)
+	if in.Now.Sub(c.recoveredSince) < c.recoveryPeriod {
 		return nil
 	}
 	tasks := c.candidates(in, s.Name)
-	slices.Reverse(tasks) // the last to be throttled is the first to be restored
+	slices.Reverse(tasks) // restore in the reverse order of throttling
 	for _, t := range tasks {
 		if t.Share < 1 {
-			if in.Now.Sub(c.lastRestore) > 4*c.calmPeriod {
-				c.calmPeriod = max(c.calmPeriod/2, minCalmPeriod)
+			if in.Now.Sub(c.lastRestore) > 4*c.recoveryPeriod {
+				c.recoveryPeriod = max(c.recoveryPeriod/2, minRecoveryPeriod)
 			}
 			c.lastRestore = in.Now
-			c.calmSince = in.Now
+			c.recoveredSince = in.Now
 			return c.recordActions(in.Now, []Action{{Restore, t.Task, t.Attempt, min(t.Share*restoreFactor, 1), s.Name}})
 		}
 	}
 	return nil
 }
 
-// release gives back every share when the guards are switched off.
+// restoreAll restores the full share of every task when the guards are disabled.
 func (c *Controller) restoreAll(in Inputs) []Action {
 	var actions []Action
 	for _, t := range in.Tasks {
@@ -263,6 +273,7 @@
 	return c.recordActions(in.Now, actions)
 }
 
+// recordActions sets lastAction if there are actions, and returns them.
 func (c *Controller) recordActions(now time.Time, actions []Action) []Action {
 	if len(actions) > 0 {
 		c.lastAction = now
@@ -270,10 +281,10 @@
 	return actions
 }
 
-// victims returns the tasks that may be acted on, the first to suffer first:
-// over quota, then lowest priority, then the kind that slows the service most.
-// A task whose usage is older than the last action is left out, because that
-// sample does not show what the action did.
+// candidates returns the tasks that may be throttled or evicted, in that order:
+// tasks of teams over quota first, then by ascending priority, then by descending
+// slowdown of the service. A task whose usage was measured before the last action is
+// left out, because that measurement does not show the effect of the action.
 func (c *Controller) candidates(in Inputs, s units.ServiceName) []Task {
 	var tasks []Task
 	for _, t := range in.Tasks {
--- a/internal/guard/learning.go
+++ b/internal/guard/learning.go
@@ -10,56 +10,61 @@
 )
 
 const (
-	// baselineHalfLife follows a service's own load within minutes.
+	// baselineHalfLife lets a baseline follow the load of its service within
+	// minutes.
 	baselineHalfLife = 30 * time.Second
-	// forgetHalfLife is how fast a pair that is not observed returns to no
-	// effect, so that a kind is not avoided for ever for what it did under
-	// another load.
+	// forgetHalfLife is the half-life of an estimate that gets no measurements,
+	// so that a kind is not avoided forever because of its effect under another
+	// load.
 	forgetHalfLife = 15 * time.Minute
-	// usageHalfLife averages what a kind uses.
+	// usageHalfLife is the half-life of the average use of processors of a kind.
 	usageHalfLife = time.Minute
-	// exportStep is the relative change that makes a pair worth sending again.
+	// exportStep is the relative change after which a slowdown is sent again.
 	exportStep = 0.05
-	// maxPairs bounds the table against a stream of ever new kinds.
+	// maxPairs limits the size of the table, because new kinds arrive without
+	// end.
 	maxPairs = 512
 
-	// firstVariance, drift and noise set how the estimator trusts what it
-	// knows: a kind seen for minutes keeps its estimate when a new kind arrives
-	// together with a jump in latency, and the jump is charged to the new one.
+	// initialVariance, varianceGrowth and noiseVariance determine how much an
+	// estimate changes with a measurement. A kind that has been observed for
+	// minutes keeps its estimate when a new kind arrives together with a jump in
+	// latency, and the jump is attributed to the new kind.
 	initialVariance = 1.0
-	varianceGrowth  = 1e-4 // added variance per second
-	noiseVariance   = 0.01 // variance of one latency ratio
+	varianceGrowth  = 1e-4 // per second
+	noiseVariance   = 0.01 // of one latency ratio
 )
 
+// pair is a kind of batch job and a service that it slows down.
 type pair struct {
 	kind    units.JobKind
 	service units.ServiceName
 }
 
-// baseline is the latency of a service with no batch task running.
+// baseline is the latency of a service while no batch task is running.
 type baseline struct {
 	latency   float64 // nanoseconds
 	updatedAt time.Time
 }
 
-// slowdown is what the loop knows about one pair.
+// slowdown is the estimate for one pair.
 type slowdown struct {
-	perCore   float64 // latency ratio added per core used
+	perCore   float64 // latency ratio added per core in use
 	variance  float64 // of perCore
-	cores     float64 // decayed use of the kind while it runs
+	cores     float64 // decayed average of the cores in use by the kind while it runs
 	updatedAt time.Time
 	exported  float64
-	version   uint64 // of the change that set exported
+	version   uint64 // of the controller when exported was set
 }
 
-// Interference is what the loop has learned about one pair.
+// Interference is the estimated effect of a kind of batch job on a service.
+// Slowdown is the ratio of the latency with the kind to that without.
 type Interference struct {
 	Kind     units.JobKind
 	Service  units.ServiceName
 	Slowdown float64
 }
 
-// decay returns the weight left of an old value after elapsed.
+// decayWeight returns the weight of an old value after elapsed.
 func decayWeight(elapsed, halfLife time.Duration) float64 {
 	if elapsed <= 0 {
 		return 1
@@ -67,7 +72,7 @@
 	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
 
-// learn updates baselines and pairs from measurements not seen before.
+// learn updates baselines and pairs from measurements that are new.
 func (c *Controller) learn(in Inputs) {
 	if c.baselines == nil {
 		c.baselines = make(map[units.ServiceName]*baseline)
@@ -86,15 +91,15 @@
 		case b == nil:
 			c.baselines[s.Name] = &baseline{float64(s.Latency), s.MeasuredAt}
 		case s.MeasuredAt.After(b.updatedAt):
-			keep := decayWeight(s.MeasuredAt.Sub(b.updatedAt), baselineHalfLife)
-			b.latency, b.updatedAt = b.latency*keep+float64(s.Latency)*(1-keep), s.MeasuredAt
+			weight := decayWeight(s.MeasuredAt.Sub(b.updatedAt), baselineHalfLife)
+			b.latency, b.updatedAt = b.latency*weight+float64(s.Latency)*(1-weight), s.MeasuredAt
 		}
 	}
 	c.updateExported(in.Now)
 }
 
-// observe corrects the estimates of the kinds in use by one measurement: a
-// Kalman filter with a diagonal covariance, over excess = sum(perCore x cores).
+// observe updates the estimates of the running kinds from one measurement, with a
+// Kalman filter with a diagonal covariance for excess = sum(perCore x cores).
 func (c *Controller) observe(s Service, excess float64, tasks []Task) {
 	cores := make(map[units.JobKind]float64)
 	var kinds []units.JobKind
@@ -104,9 +109,9 @@
 		}
 		cores[t.Kind] += float64(t.Usage) / 1000
 	}
-	slices.Sort(kinds) // sums in a fixed order, for equal results in equal runs
-	rows := make([]*slowdown, 0, len(kinds))
-	predicted, spread := 0.0, noiseVariance
+	slices.Sort(kinds) // a fixed order of summation makes results reproducible
+	estimates := make([]*slowdown, 0, len(kinds))
+	predicted, innovationVariance := 0.0, noiseVariance
 	for _, kind := range kinds {
 		r := c.pairSlowdown(pair{kind, s.Name}, s.MeasuredAt)
 		if !s.MeasuredAt.After(r.updatedAt) {
@@ -115,24 +120,25 @@
 		elapsed := s.MeasuredAt.Sub(r.updatedAt)
 		r.perCore *= decayWeight(elapsed, forgetHalfLife)
 		r.variance = min(r.variance+varianceGrowth*elapsed.Seconds(), initialVariance)
-		keep := decayWeight(elapsed, usageHalfLife)
+		weight := decayWeight(elapsed, usageHalfLife)
 		if r.cores == 0 {
-			keep = 0 // the first use is the average so far
+			weight = 0 // the first measurement is the average
 		}
-		r.cores = r.cores*keep + cores[kind]*(1-keep)
+		r.cores = r.cores*weight + cores[kind]*(1-weight)
 		predicted += r.perCore * cores[kind]
-		spread += r.variance * cores[kind] * cores[kind]
-		rows = append(rows, r)
+		innovationVariance += r.variance * cores[kind] * cores[kind]
+		estimates = append(estimates, r)
 	}
-	for i, r := range rows {
+	for i, r := range estimates {
 		x := cores[kinds[i]]
-		gain := r.variance * x / spread
+		gain := r.variance * x / innovationVariance
 		r.perCore = max(r.perCore+gain*(excess-predicted), 0)
 		r.variance *= 1 - gain*x
 		r.updatedAt = s.MeasuredAt
 	}
 }
 
+// pairSlowdown returns the estimate of a pair and adds it if it is missing.
 func (c *Controller) pairSlowdown(p pair, at time.Time) *slowdown {
 	r := c.pairs[p]
 	if r == nil {
@@ -145,8 +151,8 @@
 	return r
 }
 
-// charge is how much of the latency ratio is charged to the task. A kind about
-// which nothing is known is charged by its use of processors.
+// attributedSlowdown returns the part of the latency ratio that is attributed to the
+// task. For a kind without an estimate it is proportional to the use of processors.
 func (c *Controller) attributedSlowdown(t Task, service units.ServiceName) float64 {
 	perCore := defaultPerCore
 	if r := c.pairs[pair{t.Kind, service}]; r != nil {
@@ -155,9 +161,11 @@
 	return perCore * float64(t.Usage) / 1000
 }
 
-// unknownPerCore is below any effect that matters, so that known kinds go first.
+// defaultPerCore is lower than any effect that matters, so that kinds with a known
+// effect are throttled first.
 const defaultPerCore = 1e-3
 
+// dropOldest removes the pair with the oldest update.
 func (c *Controller) dropOldest() {
 	var oldest pair
 	var at time.Time
@@ -173,11 +181,13 @@
 	return cmp.Or(cmp.Compare(p.kind, o.kind), cmp.Compare(p.service, o.service)) < 0
 }
 
-// current is the learned ratio, faded by the time since it was observed.
+// currentRatio returns the estimated latency ratio, decayed by the time since the last
+// update.
 func (s *slowdown) currentRatio(now time.Time) float64 {
 	return 1 + s.perCore*s.cores*decayWeight(now.Sub(s.updatedAt), forgetHalfLife)
 }
 
+// updateExported sets the exported ratio of pairs that have changed by exportStep.
 func (c *Controller) updateExported(now time.Time) {
 	for _, s := range c.pairs {
 		if ratio := s.currentRatio(now); math.Abs(ratio-s.exported) >= exportStep*s.exported {
@@ -187,8 +197,8 @@
 	}
 }
 
-// Changed returns the pairs that changed after the given version, ordered by
-// kind and service, and the version to pass next time.
+// Changed returns the pairs that have changed since the given version, ordered by
+// kind and service, and the version to pass to the next call.
 func (c *Controller) Changed(since uint64) ([]Interference, uint64) {
 	if since >= c.version {
 		return nil, c.version
