--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,7 +1,7 @@
-// Package bootclock reads a clock that never steps and also counts the time
-// for which the machine was suspended. Leases need it: Go's monotonic clock
-// stands still while a machine is suspended, so a process that wakes up would
-// take an expired lease for a valid one.
+// Package bootclock reads the time since boot from a clock that never steps and
+// that includes the time during which the machine was suspended. Leases need such
+// a clock: Go's monotonic clock stops while a machine is suspended, so after the
+// machine resumes, a process would treat an expired lease as valid.
 package bootclock
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a point in time on this machine, since boot.
+// Instant is a point in time on this machine, as the time since boot.
 type Instant time.Duration
 
-// Now reads the clock.
+// Now returns the current instant.
 func Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -22,7 +22,7 @@
 	return Instant(t.Nano())
 }
 
-// Add returns the instant d later.
+// Add returns the instant that is d after i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
 // Sub returns the time from o to i.
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -1,28 +1,31 @@
-// Package leases holds the times that agents and entry processes must agree on
-// for them. See docs/decisions/0002-leases-granted-by-another-agent.md.
+// Package leases defines the durations of leases, on which agents and entry
+// processes must agree. See docs/decisions/0002-leases-granted-by-another-agent.md.
 package leases
 
 import "time"
 
 const (
-	// Duration is how long one grant lasts, counted by the lessee from when it
-	// sent the request.
+	// Duration is how long a granted lease is valid. The lessee counts it from
+	// the time at which it sent the request.
 	Duration = 8 * time.Second
-	// Margin covers clock drift and scheduling pauses of the lessor. It counts
-	// Duration plus Margin from each grant before it attests an expiry.
+	// Margin allows for clock drift and for scheduling pauses of the lessor. The
+	// lessor waits for Duration plus Margin after its last grant before it
+	// attests that the lease has expired.
 	Margin = time.Second
-	// GrantRight is how long a lessor may grant after it last had evidence that
-	// its own epoch is in force. It spans an outage of the log, in which nobody
-	// can have such evidence: if a grant needed the lessor's own lease, one
-	// death in an outage would stop lessee after lessee, every 8 s one more.
+	// GrantWindow is how long a lessor may grant leases after its last evidence
+	// that its own epoch is in force. It is long enough for an outage of the log,
+	// during which no lessor can get such evidence. If a grant required a valid
+	// lease of the lessor itself, the failure of one agent during an outage would
+	// stop its lessee, then the lessee of that one, and so on, one every 8 s.
 	GrantWindow = 15 * time.Minute
-	// EvidenceAge is how old the view of an entry process may be that counts
-	// as evidence. The lessor subtracts it from GrantRight.
+	// MaxEvidenceAge is the maximum age of the state of an entry process that
+	// counts as evidence. The lessor subtracts it from GrantWindow.
 	MaxEvidenceAge = 5 * time.Second
-	// ExpiredChainWait and ReplacedChainWait are how long after the end of a
-	// lessor's epoch is recorded the lease of a lessee that has not changed
-	// lessor has certainly ended. An epoch that a higher one has replaced grants
-	// nothing any more, because its worker no longer confirms it.
+	// ExpiredLessorWait and ReplacedLessorWait are the times after the recorded
+	// end of a lessor's epoch until the lease of a lessee that has kept this
+	// lessor has certainly expired. ReplacedLessorWait applies if a higher epoch
+	// has replaced that of the lessor. The replaced epoch grants no more leases,
+	// because its worker no longer confirms it.
 	ExpiredLessorWait  = GrantWindow + Duration + Margin
 	ReplacedLessorWait = Duration + Margin
 )
