--- a/internal/node/agentlink.go
+++ b/internal/node/agentlink.go
@@ -199,17 +199,17 @@
 	return message
 }
 
-func startToWire(s runner.Start) *wire.StartOrder {
+func startToWire(s runner.StartOrder) *wire.StartOrder {
 	return &wire.StartOrder{
 		Task: s.Task.String(), Attempt: int64(s.Attempt), Spec: s.Spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket,
-		Fills: s.Fills, LatencyTargetMs: s.Target.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
+		Fills: s.BestEffort, LatencyTargetMs: s.LatencyTarget.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
 	}
 }
 
 func estimatesToWire(estimates []interference.Estimate) []*wire.PairEstimate {
 	pairs := make([]*wire.PairEstimate, len(estimates))
 	for i, e := range estimates {
-		pairs[i] = &wire.PairEstimate{Serving: e.Serving, Filling: e.Filling, LossPerCore: e.PerCore, Variance: e.Variance}
+		pairs[i] = &wire.PairEstimate{Serving: e.LatencyCriticalImage, Filling: e.BestEffortImage, LossPerCore: e.LossPerCore, Variance: e.Variance}
 	}
 	return pairs
 }
--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -16,285 +16,301 @@
 )
 
 const (
-	// holdWait bounds how old the lease and the lists get without an end.
-	holdWait = time.Second
-	// holdSlack is the time for an answer beyond its wait.
-	holdSlack = 700 * time.Millisecond
-	// endsPause spaces holds while the runner lists ends that are not recorded
-	// yet: it then answers at once instead of waiting for an end.
-	endsPause = 20 * time.Millisecond
-	// retryPause follows a hold without an answer.
-	retryPause = 100 * time.Millisecond
-	// clockSlowness is the share by which a runner's clock may be slow.
-	clockSlowness = 0.02
-	// lapseMargin covers the time between a lease's end and the end of its runs.
-	lapseMargin = 200 * time.Millisecond
-	// lifeBits is the part of a fencing token that counts the lives of the runner:
-	// a million within one agent process. The rest still fits the integers that any
-	// JSON decoder keeps exactly.
-	lifeBits = 20
+	// pollWait limits how long the runner may delay its reply to a poll when no
+	// run ends, and so the age of the lease and of the lists.
+	pollWait = time.Second
+	// pollSlack is added to the wait of a poll to get the timeout of the call.
+	pollSlack = 700 * time.Millisecond
+	// unrecordedPollInterval separates polls while the runner lists ended runs
+	// that are not recorded yet, because it then replies immediately instead of
+	// waiting for a run to end.
+	unrecordedPollInterval = 20 * time.Millisecond
+	// retryDelay is the delay before an unanswered call is repeated.
+	retryDelay = 100 * time.Millisecond
+	// maxClockDrift is the fraction by which a runner's clock may run slow.
+	maxClockDrift = 0.02
+	// leaseExpiryMargin allows for the time that the runner needs to end its
+	// runs after the lease has expired.
+	leaseExpiryMargin = 200 * time.Millisecond
+	// ordinalBits is the number of low bits of a fencing token that hold the
+	// ordinal of the incarnation. 20 bits allow a million of them within one
+	// agent process, and the whole token still fits the integers that every JSON
+	// decoder represents exactly.
+	ordinalBits = 20
 )
 
-// run is a row of the controller's table.
+// run is the state of a run on the runner, or of one that is being started.
 type run struct {
-	attempt    workflow.Attempt
-	starting   bool              // the runner has not confirmed the start
-	confirmed  bootclock.Instant // when the runner confirmed it; zero while starting
-	stopping   bool
-	checkpoint string
-	percent    int
-	load       int64
-	rate       float64           // of a serving task: target / latency, as the last reading shows it; 0 before the first
-	over       bootclock.Instant // since when a serving task exceeds its target; 0 while it does not
-	fills      bool
-	image      string
-	processors units.Millicores // requested
-	target     time.Duration    // tail latency to keep; 0 for a task that does not serve
-	pace       int              // percent in force
-	paceUnset  bool             // the runner may have another pace
-	unknown    bool             // adopted from the lists, which do not say all of this
+	attempt         workflow.Attempt
+	starting        bool              // the runner has not confirmed the start yet
+	confirmedAt     bootclock.Instant // when the start was confirmed; zero while starting
+	stopping        bool
+	checkpoint      string
+	percent         int
+	load            int64             // as in RunStatus
+	rate            float64           // latency-critical task: target / latency at the last reading; 0 before the first
+	overTargetSince bootclock.Instant // latency-critical task: when its latency rose above the target; 0 while it is not above
+	bestEffort      bool
+	image           string
+	processors      units.Millicores // requested
+	latencyTarget   time.Duration    // limit of the tail latency; 0 unless the task is latency-critical
+	pace            int              // limit of the speed, in percent of full speed
+	paceUnconfirmed bool             // the runner may apply another pace
+	incomplete      bool             // found in a listing, which lacks the fields of the start order
 }
 
-// Rejection is a start that did not happen and never will.
+// Rejection reports a start that was not carried out and never will be.
 type Rejection struct {
 	Task    workflow.TaskID
 	Attempt workflow.Attempt
 	Reason  Kind
 }
 
-// Start is an order to start a run.
-type Start struct {
-	Task       workflow.TaskID
-	Attempt    workflow.Attempt
-	Spec       string
-	Checkpoint string
-	Ticket     string
-	Fills      bool
-	Target     time.Duration // tail latency that a serving task must keep; 0 for another
-	Image      string
-	Processors units.Millicores // requested
+// StartOrder is an order of the scheduler to start a run.
+type StartOrder struct {
+	Task          workflow.TaskID
+	Attempt       workflow.Attempt
+	Spec          string
+	Checkpoint    string
+	Ticket        string
+	BestEffort    bool
+	LatencyTarget time.Duration // limit of the tail latency; 0 unless the task is latency-critical
+	Image         string
+	Processors    units.Millicores // requested
 }
 
-// Controller owns the table of a runner. Set the exported fields before Run.
-// Its methods may be called concurrently.
+// Controller starts and stops runs on one runner, renews their lease and tracks
+// their state. Set the exported fields before calling Run. Its methods may be
+// called concurrently.
 type Controller struct {
 	API API
-	// Token orders the agent processes of a machine; calls carry fencingToken.
-	Token        Token
+	// BaseToken is higher for each later agent process of the machine. The
+	// fencing tokens of calls are derived from it.
+	BaseToken    FencingToken
 	LongestLease time.Duration
-	OnChange     func() // called without locks after a change that the scheduler waits for
+	OnChange     func() // called without locks after a change that the scheduler must receive promptly
 
-	mu         sync.Mutex
-	info       *Info // nil before the first announcement
-	lives      Token // incarnations that this process has known
-	known      bool  // the lists have been read since the incarnation appeared
-	silent     bool  // the last hold was not answered
-	runs       map[workflow.TaskID]*run
-	ended      []Ended // listed and not recorded, by number
-	rejected   []Rejection
-	recorded   uint64            // ends up to this number are durable
-	grant      bootclock.Instant // until when the scheduler lets runs go on
-	clock      Clock             // last reading of the runner's clock
-	clockRead  bootclock.Instant // when clock arrived
-	leaseUntil Clock             // highest lease sent to this incarnation
-	sequence   uint64            // of the last report
-	started    bootclock.Instant // when Run began
-	reborn     bootclock.Instant // when this life was first heard of after another one under its id; 0 otherwise
-	model      interference.Model
-	observed   bootclock.Instant      // last reading that the model took in
-	finished   []interference.Filling // tasks that fill and have ended since then
-	slowed     bootclock.Instant      // last time a pace was lowered
-	raised     bootclock.Instant      // last time a pace was raised
-	appeared   chan struct{}          // closed and replaced when a runner appears
-	advanced   chan struct{}          // closed and replaced when recorded rises; nil while nobody waits
+	mu                  sync.Mutex
+	info                *Info        // nil before the first announcement
+	ordinal             FencingToken // of the current incarnation, counted by this process
+	listed              bool         // a listing of this incarnation has been received
+	unresponsive        bool         // the last poll was not answered
+	runs                map[workflow.TaskID]*run
+	ended               []EndedRun // listed but not recorded yet, ordered by number
+	rejections          []Rejection
+	recordedEnd         uint64            // ended runs up to this number are durably recorded
+	grantedUntil        bootclock.Instant // when the scheduler's permission to run tasks ends
+	runnerClock         ClockTime         // last reading of the runner's clock
+	clockReadAt         bootclock.Instant // when runnerClock was received
+	leaseUntil          ClockTime         // latest lease expiry sent to this incarnation
+	reportSequence      uint64            // sequence number of the last report
+	startedAt           bootclock.Instant // when Run was called
+	restartedAt         bootclock.Instant // when a new incarnation with the same id was first seen; 0 if the id is new
+	model               interference.Model
+	observedAt          bootclock.Instant           // when the model was last updated
+	endedReadings       []interference.UsageReading // best-effort tasks that have ended since observedAt
+	loweredAt           bootclock.Instant           // when a pace was last lowered
+	raisedAt            bootclock.Instant           // when a pace was last raised
+	incarnationAppeared chan struct{}               // closed and replaced when a new incarnation appears
+	recordedAdvanced    chan struct{}               // closed and cleared when recordedEnd increases; nil while nobody waits
 }
 
-// Announce takes what the runner says of itself. It reports false when the
-// announcement is older than what is known.
-func (c *Controller) Announce(info Info, clock Clock) bool {
+// HandleAnnouncement updates the state of the runner from an announcement of the
+// runner. It reports false when the announcement comes from an incarnation that
+// has already been replaced.
+func (c *Controller) HandleAnnouncement(info Info, clock ClockTime) bool {
 	c.mu.Lock()
 	changed := false
 	switch {
-	case c.info == nil || c.info.Born < info.Born || c.info.Born == info.Born && c.info.ID != info.ID:
-		c.replace(info)
+	case c.info == nil || c.info.StartedUnixMs < info.StartedUnixMs || c.info.StartedUnixMs == info.StartedUnixMs && c.info.ID != info.ID:
+		c.replaceIncarnation(info)
 		changed = true
-	case info.Born < c.info.Born:
+	case info.StartedUnixMs < c.info.StartedUnixMs:
 		c.mu.Unlock()
 		return false
 	case info.Sequence < c.info.Sequence:
-		// A delayed announcement; a runner that drains never stops draining.
+		// A delayed announcement is ignored, because a draining runner never
+		// leaves that state.
 	default:
 		changed = info.Draining != c.info.Draining
 		info.Draining = info.Draining || c.info.Draining
 		c.info = &info
 	}
-	if clock > c.clock {
-		c.readClock(clock)
+	if clock > c.runnerClock {
+		c.setClock(clock)
 	}
 	c.mu.Unlock()
 	if changed {
-		klog.InfoS("runner announced", "runner", info.ID, "born", info.Born, "draining", info.Draining, "capacity", info.Capacity.String())
-		c.changed()
+		klog.InfoS("runner announced a new state", "runner", info.ID, "born", info.StartedUnixMs, "draining", info.Draining, "capacity", info.Capacity.String())
+		c.notifyChange()
 	}
 	return true
 }
 
-// replace forgets the previous incarnation, which holds nothing any more. One
-// under the same id may have taken starts that were meant for the previous one,
-// also such as were answered before anybody knew of the new life. So the table
-// stays, and the first listing that was asked for later tells what is gone: it
-// is asked for with a higher token, which fences off all earlier calls.
-func (c *Controller) replace(info Info) {
-	reborn := c.info != nil && c.info.ID == info.ID
+// replaceIncarnation drops the state of the previous incarnation, which no
+// longer runs anything. If the new incarnation has the same id, it may have accepted starts
+// that were sent to the previous one, including starts that it confirmed before
+// the agent detected the restart. The table of runs is therefore kept, and the
+// first listing requested from now on shows which runs are gone: that request
+// carries a higher token, which fences all earlier calls.
+func (c *Controller) replaceIncarnation(info Info) {
+	sameID := c.info != nil && c.info.ID == info.ID
 	c.info = &info
-	c.lives++
-	c.known, c.silent = false, false
-	c.reborn = 0
-	if reborn {
-		c.reborn = bootclock.Now()
+	c.ordinal++
+	c.listed, c.unresponsive = false, false
+	c.restartedAt = 0
+	if sameID {
+		c.restartedAt = bootclock.Now()
 		for _, r := range c.runs {
-			r.stopping = false // the stop went to the previous life
+			r.stopping = false // the stop was sent to the previous incarnation
 		}
 	} else {
 		c.runs = make(map[workflow.TaskID]*run)
 	}
-	c.ended, c.recorded, c.clock, c.leaseUntil = nil, 0, 0, 0
-	if c.appeared != nil {
-		close(c.appeared)
+	c.ended, c.recordedEnd, c.runnerClock, c.leaseUntil = nil, 0, 0, 0
+	if c.incarnationAppeared != nil {
+		close(c.incarnationAppeared)
 	}
-	c.appeared = make(chan struct{})
+	c.incarnationAppeared = make(chan struct{})
 }
 
-// fencingToken returns the token of calls to the present incarnation. It is
-// higher than those of every earlier one under the same id, so that a call which
-// was meant for an earlier life and arrives late does nothing. c.mu is held.
-func (c *Controller) fencingToken() Token { return c.Token<<lifeBits + c.lives }
+// fencingToken returns the token for calls to the current incarnation. It is
+// higher than the tokens of all earlier incarnations with the same id, so that
+// the runner rejects a delayed call that was sent to one of them. The caller
+// holds c.mu.
+func (c *Controller) fencingToken() FencingToken { return c.BaseToken<<ordinalBits + c.ordinal }
 
-// Withdraw takes note that the runner has left.
-func (c *Controller) Withdraw(id string) {
+// MarkDraining marks the runner as draining after it has deregistered.
+func (c *Controller) MarkDraining(id string) {
 	c.mu.Lock()
 	if c.info != nil && c.info.ID == id {
 		c.info.Draining = true
 	}
 	c.mu.Unlock()
-	c.changed()
+	c.notifyChange()
 }
 
-func (c *Controller) changed() {
+func (c *Controller) notifyChange() {
 	if c.OnChange != nil {
 		c.OnChange()
 	}
 }
 
-// Grant lets runs go on until the instant; it never shortens.
-func (c *Controller) Grant(until bootclock.Instant) {
+// ExtendGrant permits runs to continue until the given instant. It never shortens
+// an earlier grant.
+func (c *Controller) ExtendGrant(until bootclock.Instant) {
 	c.mu.Lock()
-	c.grant = max(c.grant, until)
+	c.grantedUntil = max(c.grantedUntil, until)
 	c.mu.Unlock()
 }
 
-// Record takes note that the ends up to number of an incarnation are durable.
-func (c *Controller) Record(born int64, number uint64) {
+// MarkRecorded drops the ended runs up to number, which are durably recorded. It
+// ignores the numbers of another incarnation than the current one.
+func (c *Controller) MarkRecorded(startedUnixMs int64, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.info == nil || c.info.Born != born || number <= c.recorded {
+	if c.info == nil || c.info.StartedUnixMs != startedUnixMs || number <= c.recordedEnd {
 		return
 	}
-	c.recorded = number
-	if c.advanced != nil {
-		close(c.advanced)
-		c.advanced = nil
+	c.recordedEnd = number
+	if c.recordedAdvanced != nil {
+		close(c.recordedAdvanced)
+		c.recordedAdvanced = nil
 	}
-	keep := c.ended[:0]
+	unrecorded := c.ended[:0]
 	for _, e := range c.ended {
 		if e.Number > number {
-			keep = append(keep, e)
+			unrecorded = append(unrecorded, e)
 		}
 	}
-	c.ended = keep
+	c.ended = unrecorded
 }
 
-// readClock remembers a reading of the runner's clock. c.mu is held.
-func (c *Controller) readClock(clock Clock) {
-	c.clock, c.clockRead = clock, bootclock.Now()
+// setClock stores a reading of the runner's clock. The caller holds c.mu.
+func (c *Controller) setClock(clock ClockTime) {
+	c.runnerClock, c.clockReadAt = clock, bootclock.Now()
 }
 
-// lease returns the lease that the grant allows, on the runner's clock, and
-// false when the grant has ended. The reading was taken before it arrived and
-// the clock may be slow, so the lease ends before the grant does.
-func (c *Controller) lease(now bootclock.Instant) (Clock, bool) {
-	if !now.Before(c.grant) || c.clock == 0 {
+// extendLease returns the lease expiry that the grant allows, on the runner's
+// clock, or false when the grant has ended. The lease expires before the grant
+// ends, because the clock reading is older than the time of its receipt and
+// because the expiry allows for a slow clock. The caller holds c.mu.
+func (c *Controller) extendLease(now bootclock.Instant) (ClockTime, bool) {
+	if !now.Before(c.grantedUntil) || c.runnerClock == 0 {
 		return 0, false
 	}
-	left := min(c.grant.Sub(c.clockRead), c.LongestLease)
-	until := c.clock + Clock(float64(left.Milliseconds())*(1-clockSlowness))
+	left := min(c.grantedUntil.Sub(c.clockReadAt), c.LongestLease)
+	until := c.runnerClock + ClockTime(float64(left.Milliseconds())*(1-maxClockDrift))
 	c.leaseUntil = max(c.leaseUntil, until)
 	return c.leaseUntil, true
 }
 
-// lapsed reports whether every lease has certainly expired.
-func (c *Controller) lapsed(now bootclock.Instant) bool {
+// allLeasesExpired reports whether every lease that the runner may hold has
+// certainly expired. The caller holds c.mu.
+func (c *Controller) allLeasesExpired(now bootclock.Instant) bool {
 	if c.leaseUntil == 0 {
-		// An earlier agent process may have granted a lease, or a start that was
-		// meant for an earlier life under this id.
-		return c.started != 0 && now.After(max(c.started, c.reborn).Add(c.LongestLease+c.LongestLease/10))
+		// An earlier agent process may have granted a lease, or a start sent to
+		// an earlier incarnation with this id may have carried one.
+		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.LongestLease+c.LongestLease/10))
 	}
-	left := time.Duration(c.leaseUntil-c.clock) * time.Millisecond
-	end := c.clockRead.Add(time.Duration(float64(left)*(1+2*clockSlowness)) + lapseMargin)
+	left := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
+	end := c.clockReadAt.Add(time.Duration(float64(left)*(1+2*maxClockDrift)) + leaseExpiryMargin)
 	return now.After(end)
 }
 
-// Run holds the lease and reads the lists until ctx ends.
+// Run polls the runner, which renews the lease and returns the lists, until ctx
+// is done.
 func (c *Controller) Run(ctx context.Context) error {
 	c.mu.Lock()
-	c.started = bootclock.Now()
-	if c.appeared == nil {
-		c.appeared = make(chan struct{})
+	c.startedAt = bootclock.Now()
+	if c.incarnationAppeared == nil {
+		c.incarnationAppeared = make(chan struct{})
 	}
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		call, known, ok := c.nextHold()
+		call, listed, ok := c.nextPoll()
 		if !ok {
 			c.awaitRunner(ctx)
 			continue
 		}
-		if !known {
+		if !listed {
 			call.Wait = 0
 		}
 		sent := bootclock.Now()
-		callCtx, cancel := context.WithTimeout(ctx, call.Wait+holdSlack)
-		listing, err := c.API.Hold(callCtx, call)
+		callCtx, cancel := context.WithTimeout(ctx, call.Wait+pollSlack)
+		listing, err := c.API.Poll(callCtx, call)
 		cancel()
 		if err != nil {
-			c.holdFailed(ctx, call.Runner, err)
+			c.handlePollError(ctx, call.Runner, err)
 			continue
 		}
-		if c.merge(call.Runner, listing, sent) {
-			c.changed()
+		if c.mergeListing(call.Runner, listing, sent) {
+			c.notifyChange()
 		}
 		c.protectLatency(ctx)
 		c.stopExpired(ctx)
-		c.awaitRecord(ctx, listing)
+		c.awaitRecorded(ctx, listing)
 	}
 	return nil
 }
 
-// awaitRecord waits for a record when the listing holds ends that lack one.
-func (c *Controller) awaitRecord(ctx context.Context, l Listing) {
+// awaitRecorded waits briefly for more ended runs to be recorded when the listing
+// contains some that are not.
+func (c *Controller) awaitRecorded(ctx context.Context, l Listing) {
 	c.mu.Lock()
-	if len(l.Ended) == 0 || l.Ended[len(l.Ended)-1].Number <= c.recorded {
+	if len(l.Ended) == 0 || l.Ended[len(l.Ended)-1].Number <= c.recordedEnd {
 		c.mu.Unlock()
 		return
 	}
-	if c.advanced == nil {
-		c.advanced = make(chan struct{})
+	if c.recordedAdvanced == nil {
+		c.recordedAdvanced = make(chan struct{})
 	}
-	advanced := c.advanced
+	recorded := c.recordedAdvanced
 	c.mu.Unlock()
-	timer := time.NewTimer(endsPause)
+	timer := time.NewTimer(unrecordedPollInterval)
 	defer timer.Stop()
 	select {
-	case <-advanced:
+	case <-recorded:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -302,7 +318,7 @@
 
 func (c *Controller) awaitRunner(ctx context.Context) {
 	c.mu.Lock()
-	appeared := c.appeared
+	appeared := c.incarnationAppeared
 	c.mu.Unlock()
 	select {
 	case <-appeared:
@@ -310,107 +326,109 @@
 	}
 }
 
-func (c *Controller) nextHold() (call HoldCall, known, ok bool) {
+func (c *Controller) nextPoll() (call PollCall, listed, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil {
-		return HoldCall{}, false, false
+		return PollCall{}, false, false
 	}
-	call = HoldCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recorded, Wait: holdWait}
-	if serving, filling := c.neighbours(); len(serving) > 0 && len(filling) > 0 {
-		call.Wait = guardedWait
+	call = PollCall{Runner: c.info.ID, Token: c.fencingToken(), Recorded: c.recordedEnd, Wait: pollWait}
+	if latencyCritical, bestEffort := c.activeTasks(); len(latencyCritical) > 0 && len(bestEffort) > 0 {
+		call.Wait = protectedPollWait
 	}
-	if until, granted := c.lease(bootclock.Now()); granted {
+	if until, granted := c.extendLease(bootclock.Now()); granted {
 		call.Until = until
 	}
-	return call, c.known, true
+	return call, c.listed, true
 }
 
-func (c *Controller) holdFailed(ctx context.Context, id string, err error) {
+func (c *Controller) handlePollError(ctx context.Context, id string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	first := !c.silent && c.info != nil && c.info.ID == id
+	first := !c.unresponsive && c.info != nil && c.info.ID == id
 	if first {
-		c.silent = true
+		c.unresponsive = true
 	}
 	c.mu.Unlock()
 	if first {
 		klog.InfoS("runner does not answer", "runner", id, "err", err)
-		c.changed()
+		c.notifyChange()
 	}
-	pause.For(ctx, retryPause)
+	pause.For(ctx, retryDelay)
 }
 
-// merge takes over a listing that was requested at sent, and reports whether
-// something changed that the scheduler waits for.
-func (c *Controller) merge(id string, l Listing, sent bootclock.Instant) bool {
+// mergeListing updates the table from a listing that was requested at sent, and
+// reports whether the scheduler must receive the change promptly.
+func (c *Controller) mergeListing(id string, l Listing, sent bootclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.info == nil || c.info.ID != id {
 		return false
 	}
-	if l.Born != 0 && l.Born != c.info.Born {
-		if l.Born < c.info.Born {
-			return false // answered before the runner was replaced
+	if l.StartedUnixMs != 0 && l.StartedUnixMs != c.info.StartedUnixMs {
+		if l.StartedUnixMs < c.info.StartedUnixMs {
+			return false // the reply of an incarnation that has been replaced
 		}
 		info := *c.info
-		info.Born, info.Sequence = l.Born, 0
-		c.replace(info)
+		info.StartedUnixMs, info.Sequence = l.StartedUnixMs, 0
+		c.replaceIncarnation(info)
 	}
-	urgent := !c.known || c.silent
-	if c.silent {
+	prompt := !c.listed || c.unresponsive
+	if c.unresponsive {
 		klog.InfoS("runner answers again", "runner", id)
 	}
-	c.known, c.silent = true, false
-	c.readClock(l.Clock)
+	c.listed, c.unresponsive = true, false
+	c.setClock(l.Clock)
 	listed := make(map[workflow.TaskID]bool, len(l.Running))
 	for _, row := range l.Running {
 		listed[row.Task] = true
-		c.mergeRow(row)
+		c.mergeStatus(row)
 	}
 	for task, r := range c.runs {
-		if !listed[task] && !r.starting && r.confirmed.Before(sent) {
+		if !listed[task] && !r.starting && r.confirmedAt.Before(sent) {
 			delete(c.runs, task)
-			urgent = true
+			prompt = true
 		}
 	}
 	for _, e := range l.Ended {
-		urgent = c.mergeEnd(e) || urgent
+		prompt = c.mergeEndedRun(e) || prompt
 	}
-	return urgent
+	return prompt
 }
 
-func (c *Controller) mergeRow(row Row) {
+// mergeStatus updates the table from a run in a listing. The caller holds c.mu.
+func (c *Controller) mergeStatus(row RunStatus) {
 	r := c.runs[row.Task]
 	if r == nil || r.attempt < row.Attempt {
-		r = &run{attempt: row.Attempt, pace: fullPace, unknown: true}
+		r = &run{attempt: row.Attempt, pace: fullPace, incomplete: true}
 		c.runs[row.Task] = r
 	}
 	if r.attempt != row.Attempt {
 		return
 	}
-	if r.starting || r.confirmed == 0 {
-		r.starting, r.confirmed = false, bootclock.Now()
+	if r.starting || r.confirmedAt == 0 {
+		r.starting, r.confirmedAt = false, bootclock.Now()
 	}
 	r.checkpoint, r.percent, r.load = row.Checkpoint, row.Percent, row.Load
 	switch {
-	case r.target == 0 || time.Duration(r.load)*time.Millisecond <= r.target:
-		r.over = 0
-	case r.over == 0:
-		r.over = bootclock.Now()
+	case r.latencyTarget == 0 || time.Duration(r.load)*time.Millisecond <= r.latencyTarget:
+		r.overTargetSince = 0
+	case r.overTargetSince == 0:
+		r.overTargetSince = bootclock.Now()
 	}
 }
 
-// mergeEnd reports whether the end is new.
-func (c *Controller) mergeEnd(e Ended) bool {
-	if e.Number <= c.recorded {
+// mergeEndedRun updates the table from an ended run in a listing, and reports
+// whether that end was not known yet. The caller holds c.mu.
+func (c *Controller) mergeEndedRun(e EndedRun) bool {
+	if e.Number <= c.recordedEnd {
 		return false
 	}
 	if r := c.runs[e.Task]; r != nil && r.attempt <= e.Attempt {
-		if r.fills {
-			c.finished = append(c.finished, interference.Filling{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
+		if r.bestEffort {
+			c.endedReadings = append(c.endedReadings, interference.UsageReading{Image: r.image, Cores: float64(r.load) / 1000, Ended: true})
 		}
 		delete(c.runs, e.Task)
 	}
@@ -421,12 +439,13 @@
 	return true
 }
 
-// stopExpired ends what still runs although the grant has ended. The runner
-// does that itself, unless the machine was suspended: its clock stood still.
+// stopExpired stops runs that continue after the grant has ended. The runner
+// normally ends them itself, but its clock does not advance while the machine is
+// suspended.
 func (c *Controller) stopExpired(ctx context.Context) {
 	c.mu.Lock()
 	var stops []Rejection
-	if !bootclock.Now().Before(c.grant) && c.grant != 0 {
+	if !bootclock.Now().Before(c.grantedUntil) && c.grantedUntil != 0 {
 		for task, r := range c.runs {
 			if !r.stopping {
 				stops = append(stops, Rejection{Task: task, Attempt: r.attempt})
@@ -435,10 +454,10 @@
 	}
 	c.mu.Unlock()
 	for _, s := range stops {
-		klog.InfoS("run is stopped because its lease has ended", "task", s.Task.String(), "attempt", s.Attempt)
+		klog.InfoS("stopping a run because the lease from the scheduler has ended", "task", s.Task.String(), "attempt", s.Attempt)
 		c.Stop(ctx, s.Task, s.Attempt)
 	}
 }
 
-// Is reports whether err is of the kind.
+// Is reports whether err is, or wraps, an Error of the given kind.
 func Is(err error, kind Kind) bool { return fault.Is(err, kind) }
--- a/internal/runner/report.go
+++ b/internal/runner/report.go
@@ -5,51 +5,54 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Report returns everything that is known of the runner, and the number of
-// rejections that it includes; Delivered forgets those.
+// Report returns the complete state of the runner for the scheduler, and the number
+// of rejections in it. Pass that number to DropRejections once the report is
+// acknowledged.
 func (c *Controller) Report() (*wire.WorkerReport, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sequence++
-	report := &wire.WorkerReport{Sequence: c.sequence}
-	for _, r := range c.rejected {
+	c.reportSequence++
+	report := &wire.WorkerReport{Sequence: c.reportSequence}
+	for _, r := range c.rejections {
 		report.Rejected = append(report.Rejected, &wire.RejectedStart{Task: r.Task.String(), Attempt: int64(r.Attempt), Reason: string(r.Reason)})
 	}
 	if c.info == nil {
-		return report, len(c.rejected)
+		return report, len(c.rejections)
 	}
 	report.Runner = c.runnerState()
 	for task, r := range c.runs {
 		report.Running = append(report.Running, &wire.RunRow{Task: task.String(), Attempt: int64(r.attempt), Starting: r.starting,
-			Checkpoint: r.checkpoint, Percent: int32(r.percent), Load: r.load, Pace: int32(r.pace), Unknown: r.unknown})
+			Checkpoint: r.checkpoint, Percent: int32(r.percent), Load: r.load, Pace: int32(r.pace), Unknown: r.incomplete})
 	}
 	for _, e := range c.ended {
 		report.Ended = append(report.Ended, &wire.EndRow{Number: e.Number, Task: e.Task.String(), Attempt: int64(e.Attempt),
 			End: string(e.End), Checkpoint: e.Checkpoint})
 	}
-	return report, len(c.rejected)
+	return report, len(c.rejections)
 }
 
+// runnerState returns the part of a report that describes the runner itself. The
+// caller holds c.mu.
 func (c *Controller) runnerState() *wire.RunnerState {
-	i := c.info
+	info := c.info
 	return &wire.RunnerState{
-		Id: i.ID, BornUnixMs: i.Born, Service: string(i.Service), Domain: string(i.Domain), Labels: i.Labels,
-		Millicores: int64(i.Capacity.Processors), MemoryBytes: int64(i.Capacity.Memory), Accelerators: i.Capacity.Accelerators,
-		Draining: i.Draining, RemainingMs: i.Remaining.Milliseconds(),
-		Silent: c.silent || !c.known, Empty: (c.silent || !c.known) && c.lapsed(bootclock.Now()),
+		Id: info.ID, BornUnixMs: info.StartedUnixMs, Service: string(info.Service), Domain: string(info.Domain), Labels: info.Labels,
+		Millicores: int64(info.Capacity.Processors), MemoryBytes: int64(info.Capacity.Memory), Accelerators: info.Capacity.Accelerators,
+		Draining: info.Draining, RemainingMs: info.Remaining.Milliseconds(),
+		Silent: c.unresponsive || !c.listed, Empty: (c.unresponsive || !c.listed) && c.allLeasesExpired(bootclock.Now()),
 	}
 }
 
-// Delivered forgets the first n rejections.
-func (c *Controller) Delivered(n int) {
+// DropRejections removes the first n rejections, which the scheduler has received.
+func (c *Controller) DropRejections(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rejected = append(c.rejected[:0], c.rejected[n:]...)
+	c.rejections = append(c.rejections[:0], c.rejections[n:]...)
 }
 
-// Sequence returns the sequence of the last report.
-func (c *Controller) Sequence() uint64 {
+// LastReportSequence returns the sequence number of the last report.
+func (c *Controller) LastReportSequence() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sequence
+	return c.reportSequence
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -13,176 +13,182 @@
 )
 
 const (
-	// callTimeout bounds a call to the runner on the same machine.
+	// callTimeout limits a call to the runner, which is on the same machine.
 	callTimeout = 250 * time.Millisecond
-	// startTries is how often an unanswered start is repeated. Repeating is
-	// idempotent, and quicker than giving the run up.
-	startTries = 4
-	fullPace   = 100
+	// maxStartCalls limits the calls for one start order. An unanswered call is
+	// repeated because that is idempotent and faster than giving up the run.
+	maxStartCalls = 4
+	fullPace      = 100 // percent
 )
 
-// Start begins a run in the background. The run is in the table at once, and
-// leaves it with a Rejection when it did not start. The order is meant for one
-// incarnation of the runner.
-func (c *Controller) Start(ctx context.Context, meant Incarnation, s Start) {
+// Start starts a run in the background on the given incarnation of the runner.
+// The run is added to the table immediately. If it does not start, it is removed
+// and a Rejection is reported.
+func (c *Controller) Start(ctx context.Context, incarnation Incarnation, s StartOrder) {
 	c.mu.Lock()
-	reason := c.refusal(meant, s)
+	reason := c.refusalReason(incarnation, s)
 	if reason == "" {
 		c.runs[s.Task] = &run{attempt: s.Attempt, starting: true, pace: fullPace,
-			fills: s.Fills, target: s.Target, image: s.Image, processors: s.Processors}
-	} else if reason != repeated {
-		c.rejected = append(c.rejected, Rejection{s.Task, s.Attempt, reason})
+			bestEffort: s.BestEffort, latencyTarget: s.LatencyTarget, image: s.Image, processors: s.Processors}
+	} else if reason != duplicateStart {
+		c.rejections = append(c.rejections, Rejection{s.Task, s.Attempt, reason})
 	}
 	c.mu.Unlock()
 	switch reason {
 	case "":
-		go c.start(ctx, meant, s)
-	case repeated:
+		go c.callStart(ctx, incarnation, s)
+	case duplicateStart:
 	default:
-		c.changed()
+		c.notifyChange()
 	}
 }
 
-// repeated marks an order that is being carried out already.
-const repeated Kind = "repeated"
+// duplicateStart marks an order that needs no call, because it is already being
+// carried out or a listing has already shown its run.
+const duplicateStart Kind = "repeated"
 
-// refusal returns why an order is not carried out. c.mu is held.
-func (c *Controller) refusal(meant Incarnation, s Start) Kind {
+// refusalReason returns why an order is not carried out, or "" if it is. The
+// caller holds c.mu.
+func (c *Controller) refusalReason(incarnation Incarnation, s StartOrder) Kind {
 	switch r := c.runs[s.Task]; {
-	case c.info == nil || c.info.Incarnation != meant:
-		return Reborn
+	case c.info == nil || c.info.Incarnation != incarnation:
+		return WrongIncarnation
 	case r != nil && r.attempt == s.Attempt:
-		return repeated
-	case r != nil || c.info.Draining || !c.known:
-		return Unhealthy
-	case c.grant != 0 && !bootclock.Now().Before(c.grant):
-		return Late
+		return duplicateStart
+	case r != nil || c.info.Draining || !c.listed:
+		return Unavailable
+	case c.grantedUntil != 0 && !bootclock.Now().Before(c.grantedUntil):
+		return LeaseExpired
 	}
 	return ""
 }
 
-func (c *Controller) start(ctx context.Context, meant Incarnation, s Start) {
-	mayArrive := false // a try without an answer may still be carried out
+func (c *Controller) callStart(ctx context.Context, incarnation Incarnation, s StartOrder) {
+	mayArrive := false // the runner may still carry out an unanswered call
 	var err error
-	for try := 0; try < startTries; try++ {
-		call, refused := c.nextTry(meant, s)
-		if refused == repeated {
+	for i := 0; i < maxStartCalls; i++ {
+		call, refused := c.nextStartCall(incarnation, s)
+		if refused == duplicateStart {
 			return
 		}
 		if refused != "" {
-			err = fault.New("start", refused, "no further try")
+			err = fault.New("start", refused, "no further start call is made")
 			break
 		}
-		err = c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Start(ctx, call) })
+		err = c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
 		mayArrive = mayArrive || Is(err, Unanswered)
-		if err == nil || !Is(err, Unanswered) && !Is(err, Unreachable) || ctx.Err() != nil {
+		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) || ctx.Err() != nil {
 			break
 		}
 	}
 	if err == nil {
-		c.confirm(s)
+		c.confirmStart(s)
 		return
 	}
-	klog.InfoS("start failed", "task", s.Task.String(), "attempt", s.Attempt, "runner", meant.ID, "mayArrive", mayArrive, "err", err)
-	if mayArrive && !settles[kindOf(err)] && !c.cancelStart(ctx, meant.ID, s) {
-		return // it runs after all, or the runner is another one
+	klog.InfoS("failed to start a run", "task", s.Task.String(), "attempt", s.Attempt, "runner", incarnation.ID, "mayArrive", mayArrive, "err", err)
+	if mayArrive && !finalRefusals[errorKind(err)] && !c.cancelStart(ctx, incarnation.ID, s) {
+		return // a listing has shown the run, or the runner was replaced
 	}
-	if kindOf(err) == Superseded || mayArrive && !c.replacedBy(meant) {
-		// An earlier try may have been carried out, and the run may even have
-		// ended well. Only the lists can tell: the run stays in the table until
-		// one that is asked for from now on shows it, its end, or neither.
-		c.confirm(s)
+	if errorKind(err) == Superseded || mayArrive && !c.hasOtherID(incarnation) {
+		// An earlier call may have been carried out, and the run may even have
+		// completed. Only a listing can show that, so the run stays in the table
+		// until a listing requested from now on contains the run, its end, or
+		// neither.
+		c.confirmStart(s)
 		return
 	}
-	c.reject(s, err)
+	c.rejectStart(s, err)
 }
 
-// nextTry returns the call of the next try of a start, or why there is none: the
-// lease has ended, the runner is another one than was meant, or the lists have
-// shown the run or its end (repeated). Another life under the same id would carry
-// the start out although the run may have ended in the life that was meant.
-func (c *Controller) nextTry(meant Incarnation, s Start) (StartCall, Kind) {
+// nextStartCall returns the next call for a start order, or why there is none: the
+// lease has expired, the incarnation has been replaced, or a listing has shown the
+// run or its end (duplicateStart). The call is not sent to a new incarnation with
+// the same id, which would carry it out although the run may already have ended in
+// the previous one.
+func (c *Controller) nextStartCall(incarnation Incarnation, s StartOrder) (StartCall, Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r == nil || r.attempt != s.Attempt || !r.starting {
-		return StartCall{}, repeated
+		return StartCall{}, duplicateStart
 	}
-	if c.info.Incarnation != meant {
-		return StartCall{}, Reborn
+	if c.info.Incarnation != incarnation {
+		return StartCall{}, WrongIncarnation
 	}
-	until, granted := c.lease(bootclock.Now())
+	until, granted := c.extendLease(bootclock.Now())
 	if !granted {
-		return StartCall{}, Late
+		return StartCall{}, LeaseExpired
 	}
-	return StartCall{Runner: meant.ID, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt, Spec: s.Spec,
+	return StartCall{Runner: incarnation.ID, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt, Spec: s.Spec,
 		Checkpoint: s.Checkpoint, Ticket: s.Ticket, Until: until}, ""
 }
 
-// replacedBy reports whether the runner has another id than was meant. It then
-// refuses everything that is still on its way.
-func (c *Controller) replacedBy(meant Incarnation) bool {
+// hasOtherID reports whether the current runner has another id than incarnation.
+// It then rejects all calls to incarnation that are still in flight.
+func (c *Controller) hasOtherID(incarnation Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.info.ID != meant.ID
+	return c.info.ID != incarnation.ID
 }
 
-// settles lists the refusals after which no earlier try of the same attempt
-// can be carried out any more.
-var settles = map[Kind]bool{Superseded: true, Fenced: true, Reborn: true}
+// finalRefusals are the failures after which the runner can no longer carry out an
+// earlier call for the same attempt.
+var finalRefusals = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
 
-func kindOf(err error) Kind {
+func errorKind(err error) Kind {
 	if e, ok := err.(*Error); ok {
 		return e.Kind
 	}
-	return Unhealthy
+	return Unavailable
 }
 
-// cancelStart makes an unanswered start impossible: the runner refuses an
-// attempt that was stopped before it arrived. It reports false when the run
-// is in the lists or the table no longer has it.
-func (c *Controller) cancelStart(ctx context.Context, id string, s Start) bool {
+// cancelStart prevents an unanswered start from being carried out later, by
+// stopping the attempt: the runner rejects the start of an attempt for
+// which it has received a stop. It returns true once the start can no longer take effect, and
+// false when a listing has shown the run, the run is no longer in the table, or
+// ctx is done.
+func (c *Controller) cancelStart(ctx context.Context, id string, s StartOrder) bool {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		r := c.runs[s.Task]
-		gone := r == nil || r.attempt != s.Attempt || !r.starting
-		lapsed := c.lapsed(bootclock.Now())
+		settled := r == nil || r.attempt != s.Attempt || !r.starting
+		expired := c.allLeasesExpired(bootclock.Now())
 		call := StopCall{Runner: id, Token: c.fencingToken(), Task: s.Task, Attempt: s.Attempt}
 		c.mu.Unlock()
-		if gone {
+		if settled {
 			return false
 		}
-		if lapsed {
+		if expired {
 			return true
 		}
-		err := c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Stop(ctx, call) })
-		if err == nil || Is(err, Reborn) || Is(err, Fenced) {
+		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		if err == nil || Is(err, WrongIncarnation) || Is(err, Fenced) {
 			return true
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 	return false
 }
 
-func (c *Controller) confirm(s Start) {
+func (c *Controller) confirmStart(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
-		r.starting, r.confirmed = false, bootclock.Now()
+		r.starting, r.confirmedAt = false, bootclock.Now()
 	}
 }
 
-func (c *Controller) reject(s Start, err error) {
+func (c *Controller) rejectStart(s StartOrder, err error) {
 	c.mu.Lock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
 		delete(c.runs, s.Task)
 	}
-	c.rejected = append(c.rejected, Rejection{s.Task, s.Attempt, kindOf(err)})
+	c.rejections = append(c.rejections, Rejection{s.Task, s.Attempt, errorKind(err)})
 	c.mu.Unlock()
-	c.changed()
+	c.notifyChange()
 }
 
-// Stop ends a run in the background and repeats the call until it is answered,
-// the run has ended or its lease has.
+// Stop stops a run in the background. It repeats the call until the runner answers,
+// the leases have expired or the runner is replaced.
 func (c *Controller) Stop(ctx context.Context, task workflow.TaskID, attempt workflow.Attempt) {
 	c.mu.Lock()
 	id := ""
@@ -198,27 +204,27 @@
 	}
 	c.mu.Unlock()
 	if id != "" {
-		go c.stop(ctx, StopCall{Runner: id, Token: token, Task: task, Attempt: attempt})
+		go c.callStop(ctx, StopCall{Runner: id, Token: token, Task: task, Attempt: attempt})
 	}
 }
 
-func (c *Controller) stop(ctx context.Context, call StopCall) {
+func (c *Controller) callStop(ctx context.Context, call StopCall) {
 	for ctx.Err() == nil {
-		err := c.call(ctx, func(ctx context.Context) (Clock, error) { return c.API.Stop(ctx, call) })
-		if err == nil || !Is(err, Unanswered) && !Is(err, Unreachable) && !Is(err, Unhealthy) {
+		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
+		if err == nil || !Is(err, Unanswered) && !Is(err, NotSent) && !Is(err, Unavailable) {
 			return
 		}
 		c.mu.Lock()
-		over := c.lapsed(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
+		obsolete := c.allLeasesExpired(bootclock.Now()) || c.info == nil || c.info.ID != call.Runner
 		c.mu.Unlock()
-		if over {
+		if obsolete {
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-func (c *Controller) call(ctx context.Context, fn func(context.Context) (Clock, error)) error {
+func (c *Controller) callRunner(ctx context.Context, fn func(context.Context) (ClockTime, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := fn(ctx)
