--- a/internal/scheduler/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -25,7 +25,7 @@
 	f.reportAll()
 	for i := range workers / 3 {
 		f.submit("runs", workflow.Step{Count: 70, Size: units.Resources{Processors: 1800, Memory: 256 * units.MiB}, Estimate: 2 * time.Second,
-			Fills: true, Checkpointing: true, Image: fmt.Sprint("filling-", i%15)})
+			BestEffort: true, Checkpointing: true, Image: fmt.Sprint("filling-", i%15)})
 	}
 	for range 6 {
 		f.pass(time.Second)
@@ -46,7 +46,7 @@
 				f.Fatal(err)
 			}
 			row.Load = 40
-			if f.s.task(parsed).step.Fills {
+			if f.s.task(parsed).step.BestEffort {
 				n++
 				row.Load, row.Pace = 900, 100-int32(n%2)*70
 			}
--- a/internal/scheduler/filling.go
+++ b/internal/scheduler/filling.go
@@ -81,7 +81,7 @@
 	for _, t := range w.tasks {
 		request := t.step.cores()
 		switch {
-		case t.step.Fills:
+		case t.step.BestEffort:
 			if t.confirmed && t.load > 0 {
 				cores := float64(t.load) / 1000
 				got += cores
@@ -148,7 +148,7 @@
 	w.use.expected = append(w.use.expected[:0], w.use.rates...)
 	w.use.unseen = append(w.use.unseen[:0], make([]float64, len(w.use.rates))...)
 	for _, t := range w.tasks {
-		if !t.step.Fills || t.confirmed && now.Boot.Sub(t.paceSince) > settled {
+		if !t.step.BestEffort || t.confirmed && now.Boot.Sub(t.paceSince) > settled {
 			continue
 		}
 		cores := t.step.cores()
@@ -239,7 +239,7 @@
 func (s *Scheduler) estimates(w *worker) []interference.Estimate {
 	serving, filling := make(map[string]bool), make(map[string]bool)
 	for _, t := range w.tasks {
-		if t.step.Fills {
+		if t.step.BestEffort {
 			filling[t.step.Image] = true
 		} else if t.step.LatencyTarget > 0 {
 			serving[t.step.Image] = true
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -45,8 +45,8 @@
 func (f *fixture) takeOver() {
 	f.s = New(testGrantBound, 120*time.Second)
 	configuration := &operations.Configuration{Version: 1, Routes: []operations.Route{
-		{Queue: "quick", Host: "a", Prefix: "/q/", Policy: workflow.Policy{Service: "desk", MaxAttempts: 2, Stretch: 1.5, TargetLatency: 300 * time.Millisecond}},
-		{Queue: "runs", Host: "a", Prefix: "/r/", Policy: workflow.Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, TargetLatency: time.Second}},
+		{Queue: "quick", Host: "a", Prefix: "/q/", Policy: workflow.Policy{Service: "desk", MaxAttempts: 2, Stretch: 1.5, LatencyAllowance: 300 * time.Millisecond}},
+		{Queue: "runs", Host: "a", Prefix: "/r/", Policy: workflow.Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, LatencyAllowance: time.Second}},
 	}}
 	configuration.Index()
 	f.s.SetOperations(operations.State{Configuration: configuration})
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -18,7 +18,7 @@
 }
 
 func filling(image string, count int) workflow.Step {
-	return workflow.Step{Count: count, Size: cores(4), Fills: true, Checkpointing: true, Image: image, Estimate: 2 * time.Second}
+	return workflow.Step{Count: count, Size: cores(4), BestEffort: true, Checkpointing: true, Image: image, Estimate: 2 * time.Second}
 }
 
 // Serving tasks of several images arrive together and reserve most processors.
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -75,7 +75,7 @@
 	if j.Repetitions > 0 {
 		begin = now.Boot.Add(j.Due(o.number).Sub(now.Wall))
 	}
-	objective := time.Duration(policy.Stretch*float64(j.chain(0))) + policy.TargetLatency
+	objective := time.Duration(policy.Stretch*float64(j.chain(0))) + policy.LatencyAllowance
 	u := urgency{step: st, job: j, occurrence: o.number, priority: policy.Priority, deadline: begin.Add(objective), density: s.density(j, o)}
 	if st.LongRunning {
 		return u
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -97,7 +97,7 @@
 
 func (s *Scheduler) start(t *task, w *worker, attempt workflow.Attempt) {
 	t.assign(w, attempt)
-	if t.step.Fills {
+	if t.step.BestEffort {
 		s.addExpected(w, t.step.Image, t.step.cores())
 	}
 	w.orders.starts = append(w.orders.starts, t)
@@ -108,7 +108,7 @@
 	var best *worker
 	var bestScore float64
 	for _, w := range pool {
-		if w == but || !w.fits(st) || st.Fills && !s.mayFill(w, st) {
+		if w == but || !w.fits(st) || st.BestEffort && !s.mayFill(w, st) {
 			continue
 		}
 		if score := s.score(w, st); best == nil || score > bestScore || score == bestScore && w.id < best.id {
@@ -124,7 +124,7 @@
 
 // accepts reports whether a task of the step may run on w, whatever its size.
 func (w *worker) accepts(st *step) bool {
-	if st.Requirement != "" && !slices.Contains(w.info.Labels, st.Requirement) {
+	if st.RequiredLabel != "" && !slices.Contains(w.info.Labels, st.RequiredLabel) {
 		return false
 	}
 	return st.AntiAffinity == 0 || w.count(st) < st.AntiAffinity
@@ -157,7 +157,7 @@
 func (s *Scheduler) score(w *worker, st *step) float64 {
 	free := w.capacity.Sub(w.used)
 	score := ratio(int64(free.Processors), int64(w.capacity.Processors)) + ratio(int64(free.Memory), int64(w.capacity.Memory))
-	if st.Fills {
+	if st.BestEffort {
 		score = w.spare()/w.cores() - s.harm(w, st) + sensitivityWeight*harmWeight*w.use.sensitivity*st.cores()
 	}
 	if st.LatencyTarget > 0 {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -33,7 +33,7 @@
 	stops := 0
 	reserved := make(map[*worker]units.Resources)
 	for _, u := range waiting {
-		if u.priority >= least || u.step.Gang || u.step.Fills || u.grade != inTime || s.policyOf(u.job).Advice != nil {
+		if u.priority >= least || u.step.Gang || u.step.BestEffort || u.grade != inTime || s.policyOf(u.job).Advice != nil {
 			continue
 		}
 		for range u.step.idle {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -84,7 +84,7 @@
 		"watchers":              {"runs", workflow.Step{Count: 8, Size: cores(1), LongRunning: true}, 100, urgent(1)},
 		"about to end":          {"runs", batch(8, 1), 95, urgent(1)},
 		"too large to ever fit": {"runs", batch(8, 1), 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
-		"fills, no processors":  {"runs", workflow.Step{Count: 8, Size: cores(1), Fills: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
+		"fills, no processors":  {"runs", workflow.Step{Count: 8, Size: cores(1), BestEffort: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduler/relocate.go
+++ b/internal/scheduler/relocate.go
@@ -62,6 +62,6 @@
 }
 
 func (t *task) slowed(now Now) bool {
-	return t.step.Fills && t.step.Checkpointing && t.confirmed && t.stopSent == 0 && !t.done &&
+	return t.step.BestEffort && t.step.Checkpointing && t.confirmed && t.stopSent == 0 && !t.done &&
 		t.pace < slowedPace && t.percent < nearEnd && now.Boot.Sub(t.paceSince) > slowedFor
 }
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -47,7 +47,7 @@
 	state := f.s.state
 	state.Out = map[units.DomainName]bool{"south": true}
 	f.s.SetOperations(state)
-	f.submit("quick", workflow.Step{Count: 5, Size: cores(2), Requirement: "a", AntiAffinity: 3})
+	f.submit("quick", workflow.Step{Count: 5, Size: cores(2), RequiredLabel: "a", AntiAffinity: 3})
 	got := f.tick()
 	for task, worker := range got {
 		if worker != "good" {
@@ -64,7 +64,7 @@
 	f := newFixture(t)
 	f.worker("a", 8)
 	job := &workflow.Job{ID: "00000000000000aa", Queue: "quick", Steps: []workflow.Step{{Count: 1, Size: cores(1)}}, Submitted: f.now.Wall,
-		Repetitions: 3, First: f.now.Wall.Add(time.Second), Interval: 2 * time.Second}
+		Repetitions: 3, FirstDue: f.now.Wall.Add(time.Second), Interval: 2 * time.Second}
 	f.s.Accept(job, f.s.state.Configuration.Queue("quick").Policy, f.now)
 	for _, step := range []struct {
 		after time.Duration
@@ -84,7 +84,7 @@
 	f.worker("a", 8)
 	f.worker("b", 8)
 	route := f.s.state.Configuration.Queue("quick")
-	route.Policy.Advice = &workflow.Advice{Valid: 3 * time.Second}
+	route.Policy.Advice = &workflow.Advice{TicketValidity: 3 * time.Second}
 	f.s.SetOperations(f.s.state)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	if got := f.tick(); len(got) != 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -213,7 +213,7 @@
 	}
 	delete(w.tasks, t.id)
 	w.orders.drop(t)
-	if t.step.Fills && t.load > 0 {
+	if t.step.BestEffort && t.load > 0 {
 		w.use.ended = append(w.use.ended, interference.Filling{Image: t.step.Image, Cores: float64(t.load) / 1000, Ended: true})
 		t.load = 0
 	}
@@ -224,7 +224,7 @@
 	} else {
 		w.otherCores -= t.step.Size.Processors
 	}
-	if t.step.Fills {
+	if t.step.BestEffort {
 		w.filling--
 	}
 	t.worker, t.confirmed, t.ordered, t.stopSent, t.lastProgress = nil, false, false, 0, progressReading{}
@@ -246,7 +246,7 @@
 	} else {
 		w.otherCores += t.step.Size.Processors
 	}
-	if t.step.Fills {
+	if t.step.BestEffort {
 		w.filling++
 	}
 	t.job.placed++
@@ -259,7 +259,7 @@
 // claim is what a task of the step takes from a worker's capacity.
 func (st *step) claim() units.Resources {
 	size := st.Size
-	if st.Fills {
+	if st.BestEffort {
 		size.Processors = 0
 	}
 	return size
--- a/internal/scheduler/shortage.go
+++ b/internal/scheduler/shortage.go
@@ -35,8 +35,8 @@
 }
 
 func (x *shortage) demand(st *step) demand {
-	d := demand{service: x.scheduler.policyOf(st.tasks[0].job).Service, requirement: st.Requirement}
-	if st.Fills {
+	d := demand{service: x.scheduler.policyOf(st.tasks[0].job).Service, requirement: st.RequiredLabel}
+	if st.BestEffort {
 		d.image = "fills " + st.Image
 	}
 	return d
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -65,7 +65,7 @@
 // measure takes in a reading of the progress of a task that runs at full pace.
 func (s *Scheduler) measure(w *worker, t *task, percent, pace int, now Now) {
 	last := t.lastProgress
-	if t.step.LongRunning || t.step.Fills || pace < 100 || t.stopSent != 0 {
+	if t.step.LongRunning || t.step.BestEffort || pace < 100 || t.stopSent != 0 {
 		return
 	}
 	elapsed := now.Boot.Sub(last.at)
--- a/internal/scheduler/speed_test.go
+++ b/internal/scheduler/speed_test.go
@@ -148,7 +148,7 @@
 	a.runner.Labels = append(a.runner.Labels, "here")
 	f.report("a")
 	for queue, step := range map[workflow.QueueName]workflow.Step{"quick": serving("web", 1), "runs": filling("press", 1)} {
-		step.Requirement = "here"
+		step.RequiredLabel = "here"
 		f.submit(queue, step)
 	}
 	f.tick()
@@ -157,7 +157,7 @@
 			switch step := f.s.task(mustParse(t, name)).step; {
 			case step.LongRunning:
 				row.Load = 60 // of 18
-			case step.Fills:
+			case step.BestEffort:
 				row.Load = 4000
 			}
 		}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -89,7 +89,7 @@
 			t.ordered = true
 			orders.Starts = append(orders.Starts, t.order())
 		}
-		if slices.ContainsFunc(w.orders.starts, func(t *task) bool { return t.step.Fills }) {
+		if slices.ContainsFunc(w.orders.starts, func(t *task) bool { return t.step.BestEffort }) {
 			orders.Estimates = s.estimates(w)
 		}
 		for _, t := range w.orders.descriptions {
@@ -107,5 +107,5 @@
 // order returns what an agent must know of the task's run.
 func (t *task) order() runner.Start {
 	return runner.Start{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
-		Fills: t.step.Fills, Target: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
+		Fills: t.step.BestEffort, Target: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
 }
--- a/internal/workflow/check.go
+++ b/internal/workflow/check.go
@@ -4,15 +4,15 @@
 
 // The limits of one job.
 const (
-	maxSpec  = 4000
-	maxSteps = 256
-	maxTasks = 100_000
+	maxSpecBytes = 4000
+	maxSteps     = 256
+	maxTasks     = 100_000
 )
 
 // Check reports the first reason why the job can't be accepted.
-func (j *Job) Check() error {
-	if len(j.Spec) > maxSpec {
-		return fmt.Errorf("spec has %d bytes; at most %d are allowed", len(j.Spec), maxSpec)
+func (j *Job) Validate() error {
+	if len(j.Spec) > maxSpecBytes {
+		return fmt.Errorf("spec has %d bytes; at most %d are allowed", len(j.Spec), maxSpecBytes)
 	}
 	if len(j.Steps) == 0 || len(j.Steps) > maxSteps {
 		return fmt.Errorf("job has %d steps; want 1 to %d", len(j.Steps), maxSteps)
@@ -22,7 +22,7 @@
 	}
 	tasks := 0
 	for i := range j.Steps {
-		if err := j.Steps[i].check(i); err != nil {
+		if err := j.Steps[i].validate(i); err != nil {
 			return fmt.Errorf("step %d: %w", i, err)
 		}
 		tasks += j.Steps[i].Count
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (s *Step) check(number int) error {
+func (s *Step) validate(number int) error {
 	if s.Count < 1 {
 		return fmt.Errorf("count is %d; want at least 1", s.Count)
 	}
--- a/internal/workflow/codec.go
+++ b/internal/workflow/codec.go
@@ -13,7 +13,7 @@
 func ToWire(j *Job, p Policy) *wire.JobRecord {
 	record := &wire.JobRecord{
 		Id: string(j.ID), Queue: string(j.Queue), Spec: j.Spec, Repetitions: int32(j.Repetitions),
-		FirstUnixMs: unixMillis(j.First), IntervalMs: j.Interval.Milliseconds(),
+		FirstUnixMs: unixMillis(j.FirstDue), IntervalMs: j.Interval.Milliseconds(),
 		SubmittedUnixMs: unixMillis(j.Submitted), Policy: policyToWire(p),
 	}
 	for i := range j.Steps {
@@ -26,7 +26,7 @@
 func FromWire(record *wire.JobRecord) (*Job, Policy) {
 	j := &Job{
 		ID: JobID(record.GetId()), Queue: QueueName(record.GetQueue()), Spec: record.GetSpec(),
-		Repetitions: int(record.GetRepetitions()), First: fromUnixMillis(record.GetFirstUnixMs()),
+		Repetitions: int(record.GetRepetitions()), FirstDue: fromUnixMillis(record.GetFirstUnixMs()),
 		Interval: millis(record.GetIntervalMs()), Submitted: fromUnixMillis(record.GetSubmittedUnixMs()),
 		Steps: make([]Step, len(record.GetSteps())),
 	}
@@ -53,10 +53,10 @@
 	w := &wire.WorkflowStep{
 		Count: int32(s.Count), Millicores: int64(s.Size.Processors), MemoryBytes: int64(s.Size.Memory),
 		Accelerators: s.Size.Accelerators, EstimateMs: s.Estimate.Milliseconds(),
-		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Requirement: s.Requirement,
+		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Requirement: s.RequiredLabel,
 		DataRack: s.DataRack, AntiAffinity: int32(s.AntiAffinity), Speculative: s.Speculative,
-		LongRunning: s.LongRunning, Fills: s.Fills, Image: s.Image,
-		LatencyTargetMs: s.LatencyTarget.Milliseconds(), MayMiss: int32(s.MayMiss),
+		LongRunning: s.LongRunning, Fills: s.BestEffort, Image: s.Image,
+		LatencyTargetMs: s.LatencyTarget.Milliseconds(), MayMiss: int32(s.MaxUnavailable),
 	}
 	for _, before := range s.After {
 		w.After = append(w.After, int32(before))
@@ -70,10 +70,10 @@
 		Size: units.Resources{Processors: units.Millicores(w.GetMillicores()), Memory: units.Bytes(w.GetMemoryBytes()),
 			Accelerators: w.GetAccelerators()},
 		Estimate: millis(w.GetEstimateMs()), Checkpointing: w.GetCheckpointing(), Gang: w.GetGang(),
-		SameRack: w.GetSameRack(), Requirement: w.GetRequirement(), DataRack: w.GetDataRack(),
+		SameRack: w.GetSameRack(), RequiredLabel: w.GetRequirement(), DataRack: w.GetDataRack(),
 		AntiAffinity: int(w.GetAntiAffinity()), Speculative: w.GetSpeculative(), LongRunning: w.GetLongRunning(),
-		Fills: w.GetFills(), Image: w.GetImage(), LatencyTarget: millis(w.GetLatencyTargetMs()),
-		MayMiss: int(w.GetMayMiss()),
+		BestEffort: w.GetFills(), Image: w.GetImage(), LatencyTarget: millis(w.GetLatencyTargetMs()),
+		MaxUnavailable: int(w.GetMayMiss()),
 	}
 	for _, before := range w.GetAfter() {
 		s.After = append(s.After, int(before))
@@ -84,13 +84,13 @@
 func policyToWire(p Policy) *wire.QueuePolicy {
 	w := &wire.QueuePolicy{
 		Service: string(p.Service), Priority: int32(p.Priority), MaxAttempts: int32(p.MaxAttempts),
-		Stretch: p.Stretch, TargetLatencyMs: p.TargetLatency.Milliseconds(),
+		Stretch: p.Stretch, TargetLatencyMs: p.LatencyAllowance.Milliseconds(),
 	}
 	if p.Advice != nil {
 		w.Advised = true
-		w.AdviceDecideMs = p.Advice.Decide.Milliseconds()
-		w.AdviceEachMs = p.Advice.Each.Milliseconds()
-		w.AdviceValidMs = p.Advice.Valid.Milliseconds()
+		w.AdviceDecideMs = p.Advice.CallTime.Milliseconds()
+		w.AdviceEachMs = p.Advice.TimePerWorker.Milliseconds()
+		w.AdviceValidMs = p.Advice.TicketValidity.Milliseconds()
 	}
 	return w
 }
@@ -98,10 +98,10 @@
 func policyFromWire(w *wire.QueuePolicy) Policy {
 	p := Policy{
 		Service: units.ServiceName(w.GetService()), Priority: int(w.GetPriority()), MaxAttempts: int(w.GetMaxAttempts()),
-		Stretch: w.GetStretch(), TargetLatency: millis(w.GetTargetLatencyMs()),
+		Stretch: w.GetStretch(), LatencyAllowance: millis(w.GetTargetLatencyMs()),
 	}
 	if w.GetAdvised() {
-		p.Advice = &Advice{Decide: millis(w.GetAdviceDecideMs()), Each: millis(w.GetAdviceEachMs()), Valid: millis(w.GetAdviceValidMs())}
+		p.Advice = &Advice{CallTime: millis(w.GetAdviceDecideMs()), TimePerWorker: millis(w.GetAdviceEachMs()), TicketValidity: millis(w.GetAdviceValidMs())}
 	}
 	return p
 }
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -25,29 +25,29 @@
 	Spec        string        // opaque to the scheduler, passed to each run as it is
 	Steps       []Step        // at least one; a step comes after the steps that it depends on
 	Repetitions int           // occurrences of the steps; 0 means one occurrence without a due time
-	First       time.Time     // due time of occurrence 0; zero without repetitions
+	FirstDue    time.Time     // due time of occurrence 0; zero without repetitions
 	Interval    time.Duration // between the due times of two occurrences
 	Submitted   time.Time     // when the first entry process read the submission
 }
 
 // Step is a set of equal tasks.
 type Step struct {
-	Count         int
-	Size          units.Resources // requested by each task
-	Estimate      time.Duration   // the client's rough estimate of one task
-	After         []int           // earlier steps whose tasks must all be done first
-	Checkpointing bool            // tasks save their progress and resume from it
-	Gang          bool            // tasks work only while all of them run
-	SameRack      bool            // tasks are slower when they run on several racks
-	Requirement   string          // label that the worker must have; empty for none
-	DataRack      string          // rack on which the tasks are fastest; empty for none
-	AntiAffinity  int             // most tasks of the step on one worker; 0 for no limit
-	Speculative   bool            // several copies of a task may run at the same time
-	LongRunning   bool            // tasks run until the job is cancelled
-	Fills         bool            // the step uses processors that other tasks leave idle
-	Image         string          // tasks of one image behave alike
-	LatencyTarget time.Duration   // tail latency that a serving task must keep; 0 for none
-	MayMiss       int             // tasks that may be away at a time because of the scheduler
+	Count          int
+	Size           units.Resources // requested by each task
+	Estimate       time.Duration   // the client's rough estimate of one task
+	After          []int           // earlier steps whose tasks must all be done first
+	Checkpointing  bool            // tasks save their progress and resume from it
+	Gang           bool            // tasks work only while all of them run
+	SameRack       bool            // tasks are slower when they run on several racks
+	RequiredLabel  string          // label that the worker must have; empty for none
+	DataRack       string          // rack on which the tasks are fastest; empty for none
+	AntiAffinity   int             // most tasks of the step on one worker; 0 for no limit
+	Speculative    bool            // several copies of a task may run at the same time
+	LongRunning    bool            // tasks run until the job is cancelled
+	BestEffort     bool            // the step uses processors that other tasks leave idle
+	Image          string          // tasks of one image behave alike
+	LatencyTarget  time.Duration   // tail latency that a serving task must keep; 0 for none
+	MaxUnavailable int             // tasks that may be away at a time because of the scheduler
 }
 
 // Occurrences returns how often the steps run.
@@ -58,7 +58,7 @@
 	if j.Repetitions == 0 {
 		return time.Time{}
 	}
-	return j.First.Add(time.Duration(k) * j.Interval)
+	return j.FirstDue.Add(time.Duration(k) * j.Interval)
 }
 
 // TaskID names one task of a job.
@@ -120,29 +120,29 @@
 
 // The ends of a run.
 const (
-	Done    End = "done"
-	Errored End = "errored" // failed by its own fault or the worker's
-	Stopped End = "stopped" // on request
-	Lapsed  End = "lapsed"  // its lease expired
-	Broken  End = "broken"  // another member of its gang ended
-	Alone   End = "alone"   // the other members of its gang did not start in time
+	Done           End = "done"
+	Errored        End = "errored" // failed by its own fault or the worker's
+	Stopped        End = "stopped" // on request
+	LeaseExpired   End = "lapsed"  // its lease expired
+	GangBroken     End = "broken"  // another member of its gang ended
+	GangIncomplete End = "alone"   // the other members of its gang did not start in time
 )
 
 // Policy is what a queue's configuration says of its jobs.
 type Policy struct {
-	Service       units.ServiceName // workers of this service run the tasks
-	Priority      int               // 0 comes first
-	MaxAttempts   int               // runs of one task that may end errored
-	Stretch       float64           // latency objective as a multiple of the longest chain of work
-	TargetLatency time.Duration     // added to the objective
-	Advice        *Advice           // nil when any worker of the service may run a step
+	Service          units.ServiceName // workers of this service run the tasks
+	Priority         int               // 0 comes first
+	MaxAttempts      int               // runs of one task that may end errored
+	Stretch          float64           // latency objective as a multiple of the longest chain of work
+	LatencyAllowance time.Duration     // added to the objective
+	Advice           *Advice           // nil when any worker of the service may run a step
 }
 
 // Advice bounds the calls to the service that knows which workers may run a step.
 type Advice struct {
-	Decide time.Duration // time of one call
-	Each   time.Duration // time for each worker named
-	Valid  time.Duration // how long a ticket is valid
+	CallTime       time.Duration // time of one call
+	TimePerWorker  time.Duration // time for each worker named
+	TicketValidity time.Duration // how long a ticket is valid
 }
 
 // Summary describes the steps in a few words for a log line.
@@ -155,8 +155,8 @@
 			name string
 			set  bool
 		}{{"checkpointing", s.Checkpointing}, {"gang", s.Gang}, {"sameRack", s.SameRack}, {"speculative", s.Speculative},
-			{"endless", s.LongRunning}, {"fills", s.Fills}, {"spread=" + strconv.Itoa(s.AntiAffinity), s.AntiAffinity > 0},
-			{"target=" + s.LatencyTarget.String(), s.LatencyTarget > 0}, {"spare=" + strconv.Itoa(s.MayMiss), s.MayMiss > 0},
+			{"endless", s.LongRunning}, {"fills", s.BestEffort}, {"spread=" + strconv.Itoa(s.AntiAffinity), s.AntiAffinity > 0},
+			{"target=" + s.LatencyTarget.String(), s.LatencyTarget > 0}, {"spare=" + strconv.Itoa(s.MaxUnavailable), s.MaxUnavailable > 0},
 			{"image=" + s.Image, s.Image != ""}} {
 			if flag.set {
 				b.WriteString(" " + flag.name)
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -14,16 +14,16 @@
 func TestRecordKeepsEveryField(t *testing.T) {
 	job := &Job{
 		ID: "5c0e7a21d94b36f8", Queue: "plans", Spec: "cut", Repetitions: 3,
-		First: time.UnixMilli(1_700_000_000_000), Interval: 2 * time.Second, Submitted: time.UnixMilli(1_699_999_999_000),
+		FirstDue: time.UnixMilli(1_700_000_000_000), Interval: 2 * time.Second, Submitted: time.UnixMilli(1_699_999_999_000),
 		Steps: []Step{
 			{Count: 4, Size: units.Resources{Processors: 500, Memory: 256 * units.MiB, Accelerators: 1}, Estimate: 900 * time.Millisecond,
-				Checkpointing: true, Gang: true, SameRack: true, Requirement: "a", DataRack: "r1", AntiAffinity: 2, Speculative: true,
-				LongRunning: true, Fills: true, Image: "i1", LatencyTarget: 18 * time.Millisecond, MayMiss: 1},
+				Checkpointing: true, Gang: true, SameRack: true, RequiredLabel: "a", DataRack: "r1", AntiAffinity: 2, Speculative: true,
+				LongRunning: true, BestEffort: true, Image: "i1", LatencyTarget: 18 * time.Millisecond, MaxUnavailable: 1},
 			{Count: 1, After: []int{0}},
 		},
 	}
-	policy := Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 1.5, TargetLatency: 300 * time.Millisecond,
-		Advice: &Advice{Decide: 5 * time.Millisecond, Each: time.Millisecond, Valid: 3 * time.Second}}
+	policy := Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 1.5, LatencyAllowance: 300 * time.Millisecond,
+		Advice: &Advice{CallTime: 5 * time.Millisecond, TimePerWorker: time.Millisecond, TicketValidity: 3 * time.Second}}
 	data, err := Encode(job, policy)
 	if err != nil {
 		t.Fatal(err)
@@ -61,16 +61,16 @@
 		"later step":      {Steps: []Step{{Count: 1, After: []int{0}}}},
 		"negative size":   {Steps: []Step{{Count: 1, Size: units.Resources{Processors: -1}}}},
 		"too many tasks":  {Steps: []Step{{Count: maxTasks + 1}}},
-		"long spec":       {Spec: strings.Repeat("x", maxSpec+1), Steps: []Step{{Count: 1}}},
+		"long spec":       {Spec: strings.Repeat("x", maxSpecBytes+1), Steps: []Step{{Count: 1}}},
 		"negative repeat": {Repetitions: -1, Steps: []Step{{Count: 1}}},
 	}
 	for name, job := range cases {
-		if err := job.Check(); err == nil {
+		if err := job.Validate(); err == nil {
 			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 	good := Job{Spec: "x", Steps: []Step{{Count: 1}, {Count: 2, After: []int{0}}}}
-	if err := good.Check(); err != nil {
+	if err := good.Validate(); err != nil {
 		t.Errorf("got %v, want no error", err)
 	}
 }
