--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -66,12 +66,12 @@
 }
 
 // Append is one call that appends records, all or none.
-type Append struct {
-	Topic    Topic
-	Keyed    bool
-	Records  []Record
-	At       *units.Offset // nil, or the offset at which the topic must end
-	Producer *Producer     // nil, or the producer of the append
+type AppendRequest struct {
+	Topic       Topic
+	Keyed       bool
+	Records     []Record
+	ExpectedEnd *units.Offset // nil, or the offset at which the topic must end
+	Producer    *Producer     // nil, or the producer of the append
 }
 
 // Store is the platform's store. All calls may be made concurrently. Errors
@@ -79,13 +79,13 @@
 type Store interface {
 	// Append returns the offset of the first record. Kinds: Unavailable,
 	// Unknown, Conflict, Fenced, OutOfOrder, Invalid.
-	Append(ctx context.Context, a Append) (units.Offset, error)
+	Append(ctx context.Context, a AppendRequest) (units.Offset, error)
 	// Read waits at most wait for a record at or after from. Kinds:
 	// Unavailable, Expired, Invalid. With Expired, Next is the first retained
 	// offset.
 	Read(ctx context.Context, topic Topic, keyed bool, from units.Offset, wait time.Duration) (Batch, error)
 	// Newest reads the newest record of each key. Kinds: Unavailable, Invalid.
-	Newest(ctx context.Context, topic Topic) (Snapshot, error)
+	ReadSnapshot(ctx context.Context, topic Topic) (Snapshot, error)
 	// Range returns the first retained offset of a topic and its end, which
 	// are equal when no record is retained. Kinds: Unavailable, Invalid.
 	Range(ctx context.Context, topic Topic) (first, end units.Offset, err error)
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -25,15 +25,15 @@
 	producerName = "scheduler"
 	// gather is how long an append waits for more records, so that a burst of
 	// submissions costs few calls.
-	gather = 2 * time.Millisecond
+	batchDelay = 2 * time.Millisecond
 	// retryPause follows an append that was not carried out.
-	retryPause = 60 * time.Millisecond
+	retryDelay = 60 * time.Millisecond
 	// stalledAfter is the time without a successful append after which new
 	// submissions are refused at once instead of waiting for the store.
-	stalledAfter = 700 * time.Millisecond
+	stallTimeout = 700 * time.Millisecond
 	// maxBatch bounds the records of one append in bytes, half of what the
 	// store takes in a call.
-	maxBatch = 1 << 20
+	maxBatchBytes = 1 << 20
 )
 
 // Writer appends records. Set the exported fields before Fence.
@@ -41,21 +41,21 @@
 	Store durable.Store
 	Epoch uint64 // the leader's term
 
-	mu       sync.Mutex
-	queue    []entry
-	wake     chan struct{}
-	sequence uint64
-	trying   bootclock.Instant // when the append under way was first tried; 0 without one
+	mu          sync.Mutex
+	pending     []write
+	wakeup      chan struct{}
+	sequence    uint64
+	appendStart bootclock.Instant // when the append under way was first tried; 0 without one
 }
 
-type entry struct {
-	records []durable.Record
-	done    func()
+type write struct {
+	records   []durable.Record
+	onDurable func()
 }
 
 // New returns a writer of a term.
 func New(store durable.Store, epoch uint64) *Writer {
-	return &Writer{Store: store, Epoch: epoch, wake: make(chan struct{}, 1)}
+	return &Writer{Store: store, Epoch: epoch, wakeup: make(chan struct{}, 1)}
 }
 
 // Fence ends the appends of all earlier terms. After it, a read of the topic
@@ -65,14 +65,14 @@
 }
 
 // Load reads the newest records. It is called between Fence and Run.
-func (w *Writer) Load(ctx context.Context) ([]durable.Item, error) {
+func (w *Writer) LoadSnapshot(ctx context.Context) ([]durable.Item, error) {
 	for {
-		snapshot, err := w.Store.Newest(ctx, Topic)
+		snapshot, err := w.Store.ReadSnapshot(ctx, Topic)
 		if err == nil || ctx.Err() != nil || fault.Is(err, durable.Invalid) {
 			return snapshot.Items, err
 		}
 		klog.InfoS("records of jobs can't be read", "err", err)
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
@@ -80,10 +80,10 @@
 // durable, in the order of the calls.
 func (w *Writer) Write(records []durable.Record, done func()) {
 	w.mu.Lock()
-	w.queue = append(w.queue, entry{records, done})
+	w.pending = append(w.pending, write{records, done})
 	w.mu.Unlock()
 	select {
-	case w.wake <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -92,7 +92,7 @@
 func (w *Writer) Stalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.trying != 0 && bootclock.Now().Sub(w.trying) > stalledAfter
+	return w.appendStart != 0 && bootclock.Now().Sub(w.appendStart) > stallTimeout
 }
 
 // Run appends until ctx ends, or returns an error of kind Fenced when a later
@@ -102,11 +102,11 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.wake:
+		case <-w.wakeup:
 		}
-		pause.For(ctx, gather)
+		pause.For(ctx, batchDelay)
 		for {
-			batch := w.take()
+			batch := w.takeBatch()
 			if len(batch) == 0 {
 				break
 			}
@@ -120,8 +120,8 @@
 				}
 			}
 			for _, e := range batch {
-				if e.done != nil {
-					e.done()
+				if e.onDurable != nil {
+					e.onDurable()
 				}
 			}
 		}
@@ -129,27 +129,27 @@
 }
 
 // take removes entries up to maxBatch from the queue.
-func (w *Writer) take() []entry {
+func (w *Writer) takeBatch() []write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	size, n := 0, 0
-	for n < len(w.queue) && (n == 0 || size < maxBatch) {
-		for _, r := range w.queue[n].records {
+	for n < len(w.pending) && (n == 0 || size < maxBatchBytes) {
+		for _, r := range w.pending[n].records {
 			size += len(r.Key) + len(r.Value)
 		}
 		n++
 	}
-	batch := w.queue[:n:n]
-	w.queue = w.queue[n:]
+	batch := w.pending[:n:n]
+	w.pending = w.pending[n:]
 	return batch
 }
 
 // append repeats one append until the store has answered it.
 func (w *Writer) append(ctx context.Context, records []durable.Record) error {
-	w.setTrying(bootclock.Now())
-	defer w.setTrying(0)
+	w.setAppendStart(bootclock.Now())
+	defer w.setAppendStart(0)
 	w.sequence++
-	call := durable.Append{Topic: Topic, Keyed: true, Records: records,
+	call := durable.AppendRequest{Topic: Topic, Keyed: true, Records: records,
 		Producer: &durable.Producer{Name: producerName, Epoch: w.Epoch, Sequence: w.sequence}}
 	for {
 		_, err := w.Store.Append(ctx, call)
@@ -163,12 +163,12 @@
 			return err
 		}
 		klog.InfoS("append to the jobs' topic is repeated", "sequence", w.sequence, "records", len(records), "err", err)
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-func (w *Writer) setTrying(at bootclock.Instant) {
+func (w *Writer) setAppendStart(at bootclock.Instant) {
 	w.mu.Lock()
-	w.trying = at
+	w.appendStart = at
 	w.mu.Unlock()
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -361,7 +361,7 @@
 	if err != nil {
 		return 0, fault.Wrap("claim", durable.Invalid, err)
 	}
-	return e.Store.Append(ctx, durable.Append{Topic: Topic, At: &at, Records: []durable.Record{{Value: value}}})
+	return e.Store.Append(ctx, durable.AppendRequest{Topic: Topic, ExpectedEnd: &at, Records: []durable.Record{{Value: value}}})
 }
 
 // lead renews the leadership while Lead runs.
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -23,9 +23,9 @@
 	leads   chan bool
 }
 
-func (a *asked) Append(ctx context.Context, in durable.Append) (units.Offset, error) {
+func (a *asked) Append(ctx context.Context, in durable.AppendRequest) (units.Offset, error) {
 	offset, err := a.Store.Append(ctx, in)
-	if *in.At == 0 {
+	if *in.ExpectedEnd == 0 {
 		time.Sleep(a.delay)
 		a.leads <- a.elector.Renounce(1)
 	}
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	fenced := time.Now()
-	items, err := l.writer.Load(ctx)
+	items, err := l.writer.LoadSnapshot(ctx)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 
 func (l *leader) loadMembers(ctx context.Context) ([]member, error) {
 	for {
-		snapshot, err := l.store.Newest(ctx, membersTopic)
+		snapshot, err := l.store.ReadSnapshot(ctx, membersTopic)
 		if err == nil {
 			var members []member
 			for _, item := range snapshot.Items {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -48,7 +48,7 @@
 	}
 	record := durable.Record{Key: memberKey(role, name), Value: value}
 	for {
-		offset, err := store.Append(ctx, durable.Append{Topic: membersTopic, Keyed: true, Records: []durable.Record{record}})
+		offset, err := store.Append(ctx, durable.AppendRequest{Topic: membersTopic, Keyed: true, Records: []durable.Record{record}})
 		if err == nil {
 			klog.InfoS("registered", "role", role, "name", name, "address", address, "offset", offset)
 			return offset, nil
@@ -89,7 +89,7 @@
 // ends.
 func followMembers(ctx context.Context, store durable.Store, fn func(member)) {
 	for ctx.Err() == nil {
-		snapshot, err := store.Newest(ctx, membersTopic)
+		snapshot, err := store.ReadSnapshot(ctx, membersTopic)
 		if err != nil {
 			klog.InfoS("members can't be read", "err", err)
 			pause.Jittered(ctx, storePause)
--- a/internal/operations/feed.go
+++ b/internal/operations/feed.go
@@ -70,7 +70,7 @@
 // load replaces the state by the newest record of each key.
 func (f *Feed) load(ctx context.Context) (units.Offset, error) {
 	sent := bootclock.Now()
-	snapshot, err := f.Store.Newest(ctx, durable.Topic(f.Records.Topic()))
+	snapshot, err := f.Store.ReadSnapshot(ctx, durable.Topic(f.Records.Topic()))
 	if err != nil {
 		return 0, err
 	}
