--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -31,31 +31,31 @@
 	// Topic holds the claims and renewals.
 	Topic durable.Topic = "leadership"
 	// renewEvery leaves room for one failed renewal within the authority.
-	renewEvery = 500 * time.Millisecond
+	renewInterval = 500 * time.Millisecond
 	// authorityFor is how long a renewal gives authority.
-	authorityFor = 1700 * time.Millisecond
+	leaseDuration = 1700 * time.Millisecond
 	// claimAfter is the time without a renewal after which a follower claims;
 	// it exceeds authorityFor by what clocks may differ in that time.
-	claimAfter = 1900 * time.Millisecond
+	claimTimeout = 1900 * time.Millisecond
 	// claimTrusted is how long a claim without an answer is not denied. Others read
 	// it a few milliseconds before or after the answer; without one for so long the
 	// answer is probably lost, and somebody else should lead.
-	claimTrusted = 250 * time.Millisecond
+	pendingClaimTimeout = 250 * time.Millisecond
 	// PromiseFor is how long a promise not to claim holds.
-	PromiseFor = 2 * time.Second
+	PromiseDuration = 2 * time.Second
 	// startQuiet keeps a process that was restarted from claiming while a
 	// promise of its previous run may hold.
-	startQuiet = PromiseFor + 200*time.Millisecond
+	restartDelay = PromiseDuration + 200*time.Millisecond
 	// renewTimeout leaves time to ask for support before the authority ends.
 	renewTimeout = 500 * time.Millisecond
 	// vacancyWait bounds a long poll while the leader can't be reached.
-	vacancyWait = 100 * time.Millisecond
+	disconnectedPollTimeout = 100 * time.Millisecond
 	// readWait bounds a long poll.
-	readWait = 700 * time.Millisecond
+	maxPollTimeout = 700 * time.Millisecond
 	// retryPause follows a call that the store did not answer.
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 	// reachableFor is how long after an answer the store counts as reachable.
-	reachableFor = 800 * time.Millisecond
+	reachableTimeout = 800 * time.Millisecond
 )
 
 // Term numbers the leaders; a later leader has a higher one.
@@ -77,33 +77,33 @@
 	FirstStart bool   // no earlier run of this process can have promised anything
 	// Handicap delays a claim, so that of several processes that may claim a
 	// better placed one does.
-	Handicap time.Duration
+	ClaimDelay time.Duration
 	// Lead runs the scheduler for a term until its context ends.
-	Lead func(ctx context.Context, term Term)
+	RunLeader func(ctx context.Context, term Term)
 	// OnChange is called when another leader is known.
 	OnChange func(Leader)
 	// Support asks the other entry processes for promises, and reports until
 	// when all of them have promised not to claim.
-	Support func(ctx context.Context, term Term) (bootclock.Instant, bool)
+	RequestPromises func(ctx context.Context, term Term) (bootclock.Instant, bool)
 
 	// Vacant asks the leader's machine whether the leader's process has ended
 	// and another one runs there. It is called while Connected reports false.
-	Vacant    func(ctx context.Context, leader Leader) bool
-	Connected func() bool
-
-	mu        sync.Mutex
-	leader    Leader
-	claimed   Term              // highest term that this process has won
-	claiming  Term              // its claim is on its way; 0 for none
-	trusted   bootclock.Instant // until when the claim on its way is not denied
-	renounced Term              // this process has denied to lead this term and never will
-	authority bootclock.Instant // until when this process leads
-	promised  bootclock.Instant // no claim before
-	answered  bootclock.Instant // last answer of the store
-	seen      bootclock.Instant // last renewal of another leader, or 0
-	next      units.Offset      // end of the topic as far as it is known
-	released  bool              // the last leader gave up its leadership
-	eligible  bootclock.Instant // since when a claim is possible; 0 while it is not
+	LeaderExited func(ctx context.Context, leader Leader) bool
+	Connected    func() bool
+
+	mu                sync.Mutex
+	leader            Leader
+	wonTerm           Term              // highest term that this process has won
+	pendingClaim      Term              // its claim is on its way; 0 for none
+	pendingClaimUntil bootclock.Instant // until when the claim on its way is not denied
+	renouncedTerm     Term              // this process has denied to lead this term and never will
+	leaseEnd          bootclock.Instant // until when this process leads
+	promisedUntil     bootclock.Instant // no claim before
+	storeAnsweredAt   bootclock.Instant // last answer of the store
+	renewalSeenAt     bootclock.Instant // last renewal of another leader, or 0
+	nextOffset        units.Offset      // end of the topic as far as it is known
+	released          bool              // the last leader gave up its leadership
+	eligibleSince     bootclock.Instant // since when a claim is possible; 0 while it is not
 }
 
 // Leader returns the newest known leader; its Term is 0 before the first.
@@ -117,7 +117,7 @@
 func (e *Elector) Leads(term Term) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leader.Term == term && e.leader.Name == e.Name && bootclock.Now().Before(e.authority)
+	return e.leader.Term == term && e.leader.Name == e.Name && bootclock.Now().Before(e.leaseEnd)
 }
 
 // Promise answers a leader's request for support: no claim for PromiseFor. It
@@ -127,11 +127,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := bootclock.Now()
-	reachable = e.answered != 0 && now.Sub(e.answered) < reachableFor
+	reachable = e.storeAnsweredAt != 0 && now.Sub(e.storeAnsweredAt) < reachableTimeout
 	if reachable || e.leader.Term > term {
 		return false, reachable, e.leader.Term
 	}
-	e.promised = max(e.promised, now.Add(PromiseFor))
+	e.promisedUntil = max(e.promisedUntil, now.Add(PromiseDuration))
 	return true, false, e.leader.Term
 }
 
@@ -139,22 +139,22 @@
 // does not, it never will, so whoever asked may take the leadership over at once.
 // Others can read a claim before this process has the answer to it, so one that
 // has just been sent is not denied.
-func (e *Elector) Renounce(term Term) (leads bool) {
+func (e *Elector) ConfirmOrRenounce(term Term) (leads bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.claimed == term || e.claiming == term && bootclock.Now().Before(e.trusted) {
+	if e.wonTerm == term || e.pendingClaim == term && bootclock.Now().Before(e.pendingClaimUntil) {
 		return true
 	}
-	e.renounced = max(e.renounced, term)
+	e.renouncedTerm = max(e.renouncedTerm, term)
 	return false
 }
 
 // Observe takes note of a later term that another process knows.
-func (e *Elector) Observe(term Term) {
+func (e *Elector) ObserveTerm(term Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if term > e.leader.Term {
-		e.authority = 0
+		e.leaseEnd = 0
 	}
 }
 
@@ -162,17 +162,17 @@
 // ends. Then it gives the leadership up if this process has it.
 func (e *Elector) Run(ctx context.Context) error {
 	e.mu.Lock()
-	e.promised = bootclock.Now()
+	e.promisedUntil = bootclock.Now()
 	if !e.FirstStart {
-		e.promised = e.promised.Add(startQuiet)
+		e.promisedUntil = e.promisedUntil.Add(restartDelay)
 	}
 	e.mu.Unlock()
 	for ctx.Err() == nil {
-		if err := e.find(ctx); err == nil {
+		if err := e.seekLastRecord(ctx); err == nil {
 			break
 		} else if ctx.Err() == nil {
 			klog.InfoS("leadership can't be read", "err", err)
-			pause.Jittered(ctx, retryPause)
+			pause.Jittered(ctx, retryDelay)
 		}
 	}
 	for ctx.Err() == nil {
@@ -184,18 +184,18 @@
 }
 
 // find reads the last record of the topic.
-func (e *Elector) find(ctx context.Context) error {
+func (e *Elector) seekLastRecord(ctx context.Context) error {
 	first, end, err := e.Store.Range(ctx, Topic)
 	if err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answered = bootclock.Now()
-	e.seen = e.answered // a leader may have renewed just now
-	e.next = end
+	e.storeAnsweredAt = bootclock.Now()
+	e.renewalSeenAt = e.storeAnsweredAt // a leader may have renewed just now
+	e.nextOffset = end
 	if end > first {
-		e.next = end - 1 // read the newest record
+		e.nextOffset = end - 1 // read the newest record
 	}
 	e.released = end == 0
 	return nil
@@ -204,49 +204,49 @@
 // follow reads records until this process has claimed the leadership.
 func (e *Elector) follow(ctx context.Context) (Term, bool) {
 	for ctx.Err() == nil {
-		if (e.mayClaim() || e.vacant(ctx)) && e.handicapOver() {
+		if (e.mayClaim() || e.leaderExited(ctx)) && e.claimDelayElapsed() {
 			if term, ok := e.claim(ctx); ok {
 				return term, true
 			}
 		}
-		if err := e.read(ctx, e.wait()); err != nil && ctx.Err() == nil {
+		if err := e.read(ctx, e.pollTimeout()); err != nil && ctx.Err() == nil {
 			klog.V(1).InfoS("leadership can't be read", "err", err)
-			pause.Jittered(ctx, retryPause)
+			pause.Jittered(ctx, retryDelay)
 		}
 	}
 	return 0, false
 }
 
 // wait returns how long a read may wait, so that a claim is not delayed.
-func (e *Elector) wait() time.Duration {
+func (e *Elector) pollTimeout() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	left := e.seen.Add(claimAfter).Sub(bootclock.Now())
+	left := e.renewalSeenAt.Add(claimTimeout).Sub(bootclock.Now())
 	if !e.connected() {
-		left = min(left, vacancyWait)
+		left = min(left, disconnectedPollTimeout)
 	}
-	if e.eligible != 0 {
-		left = min(left, e.eligible.Add(e.Handicap).Sub(bootclock.Now()))
+	if e.eligibleSince != 0 {
+		left = min(left, e.eligibleSince.Add(e.ClaimDelay).Sub(bootclock.Now()))
 	}
-	return min(max(left, 20*time.Millisecond), readWait)
+	return min(max(left, 20*time.Millisecond), maxPollTimeout)
 }
 
 // handicapOver reports whether a claim has been possible for long enough.
-func (e *Elector) handicapOver() bool {
+func (e *Elector) claimDelayElapsed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := bootclock.Now()
-	if e.eligible == 0 {
-		e.eligible = now
+	if e.eligibleSince == 0 {
+		e.eligibleSince = now
 	}
-	return now.Sub(e.eligible) >= e.Handicap
+	return now.Sub(e.eligibleSince) >= e.ClaimDelay
 }
 
 func (e *Elector) connected() bool { return e.Connected == nil || e.Connected() }
 
 // vacant reports whether the known leader's process has ended for certain: it
 // was an earlier run of this process, or its machine runs another process.
-func (e *Elector) vacant(ctx context.Context) bool {
+func (e *Elector) leaderExited(ctx context.Context) bool {
 	leader := e.Leader()
 	if leader.Term == 0 || e.connected() {
 		return false
@@ -255,7 +255,7 @@
 		klog.InfoS("leadership is vacant: an earlier run of this process had it", "term", leader.Term)
 		return true
 	}
-	if e.Vacant == nil || !e.Vacant(ctx, leader) {
+	if e.LeaderExited == nil || !e.LeaderExited(ctx, leader) {
 		return false
 	}
 	klog.InfoS("leadership is vacant: the leader's process has ended", "leader", leader.Name, "term", leader.Term)
@@ -266,32 +266,32 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := bootclock.Now()
-	if now.Before(e.promised) {
+	if now.Before(e.promisedUntil) {
 		return false
 	}
-	return e.released || now.Sub(e.seen) > claimAfter
+	return e.released || now.Sub(e.renewalSeenAt) > claimTimeout
 }
 
 // read takes over records since the last read. errMissed says that some can't
 // be read any more; the next read goes on after them.
 func (e *Elector) read(ctx context.Context, wait time.Duration) error {
 	e.mu.Lock()
-	from := e.next
+	from := e.nextOffset
 	e.mu.Unlock()
 	batch, err := e.Store.Read(ctx, Topic, false, from, wait)
 	if fault.Is(err, durable.Expired) {
 		klog.InfoS("records of the leadership were deleted", "from", from, "first", batch.Next)
-		if err := e.find(ctx); err != nil {
+		if err := e.seekLastRecord(ctx); err != nil {
 			return err
 		}
-		return errMissed
+		return errRecordsDeleted
 	}
 	if err != nil {
 		return err
 	}
 	e.mu.Lock()
-	e.answered = bootclock.Now()
-	e.next = batch.Next
+	e.storeAnsweredAt = bootclock.Now()
+	e.nextOffset = batch.Next
 	e.mu.Unlock()
 	for _, r := range batch.Records {
 		e.apply(r.Value)
@@ -300,7 +300,7 @@
 }
 
 // errMissed says that records were deleted before this process has read them.
-var errMissed = fault.New("read", durable.Expired, "records were missed")
+var errRecordsDeleted = fault.New("read", durable.Expired, "records were missed")
 
 // apply takes over a record.
 func (e *Elector) apply(value []byte) {
@@ -310,7 +310,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.seen, e.released, e.eligible = bootclock.Now(), record.GetReleased(), 0
+	e.renewalSeenAt, e.released, e.eligibleSince = bootclock.Now(), record.GetReleased(), 0
 	changed := Term(record.GetTerm()) > e.leader.Term
 	if changed {
 		e.leader = Leader{Name: record.GetName(), Address: record.GetAddress(), Term: Term(record.GetTerm())}
@@ -326,31 +326,31 @@
 // claim tries to become the leader.
 func (e *Elector) claim(ctx context.Context) (Term, bool) {
 	e.mu.Lock()
-	at := e.next
+	at := e.nextOffset
 	term, sent := Term(at+1), bootclock.Now()
-	e.claiming, e.trusted = term, sent.Add(claimTrusted)
+	e.pendingClaim, e.pendingClaimUntil = term, sent.Add(pendingClaimTimeout)
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		e.claiming = 0
+		e.pendingClaim = 0
 		e.mu.Unlock()
 	}()
 	if _, err := e.append(ctx, at, term, false); err != nil {
 		klog.InfoS("claim of the leadership failed", "term", term, "err", err)
 		if !fault.Is(err, durable.Conflict) {
-			pause.Jittered(ctx, retryPause)
+			pause.Jittered(ctx, retryDelay)
 		}
 		return 0, false // a claim that was done all the same is read back and not renewed
 	}
 	e.mu.Lock()
-	if term <= e.renounced {
+	if term <= e.renouncedTerm {
 		e.mu.Unlock()
 		return 0, false // somebody was told that this process does not lead
 	}
-	e.claimed = term
-	e.next, e.released, e.seen = at+1, false, sent
+	e.wonTerm = term
+	e.nextOffset, e.released, e.renewalSeenAt = at+1, false, sent
 	e.leader = Leader{Name: e.Name, Address: e.Address, Term: term}
-	e.authority = sent.Add(authorityFor)
+	e.leaseEnd = sent.Add(leaseDuration)
 	e.mu.Unlock()
 	klog.InfoS("leadership won", "term", term)
 	return term, true
@@ -369,7 +369,7 @@
 	leadCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
-		e.Lead(leadCtx, term)
+		e.RunLeader(leadCtx, term)
 		close(ended)
 		cancel()
 	}()
@@ -381,7 +381,7 @@
 		if result == lost {
 			break
 		}
-		pause.For(leadCtx, renewPauses[result])
+		pause.For(leadCtx, renewDelays[result])
 	}
 	cancel()
 	<-ended
@@ -389,22 +389,22 @@
 }
 
 // renewal is the result of an attempt to renew.
-type renewal int
+type renewalResult int
 
 const (
-	renewed renewal = iota
-	repeat          // the topic's end is known again
+	renewed  renewalResult = iota
+	retryNow               // the topic's end is known again
 	unanswered
 	lost
 )
 
 // renewPauses says how long to wait after an attempt.
-var renewPauses = [...]time.Duration{renewed: renewEvery, repeat: 0, unanswered: retryPause}
+var renewDelays = [...]time.Duration{renewed: renewInterval, retryNow: 0, unanswered: retryDelay}
 
 // renew extends the authority.
-func (e *Elector) renew(ctx context.Context, term Term) renewal {
+func (e *Elector) renew(ctx context.Context, term Term) renewalResult {
 	e.mu.Lock()
-	at := e.next
+	at := e.nextOffset
 	e.mu.Unlock()
 	sent := bootclock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
@@ -413,7 +413,7 @@
 	switch {
 	case err == nil:
 		e.mu.Lock()
-		e.next, e.authority, e.answered = at+1, sent.Add(authorityFor), bootclock.Now()
+		e.nextOffset, e.leaseEnd, e.storeAnsweredAt = at+1, sent.Add(leaseDuration), bootclock.Now()
 		e.mu.Unlock()
 		return renewed
 	case ctx.Err() != nil:
@@ -422,11 +422,11 @@
 		return e.readBack(ctx, term)
 	}
 	klog.InfoS("leadership is not renewed", "term", term, "err", err)
-	if e.Support != nil {
-		if until, ok := e.Support(ctx, term); ok {
+	if e.RequestPromises != nil {
+		if until, ok := e.RequestPromises(ctx, term); ok {
 			e.mu.Lock()
 			if e.leader.Term == term {
-				e.authority = max(e.authority, until)
+				e.leaseEnd = max(e.leaseEnd, until)
 			}
 			e.mu.Unlock()
 		}
@@ -437,9 +437,9 @@
 // readBack follows a renewal that met another record: an earlier renewal that
 // was done without an answer, or another leader's claim. It reports whether
 // this process still leads.
-func (e *Elector) readBack(ctx context.Context, term Term) renewal {
+func (e *Elector) readBack(ctx context.Context, term Term) renewalResult {
 	err := e.read(ctx, 0)
-	if errors.Is(err, errMissed) {
+	if errors.Is(err, errRecordsDeleted) {
 		klog.InfoS("leadership is given up, a claim may have been missed", "term", term)
 		return lost
 	}
@@ -452,17 +452,17 @@
 		klog.InfoS("leadership lost", "term", term, "leader", leader.Name, "newTerm", leader.Term)
 		return lost
 	}
-	return repeat
+	return retryNow
 }
 
 // resign ends the authority at once and tells the others, on a planned stop,
 // that they need not wait.
 func (e *Elector) resign(term Term) {
 	e.mu.Lock()
-	e.authority = 0
-	at := e.next
+	e.leaseEnd = 0
+	at := e.nextOffset
 	mine := e.leader.Term == term
-	e.seen = bootclock.Now()
+	e.renewalSeenAt = bootclock.Now()
 	e.mu.Unlock()
 	if !mine {
 		return
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -27,7 +27,7 @@
 	offset, err := a.Store.Append(ctx, in)
 	if *in.ExpectedEnd == 0 {
 		time.Sleep(a.delay)
-		a.leads <- a.elector.Renounce(1)
+		a.leads <- a.elector.ConfirmOrRenounce(1)
 	}
 	return offset, err
 }
@@ -68,7 +68,7 @@
 	door := log.Open()
 	c := &candidate{door: door, terms: make(chan leadership.Term, 16)}
 	c.Elector = &leadership.Elector{Store: platform.NewStore(door.Address), Name: name, Address: name, FirstStart: true}
-	c.Lead = func(ctx context.Context, term leadership.Term) {
+	c.RunLeader = func(ctx context.Context, term leadership.Term) {
 		c.terms <- term
 		<-ctx.Done()
 	}
@@ -175,7 +175,7 @@
 	a.door.Set(metastore.Fault{Silent: true})
 	b.door.Set(metastore.Fault{})
 	b.wantTerm(t, 8*time.Second)
-	if waited := bootclock.Now().Sub(at); waited < leadership.PromiseFor-100*time.Millisecond {
-		t.Errorf("claimed %v after the promise, want at least %v", waited, leadership.PromiseFor)
+	if waited := bootclock.Now().Sub(at); waited < leadership.PromiseDuration-100*time.Millisecond {
+		t.Errorf("claimed %v after the promise, want at least %v", waited, leadership.PromiseDuration)
 	}
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -86,8 +86,8 @@
 func (e *Entry) newElector() *leadership.Elector {
 	return &leadership.Elector{
 		Store: e.Store, Name: e.Settings.Name, Address: e.Settings.advertisedAddress(), FirstStart: e.Settings.FirstStart,
-		Handicap: e.Settings.claimHandicap(), Lead: e.lead, OnChange: e.follow, Support: e.askSupport,
-		Vacant: e.leaderHasEnded, Connected: e.connected,
+		ClaimDelay: e.Settings.claimHandicap(), RunLeader: e.lead, OnChange: e.follow, RequestPromises: e.askSupport,
+		LeaderExited: e.leaderHasEnded, Connected: e.connected,
 	}
 }
 
@@ -303,7 +303,7 @@
 }
 
 func (e *Entry) vacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
-	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.Renounce(leadership.Term(in.GetTerm()))}, nil
+	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.ConfirmOrRenounce(leadership.Term(in.GetTerm()))}, nil
 }
 
 // connected reports whether this process leads or has a session to the leader.
@@ -367,7 +367,7 @@
 		klog.InfoS("leadership is not supported", "term", term, "err", err)
 		return 0, false
 	}
-	return sent.Add(leadership.PromiseFor), true
+	return sent.Add(leadership.PromiseDuration), true
 }
 
 func (e *Entry) askPeer(ctx context.Context, address string, term leadership.Term) error {
@@ -381,7 +381,7 @@
 		return err
 	}
 	if !reply.GetPromised() {
-		e.elector.Observe(leadership.Term(reply.GetTerm()))
+		e.elector.ObserveTerm(leadership.Term(reply.GetTerm()))
 		return fault.New("support", link.Rejected, "%s: store reachable %t, term %d", address, reply.GetStoreReachable(), reply.GetTerm())
 	}
 	return nil
