--- a/internal/node/advice.go
+++ b/internal/node/advice.go
@@ -13,7 +13,7 @@
 type Advisor interface {
 	// Advise returns a ticket for each of the runners that may run the step,
 	// and for how long the tickets are valid.
-	Advise(ctx context.Context, q scheduler.Question) (tickets map[string]string, valid time.Duration, err error)
+	Advise(ctx context.Context, q scheduler.AdviceRequest) (tickets map[string]string, valid time.Duration, err error)
 }
 
 // adviceTimeout bounds one answer: the service takes the questions of a
@@ -21,19 +21,19 @@
 const adviceTimeout = 5 * time.Second
 
 // ask sends the questions that the tables have.
-func (l *leader) ask(at scheduler.Now) {
+func (l *leader) ask(at scheduler.Timestamp) {
 	if l.advisor == nil {
 		return
 	}
-	for _, q := range l.scheduler.Questions(at) {
+	for _, q := range l.scheduler.AdviceRequests(at) {
 		go func() {
 			ctx, cancel := context.WithTimeout(l.ctx, adviceTimeout)
 			defer cancel()
 			tickets, valid, err := l.advisor.Advise(ctx, q)
 			if err != nil {
-				klog.InfoS("no advice", "job", q.Step.Job, "step", q.Step.Step, "workers", len(q.Runners), "err", err)
+				klog.InfoS("no advice", "job", q.Step.Job, "step", q.Step.Step, "workers", len(q.RunnerIDs), "err", err)
 			}
-			l.event(func() { l.scheduler.Advise(q.Step, tickets, valid, now()) })
+			l.event(func() { l.scheduler.SetAdvice(q.Step, tickets, valid, now()) })
 		}()
 	}
 }
--- a/internal/node/agentlink.go
+++ b/internal/node/agentlink.go
@@ -131,12 +131,12 @@
 		}
 		at := now()
 		l.meters.report(len(in.GetEnded()), len(in.GetRejected()))
-		l.scheduler.Report(a.worker, in, at)
+		l.scheduler.ApplyReport(a.worker, in, at)
 		granted := l.leads()
 		if granted {
-			l.scheduler.Granted(a.worker, in, at)
+			l.scheduler.ExtendLease(a.worker, in, at)
 		}
-		born, number := l.scheduler.Recorded(a.worker)
+		born, number := l.scheduler.DurableEnds(a.worker)
 		answer <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
 	})
 	select {
@@ -178,14 +178,14 @@
 		}
 		l.event(func() {
 			if a.session == session {
-				l.scheduler.Sent(orders.Worker, tasks, reply.GetSequence())
+				l.scheduler.ConfirmStarts(orders.Worker, tasks, reply.GetSequence())
 			}
 		})
 	}()
 }
 
 func ordersToWire(o scheduler.Orders) *wire.Orders {
-	message := &wire.Orders{Runner: o.Runner, Recorded: o.Recorded, RecordedBornUnixMs: o.Born}
+	message := &wire.Orders{Runner: o.RunnerID, Recorded: o.DurableEnds, RecordedBornUnixMs: o.RunnerStartUnixMs}
 	for _, s := range o.Starts {
 		message.Starts = append(message.Starts, startToWire(s))
 	}
--- a/internal/node/agentlink_test.go
+++ b/internal/node/agentlink_test.go
@@ -18,14 +18,14 @@
 	l := &leader{scheduler: scheduler.New(time.Second, time.Minute), agents: make(map[units.WorkerID]*agentLink)}
 	configuration := &operations.Configuration{Routes: []operations.Route{{Queue: "q", Policy: workflow.Policy{Service: "desk"}}}}
 	configuration.Index()
-	l.scheduler.SetOperations(operations.State{Configuration: configuration})
+	l.scheduler.SetOperatorState(operations.State{Configuration: configuration})
 	before, after := &agentLink{worker: "w"}, &agentLink{worker: "w"}
 	oldSession, newSession := &link.Session{}, &link.Session{}
 	l.agents["w"] = before
 	l.attached(before, oldSession)
 	l.agents["w"] = after
 	l.attached(after, newSession)
-	l.scheduler.Report("w", &wire.WorkerReport{Sequence: 1, Runner: &wire.RunnerState{Id: "r", Service: "desk", Millicores: 1000, MemoryBytes: 1 << 30}}, now())
+	l.scheduler.ApplyReport("w", &wire.WorkerReport{Sequence: 1, Runner: &wire.RunnerState{Id: "r", Service: "desk", Millicores: 1000, MemoryBytes: 1 << 30}}, now())
 	l.detached(before, oldSession)
 	l.scheduler.Accept(&workflow.Job{ID: "j", Queue: "q", Steps: []workflow.Step{{Count: 1}}, Submitted: time.Now()}, workflow.Policy{Service: "desk"}, now())
 	l.scheduler.Tick(now(), true)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -154,7 +154,7 @@
 		meters: e.meters, events: make(chan func(), eventQueue),
 	}
 	l.group, l.ctx = errgroup.WithContext(ctx)
-	e.Feed.SetOnChange(func(state operations.State) { l.event(func() { l.scheduler.SetOperations(state) }) })
+	e.Feed.SetOnChange(func(state operations.State) { l.event(func() { l.scheduler.SetOperatorState(state) }) })
 	e.meters.leading()
 	e.setLeading(l)
 	defer e.setLeading(nil)
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -69,7 +69,7 @@
 	waiter chan Reply
 }
 
-func now() scheduler.Now { return scheduler.Now{Boot: bootclock.Now(), Wall: time.Now()} }
+func now() scheduler.Timestamp { return scheduler.Timestamp{Boot: bootclock.Now(), Wall: time.Now()} }
 
 // run leads until ctx ends or a later term has taken over.
 func (l *leader) run() error {
@@ -97,7 +97,7 @@
 		return err
 	}
 	l.scheduler = scheduler.New(grantFor+grantMargin, l.settings.KeepFinished)
-	l.scheduler.SetOperations(l.feed.State())
+	l.scheduler.SetOperatorState(l.feed.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 		timer.Reset(idleTick)
 		if time.Since(expire) > expireEvery {
 			expire = time.Now()
-			if records := l.scheduler.Expired(now()); len(records) > 0 {
+			if records := l.scheduler.RemoveExpired(now()); len(records) > 0 {
 				l.writer.Write(records, nil)
 			}
 		}
@@ -218,13 +218,13 @@
 
 // mayStart reports whether a task may start now: this process leads, and the
 // operators' records are known up to a moment ago.
-func (l *leader) mayStart(at scheduler.Now) bool {
+func (l *leader) mayStart(at scheduler.Timestamp) bool {
 	current, ok := l.feed.Current()
 	return ok && l.leads() && at.Boot.Sub(current) < evidenceFor
 }
 
 func (l *leader) committed(flush uint64) {
-	l.scheduler.Committed(flush)
+	l.scheduler.CommitFlush(flush)
 	for len(l.cancels) > 0 && l.cancels[0].flush <= flush {
 		l.cancels[0].waiter <- Reply{Outcome: Found}
 		l.cancels = l.cancels[1:]
@@ -243,7 +243,7 @@
 	if known := l.agents[id]; known != nil && known.address == m.address {
 		return
 	}
-	l.scheduler.Join(id, now())
+	l.scheduler.AddWorker(id, now())
 	l.connect(m)
 }
 
@@ -275,7 +275,7 @@
 	case Submit:
 		l.submit(r, answer)
 	case Look:
-		state, known := l.scheduler.State(r.ID)
+		state, known := l.scheduler.JobState(r.ID)
 		if !known {
 			answer <- l.unknownJob(r.ID)
 			return
@@ -284,7 +284,7 @@
 	case Cancel:
 		l.cancel(r, answer)
 	case Count:
-		answer <- Reply{Outcome: Found, Pending: l.scheduler.Pending(r.Queue)}
+		answer <- Reply{Outcome: Found, Pending: l.scheduler.PendingJobs(r.Queue)}
 	}
 }
 
@@ -299,7 +299,7 @@
 
 func (l *leader) submit(r Request, answer chan Reply) {
 	id := r.ID
-	if l.scheduler.Known(id) {
+	if l.scheduler.HasJob(id) {
 		answer <- Reply{Outcome: Accepted, Reason: "known"}
 		return
 	}
@@ -336,7 +336,7 @@
 		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
 		return
 	}
-	if !l.scheduler.Known(r.ID) {
+	if !l.scheduler.HasJob(r.ID) {
 		answer <- Reply{Outcome: NoJob}
 		return
 	}
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -29,9 +29,9 @@
 }
 
 // Question asks which workers may run a step.
-type Question struct {
-	Step    StepID
-	Runners []string // incarnations
+type AdviceRequest struct {
+	Step      StepID
+	RunnerIDs []string // incarnations
 }
 
 // advice is what is known of the workers that may run a step.
@@ -43,11 +43,11 @@
 }
 
 // Questions returns what has to be asked now. The steps wait until Advise.
-func (s *Scheduler) Questions(now Now) []Question {
+func (s *Scheduler) AdviceRequests(now Timestamp) []AdviceRequest {
 	if !s.advising {
 		return nil
 	}
-	var questions []Question
+	var questions []AdviceRequest
 	for _, u := range s.backlog(now) {
 		policy := s.policyOf(u.job)
 		a := &u.step.advice
@@ -58,11 +58,11 @@
 		slices.SortFunc(pool, func(x, y *worker) int {
 			return cmp.Or(cmp.Compare(y.capacity.Processors-y.used.Processors, x.capacity.Processors-x.used.Processors), cmp.Compare(x.id, y.id))
 		})
-		q := Question{Step: StepID{u.job.ID, u.occurrence, u.step.number}}
+		q := AdviceRequest{Step: StepID{u.job.ID, u.occurrence, u.step.number}}
 		for _, w := range pool[:min(len(pool), advisedWorkers)] {
-			q.Runners = append(q.Runners, w.info.ID)
+			q.RunnerIDs = append(q.RunnerIDs, w.info.ID)
 		}
-		if len(q.Runners) == 0 {
+		if len(q.RunnerIDs) == 0 {
 			continue
 		}
 		a.asked = true
@@ -74,7 +74,7 @@
 
 // Advise takes the answer to a question: the tickets by incarnation, valid for
 // the given time from now. Without an answer tickets is nil.
-func (s *Scheduler) Advise(id StepID, tickets map[string]string, valid time.Duration, now Now) {
+func (s *Scheduler) SetAdvice(id StepID, tickets map[string]string, valid time.Duration, now Timestamp) {
 	s.asked--
 	t := s.task(workflow.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if t == nil {
@@ -88,7 +88,7 @@
 }
 
 // advised returns the workers of the pool for which the step has a ticket.
-func (s *Scheduler) advised(st *step, pool []*worker, now Now) []*worker {
+func (s *Scheduler) advised(st *step, pool []*worker, now Timestamp) []*worker {
 	if !now.Boot.Before(st.advice.until) {
 		return nil
 	}
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("flush of a cancel while the record is on its way: got %d, want %d", got, flush)
 	}
 	f.wantState(id, workflow.Running)
-	f.s.Committed(flush)
+	f.s.CommitFlush(flush)
 	if got := f.s.Cancel(id, f.now); got != 0 {
 		t.Errorf("flush of a cancel after the record: got %d, want 0", got)
 	}
--- a/internal/scheduler/filling.go
+++ b/internal/scheduler/filling.go
@@ -68,7 +68,7 @@
 }
 
 // learn takes in the readings of a report.
-func (s *Scheduler) learn(w *worker, now Now) {
+func (s *Scheduler) learn(w *worker, now Timestamp) {
 	elapsed := now.Boot.Sub(w.use.read)
 	if elapsed < learnEvery {
 		return
@@ -143,7 +143,7 @@
 // averages over a while, so a task that has just started, or runs at another
 // pace than a moment ago, shows in them in part. A burst that is placed over
 // several reports would otherwise be harmless until all of it runs.
-func (s *Scheduler) expect(w *worker, now Now) {
+func (s *Scheduler) expect(w *worker, now Timestamp) {
 	clear(w.use.rooms)
 	w.use.expected = append(w.use.expected[:0], w.use.rates...)
 	w.use.unseen = append(w.use.unseen[:0], make([]float64, len(w.use.rates))...)
@@ -227,7 +227,7 @@
 
 // Estimates returns what the agent of a worker should know of the images that
 // run there, and nothing when it received that a moment ago.
-func (s *Scheduler) Estimates(id units.WorkerID, now Now) []interference.Estimate {
+func (s *Scheduler) Estimates(id units.WorkerID, now Timestamp) []interference.Estimate {
 	w := s.workers[id]
 	if w == nil || w.serving == 0 || w.filling == 0 || now.Boot.Sub(w.use.estimatesSent) < estimatesEvery {
 		return nil
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -20,7 +20,7 @@
 type fixture struct {
 	testing.TB
 	s       *Scheduler
-	now     Now
+	now     Timestamp
 	agents  map[units.WorkerID]*agent
 	records map[string][]byte
 }
@@ -36,7 +36,7 @@
 
 func newFixture(t testing.TB) *fixture {
 	f := &fixture{TB: t, agents: make(map[units.WorkerID]*agent), records: make(map[string][]byte)}
-	f.now = Now{Boot: bootclock.Instant(time.Hour), Wall: time.UnixMilli(1_700_000_000_000)}
+	f.now = Timestamp{Boot: bootclock.Instant(time.Hour), Wall: time.UnixMilli(1_700_000_000_000)}
 	f.takeOver()
 	return f
 }
@@ -49,7 +49,7 @@
 		{Queue: "runs", Host: "a", Prefix: "/r/", Policy: workflow.Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, LatencyAllowance: time.Second}},
 	}}
 	configuration.Index()
-	f.s.SetOperations(operations.State{Configuration: configuration})
+	f.s.SetOperatorState(operations.State{Configuration: configuration})
 	var items []durable.Item
 	for key, value := range f.records {
 		items = append(items, durable.Item{Key: key, Value: value})
@@ -81,8 +81,8 @@
 	for _, row := range a.running {
 		report.Running = append(report.Running, row)
 	}
-	f.s.Report(id, report, f.now)
-	f.s.Granted(id, report, f.now)
+	f.s.ApplyReport(id, report, f.now)
+	f.s.ExtendLease(id, report, f.now)
 }
 
 // submit makes a job durable and hands it to the scheduler.
@@ -110,7 +110,7 @@
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
-	f.s.Committed(flush)
+	f.s.CommitFlush(flush)
 	started := make(map[string]units.WorkerID)
 	for _, orders := range f.s.TakeOrders() {
 		a := f.agents[orders.Worker]
@@ -125,8 +125,8 @@
 				a.end(stop.Task.String(), workflow.Stopped)
 			}
 		}
-		a.record(orders.Recorded)
-		f.s.Sent(orders.Worker, tasks, a.sequence)
+		a.record(orders.DurableEnds)
+		f.s.ConfirmStarts(orders.Worker, tasks, a.sequence)
 	}
 	return started
 }
@@ -151,7 +151,7 @@
 
 func (f *fixture) wantState(id workflow.JobID, want workflow.State) {
 	f.Helper()
-	if got, _ := f.s.State(id); got != want {
+	if got, _ := f.s.JobState(id); got != want {
 		f.Errorf("state of %s: got %q, want %q", id, got, want)
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -13,7 +13,7 @@
 // without being done, the others are stopped at once.
 
 // placeGang places all members or none.
-func (s *Scheduler) placeGang(st *step, pool []*worker, now Now) {
+func (s *Scheduler) placeGang(st *step, pool []*worker, now Timestamp) {
 	if st.idle < len(st.tasks) {
 		return // members of the last run have not ended yet
 	}
@@ -28,7 +28,7 @@
 }
 
 // placeMembers reports whether every member found a worker.
-func (s *Scheduler) placeMembers(st *step, pool []*worker, now Now) bool {
+func (s *Scheduler) placeMembers(st *step, pool []*worker, now Timestamp) bool {
 	attempt, checkpoint := st.nextGangRun()
 	for i, t := range st.tasks {
 		w := s.choose(st, pool, nil)
@@ -58,7 +58,7 @@
 }
 
 // breakGang stops the other members of a gang of which one does not run.
-func (s *Scheduler) breakGang(t *task, now Now) {
+func (s *Scheduler) breakGang(t *task, now Timestamp) {
 	if !t.step.Gang || t.done {
 		return
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -34,7 +34,7 @@
 	at := started[refused]
 	delete(f.agents[at].running, refused)
 	f.agents[at].sequence++
-	f.s.Report(at, &wire.WorkerReport{Sequence: f.agents[at].sequence, Runner: f.agents[at].runner,
+	f.s.ApplyReport(at, &wire.WorkerReport{Sequence: f.agents[at].sequence, Runner: f.agents[at].runner,
 		Rejected: []*wire.RejectedStart{{Task: refused, Attempt: 1, Reason: "noRoom"}}, Running: rowsOf(f.agents[at])}, f.now)
 	f.tick()
 	if got := len(a.running) + len(b.running); got != 0 {
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -35,7 +35,7 @@
 // then those that are worth most for the work that is left, which also ends
 // what has begun before it begins more. The load it answers is more work than
 // the workers hold: by deadline alone every job would end a little late.
-func (s *Scheduler) backlog(now Now) []urgency {
+func (s *Scheduler) backlog(now Timestamp) []urgency {
 	unsettled := s.unsettled()
 	var waiting []urgency
 	for _, j := range s.live {
@@ -69,7 +69,7 @@
 	return false
 }
 
-func (s *Scheduler) urgencyOf(j *job, o *occurrence, st *step, now Now) urgency {
+func (s *Scheduler) urgencyOf(j *job, o *occurrence, st *step, now Timestamp) urgency {
 	policy := s.policyOf(j)
 	begin := j.submitted
 	if j.Repetitions > 0 {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -12,7 +12,7 @@
 // place gives waiting tasks to workers, the most urgent first, and returns the
 // steps that found no room for all their tasks. What does not fit waits; smaller
 // or less urgent work may take the room that is left.
-func (s *Scheduler) place(now Now, short *shortage) []urgency {
+func (s *Scheduler) place(now Timestamp, short *shortage) []urgency {
 	var without []urgency
 	for _, u := range s.backlog(now) {
 		policy := s.policyOf(u.job)
@@ -43,7 +43,7 @@
 // pool returns the workers that may get new tasks of a service. Those that have
 // failed lately are left out, unless they are most: then the work fails, not
 // the workers.
-func (s *Scheduler) pool(service units.ServiceName, now Now) []*worker {
+func (s *Scheduler) pool(service units.ServiceName, now Timestamp) []*worker {
 	var pool, avoided []*worker
 	for _, w := range s.workers {
 		if !w.attached || !w.listed || w.info.Draining || w.info.Service != service || s.state.Out[w.info.Domain] {
@@ -63,7 +63,7 @@
 
 // placeStep places the tasks of a step one by one. The tasks are equal, so the
 // first that finds no room ends the attempt.
-func (s *Scheduler) placeStep(st *step, pool []*worker, now Now) {
+func (s *Scheduler) placeStep(st *step, pool []*worker, now Timestamp) {
 	for _, t := range st.tasks {
 		if st.idle == 0 {
 			return
@@ -80,7 +80,7 @@
 }
 
 // slowedBy returns the worker that slowed the task a moment ago, or nil.
-func (t *task) slowedBy(now Now) *worker {
+func (t *task) slowedBy(now Timestamp) *worker {
 	if now.Boot.Before(t.movedUntil) {
 		return t.movedFrom
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -25,7 +25,7 @@
 
 // preempt stops less urgent tasks for the steps that found no room, the most
 // urgent first.
-func (s *Scheduler) preempt(waiting []urgency, now Now, short *shortage) {
+func (s *Scheduler) preempt(waiting []urgency, now Timestamp, short *shortage) {
 	if len(waiting) == 0 {
 		return
 	}
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -113,7 +113,7 @@
 // ordered are not recorded; the agents' reports show them, and until every
 // agent that was known has reported or its lease has ended, no task of a
 // recovered job starts.
-func (s *Scheduler) Recover(items []durable.Item, now Now) error {
+func (s *Scheduler) Recover(items []durable.Item, now Timestamp) error {
 	progress := make(map[string]*wire.ProgressRecord)
 	for _, item := range items {
 		if id, ok := cutPrefix(item.Key, progressPrefix); ok {
@@ -144,7 +144,7 @@
 	return s[len(prefix):], true
 }
 
-func (s *Scheduler) recoverJob(j *workflow.Job, policy workflow.Policy, p *wire.ProgressRecord, now Now) {
+func (s *Scheduler) recoverJob(j *workflow.Job, policy workflow.Policy, p *wire.ProgressRecord, now Timestamp) {
 	s.Accept(j, policy, now)
 	row := s.jobs[j.ID]
 	row.recovered = true
@@ -214,17 +214,17 @@
 }
 
 // Worker adds a worker that was known to an earlier scheduler.
-func (s *Scheduler) RecoverWorker(id units.WorkerID, now Now) {
-	s.Join(id, now)
+func (s *Scheduler) RecoverWorker(id units.WorkerID, now Timestamp) {
+	s.AddWorker(id, now)
 	s.workers[id].unknown = true
 }
 
 // Expired returns the records that delete the jobs which finished long enough
 // ago, and forgets these jobs.
-func (s *Scheduler) Expired(now Now) []durable.Record {
+func (s *Scheduler) RemoveExpired(now Timestamp) []durable.Record {
 	var records []durable.Record
 	for id, j := range s.jobs {
-		if j.shown.Final() && j.placed == 0 && now.Wall.Sub(j.finished) > s.KeepFinished {
+		if j.shown.Final() && j.placed == 0 && now.Wall.Sub(j.finished) > s.FinishedRetention {
 			delete(s.jobs, id)
 			records = append(records, durable.Record{Key: JobKey(id)}, durable.Record{Key: progressPrefix + string(id)})
 		}
--- a/internal/scheduler/relocate.go
+++ b/internal/scheduler/relocate.go
@@ -23,7 +23,7 @@
 
 // relocate stops tasks that are paced down or lag where they are, when another
 // worker has room for them and nothing that they harm.
-func (s *Scheduler) relocate(now Now, short *shortage) {
+func (s *Scheduler) relocate(now Timestamp, short *shortage) {
 	if now.Boot.Before(s.moveAt) {
 		return
 	}
@@ -47,7 +47,7 @@
 }
 
 // findBetter reports whether another worker would take the task.
-func (s *Scheduler) findBetter(t *task, now Now, short *shortage) bool {
+func (s *Scheduler) findBetter(t *task, now Timestamp, short *shortage) bool {
 	if short.covers(t.step) {
 		return false
 	}
@@ -61,7 +61,7 @@
 	return false
 }
 
-func (t *task) slowed(now Now) bool {
+func (t *task) slowed(now Timestamp) bool {
 	return t.step.BestEffort && t.step.Checkpointing && t.confirmed && t.stopSent == 0 && !t.done &&
 		t.pace < slowedPace && t.percent < nearEnd && now.Boot.Sub(t.paceSince) > slowedFor
 }
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -27,16 +27,16 @@
 )
 
 // Join adds the worker of an agent that has registered in the store.
-func (s *Scheduler) Join(id units.WorkerID, now Now) {
+func (s *Scheduler) AddWorker(id units.WorkerID, now Timestamp) {
 	if s.workers[id] == nil {
-		s.workers[id] = &worker{id: id, leaseBound: now.Boot.Add(s.GrantBound), tasks: make(map[workflow.TaskID]*task)}
+		s.workers[id] = &worker{id: id, leaseBound: now.Boot.Add(s.MaxLeaseDuration), tasks: make(map[workflow.TaskID]*task)}
 	}
 }
 
 // Attach begins a session with an agent. Orders of earlier sessions that the
 // agent has not carried out by now never will be.
-func (s *Scheduler) Attach(id units.WorkerID, now Now) {
-	s.Join(id, now)
+func (s *Scheduler) Attach(id units.WorkerID, now Timestamp) {
+	s.AddWorker(id, now)
 	w := s.workers[id]
 	w.attached, w.listed, w.silent, w.empty = true, false, false, false
 	w.sequence = 0
@@ -65,15 +65,15 @@
 
 // Granted takes note that the agent may keep its runs from now on for the time
 // of one grant. An agent that knows no runner can't extend any lease.
-func (s *Scheduler) Granted(id units.WorkerID, r *wire.WorkerReport, now Now) {
+func (s *Scheduler) ExtendLease(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	if w := s.workers[id]; w != nil && r.GetRunner() != nil {
-		w.leaseBound = now.Boot.Add(s.GrantBound)
+		w.leaseBound = now.Boot.Add(s.MaxLeaseDuration)
 	}
 }
 
 // Sent takes note that the agent has admitted the starts; reports with a
 // higher sequence show them.
-func (s *Scheduler) Sent(id units.WorkerID, tasks []workflow.TaskID, sequence uint64) {
+func (s *Scheduler) ConfirmStarts(id units.WorkerID, tasks []workflow.TaskID, sequence uint64) {
 	w := s.workers[id]
 	if w == nil {
 		return
@@ -86,7 +86,7 @@
 }
 
 // Report takes over what an agent knows of its runner.
-func (s *Scheduler) Report(id units.WorkerID, r *wire.WorkerReport, now Now) {
+func (s *Scheduler) ApplyReport(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	w := s.workers[id]
 	if w == nil || r.GetSequence() <= w.sequence {
 		return
@@ -120,7 +120,7 @@
 // nothing of what the previous one did. One under the same id may hold what was
 // ordered for the previous one and arrived late, so what is lost is told by the
 // lists.
-func (s *Scheduler) setRunner(w *worker, in *wire.RunnerState, now Now) {
+func (s *Scheduler) setRunner(w *worker, in *wire.RunnerState, now Timestamp) {
 	info := runner.Info{
 		Incarnation: runner.Incarnation{ID: in.GetId(), Born: in.GetBornUnixMs()},
 		Service:     units.ServiceName(in.GetService()), Domain: units.DomainName(in.GetDomain()), Labels: in.GetLabels(),
@@ -144,7 +144,7 @@
 }
 
 // loseTasks releases the tasks that no longer run on w.
-func (s *Scheduler) loseTasks(w *worker, now Now, lost func(*task) bool) {
+func (s *Scheduler) loseTasks(w *worker, now Timestamp, lost func(*task) bool) {
 	for _, t := range w.tasks {
 		if lost(t) {
 			klog.InfoS("run is lost", "task", t.id.String(), "attempt", t.attempt, "worker", w.id)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s *Scheduler) rejected(w *worker, in *wire.RejectedStart, now Now) {
+func (s *Scheduler) rejected(w *worker, in *wire.RejectedStart, now Timestamp) {
 	id, err := workflow.ParseTaskID(in.GetTask())
 	if err != nil {
 		klog.ErrorS(err, "rejection is skipped", "worker", w.id)
@@ -176,11 +176,13 @@
 	}
 }
 
-func (w *worker) avoid(now Now, d time.Duration) { w.avoidUntil = max(w.avoidUntil, now.Boot.Add(d)) }
+func (w *worker) avoid(now Timestamp, d time.Duration) {
+	w.avoidUntil = max(w.avoidUntil, now.Boot.Add(d))
+}
 
 // failed counts a failure; each failure beyond failuresInRow doubles the time
 // for which the worker is avoided.
-func (w *worker) failed(now Now) {
+func (w *worker) failed(now Timestamp) {
 	w.streak++
 	if w.streak >= failuresInRow {
 		w.avoid(now, min(failureBackoff<<min(w.streak-failuresInRow, 4), longestBackoff))
@@ -188,7 +190,7 @@
 }
 
 // ends takes note of runs that have ended.
-func (s *Scheduler) ends(w *worker, rows []*wire.EndRow, now Now) {
+func (s *Scheduler) ends(w *worker, rows []*wire.EndRow, now Timestamp) {
 	last := w.recordedEnd
 	for _, row := range rows {
 		last = max(last, row.GetNumber())
@@ -206,7 +208,7 @@
 	}
 }
 
-func (s *Scheduler) end(w *worker, t *task, row *wire.EndRow, now Now) {
+func (s *Scheduler) end(w *worker, t *task, row *wire.EndRow, now Timestamp) {
 	attempt := workflow.Attempt(row.GetAttempt())
 	t.highest = max(t.highest, attempt)
 	if row.GetCheckpoint() != "" && t.step.Checkpointing && !t.done && attempt >= t.highest {
@@ -230,7 +232,7 @@
 }
 
 // taskDone marks a task, or every task of its gang, as done.
-func (s *Scheduler) taskDone(t *task, now Now) {
+func (s *Scheduler) taskDone(t *task, now Timestamp) {
 	if t.done || t.step.LongRunning || t.job.state.Final() {
 		return
 	}
@@ -257,7 +259,7 @@
 	}
 }
 
-func (s *Scheduler) stepDone(j *job, number int, now Now) {
+func (s *Scheduler) stepDone(j *job, number int, now Timestamp) {
 	for i, o := range j.occurrences {
 		if o.number != number {
 			continue
@@ -272,7 +274,7 @@
 	}
 }
 
-func (s *Scheduler) occurrenceDone(j *job, now Now) {
+func (s *Scheduler) occurrenceDone(j *job, now Timestamp) {
 	j.completed = j.begun
 	for _, o := range j.occurrences {
 		j.completed = min(j.completed, o.number)
@@ -284,7 +286,7 @@
 
 // taskFailed counts a failed run, each once: a new leader may hear of the ends
 // of several runs in any order.
-func (s *Scheduler) taskFailed(w *worker, t *task, attempt workflow.Attempt, now Now) {
+func (s *Scheduler) taskFailed(w *worker, t *task, attempt workflow.Attempt, now Timestamp) {
 	if t.done || slices.Contains(t.failed, attempt) {
 		return
 	}
@@ -302,7 +304,7 @@
 
 // rows compares what runs with the tables and returns the tasks that are as
 // the tables say.
-func (s *Scheduler) rows(w *worker, rows []*wire.RunRow, now Now) map[workflow.TaskID]bool {
+func (s *Scheduler) rows(w *worker, rows []*wire.RunRow, now Timestamp) map[workflow.TaskID]bool {
 	listed := make(map[workflow.TaskID]bool, len(rows))
 	for _, row := range rows {
 		id, err := workflow.ParseTaskID(row.GetTask())
@@ -367,7 +369,7 @@
 }
 
 // Committed takes note that everything up to a flush is durable.
-func (s *Scheduler) Committed(flush uint64) {
+func (s *Scheduler) CommitFlush(flush uint64) {
 	for len(s.waiting) > 0 && s.waiting[0].shownBy <= flush {
 		s.waiting[0].shown = s.waiting[0].state
 		s.waiting = s.waiting[1:]
@@ -383,7 +385,7 @@
 
 // Recorded returns the number up to which the ends of a worker's incarnation
 // are durable.
-func (s *Scheduler) Recorded(id units.WorkerID) (born int64, number uint64) {
+func (s *Scheduler) DurableEnds(id units.WorkerID) (born int64, number uint64) {
 	if w := s.workers[id]; w != nil {
 		return w.info.Born, w.recordedEnd
 	}
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -46,7 +46,7 @@
 	}
 	state := f.s.state
 	state.Out = map[units.DomainName]bool{"south": true}
-	f.s.SetOperations(state)
+	f.s.SetOperatorState(state)
 	f.submit("quick", workflow.Step{Count: 5, Size: cores(2), RequiredLabel: "a", AntiAffinity: 3})
 	got := f.tick()
 	for task, worker := range got {
@@ -85,19 +85,19 @@
 	f.worker("b", 8)
 	route := f.s.state.Configuration.Queue("quick")
 	route.Policy.Advice = &workflow.Advice{TicketValidity: 3 * time.Second}
-	f.s.SetOperations(f.s.state)
+	f.s.SetOperatorState(f.s.state)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	if got := f.tick(); len(got) != 0 {
 		t.Fatalf("got starts %v without advice, want none", got)
 	}
-	questions := f.s.Questions(f.now)
-	if len(questions) != 1 || len(questions[0].Runners) != 2 {
+	questions := f.s.AdviceRequests(f.now)
+	if len(questions) != 1 || len(questions[0].RunnerIDs) != 2 {
 		t.Fatalf("got questions %+v, want one about two runners", questions)
 	}
-	if again := f.s.Questions(f.now); len(again) != 0 {
+	if again := f.s.AdviceRequests(f.now); len(again) != 0 {
 		t.Errorf("got %d questions while one is open, want none", len(again))
 	}
-	f.s.Advise(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
+	f.s.SetAdvice(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
 	for task, worker := range f.tick() {
 		if worker != "b" {
 			t.Errorf("%s started on %s, want b", task, worker)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 )
 
 // Now is the time of an event on both clocks.
-type Now struct {
+type Timestamp struct {
 	Boot bootclock.Instant // leases, time-outs
 	Wall time.Time         // due times, ages of jobs
 }
@@ -30,9 +30,9 @@
 type Scheduler struct {
 	// GrantBound is how long after its last grant a worker that is not heard
 	// of may still run tasks.
-	GrantBound time.Duration
+	MaxLeaseDuration time.Duration
 	// KeepFinished is how long the state of a finished job is kept.
-	KeepFinished time.Duration
+	FinishedRetention time.Duration
 
 	state    operations.State
 	jobs     map[workflow.JobID]*job
@@ -54,13 +54,13 @@
 // New returns a scheduler without jobs and workers.
 func New(grantBound, keepFinished time.Duration) *Scheduler {
 	return &Scheduler{
-		GrantBound: grantBound, KeepFinished: keepFinished,
+		MaxLeaseDuration: grantBound, FinishedRetention: keepFinished,
 		jobs: make(map[workflow.JobID]*job), live: make(map[workflow.JobID]*job), meanWork: make(map[workflow.QueueName]float64), usualSpeed: make(map[workflow.QueueName]float64), workers: make(map[units.WorkerID]*worker), dirty: make(map[workflow.JobID]*job),
 	}
 }
 
 // SetOperations takes over the operators' state.
-func (s *Scheduler) SetOperations(state operations.State) {
+func (s *Scheduler) SetOperatorState(state operations.State) {
 	s.state = state
 	s.advising = false
 	if state.Configuration == nil {
@@ -195,7 +195,7 @@
 }
 
 // settled reports whether everything that may run on w is in the tables.
-func (w *worker) settled(now Now) bool {
+func (w *worker) settled(now Timestamp) bool {
 	switch {
 	case w.attached && w.listed:
 		return true
--- a/internal/scheduler/shortage.go
+++ b/internal/scheduler/shortage.go
@@ -25,7 +25,7 @@
 }
 
 // pool returns the workers of a service that may get new tasks.
-func (x *shortage) pool(service units.ServiceName, now Now) []*worker {
+func (x *shortage) pool(service units.ServiceName, now Timestamp) []*worker {
 	pool, ok := x.pools[service]
 	if !ok {
 		pool = x.scheduler.pool(service, now)
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -63,7 +63,7 @@
 }
 
 // measure takes in a reading of the progress of a task that runs at full pace.
-func (s *Scheduler) measure(w *worker, t *task, percent, pace int, now Now) {
+func (s *Scheduler) measure(w *worker, t *task, percent, pace int, now Timestamp) {
 	last := t.lastProgress
 	if t.step.LongRunning || t.step.BestEffort || pace < 100 || t.stopSent != 0 {
 		return
@@ -89,7 +89,7 @@
 }
 
 // take follows the readings of a worker.
-func (v *speed) take(reading float64, job workflow.JobID, now Now) {
+func (v *speed) take(reading float64, job workflow.JobID, now Timestamp) {
 	if now.Boot.Sub(v.read) > speedKept {
 		*v = speed{streak: v.streak}
 	}
@@ -105,13 +105,13 @@
 }
 
 // slow reports whether several jobs have progressed far too slowly lately.
-func (v *speed) slow(now Now) bool {
+func (v *speed) slow(now Timestamp) bool {
 	return v.log < slowLog && v.readings >= slowReadings && v.jobs[slowJobs-1] != "" && now.Boot.Sub(v.read) <= speedKept
 }
 
 // lags reports whether a task would end earlier if it were stopped and started on
 // another worker now.
-func (t *task) lags(now Now) bool {
+func (t *task) lags(now Timestamp) bool {
 	w := t.worker
 	if !w.speed.slow(now) {
 		return false
--- a/internal/scheduler/submit.go
+++ b/internal/scheduler/submit.go
@@ -10,7 +10,7 @@
 )
 
 // Accept adds a job whose record is durable. A job that is known stays as it is.
-func (s *Scheduler) Accept(j *workflow.Job, p workflow.Policy, now Now) {
+func (s *Scheduler) Accept(j *workflow.Job, p workflow.Policy, now Timestamp) {
 	if s.jobs[j.ID] != nil {
 		return
 	}
@@ -22,7 +22,7 @@
 }
 
 // begin opens the occurrences that are due.
-func (s *Scheduler) begin(j *job, now Now) {
+func (s *Scheduler) begin(j *job, now Timestamp) {
 	for j.begun < j.Occurrences() && !now.Wall.Before(j.Due(j.begun)) {
 		o := newOccurrence(j, j.begun)
 		j.occurrences = append(j.occurrences, o)
@@ -63,10 +63,10 @@
 }
 
 // Known reports whether the job's record is known.
-func (s *Scheduler) Known(id workflow.JobID) bool { return s.jobs[id] != nil }
+func (s *Scheduler) HasJob(id workflow.JobID) bool { return s.jobs[id] != nil }
 
 // State returns the durable state of a job and false when no such job exists.
-func (s *Scheduler) State(id workflow.JobID) (workflow.State, bool) {
+func (s *Scheduler) JobState(id workflow.JobID) (workflow.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return "", false
@@ -79,7 +79,7 @@
 
 // Pending returns how many jobs of a queue have not begun; jobs with due times
 // do not count.
-func (s *Scheduler) Pending(queue workflow.QueueName) int {
+func (s *Scheduler) PendingJobs(queue workflow.QueueName) int {
 	n := 0
 	for _, j := range s.live {
 		if j.Queue == queue && !j.started && j.Repetitions == 0 {
@@ -92,7 +92,7 @@
 // Cancel cancels a job that is not final, and returns the flush after which
 // its final state is durable. It returns 0 when the job is unknown or its final
 // state is durable already.
-func (s *Scheduler) Cancel(id workflow.JobID, now Now) uint64 {
+func (s *Scheduler) Cancel(id workflow.JobID, now Timestamp) uint64 {
 	j := s.jobs[id]
 	if j == nil || j.shown.Final() {
 		return 0
@@ -107,7 +107,7 @@
 }
 
 // finish gives a job its final state and stops what still runs of it.
-func (s *Scheduler) finish(j *job, state workflow.State, now Now) {
+func (s *Scheduler) finish(j *job, state workflow.State, now Timestamp) {
 	j.state, j.finished = state, now.Wall
 	klog.InfoS("job ended", "job", j.ID, "state", state, "age", now.Boot.Sub(j.submitted).Round(time.Millisecond), "recovered", j.recovered)
 	delete(s.live, j.ID)
@@ -127,7 +127,7 @@
 
 // stop orders the end of a task's run; the task stays on its worker until a
 // report shows that it has ended.
-func (s *Scheduler) stop(t *task, now Now) {
+func (s *Scheduler) stop(t *task, now Timestamp) {
 	t.stopSent = now.Boot
 	w := t.worker
 	if slices.Contains(w.orders.starts, t) { // not sent yet
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -13,14 +13,14 @@
 
 // Orders are the orders for one agent.
 type Orders struct {
-	Worker       units.WorkerID
-	Runner       string // incarnation that they are meant for
-	Starts       []runner.Start
-	Stops        []Stop
-	Descriptions []runner.Start          // of runs that the agent knows only from its runner's lists
-	Estimates    []interference.Estimate // of the images that run there
-	Born         int64                   // incarnation to which Recorded belongs
-	Recorded     uint64                  // ends up to this number are durable
+	Worker            units.WorkerID
+	RunnerID          string // incarnation that they are meant for
+	Starts            []runner.Start
+	Stops             []Stop
+	Descriptions      []runner.Start          // of runs that the agent knows only from its runner's lists
+	Estimates         []interference.Estimate // of the images that run there
+	RunnerStartUnixMs int64                   // incarnation to which Recorded belongs
+	DurableEnds       uint64                  // ends up to this number are durable
 }
 
 // Stop is an order to end a run.
@@ -32,7 +32,7 @@
 // Tick runs every rule over the tables: due occurrences, workers whose leases
 // have ended, workers that leave, then placement, preemption and moves. mayStart is false while the
 // operators' state is not known to be current, so that nothing starts.
-func (s *Scheduler) Tick(now Now, mayStart bool) {
+func (s *Scheduler) Tick(now Timestamp, mayStart bool) {
 	for _, j := range s.live {
 		if j.begun < j.Occurrences() {
 			s.begin(j, now)
@@ -53,7 +53,7 @@
 }
 
 // expire releases what a worker without a session can't run any more.
-func (s *Scheduler) expire(w *worker, now Now) {
+func (s *Scheduler) expire(w *worker, now Timestamp) {
 	if !w.settled(now) {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // leave moves tasks off a draining worker: those that never end, so that they
 // run elsewhere before it is gone.
-func (s *Scheduler) leave(w *worker, now Now) {
+func (s *Scheduler) leave(w *worker, now Timestamp) {
 	for _, t := range w.tasks {
 		if t.step.LongRunning && t.stopSent == 0 && t.confirmed {
 			s.stop(t, now)
@@ -84,7 +84,7 @@
 		if !w.attached || w.orders.empty() {
 			continue
 		}
-		orders := Orders{Worker: w.id, Runner: w.info.ID, Born: w.info.Born, Recorded: w.recordedEnd}
+		orders := Orders{Worker: w.id, RunnerID: w.info.ID, RunnerStartUnixMs: w.info.Born, DurableEnds: w.recordedEnd}
 		for _, t := range w.orders.starts {
 			t.ordered = true
 			orders.Starts = append(orders.Starts, t.order())
