--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -10,24 +10,24 @@
 // at once while the store was down, and the next leader ran the job again.
 func TestRepeatedCancelWaitsForItsRecord(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 4)
+	f.addWorker("a", 4)
 	id := f.submit("quick", workflow.Step{Count: 1, Size: cores(1), LongRunning: true})
 	f.tick()
-	first := f.s.Cancel(id, f.now)
-	if second := f.s.Cancel(id, f.now); first == 0 || second != first {
+	first := f.scheduler.Cancel(id, f.now)
+	if second := f.scheduler.Cancel(id, f.now); first == 0 || second != first {
 		t.Errorf("flush of the second cancel: got %d, want that of the first, %d", second, first)
 	}
-	f.s.Tick(f.now, true)
-	_, flush, err := f.s.Flush()
+	f.scheduler.Tick(f.now, true)
+	_, flush, err := f.scheduler.Flush()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.s.Cancel(id, f.now); got != flush {
+	if got := f.scheduler.Cancel(id, f.now); got != flush {
 		t.Errorf("flush of a cancel while the record is on its way: got %d, want %d", got, flush)
 	}
 	f.wantState(id, workflow.Running)
-	f.s.CommitFlush(flush)
-	if got := f.s.Cancel(id, f.now); got != 0 {
+	f.scheduler.CommitFlush(flush)
+	if got := f.scheduler.Cancel(id, f.now); got != 0 {
 		t.Errorf("flush of a cancel after the record: got %d, want 0", got)
 	}
 	f.wantState(id, workflow.Cancelled)
@@ -36,10 +36,10 @@
 // Runs of a cancelled job are stopped, also one that an agent still lists.
 func TestCancelStopsRuns(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 4)
+	a := f.addWorker("a", 4)
 	id := f.submit("quick", workflow.Step{Count: 3, Size: cores(1), LongRunning: true})
 	f.tick()
-	f.s.Cancel(id, f.now)
+	f.scheduler.Cancel(id, f.now)
 	f.tick()
 	if got := len(a.running); got != 0 {
 		t.Errorf("runs after the cancel: got %d, want 0", got)
--- a/internal/scheduler/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -12,10 +12,10 @@
 // crowded is a deployment whose processors are all in use: every worker has
 // serving tasks and tasks that fill, half of these slowed, and more wait than
 // will find room.
-func crowded(t testing.TB, workers int) *fixture {
+func overloadedFixture(t testing.TB, workers int) *fixture {
 	f := newFixture(t)
 	for i := range workers {
-		f.worker(units.WorkerID(fmt.Sprintf("w%03d", i)), 16)
+		f.addWorker(units.WorkerID(fmt.Sprintf("w%03d", i)), 16)
 	}
 	half := units.Resources{Processors: 1500, Memory: units.GiB}
 	for i := range workers / 2 {
@@ -28,7 +28,7 @@
 			BestEffort: true, Checkpointing: true, Image: fmt.Sprint("filling-", i%15)})
 	}
 	for range 6 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.tick()
 		f.reportAll()
 	}
@@ -46,7 +46,7 @@
 				f.Fatal(err)
 			}
 			row.Load = 40
-			if f.s.task(parsed).step.BestEffort {
+			if f.scheduler.task(parsed).step.BestEffort {
 				n++
 				row.Load, row.Pace = 900, 100-int32(n%2)*70
 			}
@@ -58,21 +58,21 @@
 func BenchmarkCrowdedTick(b *testing.B) {
 	for _, workers := range []int{60, 300} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
-			f := crowded(b, workers)
+			f := overloadedFixture(b, workers)
 			waiting, slowed := 0, 0
-			for _, u := range f.s.backlog(f.now) {
-				waiting += u.step.idle
+			for _, u := range f.scheduler.pendingSteps(f.now) {
+				waiting += u.step.unplaced
 			}
-			for _, w := range f.s.workers {
+			for _, w := range f.scheduler.workers {
 				for _, t := range w.tasks {
-					if t.slowed(f.now) {
+					if t.throttled(f.now) {
 						slowed++
 					}
 				}
 			}
 			for b.Loop() {
-				f.s.Tick(f.now, true)
-				f.pass(5 * time.Millisecond)
+				f.scheduler.Tick(f.now, true)
+				f.advance(5 * time.Millisecond)
 			}
 			b.ReportMetric(float64(waiting), "waiting")
 			b.ReportMetric(float64(slowed), "slowed")
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -14,16 +14,16 @@
 // only the highest attempt allowed a run beyond the queue's limit.
 func TestFailuresInAnyOrderCount(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 4)
-	f.worker("b", 4)
+	f.addWorker("a", 4)
+	f.addWorker("b", 4)
 	id := f.submit("quick", workflow.Step{Count: 1, Size: cores(1)})
-	f.takeOver()
+	f.startNewLeader()
 	for worker, attempt := range map[string]int64{"a": 2, "b": 1} {
 		f.agents["a"].sequence, f.agents["b"].sequence = 0, 0
 		f.agents[units.WorkerID(worker)].ended = []*wire.EndRow{{Number: 1, Task: string(id) + ".0.0.0", Attempt: attempt, End: string(workflow.Errored)}}
 	}
 	for _, worker := range []string{"a", "b"} { // the later run's end first
-		f.s.Attach(units.WorkerID(worker), f.now)
+		f.scheduler.Attach(units.WorkerID(worker), f.now)
 		f.report(units.WorkerID(worker))
 	}
 	if got := f.tick(); len(got) != 0 {
@@ -35,10 +35,10 @@
 // The same end is reported until it is recorded; it counts once.
 func TestRepeatedEndCountsOnce(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 4)
+	a := f.addWorker("a", 4)
 	id := f.submit("quick", workflow.Step{Count: 1, Size: cores(1)})
 	f.tick()
-	a.end(firstRun(a), workflow.Errored)
+	a.end(anyRun(a), workflow.Errored)
 	f.report("a")
 	f.report("a")
 	f.wantState(id, workflow.Running)
@@ -49,13 +49,13 @@
 
 // A job whose runs always fail ends after as many attempts as its queue
 // allows, and the state is shown only once it is durable.
-func TestHopelessJobEnds(t *testing.T) {
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 4)
+	a := f.addWorker("a", 4)
 	id := f.submit("quick", workflow.Step{Count: 1, Size: cores(1)})
 	for range 2 {
 		f.tick()
-		a.end(firstRun(a), workflow.Errored)
+		a.end(anyRun(a), workflow.Errored)
 		f.report("a")
 	}
 	f.wantState(id, workflow.Running)
@@ -65,20 +65,20 @@
 
 // A worker that fails everything is avoided; when most workers fail it is the
 // work that is bad, and avoiding them would stop everything.
-func TestAvoidanceHasFloor(t *testing.T) {
+func TestWorkersAreNotAvoidedWhenMostFail(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []units.WorkerID{"a", "b", "c"} {
-		f.worker(id, 4)
+		f.addWorker(id, 4)
 	}
-	f.s.workers["a"].avoid(f.now, time.Second)
+	f.scheduler.workers["a"].avoid(f.now, time.Second)
 	f.submit("quick", workflow.Step{Count: 3, Size: cores(1)})
 	for task, worker := range f.tick() {
 		if worker == "a" {
 			t.Errorf("%s started on the worker that fails", task)
 		}
 	}
-	f.s.workers["b"].avoid(f.now, time.Second)
-	f.s.workers["c"].avoid(f.now, time.Second)
+	f.scheduler.workers["b"].avoid(f.now, time.Second)
+	f.scheduler.workers["c"].avoid(f.now, time.Second)
 	f.submit("quick", workflow.Step{Count: 3, Size: cores(1)})
 	if got := f.tick(); len(got) != 3 {
 		t.Errorf("got starts %v while every worker is avoided, want three", got)
@@ -88,12 +88,12 @@
 // A runner that is born again under its id may hold a start that was on its way:
 // the lists tell, not the new life alone. Starting the task elsewhere at once
 // runs it twice.
-func TestRebornRunnerMayHoldWhatWasOrdered(t *testing.T) {
+func TestNewIncarnationMayHoldPendingStart(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 2)
+	a := f.addWorker("a", 2)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	f.tick()
-	f.worker("b", 2)
+	f.addWorker("b", 2)
 	held, lost := string(id)+".0.0.0", string(id)+".0.0.1"
 	a.runner.BornUnixMs, a.runner.Silent = 2, true // its lists have not been read yet
 	f.report("a")
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -13,63 +13,63 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-const testGrantBound = 6500 * time.Millisecond
+const testMaxLeaseDuration = 6500 * time.Millisecond
 
 // fixture drives a scheduler by hand: the time, the agents' reports and the
 // store are the test's.
 type fixture struct {
 	testing.TB
-	s       *Scheduler
-	now     Timestamp
-	agents  map[units.WorkerID]*agent
-	records map[string][]byte
+	scheduler *Scheduler
+	now       Timestamp
+	agents    map[units.WorkerID]*fakeAgent
+	records   map[string][]byte
 }
 
 // agent is what an agent would report.
-type agent struct {
+type fakeAgent struct {
 	sequence uint64
 	runner   *wire.RunnerState
 	running  map[string]*wire.RunRow
 	ended    []*wire.EndRow
-	number   uint64
+	lastEnd  uint64
 }
 
 func newFixture(t testing.TB) *fixture {
-	f := &fixture{TB: t, agents: make(map[units.WorkerID]*agent), records: make(map[string][]byte)}
+	f := &fixture{TB: t, agents: make(map[units.WorkerID]*fakeAgent), records: make(map[string][]byte)}
 	f.now = Timestamp{Boot: bootclock.Instant(time.Hour), Wall: time.UnixMilli(1_700_000_000_000)}
-	f.takeOver()
+	f.startNewLeader()
 	return f
 }
 
 // takeOver starts a new scheduler on the durable records, as a new leader does.
-func (f *fixture) takeOver() {
-	f.s = New(testGrantBound, 120*time.Second)
+func (f *fixture) startNewLeader() {
+	f.scheduler = New(testMaxLeaseDuration, 120*time.Second)
 	configuration := &operations.Configuration{Version: 1, Routes: []operations.Route{
 		{Queue: "quick", Host: "a", Prefix: "/q/", Policy: workflow.Policy{Service: "desk", MaxAttempts: 2, Stretch: 1.5, LatencyAllowance: 300 * time.Millisecond}},
 		{Queue: "runs", Host: "a", Prefix: "/r/", Policy: workflow.Policy{Service: "desk", Priority: 2, MaxAttempts: 2, Stretch: 2, LatencyAllowance: time.Second}},
 	}}
 	configuration.Index()
-	f.s.SetOperatorState(operations.State{Configuration: configuration})
+	f.scheduler.SetOperatorState(operations.State{Configuration: configuration})
 	var items []durable.Item
 	for key, value := range f.records {
 		items = append(items, durable.Item{Key: key, Value: value})
 	}
-	if err := f.s.Recover(items, f.now); err != nil {
+	if err := f.scheduler.Recover(items, f.now); err != nil {
 		f.Fatal(err)
 	}
 	for id := range f.agents {
-		f.s.RecoverWorker(id, f.now)
+		f.scheduler.RecoverWorker(id, f.now)
 	}
 }
 
 // worker adds an agent with a runner of the given cores and reports once.
-func (f *fixture) worker(id units.WorkerID, cores int) *agent {
-	a := &agent{running: make(map[string]*wire.RunRow), runner: &wire.RunnerState{
+func (f *fixture) addWorker(id units.WorkerID, cores int) *fakeAgent {
+	a := &fakeAgent{running: make(map[string]*wire.RunRow), runner: &wire.RunnerState{
 		Id: "runner-" + string(id), BornUnixMs: 1, Service: "desk", Domain: "north", Labels: []string{"a", "r1"},
 		Millicores: int64(cores) * 1000, MemoryBytes: 64 << 30,
 	}}
 	f.agents[id] = a
-	f.s.Attach(id, f.now)
+	f.scheduler.Attach(id, f.now)
 	f.report(id)
 	return a
 }
@@ -81,38 +81,38 @@
 	for _, row := range a.running {
 		report.Running = append(report.Running, row)
 	}
-	f.s.ApplyReport(id, report, f.now)
-	f.s.ExtendLease(id, report, f.now)
+	f.scheduler.ApplyReport(id, report, f.now)
+	f.scheduler.ExtendLease(id, report, f.now)
 }
 
 // submit makes a job durable and hands it to the scheduler.
 func (f *fixture) submit(queue workflow.QueueName, steps ...workflow.Step) workflow.JobID {
 	id := workflow.JobID(fmt.Sprintf("%016x", len(f.records)+1))
 	job := &workflow.Job{ID: id, Queue: queue, Spec: "s", Steps: steps, Submitted: f.now.Wall}
-	policy := f.s.state.Configuration.Queue(queue).Policy
+	policy := f.scheduler.operatorState.Configuration.Queue(queue).Policy
 	value, err := workflow.Encode(job, policy)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.records[JobKey(id)] = value
-	f.s.Accept(job, policy, f.now)
+	f.scheduler.Accept(job, policy, f.now)
 	return id
 }
 
 // tick runs the rules, makes every change durable and gives the starts to the
 // agents. It returns the starts by task.
 func (f *fixture) tick() map[string]units.WorkerID {
-	f.s.Tick(f.now, true)
-	records, flush, err := f.s.Flush()
+	f.scheduler.Tick(f.now, true)
+	records, flush, err := f.scheduler.Flush()
 	if err != nil {
 		f.Fatal(err)
 	}
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
-	f.s.CommitFlush(flush)
+	f.scheduler.CommitFlush(flush)
 	started := make(map[string]units.WorkerID)
-	for _, orders := range f.s.TakeOrders() {
+	for _, orders := range f.scheduler.TakeOrders() {
 		a := f.agents[orders.Worker]
 		var tasks []workflow.TaskID
 		for _, start := range orders.Starts {
@@ -125,33 +125,33 @@
 				a.end(stop.Task.String(), workflow.Stopped)
 			}
 		}
-		a.record(orders.DurableEnds)
-		f.s.ConfirmStarts(orders.Worker, tasks, a.sequence)
+		a.acknowledge(orders.DurableEnds)
+		f.scheduler.ConfirmStarts(orders.Worker, tasks, a.sequence)
 	}
 	return started
 }
 
 // end ends a run on the agent's runner.
-func (a *agent) end(task string, how workflow.End) {
+func (a *fakeAgent) end(task string, how workflow.End) {
 	row := a.running[task]
 	delete(a.running, task)
-	a.number++
-	a.ended = append(a.ended, &wire.EndRow{Number: a.number, Task: task, Attempt: row.GetAttempt(), End: string(how), Checkpoint: row.GetCheckpoint()})
+	a.lastEnd++
+	a.ended = append(a.ended, &wire.EndRow{Number: a.lastEnd, Task: task, Attempt: row.GetAttempt(), End: string(how), Checkpoint: row.GetCheckpoint()})
 }
 
-func (a *agent) record(number uint64) {
+func (a *fakeAgent) acknowledge(number uint64) {
 	for len(a.ended) > 0 && a.ended[0].GetNumber() <= number {
 		a.ended = a.ended[1:]
 	}
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now.Boot, f.now.Wall = f.now.Boot.Add(d), f.now.Wall.Add(d)
 }
 
 func (f *fixture) wantState(id workflow.JobID, want workflow.State) {
 	f.Helper()
-	if got, _ := f.s.JobState(id); got != want {
+	if got, _ := f.scheduler.JobState(id); got != want {
 		f.Errorf("state of %s: got %q, want %q", id, got, want)
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -14,11 +14,11 @@
 
 // placeGang places all members or none.
 func (s *Scheduler) placeGang(st *step, pool []*worker, now Timestamp) {
-	if st.idle < len(st.tasks) {
+	if st.unplaced < len(st.tasks) {
 		return // members of the last run have not ended yet
 	}
 	if st.SameRack {
-		for _, rack := range racks(pool) {
+		for _, rack := range groupByRack(pool) {
 			if s.placeMembers(st, rack, now) {
 				return
 			}
@@ -29,24 +29,24 @@
 
 // placeMembers reports whether every member found a worker.
 func (s *Scheduler) placeMembers(st *step, pool []*worker, now Timestamp) bool {
-	attempt, checkpoint := st.nextGangRun()
+	attempt, checkpoint := st.nextGangAttempt()
 	for i, t := range st.tasks {
-		w := s.choose(st, pool, nil)
+		w := s.bestWorker(st, pool, nil)
 		if w == nil {
 			for _, placed := range st.tasks[:i] {
-				s.stop(placed, now) // not sent yet
+				s.stopTask(placed, now) // not sent yet
 			}
 			return false
 		}
 		t.checkpoint = checkpoint
-		s.start(t, w, attempt)
+		s.startTask(t, w, attempt)
 	}
 	return true
 }
 
 // nextGangRun returns the attempt and the checkpoint that all members carry.
 // A checkpoint of any member is one of the gang.
-func (st *step) nextGangRun() (attempt workflow.Attempt, checkpoint string) {
+func (st *step) nextGangAttempt() (attempt workflow.Attempt, checkpoint string) {
 	var newest workflow.Attempt
 	for _, t := range st.tasks {
 		attempt = max(attempt, t.nextAttempt())
@@ -58,19 +58,19 @@
 }
 
 // breakGang stops the other members of a gang of which one does not run.
-func (s *Scheduler) breakGang(t *task, now Timestamp) {
+func (s *Scheduler) stopGang(t *task, now Timestamp) {
 	if !t.step.Gang || t.done {
 		return
 	}
 	for _, m := range t.step.tasks {
-		if m != t && m.worker != nil && m.stopSent == 0 {
-			s.stop(m, now)
+		if m != t && m.worker != nil && m.stopOrderedAt == 0 {
+			s.stopTask(m, now)
 		}
 	}
 }
 
 // racks parts the pool by rack, the largest free room first.
-func racks(pool []*worker) [][]*worker {
+func groupByRack(pool []*worker) [][]*worker {
 	byRack := make(map[string][]*worker)
 	for _, w := range pool {
 		byRack[w.rack] = append(byRack[w.rack], w)
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -13,21 +13,21 @@
 const lateFactor = 3
 
 // urgency orders the waiting steps.
-type urgency struct {
-	step       *step
-	job        *job
-	occurrence int
-	priority   int
-	grade      int // 0 can still be in time, 1 can be late, 2 is worth nothing any more
-	deadline   bootclock.Instant
-	density    float64 // worth of the job for each core-second that is left of it
+type pendingStep struct {
+	step         *step
+	job          *job
+	occurrence   int
+	priority     int
+	lateness     int // 0 can still be in time, 1 can be late, 2 is worth nothing any more
+	deadline     bootclock.Instant
+	valueDensity float64 // worth of the job for each core-second that is left of it
 }
 
 // The grades of urgency.
 const (
-	inTime = iota
+	onTime = iota
 	late
-	worthless
+	tooLate
 )
 
 // backlog returns the steps with tasks that may start, the most urgent first:
@@ -35,24 +35,24 @@
 // then those that are worth most for the work that is left, which also ends
 // what has begun before it begins more. The load it answers is more work than
 // the workers hold: by deadline alone every job would end a little late.
-func (s *Scheduler) backlog(now Timestamp) []urgency {
-	unsettled := s.unsettled()
-	var waiting []urgency
-	for _, j := range s.live {
+func (s *Scheduler) pendingSteps(now Timestamp) []pendingStep {
+	unsettled := s.hasUnknownRuns()
+	var waiting []pendingStep
+	for _, j := range s.activeJobs {
 		if j.recovered && unsettled {
 			continue
 		}
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
-				if st.open && st.idle > 0 {
-					waiting = append(waiting, s.urgencyOf(j, o, st, now))
+				if st.open && st.unplaced > 0 {
+					waiting = append(waiting, s.rankStep(j, o, st, now))
 				}
 			}
 		}
 	}
-	slices.SortFunc(waiting, func(a, b urgency) int {
-		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.grade, b.grade),
-			cmp.Compare(b.density, a.density), cmp.Compare(a.deadline, b.deadline),
+	slices.SortFunc(waiting, func(a, b pendingStep) int {
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.lateness, b.lateness),
+			cmp.Compare(b.valueDensity, a.valueDensity), cmp.Compare(a.deadline, b.deadline),
 			cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.step.number, b.step.number))
 	})
 	return waiting
@@ -60,32 +60,32 @@
 
 // unsettled reports whether runs of an earlier scheduler may be missing in the
 // tables.
-func (s *Scheduler) unsettled() bool {
+func (s *Scheduler) hasUnknownRuns() bool {
 	for _, w := range s.workers {
-		if w.unknown {
+		if w.mayHaveUnknownRuns {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Scheduler) urgencyOf(j *job, o *occurrence, st *step, now Timestamp) urgency {
-	policy := s.policyOf(j)
-	begin := j.submitted
+func (s *Scheduler) rankStep(j *job, o *occurrence, st *step, now Timestamp) pendingStep {
+	policy := s.currentPolicy(j)
+	begin := j.submittedAt
 	if j.Repetitions > 0 {
 		begin = now.Boot.Add(j.Due(o.number).Sub(now.Wall))
 	}
-	objective := time.Duration(policy.Stretch*float64(j.chain(0))) + policy.LatencyAllowance
-	u := urgency{step: st, job: j, occurrence: o.number, priority: policy.Priority, deadline: begin.Add(objective), density: s.density(j, o)}
+	objective := time.Duration(policy.Stretch*float64(j.criticalPath(0))) + policy.LatencyAllowance
+	u := pendingStep{step: st, job: j, occurrence: o.number, priority: policy.Priority, deadline: begin.Add(objective), valueDensity: s.valueDensity(j, o)}
 	if st.LongRunning {
 		return u
 	}
-	end := now.Boot.Add(j.chain(st.number))
+	end := now.Boot.Add(j.criticalPath(st.number))
 	switch {
 	case end.After(begin.Add(lateFactor * objective)):
-		u.grade = worthless
+		u.lateness = tooLate
 	case end.After(u.deadline):
-		u.grade = late
+		u.lateness = late
 	}
 	return u
 }
@@ -93,24 +93,24 @@
 // The worth of a job: a fixed part, and a part in proportion to its work
 // relative to the mean of its queue, up to a limit.
 const (
-	fixedWorth   = 0.3
-	workWorth    = 0.7
-	highestWorth = 4.0
+	fixedValue = 0.3
+	workValue  = 0.7
+	maxValue   = 4.0
 	// meanFollow is the weight of a new job in the mean of its queue.
-	meanFollow = 0.1
+	meanWorkSmoothing = 0.1
 )
 
 // density returns the worth of a job for each core-second that is left.
-func (s *Scheduler) density(j *job, o *occurrence) float64 {
+func (s *Scheduler) valueDensity(j *job, o *occurrence) float64 {
 	left := 0.0
 	for _, st := range o.steps {
-		left += float64(st.left) * st.work()
+		left += float64(st.tasksLeft) * st.work()
 	}
-	mean := s.meanWork[j.Queue]
+	mean := s.meanJobWork[j.Queue]
 	if left <= 0 || mean <= 0 {
 		return 0
 	}
-	return min(fixedWorth+workWorth*j.work()/mean, highestWorth) / left
+	return min(fixedValue+workValue*j.work()/mean, maxValue) / left
 }
 
 // work returns the estimated core-seconds of one task.
@@ -125,17 +125,17 @@
 }
 
 // learnWork follows the mean work of the jobs of a queue.
-func (s *Scheduler) learnWork(j *job) {
+func (s *Scheduler) updateMeanWork(j *job) {
 	work := j.work()
-	if mean, known := s.meanWork[j.Queue]; known {
-		work = mean + meanFollow*(work-mean)
+	if mean, known := s.meanJobWork[j.Queue]; known {
+		work = mean + meanWorkSmoothing*(work-mean)
 	}
-	s.meanWork[j.Queue] = work
+	s.meanJobWork[j.Queue] = work
 }
 
 // chain returns the longest chain of estimated work from step from on; 0 is
 // the whole job.
-func (j *job) chain(from int) time.Duration {
+func (j *job) criticalPath(from int) time.Duration {
 	longest := time.Duration(0)
 	ends := make([]time.Duration, len(j.Steps))
 	for i := from; i < len(j.Steps); i++ {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -17,34 +17,34 @@
 const (
 	// preemptionsAtOnce bounds the tasks that one run of the rules stops, so that a
 	// burst of urgent work does not empty all workers before its first tasks start.
-	preemptionsAtOnce = 20
+	maxPreemptionsPerTick = 20
 	// preemptionCost is what a stop and a new start take of a task's processors, in
 	// seconds.
-	preemptionCost = 0.3
+	preemptionCostSeconds = 0.3
 )
 
 // preempt stops less urgent tasks for the steps that found no room, the most
 // urgent first.
-func (s *Scheduler) preempt(waiting []urgency, now Timestamp, short *shortage) {
+func (s *Scheduler) preempt(waiting []pendingStep, now Timestamp, short *searchCache) {
 	if len(waiting) == 0 {
 		return
 	}
-	least := s.leastUrgent()
+	least := s.lowestRunningPriority()
 	stops := 0
 	reserved := make(map[*worker]units.Resources)
 	for _, u := range waiting {
-		if u.priority >= least || u.step.Gang || u.step.BestEffort || u.grade != inTime || s.policyOf(u.job).Advice != nil {
+		if u.priority >= least || u.step.Gang || u.step.BestEffort || u.lateness != onTime || s.currentPolicy(u.job).Advice != nil {
 			continue
 		}
-		for range u.step.idle {
-			w, victims := s.cheapest(u, short.pool(s.policyOf(u.job).Service, now), reserved)
-			if w == nil || stops+len(victims) > preemptionsAtOnce {
+		for range u.step.unplaced {
+			w, victims := s.cheapestPreemption(u, short.eligibleWorkers(s.currentPolicy(u.job).Service, now), reserved)
+			if w == nil || stops+len(victims) > maxPreemptionsPerTick {
 				break // the other tasks of the step are equal
 			}
-			reserved[w] = reserved[w].Add(u.step.claim())
+			reserved[w] = reserved[w].Add(u.step.reservation())
 			for _, t := range victims {
 				klog.InfoS("task is preempted", "task", t.id.String(), "attempt", t.attempt, "worker", w.id, "percent", t.percent, "for", u.job.ID, "priority", u.priority)
-				s.stop(t, now)
+				s.stopTask(t, now)
 				stops++
 			}
 		}
@@ -53,11 +53,11 @@
 
 // leastUrgent returns the priority of the least urgent job that runs; a higher
 // number is less urgent.
-func (s *Scheduler) leastUrgent() int {
+func (s *Scheduler) lowestRunningPriority() int {
 	least := 0
-	for _, j := range s.live {
-		if j.placed > 0 {
-			least = max(least, s.policyOf(j).Priority)
+	for _, j := range s.activeJobs {
+		if j.placedTasks > 0 {
+			least = max(least, s.currentPolicy(j).Priority)
 		}
 	}
 	return least
@@ -65,12 +65,12 @@
 
 // cheapest returns the worker on which the step gets room at the smallest loss,
 // and the tasks to stop there; none when stops that are under way make the room.
-func (s *Scheduler) cheapest(u urgency, pool []*worker, reserved map[*worker]units.Resources) (*worker, []*task) {
+func (s *Scheduler) cheapestPreemption(u pendingStep, pool []*worker, reserved map[*worker]units.Resources) (*worker, []*task) {
 	var best *worker
 	var bestVictims []*task
 	lowest := 0.0
 	for _, w := range pool {
-		if !w.accepts(u.step) {
+		if !w.satisfies(u.step) {
 			continue
 		}
 		victims, loss, ok := s.victims(w, u, reserved[w])
@@ -83,41 +83,41 @@
 
 // victims returns the less urgent tasks to stop on w so that a task of the step
 // fits beside what is reserved, those of the smallest loss first, and their loss.
-func (s *Scheduler) victims(w *worker, u urgency, reserved units.Resources) (stops []*task, loss float64, ok bool) {
+func (s *Scheduler) victims(w *worker, u pendingStep, reserved units.Resources) (stops []*task, loss float64, ok bool) {
 	free := w.capacity.Sub(w.used).Sub(reserved)
 	var running []*task
 	for _, t := range w.tasks {
 		switch {
-		case t.stopSent != 0:
-			free = free.Add(t.step.claim())
+		case t.stopOrderedAt != 0:
+			free = free.Add(t.step.reservation())
 		case s.preemptible(t, u.priority):
 			running = append(running, t)
 		}
 	}
 	slices.SortFunc(running, func(a, b *task) int {
-		return cmp.Or(cmp.Compare(a.loss(), b.loss()), cmp.Compare(a.id.String(), b.id.String()))
+		return cmp.Or(cmp.Compare(a.preemptionLoss(), b.preemptionLoss()), cmp.Compare(a.id.String(), b.id.String()))
 	})
 	for _, t := range running {
-		if u.step.claim().Fits(free) {
+		if u.step.reservation().Fits(free) {
 			break
 		}
-		free = free.Add(t.step.claim())
+		free = free.Add(t.step.reservation())
 		stops = append(stops, t)
 	}
-	if !u.step.claim().Fits(free) {
+	if !u.step.reservation().Fits(free) {
 		return nil, 0, false
 	}
 	// What holds none of the resource that is short is stopped for nothing.
 	stops = slices.DeleteFunc(stops, func(t *task) bool {
-		without := free.Sub(t.step.claim())
-		if !u.step.claim().Fits(without) {
+		without := free.Sub(t.step.reservation())
+		if !u.step.reservation().Fits(without) {
 			return false
 		}
 		free = without
 		return true
 	})
 	for _, t := range stops {
-		loss += t.loss()
+		loss += t.preemptionLoss()
 	}
 	return stops, loss, true
 }
@@ -125,13 +125,13 @@
 // preemptible reports whether a task may be stopped for work of the priority.
 // Tasks that last have users of their own, and a gang would lose all its members.
 func (s *Scheduler) preemptible(t *task, priority int) bool {
-	return t.confirmed && !t.done && !t.step.LongRunning && !t.step.Gang && t.percent < nearEnd && s.policyOf(t.job).Priority > priority
+	return t.confirmed && !t.done && !t.step.LongRunning && !t.step.Gang && t.percent < nearCompletion && s.currentPolicy(t.job).Priority > priority
 }
 
 // loss returns the core-seconds that a stop of the task throws away. A task that
 // checkpoints also saves when it is stopped.
-func (t *task) loss() float64 {
-	loss := preemptionCost * t.step.cores()
+func (t *task) preemptionLoss() float64 {
+	loss := preemptionCostSeconds * t.step.cores()
 	if !t.step.Checkpointing {
 		loss += t.step.work() * float64(t.percent) / 100
 	}
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -15,7 +15,7 @@
 // urgent work waits for a batch task to end, and is late.
 func TestUrgentWorkPreemptsBatch(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 8)
+	a := f.addWorker("a", 8)
 	f.submit("runs", batch(4, 2))
 	f.tick()
 	for _, row := range a.running {
@@ -43,7 +43,7 @@
 	if want := 2; batchLeft != want {
 		t.Errorf("batch tasks that run on: got %d, want %d", batchLeft, want)
 	}
-	for _, task := range f.s.jobs[workflow.JobID("0000000000000001")].occurrences[0].steps[0].tasks {
+	for _, task := range f.scheduler.jobs[workflow.JobID("0000000000000001")].occurrences[0].steps[0].tasks {
 		if task.worker == nil && task.checkpoint != "saved" {
 			t.Errorf("preempted task %s: got checkpoint %q, want saved", task.id, task.checkpoint)
 		}
@@ -51,18 +51,18 @@
 }
 
 // Stops take a moment. While they are under way, the same need must not stop more.
-func TestPreemptionWaitsForItsStops(t *testing.T) {
+func TestPreemptionWaitsForPendingStops(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 8)
+	f.addWorker("a", 8)
 	f.submit("runs", batch(8, 1))
 	f.tick()
 	f.report("a")
 	f.submit("quick", urgent(2))
-	f.s.Tick(f.now, true)
-	f.s.Tick(f.now, true)
+	f.scheduler.Tick(f.now, true)
+	f.scheduler.Tick(f.now, true)
 	stopped := 0
-	for _, task := range f.s.workers["a"].tasks {
-		if task.stopSent != 0 {
+	for _, task := range f.scheduler.workers["a"].tasks {
+		if task.stopOrderedAt != 0 {
 			stopped++
 		}
 	}
@@ -73,7 +73,7 @@
 
 // What must not be preempted: work of the same or a more urgent queue, watchers,
 // tasks about to end, and anything for work that would not fit all the same.
-func TestPreemptionSparesOtherWork(t *testing.T) {
+func TestPreemptionSparesProtectedTasks(t *testing.T) {
 	cases := map[string]struct {
 		queue   workflow.QueueName
 		running workflow.Step
@@ -89,7 +89,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			a := f.worker("a", 8)
+			a := f.addWorker("a", 8)
 			f.submit(test.queue, test.running)
 			f.tick()
 			for _, row := range a.running {
@@ -97,9 +97,9 @@
 			}
 			f.report("a")
 			f.submit("quick", test.need)
-			f.s.Tick(f.now, true)
-			for _, task := range f.s.workers["a"].tasks {
-				if task.stopSent != 0 {
+			f.scheduler.Tick(f.now, true)
+			for _, task := range f.scheduler.workers["a"].tasks {
+				if task.stopOrderedAt != 0 {
 					t.Errorf("%s is stopped, want it to run on", task.id)
 				}
 			}
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -35,25 +35,25 @@
 		}
 		records = append(records, durable.Record{Key: progressPrefix + string(id), Value: value})
 	}
-	if len(records) == 0 && !s.endsWaiting() {
+	if len(records) == 0 && !s.hasUnflushedEnds() {
 		return nil, 0, nil
 	}
-	s.flushed++
+	s.lastFlush++
 	for _, j := range s.dirty {
-		if j.state != j.shown {
-			j.shownBy = s.flushed
-			s.waiting = append(s.waiting, j)
+		if j.state != j.durableState {
+			j.stateFlush = s.lastFlush
+			s.unflushedStates = append(s.unflushedStates, j)
 		}
 	}
 	clear(s.dirty)
-	return records, s.flushed, nil
+	return records, s.lastFlush, nil
 }
 
 // endsWaiting reports whether ends were reported since the last flush that
 // changed nothing; they count as recorded with the next flush.
-func (s *Scheduler) endsWaiting() bool {
+func (s *Scheduler) hasUnflushedEnds() bool {
 	for _, w := range s.workers {
-		if n := len(w.ends); n > 0 && w.ends[n-1].flush > s.flushed {
+		if n := len(w.unflushedEnds); n > 0 && w.unflushedEnds[n-1].flush > s.lastFlush {
 			return true
 		}
 	}
@@ -62,8 +62,8 @@
 
 func (j *job) progress() *wire.ProgressRecord {
 	record := &wire.ProgressRecord{State: string(j.state), Completed: int32(j.completed)}
-	if !j.finished.IsZero() {
-		record.EndedUnixMs = j.finished.UnixMilli()
+	if !j.finishedAt.IsZero() {
+		record.EndedUnixMs = j.finishedAt.UnixMilli()
 		return record
 	}
 	for _, o := range j.occurrences {
@@ -87,11 +87,11 @@
 	record := &wire.StepProgress{Step: int32(st.number), Done: make([]byte, (len(st.tasks)+7)/8)}
 	begun := false
 	for i, t := range st.tasks {
-		begun = begun || t.highest > 0 || t.done
-		record.HighestAttempt = max(record.HighestAttempt, int64(t.highest))
+		begun = begun || t.highestAttempt > 0 || t.done
+		record.HighestAttempt = max(record.HighestAttempt, int64(t.highestAttempt))
 		if t.done {
 			record.Done[i/8] |= 1 << (i % 8)
-		} else if len(t.failed) > 0 || t.checkpoint != "" {
+		} else if len(t.failedAttempts) > 0 || t.checkpoint != "" {
 			record.Tasks = append(record.Tasks, t.progress())
 		}
 	}
@@ -103,7 +103,7 @@
 
 func (t *task) progress() *wire.TaskProgress {
 	record := &wire.TaskProgress{Index: int32(t.id.Index), Checkpoint: t.checkpoint}
-	for _, attempt := range t.failed {
+	for _, attempt := range t.failedAttempts {
 		record.FailedAttempts = append(record.FailedAttempts, int64(attempt))
 	}
 	return record
@@ -152,12 +152,12 @@
 		return
 	}
 	row.started = true
-	row.state, row.shown = workflow.State(p.GetState()), workflow.State(p.GetState())
+	row.state, row.durableState = workflow.State(p.GetState()), workflow.State(p.GetState())
 	row.completed = int(p.GetCompleted())
 	if row.state.Final() {
-		row.finished = time.UnixMilli(p.GetEndedUnixMs())
+		row.finishedAt = time.UnixMilli(p.GetEndedUnixMs())
 		row.occurrences = nil
-		delete(s.live, j.ID)
+		delete(s.activeJobs, j.ID)
 		return
 	}
 	kept := row.occurrences[:0]
@@ -176,7 +176,7 @@
 	}
 	kept = row.occurrences[:0]
 	for _, o := range row.occurrences {
-		if o.left > 0 {
+		if o.stepsLeft > 0 {
 			kept = append(kept, o)
 		}
 	}
@@ -190,11 +190,11 @@
 		}
 		st := o.steps[sp.GetStep()]
 		for i, t := range st.tasks {
-			t.highest = workflow.Attempt(sp.GetHighestAttempt())
+			t.highestAttempt = workflow.Attempt(sp.GetHighestAttempt())
 			if i/8 < len(sp.GetDone()) && sp.GetDone()[i/8]&(1<<(i%8)) != 0 {
 				t.done = true
-				st.left--
-				st.idle--
+				st.tasksLeft--
+				st.unplaced--
 			}
 		}
 		for _, tp := range sp.GetTasks() {
@@ -202,21 +202,21 @@
 				t := st.tasks[tp.GetIndex()]
 				t.checkpoint = tp.GetCheckpoint()
 				for _, attempt := range tp.GetFailedAttempts() {
-					t.failed = append(t.failed, workflow.Attempt(attempt))
+					t.failedAttempts = append(t.failedAttempts, workflow.Attempt(attempt))
 				}
 			}
 		}
-		if st.left == 0 {
-			o.left--
+		if st.tasksLeft == 0 {
+			o.stepsLeft--
 		}
 	}
-	o.open()
+	o.openSteps()
 }
 
 // Worker adds a worker that was known to an earlier scheduler.
 func (s *Scheduler) RecoverWorker(id units.WorkerID, now Timestamp) {
 	s.AddWorker(id, now)
-	s.workers[id].unknown = true
+	s.workers[id].mayHaveUnknownRuns = true
 }
 
 // Expired returns the records that delete the jobs which finished long enough
@@ -224,7 +224,7 @@
 func (s *Scheduler) RemoveExpired(now Timestamp) []durable.Record {
 	var records []durable.Record
 	for id, j := range s.jobs {
-		if j.shown.Final() && j.placed == 0 && now.Wall.Sub(j.finished) > s.FinishedRetention {
+		if j.durableState.Final() && j.placedTasks == 0 && now.Wall.Sub(j.finishedAt) > s.FinishedRetention {
 			delete(s.jobs, id)
 			records = append(records, durable.Record{Key: JobKey(id)}, durable.Record{Key: progressPrefix + string(id)})
 		}
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -15,21 +15,21 @@
 const (
 	// stopRepeat is after how long a stop is ordered again when the run is
 	// still listed.
-	stopRepeat = time.Second
+	stopRetryInterval = time.Second
 	// roomBackoff keeps a worker that refused for want of room from being
 	// chosen before its next report.
-	roomBackoff = 200 * time.Millisecond
+	noCapacityBackoff = 200 * time.Millisecond
 	// failureBackoff is how long a worker is avoided after a refusal or after
 	// failuresInRow failed runs; it doubles up to longestBackoff.
-	failureBackoff = time.Second
-	longestBackoff = 8 * time.Second
-	failuresInRow  = 3
+	failureBackoff   = time.Second
+	maxBackoff       = 8 * time.Second
+	failureThreshold = 3
 )
 
 // Join adds the worker of an agent that has registered in the store.
 func (s *Scheduler) AddWorker(id units.WorkerID, now Timestamp) {
 	if s.workers[id] == nil {
-		s.workers[id] = &worker{id: id, leaseBound: now.Boot.Add(s.MaxLeaseDuration), tasks: make(map[workflow.TaskID]*task)}
+		s.workers[id] = &worker{id: id, latestLeaseEnd: now.Boot.Add(s.MaxLeaseDuration), tasks: make(map[workflow.TaskID]*task)}
 	}
 }
 
@@ -38,26 +38,26 @@
 func (s *Scheduler) Attach(id units.WorkerID, now Timestamp) {
 	s.AddWorker(id, now)
 	w := s.workers[id]
-	w.attached, w.listed, w.silent, w.empty = true, false, false, false
-	w.sequence = 0
-	w.dropOrders()
+	w.attached, w.synced, w.unresponsive, w.runsEnded = true, false, false, false
+	w.lastReport = 0
+	w.discardOrders()
 	for _, t := range w.tasks {
-		t.ordered, t.visibleAfter, t.stopSent = false, 0, 0
+		t.startPending, t.startSequence, t.stopOrderedAt = false, 0, 0
 	}
 }
 
 // Detach ends a session.
 func (s *Scheduler) Detach(id units.WorkerID) {
 	if w := s.workers[id]; w != nil {
-		w.attached, w.listed = false, false
-		w.dropOrders()
+		w.attached, w.synced = false, false
+		w.discardOrders()
 	}
 }
 
 // dropOrders forgets orders that were not sent.
-func (w *worker) dropOrders() {
+func (w *worker) discardOrders() {
 	starts := w.orders.starts
-	w.orders = pending{}
+	w.orders = pendingOrders{}
 	for _, t := range starts {
 		t.release()
 	}
@@ -67,7 +67,7 @@
 // of one grant. An agent that knows no runner can't extend any lease.
 func (s *Scheduler) ExtendLease(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	if w := s.workers[id]; w != nil && r.GetRunner() != nil {
-		w.leaseBound = now.Boot.Add(s.MaxLeaseDuration)
+		w.latestLeaseEnd = now.Boot.Add(s.MaxLeaseDuration)
 	}
 }
 
@@ -79,8 +79,8 @@
 		return
 	}
 	for _, task := range tasks {
-		if t := w.tasks[task]; t != nil && t.ordered {
-			t.ordered, t.visibleAfter = false, sequence
+		if t := w.tasks[task]; t != nil && t.startPending {
+			t.startPending, t.startSequence = false, sequence
 		}
 	}
 }
@@ -88,31 +88,31 @@
 // Report takes over what an agent knows of its runner.
 func (s *Scheduler) ApplyReport(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	w := s.workers[id]
-	if w == nil || r.GetSequence() <= w.sequence {
+	if w == nil || r.GetSequence() <= w.lastReport {
 		return
 	}
-	w.sequence = r.GetSequence()
+	w.lastReport = r.GetSequence()
 	for _, rejection := range r.GetRejected() {
-		s.rejected(w, rejection, now)
+		s.applyRejection(w, rejection, now)
 	}
 	if r.GetRunner() == nil {
-		w.listed, w.silent = false, false
+		w.synced, w.unresponsive = false, false
 		return
 	}
 	s.setRunner(w, r.GetRunner(), now)
-	if w.silent {
-		w.listed = false
-		if w.empty {
-			s.loseTasks(w, now, func(*task) bool { return true })
+	if w.unresponsive {
+		w.synced = false
+		if w.runsEnded {
+			s.releaseTasks(w, now, func(*task) bool { return true })
 		}
 		return
 	}
-	w.listed = true
-	s.ends(w, r.GetEnded(), now)
-	listed := s.rows(w, r.GetRunning(), now)
-	s.learn(w, now)
-	s.loseTasks(w, now, func(t *task) bool {
-		return !listed[t.id] && !t.ordered && t.visibleAfter < r.GetSequence()
+	w.synced = true
+	s.applyEnds(w, r.GetEnded(), now)
+	listed := s.applyRuns(w, r.GetRunning(), now)
+	s.learnUsage(w, now)
+	s.releaseTasks(w, now, func(t *task) bool {
+		return !listed[t.id] && !t.startPending && t.startSequence < r.GetSequence()
 	})
 }
 
@@ -127,34 +127,34 @@
 		Capacity: units.Resources{Processors: units.Millicores(in.GetMillicores()), Memory: units.Bytes(in.GetMemoryBytes()), Accelerators: in.GetAccelerators()},
 		Draining: in.GetDraining(), Remaining: time.Duration(in.GetRemainingMs()) * time.Millisecond,
 	}
-	if w.info.Incarnation != info.Incarnation {
-		if w.info.ID != "" {
-			klog.InfoS("runner replaced", "worker", w.id, "old", w.info.ID, "new", info.ID, "born", info.Born, "tasks", len(w.tasks))
-			if w.info.ID != info.ID {
-				s.loseTasks(w, now, func(t *task) bool { return true })
+	if w.runner.Incarnation != info.Incarnation {
+		if w.runner.ID != "" {
+			klog.InfoS("runner replaced", "worker", w.id, "old", w.runner.ID, "new", info.ID, "born", info.Born, "tasks", len(w.tasks))
+			if w.runner.ID != info.ID {
+				s.releaseTasks(w, now, func(t *task) bool { return true })
 			}
 		}
-		w.recordedEnd, w.ends, w.streak, w.avoidUntil, w.speed = 0, nil, 0, 0, speed{}
+		w.durableEnd, w.unflushedEnds, w.failureStreak, w.retryAt, w.speed = 0, nil, 0, 0, speed{}
 	}
-	w.info, w.capacity = info, info.Capacity
+	w.runner, w.capacity = info, info.Capacity
 	if n := len(info.Labels); n > 1 {
 		w.rack = info.Labels[n-1]
 	}
-	w.silent, w.empty = in.GetSilent(), in.GetEmpty()
+	w.unresponsive, w.runsEnded = in.GetSilent(), in.GetEmpty()
 }
 
 // loseTasks releases the tasks that no longer run on w.
-func (s *Scheduler) loseTasks(w *worker, now Timestamp, lost func(*task) bool) {
+func (s *Scheduler) releaseTasks(w *worker, now Timestamp, lost func(*task) bool) {
 	for _, t := range w.tasks {
 		if lost(t) {
 			klog.InfoS("run is lost", "task", t.id.String(), "attempt", t.attempt, "worker", w.id)
 			t.release()
-			s.breakGang(t, now)
+			s.stopGang(t, now)
 		}
 	}
 }
 
-func (s *Scheduler) rejected(w *worker, in *wire.RejectedStart, now Timestamp) {
+func (s *Scheduler) applyRejection(w *worker, in *wire.RejectedStart, now Timestamp) {
 	id, err := workflow.ParseTaskID(in.GetTask())
 	if err != nil {
 		klog.ErrorS(err, "rejection is skipped", "worker", w.id)
@@ -166,32 +166,32 @@
 	}
 	klog.InfoS("start was refused", "task", in.GetTask(), "attempt", t.attempt, "worker", w.id, "reason", in.GetReason())
 	t.release()
-	s.breakGang(t, now)
+	s.stopGang(t, now)
 	switch runner.Kind(in.GetReason()) {
 	case runner.NoRoom:
-		w.avoid(now, roomBackoff)
+		w.avoid(now, noCapacityBackoff)
 	case runner.Superseded, runner.Reborn, runner.Late, runner.NoTicket:
 	default:
-		w.failed(now)
+		w.recordFailure(now)
 	}
 }
 
 func (w *worker) avoid(now Timestamp, d time.Duration) {
-	w.avoidUntil = max(w.avoidUntil, now.Boot.Add(d))
+	w.retryAt = max(w.retryAt, now.Boot.Add(d))
 }
 
 // failed counts a failure; each failure beyond failuresInRow doubles the time
 // for which the worker is avoided.
-func (w *worker) failed(now Timestamp) {
-	w.streak++
-	if w.streak >= failuresInRow {
-		w.avoid(now, min(failureBackoff<<min(w.streak-failuresInRow, 4), longestBackoff))
+func (w *worker) recordFailure(now Timestamp) {
+	w.failureStreak++
+	if w.failureStreak >= failureThreshold {
+		w.avoid(now, min(failureBackoff<<min(w.failureStreak-failureThreshold, 4), maxBackoff))
 	}
 }
 
 // ends takes note of runs that have ended.
-func (s *Scheduler) ends(w *worker, rows []*wire.EndRow, now Timestamp) {
-	last := w.recordedEnd
+func (s *Scheduler) applyEnds(w *worker, rows []*wire.EndRow, now Timestamp) {
+	last := w.durableEnd
 	for _, row := range rows {
 		last = max(last, row.GetNumber())
 		id, err := workflow.ParseTaskID(row.GetTask())
@@ -200,18 +200,18 @@
 			continue
 		}
 		if t := s.task(id); t != nil {
-			s.end(w, t, row, now)
+			s.applyEnd(w, t, row, now)
 		}
 	}
-	if n := len(w.ends); last > w.recordedEnd && (n == 0 || w.ends[n-1].number < last) {
-		w.ends = append(w.ends, recordedEnds{flush: s.flushed + 1, number: last})
+	if n := len(w.unflushedEnds); last > w.durableEnd && (n == 0 || w.unflushedEnds[n-1].number < last) {
+		w.unflushedEnds = append(w.unflushedEnds, reportedEnds{flush: s.lastFlush + 1, number: last})
 	}
 }
 
-func (s *Scheduler) end(w *worker, t *task, row *wire.EndRow, now Timestamp) {
+func (s *Scheduler) applyEnd(w *worker, t *task, row *wire.EndRow, now Timestamp) {
 	attempt := workflow.Attempt(row.GetAttempt())
-	t.highest = max(t.highest, attempt)
-	if row.GetCheckpoint() != "" && t.step.Checkpointing && !t.done && attempt >= t.highest {
+	t.highestAttempt = max(t.highestAttempt, attempt)
+	if row.GetCheckpoint() != "" && t.step.Checkpointing && !t.done && attempt >= t.highestAttempt {
 		t.checkpoint = row.GetCheckpoint()
 	}
 	current := t.worker == w && w.tasks[t.id] == t && t.attempt == attempt
@@ -220,14 +220,14 @@
 	}
 	switch workflow.End(row.GetEnd()) {
 	case workflow.Done:
-		w.streak = 0
+		w.failureStreak = 0
 		s.taskDone(t, now)
 		return
 	case workflow.Errored:
 		s.taskFailed(w, t, attempt, now)
 	}
 	if current {
-		s.breakGang(t, now)
+		s.stopGang(t, now)
 	}
 }
 
@@ -245,16 +245,16 @@
 			continue
 		}
 		if m.worker != nil {
-			s.stop(m, now)
+			s.stopTask(m, now)
 		}
 		if m.worker == nil {
-			m.step.idle--
+			m.step.unplaced--
 		}
 		m.done = true
-		m.step.left--
+		m.step.tasksLeft--
 	}
-	s.touch(t.job)
-	if t.step.left == 0 {
+	s.markDirty(t.job)
+	if t.step.tasksLeft == 0 {
 		s.stepDone(t.job, t.id.Occurrence, now)
 	}
 }
@@ -264,9 +264,9 @@
 		if o.number != number {
 			continue
 		}
-		o.left--
-		o.open()
-		if o.left == 0 {
+		o.stepsLeft--
+		o.openSteps()
+		if o.stepsLeft == 0 {
 			j.occurrences = append(j.occurrences[:i], j.occurrences[i+1:]...)
 			s.occurrenceDone(j, now)
 		}
@@ -275,36 +275,36 @@
 }
 
 func (s *Scheduler) occurrenceDone(j *job, now Timestamp) {
-	j.completed = j.begun
+	j.completed = j.opened
 	for _, o := range j.occurrences {
 		j.completed = min(j.completed, o.number)
 	}
 	if j.completed == j.Occurrences() {
-		s.finish(j, workflow.Completed, now)
+		s.finishJob(j, workflow.Completed, now)
 	}
 }
 
 // taskFailed counts a failed run, each once: a new leader may hear of the ends
 // of several runs in any order.
 func (s *Scheduler) taskFailed(w *worker, t *task, attempt workflow.Attempt, now Timestamp) {
-	if t.done || slices.Contains(t.failed, attempt) {
+	if t.done || slices.Contains(t.failedAttempts, attempt) {
 		return
 	}
-	w.failed(now)
+	w.recordFailure(now)
 	if t.step.LongRunning {
 		return // it runs again however often it fails
 	}
-	t.failed = append(t.failed, attempt)
-	s.touch(t.job)
-	if len(t.failed) >= max(1, s.policyOf(t.job).MaxAttempts) && !t.job.state.Final() {
-		klog.InfoS("job failed", "job", t.job.ID, "task", t.id.String(), "failures", len(t.failed))
-		s.finish(t.job, workflow.Failed, now)
+	t.failedAttempts = append(t.failedAttempts, attempt)
+	s.markDirty(t.job)
+	if len(t.failedAttempts) >= max(1, s.currentPolicy(t.job).MaxAttempts) && !t.job.state.Final() {
+		klog.InfoS("job failed", "job", t.job.ID, "task", t.id.String(), "failures", len(t.failedAttempts))
+		s.finishJob(t.job, workflow.Failed, now)
 	}
 }
 
 // rows compares what runs with the tables and returns the tasks that are as
 // the tables say.
-func (s *Scheduler) rows(w *worker, rows []*wire.RunRow, now Timestamp) map[workflow.TaskID]bool {
+func (s *Scheduler) applyRuns(w *worker, rows []*wire.RunRow, now Timestamp) map[workflow.TaskID]bool {
 	listed := make(map[workflow.TaskID]bool, len(rows))
 	for _, row := range rows {
 		id, err := workflow.ParseTaskID(row.GetTask())
@@ -315,7 +315,7 @@
 		attempt := workflow.Attempt(row.GetAttempt())
 		t := s.task(id)
 		if t == nil || !s.adopt(w, t, attempt) {
-			s.stopRun(w, id, attempt)
+			s.orderStop(w, id, attempt)
 			continue
 		}
 		listed[id] = true
@@ -323,7 +323,7 @@
 			t.paceSince = now.Boot
 		}
 		if !row.GetStarting() {
-			s.measure(w, t, int(row.GetPercent()), int(row.GetPace()), now)
+			s.updateSpeed(w, t, int(row.GetPercent()), int(row.GetPace()), now)
 		}
 		t.confirmed = t.confirmed || !row.GetStarting()
 		t.percent, t.load, t.pace = int(row.GetPercent()), row.GetLoad(), int(row.GetPace())
@@ -333,8 +333,8 @@
 		if row.GetCheckpoint() != "" && t.step.Checkpointing {
 			t.checkpoint = row.GetCheckpoint()
 		}
-		if (t.stopSent != 0 || t.done || t.job.state.Final()) && now.Boot.Sub(t.stopSent) > stopRepeat {
-			s.stop(t, now)
+		if (t.stopOrderedAt != 0 || t.done || t.job.state.Final()) && now.Boot.Sub(t.stopOrderedAt) > stopRetryInterval {
+			s.stopTask(t, now)
 		}
 	}
 	return listed
@@ -370,15 +370,15 @@
 
 // Committed takes note that everything up to a flush is durable.
 func (s *Scheduler) CommitFlush(flush uint64) {
-	for len(s.waiting) > 0 && s.waiting[0].shownBy <= flush {
-		s.waiting[0].shown = s.waiting[0].state
-		s.waiting = s.waiting[1:]
+	for len(s.unflushedStates) > 0 && s.unflushedStates[0].stateFlush <= flush {
+		s.unflushedStates[0].durableState = s.unflushedStates[0].state
+		s.unflushedStates = s.unflushedStates[1:]
 	}
 	for _, w := range s.workers {
-		for len(w.ends) > 0 && w.ends[0].flush <= flush {
-			w.recordedEnd = w.ends[0].number
-			w.ends = w.ends[1:]
-			w.orders.record = true
+		for len(w.unflushedEnds) > 0 && w.unflushedEnds[0].flush <= flush {
+			w.durableEnd = w.unflushedEnds[0].number
+			w.unflushedEnds = w.unflushedEnds[1:]
+			w.orders.durableEndRose = true
 		}
 	}
 }
@@ -387,7 +387,7 @@
 // are durable.
 func (s *Scheduler) DurableEnds(id units.WorkerID) (born int64, number uint64) {
 	if w := s.workers[id]; w != nil {
-		return w.info.Born, w.recordedEnd
+		return w.runner.Born, w.durableEnd
 	}
 	return 0, 0
 }
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -9,24 +9,24 @@
 )
 
 // A step must not start before all tasks of the steps before it are done.
-func TestStepsKeepTheirOrder(t *testing.T) {
+func TestStepsRunInDependencyOrder(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 8)
+	a := f.addWorker("a", 8)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)}, workflow.Step{Count: 1, Size: cores(1), After: []int{0}})
 	if got := f.tick(); len(got) != 2 {
 		t.Fatalf("got starts %v, want the two tasks of the first step", got)
 	}
-	a.end(firstRun(a), workflow.Done)
+	a.end(anyRun(a), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 0 {
 		t.Fatalf("got starts %v while a task of the first step runs, want none", got)
 	}
-	a.end(firstRun(a), workflow.Done)
+	a.end(anyRun(a), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 1 {
 		t.Errorf("got starts %v, want the second step", got)
 	}
-	a.end(firstRun(a), workflow.Done)
+	a.end(anyRun(a), workflow.Done)
 	f.report("a")
 	f.tick()
 	f.wantState(id, workflow.Completed)
@@ -36,17 +36,17 @@
 // runner without the label, beyond the room or beyond the limit per worker.
 func TestPlacementKeepsConstraints(t *testing.T) {
 	f := newFixture(t)
-	f.worker("out", 8).runner.Domain = "south"
-	f.worker("draining", 8).runner.Draining = true
-	f.worker("unlabelled", 8).runner.Labels = []string{"b", "r1"}
-	f.worker("small", 1)
-	f.worker("good", 8)
+	f.addWorker("out", 8).runner.Domain = "south"
+	f.addWorker("draining", 8).runner.Draining = true
+	f.addWorker("unlabelled", 8).runner.Labels = []string{"b", "r1"}
+	f.addWorker("small", 1)
+	f.addWorker("good", 8)
 	for id := range f.agents {
 		f.report(id)
 	}
-	state := f.s.state
+	state := f.scheduler.operatorState
 	state.Out = map[units.DomainName]bool{"south": true}
-	f.s.SetOperatorState(state)
+	f.scheduler.SetOperatorState(state)
 	f.submit("quick", workflow.Step{Count: 5, Size: cores(2), RequiredLabel: "a", AntiAffinity: 3})
 	got := f.tick()
 	for task, worker := range got {
@@ -60,17 +60,17 @@
 }
 
 // Occurrences begin at their due times and not before; they may overlap.
-func TestOccurrencesAreDue(t *testing.T) {
+func TestOccurrencesStartWhenDue(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 8)
+	f.addWorker("a", 8)
 	job := &workflow.Job{ID: "00000000000000aa", Queue: "quick", Steps: []workflow.Step{{Count: 1, Size: cores(1)}}, Submitted: f.now.Wall,
 		Repetitions: 3, FirstDue: f.now.Wall.Add(time.Second), Interval: 2 * time.Second}
-	f.s.Accept(job, f.s.state.Configuration.Queue("quick").Policy, f.now)
+	f.scheduler.Accept(job, f.scheduler.operatorState.Configuration.Queue("quick").Policy, f.now)
 	for _, step := range []struct {
 		after time.Duration
 		want  int
 	}{{0, 0}, {900 * time.Millisecond, 0}, {100 * time.Millisecond, 1}, {time.Second, 0}, {time.Second, 1}, {2 * time.Second, 1}, {2 * time.Second, 0}} {
-		f.pass(step.after)
+		f.advance(step.after)
 		if got := f.tick(); len(got) != step.want {
 			t.Errorf("after another %v: got starts %v, want %d", step.after, got, step.want)
 		}
@@ -79,25 +79,25 @@
 
 // A step whose queue needs advice starts only with a ticket that is valid, on
 // a runner that has one.
-func TestAdviceIsNeeded(t *testing.T) {
+func TestStepWaitsForTicket(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 8)
-	f.worker("b", 8)
-	route := f.s.state.Configuration.Queue("quick")
+	f.addWorker("a", 8)
+	f.addWorker("b", 8)
+	route := f.scheduler.operatorState.Configuration.Queue("quick")
 	route.Policy.Advice = &workflow.Advice{TicketValidity: 3 * time.Second}
-	f.s.SetOperatorState(f.s.state)
+	f.scheduler.SetOperatorState(f.scheduler.operatorState)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	if got := f.tick(); len(got) != 0 {
 		t.Fatalf("got starts %v without advice, want none", got)
 	}
-	questions := f.s.AdviceRequests(f.now)
+	questions := f.scheduler.AdviceRequests(f.now)
 	if len(questions) != 1 || len(questions[0].RunnerIDs) != 2 {
 		t.Fatalf("got questions %+v, want one about two runners", questions)
 	}
-	if again := f.s.AdviceRequests(f.now); len(again) != 0 {
+	if again := f.scheduler.AdviceRequests(f.now); len(again) != 0 {
 		t.Errorf("got %d questions while one is open, want none", len(again))
 	}
-	f.s.SetAdvice(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
+	f.scheduler.SetAdvice(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
 	for task, worker := range f.tick() {
 		if worker != "b" {
 			t.Errorf("%s started on %s, want b", task, worker)
@@ -110,7 +110,7 @@
 // its checkpoints, and a finished job keeps its state.
 func TestTakeoverKeepsProgress(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 8)
+	a := f.addWorker("a", 8)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1), Checkpointing: true})
 	finished := f.submit("quick", workflow.Step{Count: 1, Size: cores(1)})
 	f.tick()
@@ -120,14 +120,14 @@
 	a.end(string(id)+".0.0.1", workflow.Errored)
 	f.report("a")
 	f.tick()
-	f.takeOver()
+	f.startNewLeader()
 	f.wantState(finished, workflow.Completed)
 	f.wantState(id, workflow.Running)
-	task := f.s.task(workflow.TaskID{Job: id, Index: 1})
-	if task.checkpoint != "saved" || len(task.failed) != 1 {
-		t.Errorf("got checkpoint %q and %d failures, want saved and 1", task.checkpoint, len(task.failed))
+	task := f.scheduler.task(workflow.TaskID{Job: id, Index: 1})
+	if task.checkpoint != "saved" || len(task.failedAttempts) != 1 {
+		t.Errorf("got checkpoint %q and %d failures, want saved and 1", task.checkpoint, len(task.failedAttempts))
 	}
-	if !f.s.task(workflow.TaskID{Job: id}).done {
+	if !f.scheduler.task(workflow.TaskID{Job: id}).done {
 		t.Error("the done task is not done after the takeover")
 	}
 }
--- a/internal/scheduler/shortage.go
+++ b/internal/scheduler/shortage.go
@@ -7,35 +7,35 @@
 // answers the load of more work than the workers hold, where nearly every search
 // fails. While a tick places tasks, room only shrinks, so what found none finds
 // none later in the same tick.
-type shortage struct {
-	scheduler *Scheduler
-	pools     map[units.ServiceName][]*worker
-	without   map[demand][]units.Resources // sizes that found no worker
+type searchCache struct {
+	scheduler   *Scheduler
+	workers     map[units.ServiceName][]*worker
+	failedSizes map[searchKey][]units.Resources // sizes that found no worker
 }
 
 // demand is what decides, beside the size, which workers may take a task.
-type demand struct {
+type searchKey struct {
 	service     units.ServiceName
 	image       string // of tasks that fill
 	requirement string
 }
 
-func (s *Scheduler) newShortage() *shortage {
-	return &shortage{scheduler: s, pools: make(map[units.ServiceName][]*worker), without: make(map[demand][]units.Resources)}
+func (s *Scheduler) newSearchCache() *searchCache {
+	return &searchCache{scheduler: s, workers: make(map[units.ServiceName][]*worker), failedSizes: make(map[searchKey][]units.Resources)}
 }
 
 // pool returns the workers of a service that may get new tasks.
-func (x *shortage) pool(service units.ServiceName, now Timestamp) []*worker {
-	pool, ok := x.pools[service]
+func (x *searchCache) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
+	pool, ok := x.workers[service]
 	if !ok {
-		pool = x.scheduler.pool(service, now)
-		x.pools[service] = pool
+		pool = x.scheduler.eligibleWorkers(service, now)
+		x.workers[service] = pool
 	}
 	return pool
 }
 
-func (x *shortage) demand(st *step) demand {
-	d := demand{service: x.scheduler.policyOf(st.tasks[0].job).Service, requirement: st.RequiredLabel}
+func (x *searchCache) key(st *step) searchKey {
+	d := searchKey{service: x.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
 	if st.BestEffort {
 		d.image = "fills " + st.Image
 	}
@@ -44,7 +44,7 @@
 
 // add takes note that no worker has room for a task of the step. A step whose
 // tasks keep apart, or stay away from a worker, says nothing about others.
-func (x *shortage) add(st *step) {
+func (x *searchCache) addFailure(st *step) {
 	if st.AntiAffinity > 0 || st.Gang {
 		return
 	}
@@ -53,13 +53,13 @@
 			return
 		}
 	}
-	d := x.demand(st)
-	x.without[d] = append(x.without[d], st.Size)
+	d := x.key(st)
+	x.failedSizes[d] = append(x.failedSizes[d], st.Size)
 }
 
 // covers reports whether a task that asks for no more found no worker.
-func (x *shortage) covers(st *step) bool {
-	for _, size := range x.without[x.demand(st)] {
+func (x *searchCache) hasFailure(st *step) bool {
+	for _, size := range x.failedSizes[x.key(st)] {
 		if size.Fits(st.Size) {
 			return true
 		}
--- a/internal/scheduler/speed_test.go
+++ b/internal/scheduler/speed_test.go
@@ -15,8 +15,8 @@
 
 // progressed reports from every worker that its tasks have run for a while, at the
 // speed given by worker; 1 is what their estimates say.
-func (f *fixture) progressed(d time.Duration, speeds map[string]float64) {
-	f.pass(d)
+func (f *fixture) reportProgress(d time.Duration, speeds map[string]float64) {
+	f.advance(d)
 	for id, a := range f.agents {
 		for _, row := range a.running {
 			row.Percent = min(row.Percent+int32(100*speeds[string(id)]*d.Seconds()), 99)
@@ -29,22 +29,22 @@
 // empty workers.
 func slowFixture(t *testing.T, jobs int) (*fixture, []workflow.JobID) {
 	f := newFixture(t)
-	f.worker("a", 16)
+	f.addWorker("a", 16)
 	var ids []workflow.JobID
 	for range jobs {
 		ids = append(ids, f.submit("quick", urgent(2)))
 	}
 	f.tick()
 	f.report("a")
-	f.worker("b", 16)
-	f.worker("c", 16)
+	f.addWorker("b", 16)
+	f.addWorker("c", 16)
 	return f, ids
 }
 
 // wantAvoided checks that the worker may not get new tasks.
 func (f *fixture) wantAvoided(id units.WorkerID) {
 	f.Helper()
-	for _, w := range f.s.pool("desk", f.now) {
+	for _, w := range f.scheduler.eligibleWorkers("desk", f.now) {
 		if w.id == id {
 			f.Errorf("worker %s may get new tasks, want it avoided", id)
 		}
@@ -54,10 +54,10 @@
 // A worker that turns slow keeps the most free room and is healthy by its own
 // account. New urgent work must go elsewhere as soon as several jobs progress far
 // too slowly there, and what runs there must move when it ends earlier elsewhere.
-func TestSlowWorkerIsLeft(t *testing.T) {
+func TestTasksMoveOffSlowWorker(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
-		f.progressed(300*time.Millisecond, map[string]float64{"a": 0.1})
+		f.reportProgress(300*time.Millisecond, map[string]float64{"a": 0.1})
 	}
 	f.wantAvoided("a")
 	moved := 0
@@ -68,7 +68,7 @@
 			}
 		}
 		f.report("a")
-		f.pass(relocateEvery)
+		f.advance(relocationInterval)
 	}
 	if want := 4; moved != want {
 		t.Errorf("tasks that moved off the slow worker: got %d, want %d", moved, want)
@@ -76,39 +76,39 @@
 }
 
 // Tasks that stand still are the slowest: they must be left as well.
-func TestWorkerWithTasksThatStandStillIsLeft(t *testing.T) {
+func TestWorkerWithStalledTasksIsAvoided(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
-		f.progressed(300*time.Millisecond, nil)
+		f.reportProgress(300*time.Millisecond, nil)
 	}
 	f.wantAvoided("a")
 }
 
 // One job whose estimate is far too low looks slow wherever it runs. The worker
 // must not be blamed for it, or estimates alone would empty workers.
-func TestEstimateOfOneJobBlamesNoWorker(t *testing.T) {
+func TestLowEstimateOfOneJobMarksNoWorkerSlow(t *testing.T) {
 	f, _ := slowFixture(t, 1)
 	for range 4 {
-		f.progressed(300*time.Millisecond, map[string]float64{"a": 0.1})
+		f.reportProgress(300*time.Millisecond, map[string]float64{"a": 0.1})
 	}
-	if w := f.s.workers["a"]; w.speed.slow(f.now) || f.now.Boot.Before(w.avoidUntil) {
+	if w := f.scheduler.workers["a"]; w.speed.slow(f.now) || f.now.Boot.Before(w.retryAt) {
 		t.Errorf("after readings of one job: got speed %+v, want not slow", w.speed)
 	}
 }
 
 // When the estimates of all jobs of a queue are too low, all workers look slow and
 // none is: the scheduler must learn what is usual instead of moving tasks around.
-func TestUsualSpeedIsLearned(t *testing.T) {
+func TestQueueSpeedIsLearned(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 16)
-	f.worker("b", 16)
+	f.addWorker("a", 16)
+	f.addWorker("b", 16)
 	speeds := map[string]float64{"a": 0.3, "b": 0.3}
 	for range 30 {
 		f.submit("quick", urgent(2))
 		f.submit("quick", urgent(2))
 		f.tick()
 		for range 4 {
-			f.progressed(300*time.Millisecond, speeds)
+			f.reportProgress(300*time.Millisecond, speeds)
 		}
 		for id, a := range f.agents {
 			for task := range a.running {
@@ -118,7 +118,7 @@
 			f.tick()
 		}
 	}
-	for id, w := range f.s.workers {
+	for id, w := range f.scheduler.workers {
 		if w.speed.slow(f.now) {
 			t.Errorf("worker %s at the usual speed: got slow (%+v), want not", id, w.speed)
 		}
@@ -126,44 +126,44 @@
 }
 
 // A slow worker is tried again: it must get work once it is as fast as the others.
-func TestSlowWorkerReturns(t *testing.T) {
+func TestSlowWorkerIsRetried(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
-		f.progressed(300*time.Millisecond, map[string]float64{"a": 0.1})
+		f.reportProgress(300*time.Millisecond, map[string]float64{"a": 0.1})
 	}
 	f.wantAvoided("a")
 	f.agents["a"].running = make(map[string]*wire.RunRow)
-	f.pass(longestBackoff)
+	f.advance(maxBackoff)
 	f.report("a")
-	if got := len(f.s.pool("desk", f.now)); got != 3 {
+	if got := len(f.scheduler.eligibleWorkers("desk", f.now)); got != 3 {
 		t.Errorf("workers in the pool after the pause: got %d, want 3", got)
 	}
 }
 
 // Serving tasks on a slow worker are slow whatever fills beside them. The images
 // that do must not be blamed for it on all other workers.
-func TestSlowWorkerTeachesNoHarm(t *testing.T) {
+func TestSlowWorkerDoesNotTrainInterferenceModel(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	a := f.agents["a"]
 	a.runner.Labels = append(a.runner.Labels, "here")
 	f.report("a")
-	for queue, step := range map[workflow.QueueName]workflow.Step{"quick": serving("web", 1), "runs": filling("press", 1)} {
+	for queue, step := range map[workflow.QueueName]workflow.Step{"quick": latencyCritical("web", 1), "runs": bestEffort("press", 1)} {
 		step.RequiredLabel = "here"
 		f.submit(queue, step)
 	}
 	f.tick()
 	for range 8 {
 		for name, row := range a.running {
-			switch step := f.s.task(mustParse(t, name)).step; {
+			switch step := f.scheduler.task(mustParse(t, name)).step; {
 			case step.LongRunning:
 				row.Load = 60 // of 18
 			case step.BestEffort:
 				row.Load = 4000
 			}
 		}
-		f.progressed(600*time.Millisecond, map[string]float64{"a": 0.05})
+		f.reportProgress(600*time.Millisecond, map[string]float64{"a": 0.05})
 	}
-	if got := f.s.model.PerCore("web", "press"); got > 0.1 {
+	if got := f.scheduler.model.PerCore("web", "press"); got > 0.1 {
 		t.Errorf("loss by the image beside the slow serving task: got %.2f per core, want about 0", got)
 	}
 }
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -12,7 +12,7 @@
 // task's only run after a takeover. Starting the task again would run it twice.
 func TestTakeoverAdoptsRunOfLowerAttempt(t *testing.T) {
 	f := newFixture(t)
-	a, b := f.worker("a", 2), f.worker("b", 2)
+	a, b := f.addWorker("a", 2), f.addWorker("b", 2)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1), LongRunning: true, AntiAffinity: 1})
 	if got := len(f.tick()); got != 2 {
 		t.Fatalf("got %d starts, want 2", got)
@@ -29,9 +29,9 @@
 	if got := f.tick(); len(got) != 1 {
 		t.Fatalf("got starts %v, want one", got)
 	}
-	f.takeOver()
+	f.startNewLeader()
 	for id := range f.agents {
-		f.s.Attach(id, f.now)
+		f.scheduler.Attach(id, f.now)
 		f.agents[id].sequence = 0
 		f.report(id)
 	}
@@ -45,30 +45,30 @@
 
 // Until every agent that an earlier leader knew has reported, or its leases
 // have ended, a task without a known run may be running there.
-func TestTakeoverWaitsForSilentAgent(t *testing.T) {
+func TestTakeoverWaitsForDisconnectedAgent(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 1)
-	f.worker("b", 1)
+	f.addWorker("a", 1)
+	f.addWorker("b", 1)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	if got := len(f.tick()); got != 2 {
 		t.Fatalf("got %d starts, want 2", got)
 	}
-	f.takeOver()
-	f.s.Attach("a", f.now)
+	f.startNewLeader()
+	f.scheduler.Attach("a", f.now)
 	f.agents["a"].sequence = 0
 	f.report("a")
-	f.agents["a"].end(firstRun(f.agents["a"]), workflow.Done)
+	f.agents["a"].end(anyRun(f.agents["a"]), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 0 {
 		t.Errorf("got starts %v, want none before the silent agent's leases have ended", got)
 	}
-	f.pass(testGrantBound + 1)
+	f.advance(testMaxLeaseDuration + 1)
 	if got := f.tick(); len(got) != 1 {
 		t.Errorf("got starts %v, want the task of the silent agent", got)
 	}
 }
 
-func firstRun(a *agent) string {
+func anyRun(a *fakeAgent) string {
 	for task := range a.running {
 		return task
 	}
@@ -79,13 +79,13 @@
 // hold back every recovered job for ever.
 func TestTakeoverDoesNotWaitForMissingRunner(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 1)
-	f.worker("b", 1)
+	f.addWorker("a", 1)
+	f.addWorker("b", 1)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	f.tick()
-	f.takeOver()
+	f.startNewLeader()
 	for _, id := range []units.WorkerID{"a", "b"} {
-		f.s.Attach(id, f.now)
+		f.scheduler.Attach(id, f.now)
 		f.agents[id].sequence = 0
 	}
 	lost := f.agents["b"]
@@ -94,10 +94,10 @@
 	for range 8 {
 		f.report("a")
 		f.report("b")
-		f.pass(testGrantBound / 8)
+		f.advance(testMaxLeaseDuration / 8)
 	}
-	f.pass(testGrantBound / 8)
-	f.agents["a"].end(firstRun(f.agents["a"]), workflow.Done)
+	f.advance(testMaxLeaseDuration / 8)
+	f.agents["a"].end(anyRun(f.agents["a"]), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 1 {
 		t.Errorf("got starts %v, want the task of the missing runner", got)
@@ -106,14 +106,14 @@
 
 // A task that is lost before its start was sent must leave the orders: the
 // process ended when they were taken.
-func TestLostBeforeItsStartWasSent(t *testing.T) {
+func TestLostTaskLeavesPendingOrders(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 4)
+	a := f.addWorker("a", 4)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
-	f.s.Tick(f.now, true)
+	f.scheduler.Tick(f.now, true)
 	a.runner = &wire.RunnerState{Id: "other", BornUnixMs: 2, Service: "desk", Domain: "north", Millicores: 4000, MemoryBytes: 64 << 30}
 	f.report("a")
-	for _, orders := range f.s.TakeOrders() {
+	for _, orders := range f.scheduler.TakeOrders() {
 		if len(orders.Starts) != 0 {
 			t.Errorf("got starts %v for a runner that was replaced, want none", orders.Starts)
 		}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -33,46 +33,46 @@
 // have ended, workers that leave, then placement, preemption and moves. mayStart is false while the
 // operators' state is not known to be current, so that nothing starts.
 func (s *Scheduler) Tick(now Timestamp, mayStart bool) {
-	for _, j := range s.live {
-		if j.begun < j.Occurrences() {
-			s.begin(j, now)
+	for _, j := range s.activeJobs {
+		if j.opened < j.Occurrences() {
+			s.openDueOccurrences(j, now)
 		}
 	}
 	for _, w := range s.workers {
-		s.expire(w, now)
-		if w.info.Draining {
-			s.leave(w, now)
+		s.releaseExpired(w, now)
+		if w.runner.Draining {
+			s.drainWorker(w, now)
 		}
 	}
 	if mayStart {
-		short := s.newShortage()
-		waiting := s.place(now, short)
+		short := s.newSearchCache()
+		waiting := s.placePending(now, short)
 		s.preempt(waiting, now, short)
 		s.relocate(now, short)
 	}
 }
 
 // expire releases what a worker without a session can't run any more.
-func (s *Scheduler) expire(w *worker, now Timestamp) {
-	if !w.settled(now) {
+func (s *Scheduler) releaseExpired(w *worker, now Timestamp) {
+	if !w.runsKnown(now) {
 		return
 	}
-	if w.unknown {
-		w.unknown = false
+	if w.mayHaveUnknownRuns {
+		w.mayHaveUnknownRuns = false
 		klog.InfoS("runs of an earlier leader are known", "worker", w.id, "attached", w.attached)
 	}
-	if !w.listed && len(w.tasks) > 0 {
+	if !w.synced && len(w.tasks) > 0 {
 		klog.InfoS("worker is given up", "worker", w.id, "tasks", len(w.tasks))
-		s.loseTasks(w, now, func(*task) bool { return true })
+		s.releaseTasks(w, now, func(*task) bool { return true })
 	}
 }
 
 // leave moves tasks off a draining worker: those that never end, so that they
 // run elsewhere before it is gone.
-func (s *Scheduler) leave(w *worker, now Timestamp) {
+func (s *Scheduler) drainWorker(w *worker, now Timestamp) {
 	for _, t := range w.tasks {
-		if t.step.LongRunning && t.stopSent == 0 && t.confirmed {
-			s.stop(t, now)
+		if t.step.LongRunning && t.stopOrderedAt == 0 && t.confirmed {
+			s.stopTask(t, now)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 		if !w.attached || w.orders.empty() {
 			continue
 		}
-		orders := Orders{Worker: w.id, RunnerID: w.info.ID, RunnerStartUnixMs: w.info.Born, DurableEnds: w.recordedEnd}
+		orders := Orders{Worker: w.id, RunnerID: w.runner.ID, RunnerStartUnixMs: w.runner.Born, DurableEnds: w.durableEnd}
 		for _, t := range w.orders.starts {
-			t.ordered = true
+			t.startPending = true
 			orders.Starts = append(orders.Starts, t.order())
 		}
 		if slices.ContainsFunc(w.orders.starts, func(t *task) bool { return t.step.BestEffort }) {
@@ -98,7 +98,7 @@
 		for i, id := range w.orders.stops {
 			orders.Stops = append(orders.Stops, Stop{id, w.orders.attempts[i]})
 		}
-		w.orders = pending{}
+		w.orders = pendingOrders{}
 		all = append(all, orders)
 	}
 	return all
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -113,22 +113,22 @@
 	}{
 		{
 			"an end is acknowledged before it is durable, and forgotten",
-			change{"internal/scheduler/report.go", "	s.touch(t.job)\n	if t.step.left == 0 {", "	if t.step.left == 0 {"},
+			change{"internal/scheduler/report.go", "	s.markDirty(t.job)\n	if t.step.tasksLeft == 0 {", "	if t.step.tasksLeft == 0 {"},
 			"killAll", "a task runs once at a time and not after its end",
 		},
 		{
 			"steps do not wait for each other",
-			change{"internal/scheduler/submit.go", "		if o.steps[before].left > 0 {\n			return false\n		}\n", "		_ = before\n"},
+			change{"internal/scheduler/submit.go", "		if o.steps[before].tasksLeft > 0 {\n			return false\n		}\n", "		_ = before\n"},
 			"configuration", "steps run in their order",
 		},
 		{
 			"a worker's capacity is ignored",
-			change{"internal/scheduler/place.go", "st.claim().Fits(w.capacity.Sub(w.used)) && ", ""},
+			change{"internal/scheduler/place.go", "st.reservation().Fits(w.capacity.Sub(w.used)) && ", ""},
 			"configuration", "no runner holds more than its room",
 		},
 		{
 			"evacuated domains get tasks",
-			change{"internal/scheduler/place.go", " || s.state.Out[w.info.Domain]", ""},
+			change{"internal/scheduler/place.go", " || s.operatorState.Out[w.runner.Domain]", ""},
 			"evacuation", "nothing starts in a domain that is out",
 		},
 	} {
