--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -176,9 +176,7 @@
 	}
 }
 
-func (w *worker) avoid(now Timestamp, d time.Duration) {
-	w.retryAt = max(w.retryAt, now.Boot.Add(d))
-}
+func (w *worker) avoid(now Timestamp, d time.Duration) { w.retryAt = max(w.retryAt, now.Boot.Add(d)) }
 
 // failed counts a failure; each failure beyond failuresInRow doubles the time
 // for which the worker is avoided.
