--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -10,55 +10,57 @@
 )
 
 const (
-	// advisedWorkers is how many workers one question names; each costs time.
+	// maxRequestWorkers limits the workers of one request, since each adds to the
+	// time of the call.
 	maxRequestWorkers = 30
-	// openQuestions bounds the questions that wait for an answer, well below
-	// what the service queues.
+	// maxOpenRequests limits the requests without a reply. It is well below the
+	// queue limit of the advice service.
 	maxOpenRequests = 8
-	// adviceSlack is kept of a ticket's validity for the way to the runner.
+	// ticketMargin is the part of a ticket's validity that is left for the start order
+	// to reach the runner.
 	ticketMargin = 400 * time.Millisecond
-	// askAgain follows a question without an answer.
+	// adviceRetryDelay is the delay before a step's next request.
 	adviceRetryDelay = 500 * time.Millisecond
 )
 
-// StepID names a step of one occurrence of a job.
+// StepID identifies a step in one occurrence of a job.
 type StepID struct {
 	Job        workflow.JobID
 	Occurrence int
 	Step       int
 }
 
-// Question asks which workers may run a step.
+// AdviceRequest asks the advice service which workers may run a step.
 type AdviceRequest struct {
 	Step      StepID
-	RunnerIDs []string // incarnations
+	RunnerIDs []string // incarnations of the candidate runners
 }
 
-// advice is what is known of the workers that may run a step.
+// advice holds the tickets that permit a step to run on certain workers.
 type advice struct {
 	requested  bool
-	retryAt    bootclock.Instant // no question before
-	validUntil bootclock.Instant // tickets are valid
-	tickets    map[string]string // by incarnation
+	retryAt    bootclock.Instant // no request before this time
+	validUntil bootclock.Instant // end of the tickets' validity
+	tickets    map[string]string // by runner incarnation
 }
 
-// Questions returns what has to be asked now. The steps wait until Advise.
+// AdviceRequests returns the requests to send now. Each step waits for SetAdvice.
 func (s *Scheduler) AdviceRequests(now Timestamp) []AdviceRequest {
 	if !s.needsAdvice {
 		return nil
 	}
 	var questions []AdviceRequest
-	for _, u := range s.pendingSteps(now) {
-		policy := s.currentPolicy(u.job)
-		a := &u.step.advice
-		if policy.Advice == nil || a.requested || now.Boot.Before(a.retryAt) || now.Boot.Before(a.validUntil) || s.openRequests >= maxOpenRequests {
+	for _, p := range s.pendingSteps(now) {
+		policy := s.currentPolicy(p.job)
+		a := &p.step.advice
+		if policy.Advice == nil || a.requested || now.Boot.Before(a.retryAt) || now.Boot.Before(a.validUntil) || s.openAdviceRequests >= maxOpenRequests {
 			continue
 		}
 		pool := s.eligibleWorkers(policy.Service, now)
 		slices.SortFunc(pool, func(x, y *worker) int {
 			return cmp.Or(cmp.Compare(y.capacity.Processors-y.used.Processors, x.capacity.Processors-x.used.Processors), cmp.Compare(x.id, y.id))
 		})
-		q := AdviceRequest{Step: StepID{u.job.ID, u.occurrence, u.step.number}}
+		q := AdviceRequest{Step: StepID{p.job.ID, p.occurrence, p.step.number}}
 		for _, w := range pool[:min(len(pool), maxRequestWorkers)] {
 			q.RunnerIDs = append(q.RunnerIDs, w.runner.ID)
 		}
@@ -66,16 +68,16 @@
 			continue
 		}
 		a.requested = true
-		s.openRequests++
+		s.openAdviceRequests++
 		questions = append(questions, q)
 	}
 	return questions
 }
 
-// Advise takes the answer to a question: the tickets by incarnation, valid for
-// the given time from now. Without an answer tickets is nil.
+// SetAdvice stores the reply to a request: the tickets by runner incarnation, which
+// are valid for the given time from now. tickets is nil if the request failed.
 func (s *Scheduler) SetAdvice(id StepID, tickets map[string]string, valid time.Duration, now Timestamp) {
-	s.openRequests--
+	s.openAdviceRequests--
 	t := s.task(workflow.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if t == nil {
 		return
@@ -87,19 +89,21 @@
 	}
 }
 
-// advised returns the workers of the pool for which the step has a ticket.
+// workersWithTicket returns the workers of the pool for which the step has a valid
+// ticket.
 func (s *Scheduler) workersWithTicket(st *step, pool []*worker, now Timestamp) []*worker {
 	if !now.Boot.Before(st.advice.validUntil) {
 		return nil
 	}
-	var may []*worker
+	var allowed []*worker
 	for _, w := range pool {
 		if _, ok := st.advice.tickets[w.runner.ID]; ok {
-			may = append(may, w)
+			allowed = append(allowed, w)
 		}
 	}
-	return may
+	return allowed
 }
 
-// ticket returns the step's ticket for a worker, empty when none is needed.
+// ticket returns the step's ticket for a worker, or an empty string if the queue
+// requires none.
 func (st *step) ticket(w *worker) string { return st.advice.tickets[w.runner.ID] }
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -8,33 +8,33 @@
 	"wasabihill.example/wasabihill/internal/bootclock"
 )
 
-// lateFactor is how many times its objective a job may take and still be worth
-// something.
+// lateFactor is the multiple of its latency objective after which a job has no
+// value any more.
 const lateFactor = 3
 
-// urgency orders the waiting steps.
+// pendingStep is a step with unplaced tasks and the keys by which it is ordered.
 type pendingStep struct {
 	step         *step
 	job          *job
 	occurrence   int
 	priority     int
-	lateness     int // 0 can still be in time, 1 can be late, 2 is worth nothing any more
+	lateness     int // onTime, late or tooLate, from the estimated completion of the job
 	deadline     bootclock.Instant
-	valueDensity float64 // worth of the job for each core-second that is left of it
+	valueDensity float64 // value of the job per remaining core-second
 }
 
-// The grades of urgency.
+// Values of pendingStep.lateness.
 const (
 	onTime = iota
 	late
 	tooLate
 )
 
-// backlog returns the steps with tasks that may start, the most urgent first:
-// by priority, then those that can still be in time before those that can't,
-// then those that are worth most for the work that is left, which also ends
-// what has begun before it begins more. The load it answers is more work than
-// the workers hold: by deadline alone every job would end a little late.
+// pendingSteps returns the steps with tasks that may start, most urgent first. It
+// orders by priority, then by lateness, then by value per remaining core-second,
+// which also prefers finishing started jobs to starting new ones. This order is
+// meant for overload: with earliest deadline first, every job would finish a
+// little late.
 func (s *Scheduler) pendingSteps(now Timestamp) []pendingStep {
 	unsettled := s.hasUnknownRuns()
 	var waiting []pendingStep
@@ -58,8 +58,8 @@
 	return waiting
 }
 
-// unsettled reports whether runs of an earlier scheduler may be missing in the
-// tables.
+// hasUnknownRuns reports whether runs that an earlier leader ordered may be
+// missing from the tables.
 func (s *Scheduler) hasUnknownRuns() bool {
 	for _, w := range s.workers {
 		if w.mayHaveUnknownRuns {
@@ -71,51 +71,54 @@
 
 func (s *Scheduler) rankStep(j *job, o *occurrence, st *step, now Timestamp) pendingStep {
 	policy := s.currentPolicy(j)
-	begin := j.submittedAt
+	start := j.submittedAt
 	if j.Repetitions > 0 {
-		begin = now.Boot.Add(j.Due(o.number).Sub(now.Wall))
+		start = now.Boot.Add(j.Due(o.number).Sub(now.Wall))
 	}
 	objective := time.Duration(policy.Stretch*float64(j.criticalPath(0))) + policy.LatencyAllowance
-	u := pendingStep{step: st, job: j, occurrence: o.number, priority: policy.Priority, deadline: begin.Add(objective), valueDensity: s.valueDensity(j, o)}
+	p := pendingStep{step: st, job: j, occurrence: o.number, priority: policy.Priority, deadline: start.Add(objective), valueDensity: s.valueDensity(j, o)}
 	if st.LongRunning {
-		return u
+		return p
 	}
 	end := now.Boot.Add(j.criticalPath(st.number))
 	switch {
-	case end.After(begin.Add(lateFactor * objective)):
-		u.lateness = tooLate
-	case end.After(u.deadline):
-		u.lateness = late
+	case end.After(start.Add(lateFactor * objective)):
+		p.lateness = tooLate
+	case end.After(p.deadline):
+		p.lateness = late
 	}
-	return u
+	return p
 }
 
-// The worth of a job: a fixed part, and a part in proportion to its work
-// relative to the mean of its queue, up to a limit.
+// The value of a job is a fixed part plus a part proportional to its work relative
+// to the mean of its queue, up to a limit.
 const (
 	fixedValue = 0.3
 	workValue  = 0.7
 	maxValue   = 4.0
-	// meanFollow is the weight of a new job in the mean of its queue.
+	// meanWorkSmoothing is the weight of a new job in the moving average of its
+	// queue's work per job.
 	meanWorkSmoothing = 0.1
 )
 
-// density returns the worth of a job for each core-second that is left.
+// valueDensity returns the value of a job per core-second that remains in the
+// occurrence.
 func (s *Scheduler) valueDensity(j *job, o *occurrence) float64 {
-	left := 0.0
+	remaining := 0.0
 	for _, st := range o.steps {
-		left += float64(st.tasksLeft) * st.work()
+		remaining += float64(st.tasksLeft) * st.work()
 	}
 	mean := s.meanJobWork[j.Queue]
-	if left <= 0 || mean <= 0 {
+	if remaining <= 0 || mean <= 0 {
 		return 0
 	}
-	return min(fixedValue+workValue*j.work()/mean, maxValue) / left
+	return min(fixedValue+workValue*j.work()/mean, maxValue) / remaining
 }
 
-// work returns the estimated core-seconds of one task.
+// work returns the estimated work of one task in core-seconds.
 func (st *step) work() float64 { return st.cores() * st.Estimate.Seconds() }
 
+// work returns the estimated work of one occurrence of the job in core-seconds.
 func (j *job) work() float64 {
 	sum := 0.0
 	for i := range j.Steps {
@@ -124,7 +127,7 @@
 	return sum
 }
 
-// learnWork follows the mean work of the jobs of a queue.
+// updateMeanWork adds the job to the moving average of its queue's work per job.
 func (s *Scheduler) updateMeanWork(j *job) {
 	work := j.work()
 	if mean, known := s.meanJobWork[j.Queue]; known {
@@ -133,15 +136,15 @@
 	s.meanJobWork[j.Queue] = work
 }
 
-// chain returns the longest chain of estimated work from step from on; 0 is
-// the whole job.
+// criticalPath returns the estimated duration of the longest dependency chain
+// among the steps numbered from and higher; 0 covers the whole job.
 func (j *job) criticalPath(from int) time.Duration {
 	longest := time.Duration(0)
 	ends := make([]time.Duration, len(j.Steps))
 	for i := from; i < len(j.Steps); i++ {
-		for _, before := range j.Steps[i].After {
-			if before >= from {
-				ends[i] = max(ends[i], ends[before])
+		for _, dependency := range j.Steps[i].After {
+			if dependency >= from {
+				ends[i] = max(ends[i], ends[dependency])
 			}
 		}
 		ends[i] += j.Steps[i].Estimate
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// crowded is a deployment whose processors are all in use: every worker has
-// serving tasks and tasks that fill, half of these slowed, and more wait than
-// will find room.
+// overloadedFixture returns a deployment whose processors are all in use. Every worker
+// runs latency-critical and best-effort tasks, half of the latter are throttled, and
+// more tasks are pending than fit.
 func overloadedFixture(t testing.TB, workers int) *fixture {
 	f := newFixture(t)
 	for i := range workers {
@@ -35,8 +35,8 @@
 	return f
 }
 
-// reportAll reports every run, those that serve close to their target and every
-// second one that fills slowed down.
+// reportAll reports every run: latency-critical tasks close to their target, and every
+// second best-effort task throttled.
 func (f *fixture) reportAll() {
 	for id, a := range f.agents {
 		n := 0
@@ -55,6 +55,7 @@
 	}
 }
 
+// BenchmarkCrowdedTick measures a tick of an overloaded deployment.
 func BenchmarkCrowdedTick(b *testing.B) {
 	for _, workers := range []int{60, 300} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
--- a/internal/scheduler/besteffort.go
+++ b/internal/scheduler/besteffort.go
@@ -9,74 +9,78 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Tasks that fill take the processors that others leave idle. How many that
-// are is learned from what they get: a worker on which they get less than they
-// ask for has no more. More of them than that would only share the same
-// processors, and every step would end later.
+// Best-effort tasks use the processors that other tasks leave free. The number of
+// free processors is learned from what best-effort tasks get: if they get less
+// than they request, the worker has no more. Additional best-effort tasks would
+// only share the same processors, and every step would finish later.
 
 const (
-	// firstServingUse is the share of their request that serving tasks are
-	// assumed to use on a worker that has not shown otherwise.
+	// initialUtilization is the share of their requested processors that
+	// latency-critical tasks are assumed to use on a worker without readings.
 	initialUtilization = 0.5
-	// lowestServingUse and highestServingUse bound what is learned.
+	// minUtilization and maxUtilization limit the learned share.
 	minUtilization = 0.2
 	maxUtilization = 1.0
-	// useFollow is the weight of a new reading.
+	// utilizationSmoothing is the weight of a new reading.
 	utilizationSmoothing = 0.4
-	// useFade lowers the learned share per second while nothing contradicts it.
+	// utilizationDecay is subtracted from the learned share per second while the
+	// worker is not saturated.
 	utilizationDecay = 0.05
-	// saturated is the share of what they ask for below which tasks that fill
-	// show that no processors are left. What one task takes differs from its
-	// request by about a third, so it counts only when several ask for at least
-	// saturationCores.
+	// A worker is saturated if its best-effort tasks get less than saturationShare of
+	// their requested processors. A single task's usage differs from its request by
+	// about a third, so this counts only if they request more than saturationCores
+	// together.
 	saturationShare = 0.7
 	saturationCores = 6.0
-	// steadyAfter is how long a task must have run at its pace for its reading
-	// to show what it gets.
+	// steadyDelay is how long a task must have run at its pace before its reading
+	// shows what it gets.
 	steadyDelay = 1200 * time.Millisecond
-	// settled is how long a start or another pace needs to show in the readings
-	// in full: their window and the way of a report.
+	// readingDelay is how long it takes until the readings fully reflect a start or a
+	// change of pace: the averaging window plus the delivery of a report.
 	readingDelay = 800 * time.Millisecond
-	// learnEvery is the window of the workers' readings.
+	// learnInterval is the averaging window of the workers' readings.
 	learnInterval = 500 * time.Millisecond
-	// latencyRoom is the share of its target that a serving task may be
-	// predicted to reach beside one more task that fills, and lowestRate the
-	// rate at which it does.
+	// maxLatencyShare is the share of its latency target up to which a
+	// latency-critical task may be predicted to rise when another best-effort task is
+	// placed beside it. minRate is the corresponding service rate.
 	maxLatencyShare = 0.82
 	minRate         = 1 / maxLatencyShare
-	// unseenLoss is the most that several tasks may be predicted to take from the
-	// rate of a serving task before a reading shows it: a burst of equal tasks
-	// repeats the error of one estimate. One task may always start.
+	// maxUnobservedLoss limits the predicted loss of a latency-critical task's rate
+	// that no reading has confirmed yet, since a burst of equal tasks multiplies the
+	// error of one estimate. A single task may always start.
 	maxUnobservedLoss = 0.8
-	// estimatesEvery is how often an agent receives what is known of its images.
+	// estimatesInterval is how often an agent receives the interference estimates of
+	// its images.
 	estimatesInterval = 2 * time.Second
 )
 
-// use is what the tasks of a worker really take.
+// usage is the measured and predicted resource usage of a worker's tasks.
 type usage struct {
-	utilization     float64           // learned share of the request of serving tasks; 0 before the first reading
-	lastReading     bootclock.Instant // of the last reading
+	utilization     float64           // learned share of their requested processors that latency-critical tasks use; 0 before the first reading
+	lastReading     bootclock.Instant // time of the last reading
 	readings        []interference.Serving
-	rates           []float64              // of latency, as the readings show them
-	endedTasks      []interference.Filling // tasks that fill and have left since the last reading
-	predictedRates  []float64              // rate of each serving task once it shows all that has started
-	unobservedLoss  []float64              // what expected has less than rates
-	headroomByImage map[string]headroom    // by image, as expected says
-	// sensitivity is the rate that one core of an image takes here on average.
+	rates           []float64              // service rate of each of readings, as observed
+	endedTasks      []interference.Filling // best-effort tasks released since the last reading
+	predictedRates  []float64              // service rate of each of readings once all started tasks show in it
+	unobservedLoss  []float64              // part of rates that is missing in predictedRates
+	headroomByImage map[string]headroom    // by best-effort image, from predictedRates
+	// sensitivity is the mean rate that one core of a best-effort image takes from the
+	// latency-critical tasks here.
 	sensitivity   float64
-	estimatesSent bootclock.Instant // when the agent last received the estimates
+	estimatesSent bootclock.Instant // when the estimates were last sent to the agent
 }
 
-// learn takes in the readings of a report.
+// learnUsage updates the worker's usage and the interference model from the readings
+// of a report.
 func (s *Scheduler) learnUsage(w *worker, now Timestamp) {
 	elapsed := now.Boot.Sub(w.usage.lastReading)
 	if elapsed < learnInterval {
 		return
 	}
 	w.usage.lastReading = now.Boot
-	filling := w.usage.endedTasks
+	bestEffort := w.usage.endedTasks
 	w.usage.endedTasks = nil
-	var got, steadyGot, steadyAsked, servingRequest, others float64
+	var used, steadyUsed, steadyRequested, latencyCriticalRequest, otherRequest float64
 	w.usage.readings = w.usage.readings[:0]
 	for _, t := range w.tasks {
 		request := t.step.cores()
@@ -84,44 +88,44 @@
 		case t.step.BestEffort:
 			if t.confirmed && t.load > 0 {
 				cores := float64(t.load) / 1000
-				got += cores
+				used += cores
 				if now.Boot.Sub(t.paceSince) > steadyDelay {
-					steadyGot += cores
-					steadyAsked += request * float64(t.pace) / 100
+					steadyUsed += cores
+					steadyRequested += request * float64(t.pace) / 100
 				}
-				filling = append(filling, interference.Filling{Image: t.step.Image, Cores: cores})
+				bestEffort = append(bestEffort, interference.Filling{Image: t.step.Image, Cores: cores})
 			}
 		case t.step.LatencyTarget > 0:
-			servingRequest += request
+			latencyCriticalRequest += request
 			if t.confirmed {
 				w.usage.readings = append(w.usage.readings, interference.Serving{Task: t.id, Image: t.step.Image,
 					Latency: float64(t.load), Target: float64(t.step.LatencyTarget.Milliseconds())})
 			}
 		default:
-			others += request
+			otherRequest += request
 		}
 	}
 	if w.speed.slow(now) {
-		w.usage.rates = s.model.Rates(now.Boot, w.usage.readings, filling)
+		w.usage.rates = s.model.Rates(now.Boot, w.usage.readings, bestEffort)
 	} else {
-		w.usage.rates = s.model.Observe(now.Boot, w.usage.readings, filling)
+		w.usage.rates = s.model.Observe(now.Boot, w.usage.readings, bestEffort)
 	}
 	s.predictRates(w, now)
 	w.usage.sensitivity = s.meanLossPerCore(w)
-	w.usage.updateUtilization(w.cores()-others-got, servingRequest, steadyAsked > saturationCores && steadyGot < saturationShare*steadyAsked, elapsed)
+	w.usage.updateUtilization(w.cores()-otherRequest-used, latencyCriticalRequest, steadyRequested > saturationCores && steadyUsed < saturationShare*steadyRequested, elapsed)
 }
 
-// follow corrects the learned share: left is what serving tasks use at most,
-// and what they do use when the worker is full.
-func (u *usage) updateUtilization(left, request float64, full bool, elapsed time.Duration) {
+// updateUtilization corrects the learned share. The available cores are an upper bound
+// on what latency-critical tasks use, and equal it if the worker is saturated.
+func (u *usage) updateUtilization(available, requested float64, saturated bool, elapsed time.Duration) {
 	if u.utilization == 0 {
 		u.utilization = initialUtilization
 	}
-	if request <= 0 {
+	if requested <= 0 {
 		return
 	}
-	share := left / request
-	if full {
+	share := available / requested
+	if saturated {
 		u.utilization += utilizationSmoothing * (share - u.utilization)
 	} else {
 		u.utilization = min(u.utilization-utilizationDecay*min(elapsed.Seconds(), 1), share)
@@ -133,16 +137,16 @@
 
 func (w *worker) cores() float64 { return float64(w.capacity.Processors) / 1000 }
 
-// spare returns the processors that tasks which fill may still ask for.
+// bestEffortCores returns the cores that further best-effort tasks may request.
 func (w *worker) bestEffortCores() float64 {
-	serving := float64(w.latencyCriticalProcessors) / 1000 * max(w.usage.utilization, minUtilization)
-	return w.cores() - float64(w.otherProcessors)/1000 - serving
+	latencyCritical := float64(w.latencyCriticalProcessors) / 1000 * max(w.usage.utilization, minUtilization)
+	return w.cores() - float64(w.otherProcessors)/1000 - latencyCritical
 }
 
-// expect predicts the rates once they show all tasks that fill. Readings are
-// averages over a while, so a task that has just started, or runs at another
-// pace than a moment ago, shows in them in part. A burst that is placed over
-// several reports would otherwise be harmless until all of it runs.
+// predictRates predicts the service rates once all best-effort tasks show in the
+// readings. Readings are averages, so a task that has just started or changed its
+// pace is only partly visible. Without the prediction, a burst that is placed over
+// several reports would seem to cause no interference until all of it runs.
 func (s *Scheduler) predictRates(w *worker, now Timestamp) {
 	clear(w.usage.headroomByImage)
 	w.usage.predictedRates = append(w.usage.predictedRates[:0], w.usage.rates...)
@@ -168,8 +172,8 @@
 	}
 }
 
-// sensitivityOf returns how much images that fill harm the serving tasks of w on
-// average.
+// meanLossPerCore returns the rate that one core of a best-effort image takes from
+// the latency-critical tasks of w, averaged over the images.
 func (s *Scheduler) meanLossPerCore(w *worker) float64 {
 	images := s.model.Filling()
 	if len(images) == 0 {
@@ -182,51 +186,53 @@
 	return sum / float64(len(images))
 }
 
-// fillRoom is what the serving tasks of a worker bear of an image that fills.
+// headroom is how much of a best-effort image the latency-critical tasks of a worker
+// tolerate.
 type headroom struct {
-	cores       float64 // of the image, before a serving task nears its target
-	lossPerCore float64 // rate that one core takes from the serving task that suffers most
+	cores       float64 // cores of the image until a latency-critical task exceeds maxLatencyShare
+	lossPerCore float64 // rate that one core takes from the task that it slows down most
 }
 
-// roomFor returns the worker's room for an image. It is kept while nothing
-// changes there, because one burst asks for it once for each waiting task.
+// headroomFor returns the worker's headroom for an image. The result is cached until
+// the predicted rates change, because placing a burst queries it for every task.
 func (s *Scheduler) headroomFor(w *worker, image string) headroom {
-	if r, ok := w.usage.headroomByImage[image]; ok {
-		return r
+	if h, ok := w.usage.headroomByImage[image]; ok {
+		return h
 	}
-	r := headroom{cores: math.Inf(1)}
+	h := headroom{cores: math.Inf(1)}
 	for i, reading := range w.usage.readings {
 		left := w.usage.predictedRates[i] - minRate
-		if unseen := w.usage.unobservedLoss[i]; unseen > 0 {
-			left = min(left, maxUnobservedLoss-unseen)
+		if unobserved := w.usage.unobservedLoss[i]; unobserved > 0 {
+			left = min(left, maxUnobservedLoss-unobserved)
 		}
 		switch perCore := s.model.PerCore(reading.Image, image); {
 		case perCore > 0:
-			r.cores = min(r.cores, left/perCore)
-			r.lossPerCore = max(r.lossPerCore, perCore)
+			h.cores = min(h.cores, left/perCore)
+			h.lossPerCore = max(h.lossPerCore, perCore)
 		case left < 0:
-			r.cores = 0
+			h.cores = 0
 		}
 	}
 	if w.usage.headroomByImage == nil {
 		w.usage.headroomByImage = make(map[string]headroom)
 	}
-	w.usage.headroomByImage[image] = r
-	return r
+	w.usage.headroomByImage[image] = h
+	return h
 }
 
-// mayFill reports whether another task of the step gets processors on w and
-// leaves the serving tasks there their latency.
+// mayPlaceBestEffort reports whether another task of the step would get processors on
+// w without pushing the latency-critical tasks there beyond their latency limit.
 func (s *Scheduler) mayPlaceBestEffort(w *worker, st *step) bool {
-	spare, cores := w.bestEffortCores(), st.cores()
-	if spare < cores && (w.bestEffort > 0 || spare < cores/2) {
+	free, cores := w.bestEffortCores(), st.cores()
+	if free < cores && (w.bestEffort > 0 || free < cores/2) {
 		return false
 	}
 	return cores <= s.headroomFor(w, st.Image).cores
 }
 
-// Estimates returns what the agent of a worker should know of the images that
-// run there, and nothing when it received that a moment ago.
+// Estimates returns the interference estimates of the images that run on a worker.
+// It returns nil if the worker does not run both latency-critical and best-effort
+// tasks, or if its agent received the estimates within estimatesInterval.
 func (s *Scheduler) Estimates(id units.WorkerID, now Timestamp) []interference.Estimate {
 	w := s.workers[id]
 	if w == nil || w.latencyCritical == 0 || w.bestEffort == 0 || now.Boot.Sub(w.usage.estimatesSent) < estimatesInterval {
@@ -237,13 +243,13 @@
 }
 
 func (s *Scheduler) estimates(w *worker) []interference.Estimate {
-	serving, filling := make(map[string]bool), make(map[string]bool)
+	latencyCritical, bestEffort := make(map[string]bool), make(map[string]bool)
 	for _, t := range w.tasks {
 		if t.step.BestEffort {
-			filling[t.step.Image] = true
+			bestEffort[t.step.Image] = true
 		} else if t.step.LatencyTarget > 0 {
-			serving[t.step.Image] = true
+			latencyCritical[t.step.Image] = true
 		}
 	}
-	return s.model.Estimates(serving, filling)
+	return s.model.Estimates(latencyCritical, bestEffort)
 }
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -6,8 +6,8 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// A repeated cancellation must wait for the first one's record: it was answered
-// at once while the store was down, and the next leader ran the job again.
+// A repeated cancellation must wait for the record of the first one. It was once
+// answered immediately while the store was down, and the next leader ran the job again.
 func TestRepeatedCancelWaitsForItsRecord(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 4)
@@ -23,17 +23,17 @@
 		t.Fatal(err)
 	}
 	if got := f.scheduler.Cancel(id, f.now); got != flush {
-		t.Errorf("flush of a cancel while the record is on its way: got %d, want %d", got, flush)
+		t.Errorf("flush of a cancel while the record is being written: got %d, want %d", got, flush)
 	}
 	f.wantState(id, workflow.Running)
 	f.scheduler.CommitFlush(flush)
 	if got := f.scheduler.Cancel(id, f.now); got != 0 {
-		t.Errorf("flush of a cancel after the record: got %d, want 0", got)
+		t.Errorf("flush of a cancel after its record is durable: got %d, want 0", got)
 	}
 	f.wantState(id, workflow.Cancelled)
 }
 
-// Runs of a cancelled job are stopped, also one that an agent still lists.
+// Runs of a cancelled job must be stopped, including those that an agent still lists.
 func TestCancelStopsRuns(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 4)
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// A leader that is cut off may order a second run before the failure of the
-// first is durable. Its successor hears of the second failure first; counting
-// only the highest attempt allowed a run beyond the queue's limit.
+// A partitioned leader may order a second run before the failure of the first one is
+// durable, and the next leader may receive the second failure first. When only the
+// highest attempt was counted, a task ran more often than its queue allows.
 func TestFailuresInAnyOrderCount(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 4)
@@ -22,7 +22,7 @@
 		f.agents["a"].sequence, f.agents["b"].sequence = 0, 0
 		f.agents[units.WorkerID(worker)].ended = []*wire.EndRow{{Number: 1, Task: string(id) + ".0.0.0", Attempt: attempt, End: string(workflow.Errored)}}
 	}
-	for _, worker := range []string{"a", "b"} { // the later run's end first
+	for _, worker := range []string{"a", "b"} { // the end of the later run first
 		f.scheduler.Attach(units.WorkerID(worker), f.now)
 		f.report(units.WorkerID(worker))
 	}
@@ -32,7 +32,8 @@
 	f.wantState(id, workflow.Failed)
 }
 
-// The same end is reported until it is recorded; it counts once.
+// An end is reported until it is durable. Counting it more than once would fail the job
+// too early.
 func TestRepeatedEndCountsOnce(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 4)
@@ -47,8 +48,8 @@
 	}
 }
 
-// A job whose runs always fail ends after as many attempts as its queue
-// allows, and the state is shown only once it is durable.
+// A job whose runs always fail must fail after the queue's maximum number of attempts.
+// Clients must not see the state before it is durable.
 func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 4)
@@ -63,8 +64,8 @@
 	f.wantState(id, workflow.Failed)
 }
 
-// A worker that fails everything is avoided; when most workers fail it is the
-// work that is bad, and avoiding them would stop everything.
+// A worker on which all runs fail is avoided. If most workers are affected, the tasks are
+// at fault, and avoiding the workers would stop all work.
 func TestWorkersAreNotAvoidedWhenMostFail(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []units.WorkerID{"a", "b", "c"} {
@@ -74,7 +75,7 @@
 	f.submit("quick", workflow.Step{Count: 3, Size: cores(1)})
 	for task, worker := range f.tick() {
 		if worker == "a" {
-			t.Errorf("%s started on the worker that fails", task)
+			t.Errorf("%s started on worker a, which is avoided", task)
 		}
 	}
 	f.scheduler.workers["b"].avoid(f.now, time.Second)
@@ -85,9 +86,9 @@
 	}
 }
 
-// A runner that is born again under its id may hold a start that was on its way:
-// the lists tell, not the new life alone. Starting the task elsewhere at once
-// runs it twice.
+// A runner that restarts under its id may have received a start that was in transit, so
+// its lists of runs have to be read first. Starting the task elsewhere at once would run
+// it twice.
 func TestNewIncarnationMayHoldPendingStart(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 2)
@@ -95,7 +96,7 @@
 	f.tick()
 	f.addWorker("b", 2)
 	held, lost := string(id)+".0.0.0", string(id)+".0.0.1"
-	a.runner.BornUnixMs, a.runner.Silent = 2, true // its lists have not been read yet
+	a.runner.BornUnixMs, a.runner.Silent = 2, true // its lists of runs have not been read yet
 	f.report("a")
 	if again := f.tick(); len(again) > 0 {
 		t.Errorf("started again before the lists were read: %v", again)
@@ -105,9 +106,9 @@
 	f.report("a")
 	again := f.tick()
 	if _, ok := again[held]; ok {
-		t.Errorf("%s runs on the new incarnation and started again", held)
+		t.Errorf("%s started again although the new incarnation runs it", held)
 	}
 	if _, ok := again[lost]; !ok {
-		t.Errorf("%s is not listed and did not start again", lost)
+		t.Errorf("%s did not start again although no runner lists it", lost)
 	}
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -15,8 +15,8 @@
 
 const testMaxLeaseDuration = 6500 * time.Millisecond
 
-// fixture drives a scheduler by hand: the time, the agents' reports and the
-// store are the test's.
+// fixture drives a scheduler step by step. The test controls the time, the agents'
+// reports and the store.
 type fixture struct {
 	testing.TB
 	scheduler *Scheduler
@@ -25,7 +25,7 @@
 	records   map[string][]byte
 }
 
-// agent is what an agent would report.
+// fakeAgent holds what an agent would report.
 type fakeAgent struct {
 	sequence uint64
 	runner   *wire.RunnerState
@@ -41,7 +41,8 @@
 	return f
 }
 
-// takeOver starts a new scheduler on the durable records, as a new leader does.
+// startNewLeader replaces the scheduler by one recovered from the durable records, as a
+// new leader does.
 func (f *fixture) startNewLeader() {
 	f.scheduler = New(testMaxLeaseDuration, 120*time.Second)
 	configuration := &operations.Configuration{Version: 1, Routes: []operations.Route{
@@ -62,7 +63,8 @@
 	}
 }
 
-// worker adds an agent with a runner of the given cores and reports once.
+// addWorker adds an agent with a runner of the given number of cores and sends its first
+// report.
 func (f *fixture) addWorker(id units.WorkerID, cores int) *fakeAgent {
 	a := &fakeAgent{running: make(map[string]*wire.RunRow), runner: &wire.RunnerState{
 		Id: "runner-" + string(id), BornUnixMs: 1, Service: "desk", Domain: "north", Labels: []string{"a", "r1"},
@@ -74,6 +76,7 @@
 	return a
 }
 
+// report sends the agent's current state and extends its lease.
 func (f *fixture) report(id units.WorkerID) {
 	a := f.agents[id]
 	a.sequence++
@@ -85,7 +88,7 @@
 	f.scheduler.ExtendLease(id, report, f.now)
 }
 
-// submit makes a job durable and hands it to the scheduler.
+// submit stores the record of a new job and passes the job to the scheduler.
 func (f *fixture) submit(queue workflow.QueueName, steps ...workflow.Step) workflow.JobID {
 	id := workflow.JobID(fmt.Sprintf("%016x", len(f.records)+1))
 	job := &workflow.Job{ID: id, Queue: queue, Spec: "s", Steps: steps, Submitted: f.now.Wall}
@@ -99,8 +102,8 @@
 	return id
 }
 
-// tick runs the rules, makes every change durable and gives the starts to the
-// agents. It returns the starts by task.
+// tick runs the rules, stores every change and delivers the orders to the agents. It
+// returns the worker of each started task.
 func (f *fixture) tick() map[string]units.WorkerID {
 	f.scheduler.Tick(f.now, true)
 	records, flush, err := f.scheduler.Flush()
@@ -131,7 +134,7 @@
 	return started
 }
 
-// end ends a run on the agent's runner.
+// end ends a run on the agent's runner with the given result.
 func (a *fakeAgent) end(task string, how workflow.End) {
 	row := a.running[task]
 	delete(a.running, task)
@@ -139,12 +142,14 @@
 	a.ended = append(a.ended, &wire.EndRow{Number: a.lastEnd, Task: task, Attempt: row.GetAttempt(), End: string(how), Checkpoint: row.GetCheckpoint()})
 }
 
+// acknowledge removes the ends up to number, which are durable.
 func (a *fakeAgent) acknowledge(number uint64) {
 	for len(a.ended) > 0 && a.ended[0].GetNumber() <= number {
 		a.ended = a.ended[1:]
 	}
 }
 
+// advance moves both clocks forward.
 func (f *fixture) advance(d time.Duration) {
 	f.now.Boot, f.now.Wall = f.now.Boot.Add(d), f.now.Wall.Add(d)
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -7,15 +7,15 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// A gang works only while all of its members run, and a member that waits too
-// long for the others ends alone. So all members start together, under one
-// attempt number and one checkpoint, and when one does not start or ends
-// without being done, the others are stopped at once.
+// A gang makes progress only while all of its members run, and a member that waits
+// too long for the others ends with workflow.GangIncomplete. So all members start
+// together with the same attempt number and checkpoint. If one of them does not start
+// or ends without being done, the others are stopped at once.
 
-// placeGang places all members or none.
+// placeGang places all tasks of a gang step or none.
 func (s *Scheduler) placeGang(st *step, pool []*worker, now Timestamp) {
 	if st.unplaced < len(st.tasks) {
-		return // members of the last run have not ended yet
+		return // members of the previous run have not ended yet
 	}
 	if st.SameRack {
 		for _, rack := range groupByRack(pool) {
@@ -27,14 +27,15 @@
 	s.placeMembers(st, pool, now)
 }
 
-// placeMembers reports whether every member found a worker.
+// placeMembers places all members on workers of the pool. It reports false and places
+// none of them if one does not fit.
 func (s *Scheduler) placeMembers(st *step, pool []*worker, now Timestamp) bool {
 	attempt, checkpoint := st.nextGangAttempt()
 	for i, t := range st.tasks {
 		w := s.bestWorker(st, pool, nil)
 		if w == nil {
 			for _, placed := range st.tasks[:i] {
-				s.stopTask(placed, now) // not sent yet
+				s.stopTask(placed, now) // releases it, as its start was not sent yet
 			}
 			return false
 		}
@@ -44,8 +45,8 @@
 	return true
 }
 
-// nextGangRun returns the attempt and the checkpoint that all members carry.
-// A checkpoint of any member is one of the gang.
+// nextGangAttempt returns the attempt number and the checkpoint for all members of the
+// next run. The checkpoint of any member is valid for the whole gang.
 func (st *step) nextGangAttempt() (attempt workflow.Attempt, checkpoint string) {
 	var newest workflow.Attempt
 	for _, t := range st.tasks {
@@ -57,7 +58,7 @@
 	return attempt, checkpoint
 }
 
-// breakGang stops the other members of a gang of which one does not run.
+// stopGang stops the other members of the gang of t, which no longer runs.
 func (s *Scheduler) stopGang(t *task, now Timestamp) {
 	if !t.step.Gang || t.done {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// racks parts the pool by rack, the largest free room first.
+// groupByRack groups the pool by rack, the rack with the most free processors first.
 func groupByRack(pool []*worker) [][]*worker {
 	byRack := make(map[string][]*worker)
 	for _, w := range pool {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -8,37 +8,37 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// A gang that does not fit as a whole must not start: its members would wait
-// for the others and end alone.
+// A gang that does not fit completely must not start, because its members would wait for
+// the others in vain and end without progress.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 2)
 	f.submit("quick", workflow.Step{Count: 3, Size: cores(1), Gang: true})
 	if got := f.tick(); len(got) != 0 {
-		t.Fatalf("got starts %v with room for two of three, want none", got)
+		t.Fatalf("got starts %v with capacity for two of three members, want none", got)
 	}
 	f.addWorker("b", 2)
 	if got := f.tick(); len(got) != 3 {
-		t.Errorf("got starts %v, want all three", got)
+		t.Errorf("got starts %v, want all three members", got)
 	}
 }
 
-// When one member is refused, the others must be stopped at once, and the gang
-// starts again under one higher attempt number.
+// If the start of one member is rejected, the others must be stopped at once, as they
+// make no progress without it. The gang then starts again with one higher attempt number.
 func TestRejectedMemberStopsGang(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.addWorker("a", 2), f.addWorker("b", 2)
 	id := f.submit("quick", workflow.Step{Count: 3, Size: cores(1), Gang: true})
 	started := f.tick()
-	refused := string(id) + ".0.0.0"
-	at := started[refused]
-	delete(f.agents[at].running, refused)
+	rejected := string(id) + ".0.0.0"
+	at := started[rejected]
+	delete(f.agents[at].running, rejected)
 	f.agents[at].sequence++
 	f.scheduler.ApplyReport(at, &wire.WorkerReport{Sequence: f.agents[at].sequence, Runner: f.agents[at].runner,
-		Rejected: []*wire.RejectedStart{{Task: refused, Attempt: 1, Reason: "noRoom"}}, Running: runRows(f.agents[at])}, f.now)
+		Rejected: []*wire.RejectedStart{{Task: rejected, Attempt: 1, Reason: "noRoom"}}, Running: runRows(f.agents[at])}, f.now)
 	f.tick()
 	if got := len(a.running) + len(b.running); got != 0 {
-		t.Errorf("members that go on: got %d, want 0", got)
+		t.Errorf("running members after the rejection: got %d, want 0", got)
 	}
 	f.advance(time.Second)
 	f.report("a")
@@ -51,7 +51,7 @@
 		}
 	}
 	if attempts[2] != 3 {
-		t.Errorf("attempts of the members: got %v, want all three under 2", attempts)
+		t.Errorf("attempts of the members: got %v, want attempt 2 for all three", attempts)
 	}
 }
 
@@ -63,7 +63,7 @@
 	return rows
 }
 
-// One end of a gang's member stands for all.
+// The successful end of one member completes all members of a gang.
 func TestGangIsDoneTogether(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 4)
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// The load patterns that the rules of placement answer, replayed by hand.
+// The tests in this file replay the load patterns that the placement rules are meant for.
 
 func latencyCritical(image string, count int) workflow.Step {
 	return workflow.Step{Count: count, Size: cores(6), LongRunning: true, Image: image, LatencyTarget: 18 * time.Millisecond}
@@ -21,9 +21,10 @@
 	return workflow.Step{Count: count, Size: cores(4), BestEffort: true, Checkpointing: true, Image: image, Estimate: 2 * time.Second}
 }
 
-// Serving tasks of several images arrive together and reserve most processors.
-// Mixed on every worker, nearly every batch image harms one of them and all
-// batch work is slowed; so each worker serves one image while there is room.
+// Latency-critical tasks of several images arrive together and reserve most processors.
+// If every worker runs a mix of them, nearly every batch image interferes with one of
+// them and all batch tasks are throttled. So each worker should run one image as long as
+// capacity allows.
 func TestLatencyCriticalTasksOfOneImageShareWorkers(t *testing.T) {
 	f := newFixture(t)
 	for i := range 6 {
@@ -46,20 +47,20 @@
 	}
 }
 
-// A burst of tasks that fill must not start all at once: together they would
-// share the processors that are left, and every step would end late.
+// A burst of best-effort tasks must not start all at once: the tasks would share the free
+// processors, and every step would finish late.
 func TestBestEffortTasksUseOnlyFreeProcessors(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 32)
 	f.submit("runs", bestEffort("b", 40))
 	got := len(f.tick())
 	if want := 32 / 4; got != want {
-		t.Errorf("starts on 32 idle cores for tasks of 4: got %d, want %d", got, want)
+		t.Errorf("starts of 4-core tasks on 32 free cores: got %d, want %d", got, want)
 	}
 }
 
-// A batch image that is known to harm a serving image goes where that image
-// does not run.
+// A batch image with known interference on a latency-critical image must be placed where
+// that image does not run; otherwise it raises the latency there.
 func TestInterferingImagesAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("serves", 32)
@@ -68,7 +69,7 @@
 	f.addWorker("free", 32)
 	f.agents["serves"].running[anyRun(f.agents["serves"])].Load = 9
 	f.report("serves")
-	for i := range 60 { // 4 ms for each core of the harmful image
+	for i := range 60 { // 4 ms per core of the interfering image
 		busy := float64(i % 3)
 		f.advance(learnInterval)
 		f.scheduler.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: "other"}, Image: "web", Latency: 7 + 4*busy, Target: 18}},
@@ -83,8 +84,8 @@
 	}
 }
 
-// A task that is slowed where it is moves when another worker can run it at
-// full speed, and goes on from its checkpoint.
+// A throttled task must move when another worker can run it at full speed, and resume
+// from its checkpoint.
 func TestThrottledTaskMoves(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 8)
@@ -96,7 +97,7 @@
 	f.addWorker("b", 8)
 	f.advance(throttledFor + 100*time.Millisecond)
 	f.report("a")
-	f.tick() // stops it
+	f.tick() // stops the task on a
 	f.report("a")
 	if got := f.tick()[task]; got != "b" {
 		t.Errorf("worker after the move: got %q, want b", got)
@@ -115,9 +116,9 @@
 	return id
 }
 
-// With more work than room, the job that is worth most for the work that is
-// left goes first, and what has begun before what has not. By deadline alone
-// all of them end a little late.
+// Under overload, the job with the highest value per remaining core-second goes first,
+// and started jobs go before new ones. With earliest deadline first, all jobs would
+// finish a little late.
 func TestOverloadStartsMostValuableJobFirst(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 4)
@@ -131,11 +132,11 @@
 		started[mustParse(t, task).Job]++
 	}
 	if started[small] != 2 || started[large] != 2 {
-		t.Errorf("starts: got %v, want both tasks of the small job and the rest of the room for the large one", started)
+		t.Errorf("starts: got %v, want both tasks of the small job, and two of the large job in the remaining capacity", started)
 	}
 }
 
-// A job that can't be in time any more must not take the room of one that can.
+// A job that can no longer meet its objective must not take the capacity of one that can.
 func TestLateJobWaitsForOnTimeJob(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 2)
@@ -150,14 +151,15 @@
 	f.report("a")
 	for task := range f.tick() {
 		if got := mustParse(t, task).Job; got != inTime {
-			t.Errorf("started job %s, want %s before the late %s (after %s)", got, inTime, late, blocker)
+			t.Errorf("started job %s, want %s before the late job %s (blocked by %s)", got, inTime, late, blocker)
 		}
 	}
 }
 
-// harmed adds worker a of 32 cores with one serving task at a tail latency in ms,
-// for whose image each core of the image press is known to take perCore of the
-// rate, which is base alone. It returns the agent and the name of the run.
+// addInterferedWorker adds worker a of 32 cores with one latency-critical task at the
+// given tail latency in ms. The model learns that its image has the service rate base, of
+// which each core of the image press takes perCore. It returns the agent and the id of
+// the task.
 func (f *fixture) addInterferedWorker(latency int64, base, perCore float64) (*fakeAgent, string) {
 	a := f.addWorker("a", 32)
 	f.submit("quick", latencyCritical("web", 1))
@@ -175,19 +177,19 @@
 	return a, web
 }
 
-// A burst of harmful work comes in small parts, each placed when the readings
-// hardly show the part before. Judged by the readings alone, all of it lands on
-// one worker and its serving tasks miss their target by far.
+// A burst of interfering tasks arrives in small parts, each of which is placed while the
+// readings hardly show the previous part. Based on the readings alone, the whole burst
+// lands on one worker, whose latency-critical tasks miss their target by far.
 func TestSplitBurstKeepsLatencyTarget(t *testing.T) {
 	f := newFixture(t)
 	a, web := f.addInterferedWorker(9, 2.5, 0.15)
 	started := 0
-	for range 3 { // within the time that a start needs to show
+	for range 3 { // within the time that a start needs to show in the readings
 		f.submit("runs", bestEffort("press", 1))
 		started += len(f.tick())
 		for task, row := range a.running {
 			if task != web {
-				row.Load = 300 // of 4 cores, soon after the start
+				row.Load = 300 // of 4000 millicores, shortly after the start
 			}
 		}
 		f.advance(learnInterval)
@@ -199,8 +201,9 @@
 	}
 }
 
-// Harmless and harmful work waits at the same time. Harmless work that takes the
-// workers on which anything may run leaves the harmful work without any.
+// Best-effort tasks with and without interference are pending at the same time. If those
+// without interference took the workers that tolerate any image, none would be left for
+// the others.
 func TestHarmlessTasksLeaveCapacityForInterferingTasks(t *testing.T) {
 	f := newFixture(t)
 	for image, worker := range map[string]units.WorkerID{"delicate": "sensitive", "robust": "robust"} {
@@ -210,13 +213,13 @@
 		a := f.agents[worker]
 		a.running[anyRun(a)].Load = 8
 	}
-	for i := range 80 { // press costs delicate 3 ms a core, everything else nothing
+	for i := range 80 { // press adds 3 ms per core to delicate; all other pairs do not interfere
 		busy := float64(i % 4)
 		f.advance(learnInterval)
-		for serving, perCore := range map[string]float64{"delicate": 3, "robust": 0} {
-			f.scheduler.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(serving)}, Image: serving, Latency: 7 + perCore*busy, Target: 18}},
+		for image, perCore := range map[string]float64{"delicate": 3, "robust": 0} {
+			f.scheduler.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(image)}, Image: image, Latency: 7 + perCore*busy, Target: 18}},
 				[]interference.Filling{{Image: "press", Cores: busy}})
-			f.scheduler.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(serving + "2")}, Image: serving, Latency: 7, Target: 18}},
+			f.scheduler.model.Observe(f.now.Boot, []interference.Serving{{Task: workflow.TaskID{Job: workflow.JobID(image + "2")}, Image: image, Latency: 7, Target: 18}},
 				[]interference.Filling{{Image: "quiet", Cores: busy}})
 		}
 	}
@@ -226,25 +229,25 @@
 	f.submit("runs", bestEffort("quiet", 1))
 	for task, worker := range f.tick() {
 		if worker != "sensitive" {
-			t.Errorf("%s, which is harmless, started on %s, want sensitive", task, worker)
+			t.Errorf("%s, which does not interfere, started on %s, want sensitive", task, worker)
 		}
 	}
 }
 
-// A burst of equal tasks comes when much of the rate is left. An estimate that is
-// a little too low, multiplied by all of them, saturates the serving task before
-// a reading tells; so only a part starts before one does.
+// A burst of equal tasks arrives while much of the service rate is free. If the estimate
+// is a little too low, the whole burst saturates the latency-critical task before a
+// reading shows it. So only part of the burst may start before a reading.
 func TestBurstWaitsForReading(t *testing.T) {
 	f := newFixture(t)
 	a, web := f.addInterferedWorker(6, 3, 0.06)
 	f.submit("runs", bestEffort("press", 6))
 	started := len(f.tick())
-	// 18 / 6 - 1 / 0.82 leaves 1.78 of the rate, each task takes 0.24 of it, and
-	// three of them keep to what may be unseen.
+	// 18 / 6 - 1 / 0.82 leaves 1.78 of the rate, each task takes 0.24 of it, and three
+	// of them stay below maxUnobservedLoss.
 	if want := 3; started != want {
 		t.Errorf("started at once: got %d, want %d", started, want)
 	}
-	for task, row := range a.running { // the readings show what has started
+	for task, row := range a.running { // the readings show the started tasks
 		if task != web {
 			row.Load = 4000
 		}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -9,40 +9,40 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// place gives waiting tasks to workers, the most urgent first, and returns the
-// steps that found no room for all their tasks. What does not fit waits; smaller
-// or less urgent work may take the room that is left.
-func (s *Scheduler) placePending(now Timestamp, short *searchCache) []pendingStep {
-	var without []pendingStep
-	for _, u := range s.pendingSteps(now) {
-		policy := s.currentPolicy(u.job)
-		pool := short.eligibleWorkers(policy.Service, now)
+// placePending places the pending tasks, most urgent first, and returns the steps
+// that still have unplaced tasks. A step that does not fit does not block the
+// others: smaller or less urgent tasks may use the remaining capacity.
+func (s *Scheduler) placePending(now Timestamp, cache *searchCache) []pendingStep {
+	var unplaced []pendingStep
+	for _, p := range s.pendingSteps(now) {
+		policy := s.currentPolicy(p.job)
+		pool := cache.eligibleWorkers(policy.Service, now)
 		if policy.Advice != nil {
-			pool = s.workersWithTicket(u.step, pool, now)
+			pool = s.workersWithTicket(p.step, pool, now)
 		}
-		waiting := u.step.unplaced
-		if u.step.Gang {
-			s.placeGang(u.step, pool, now)
-		} else if !short.hasFailure(u.step) {
-			s.placeStep(u.step, pool, now)
-			if u.step.unplaced > 0 && policy.Advice == nil {
-				short.addFailure(u.step)
+		waiting := p.step.unplaced
+		if p.step.Gang {
+			s.placeGang(p.step, pool, now)
+		} else if !cache.hasFailure(p.step) {
+			s.placeStep(p.step, pool, now)
+			if p.step.unplaced > 0 && policy.Advice == nil {
+				cache.addFailure(p.step)
 			}
 		}
-		if placed := waiting - u.step.unplaced; placed > 0 {
-			klog.InfoS("tasks placed", "job", u.job.ID, "occurrence", u.occurrence, "step", u.step.number, "placed", placed,
-				"waiting", u.step.unplaced, "grade", u.lateness, "workers", len(pool))
+		if placed := waiting - p.step.unplaced; placed > 0 {
+			klog.InfoS("tasks placed", "job", p.job.ID, "occurrence", p.occurrence, "step", p.step.number, "placed", placed,
+				"waiting", p.step.unplaced, "grade", p.lateness, "workers", len(pool))
 		}
-		if u.step.unplaced > 0 {
-			without = append(without, u)
+		if p.step.unplaced > 0 {
+			unplaced = append(unplaced, p)
 		}
 	}
-	return without
+	return unplaced
 }
 
-// pool returns the workers that may get new tasks of a service. Those that have
-// failed lately are left out, unless they are most: then the work fails, not
-// the workers.
+// eligibleWorkers returns the workers that may receive new tasks of a service.
+// Workers that are avoided after failures are excluded unless they are the
+// majority, since then the tasks are at fault and not the workers.
 func (s *Scheduler) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
 	var pool, avoided []*worker
 	for _, w := range s.workers {
@@ -61,8 +61,8 @@
 	return pool
 }
 
-// placeStep places the tasks of a step one by one. The tasks are equal, so the
-// first that finds no room ends the attempt.
+// placeStep places the tasks of a step one by one. The tasks are equal, so it stops
+// at the first one that fits on no worker.
 func (s *Scheduler) placeStep(st *step, pool []*worker, now Timestamp) {
 	for _, t := range st.tasks {
 		if st.unplaced == 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// slowedBy returns the worker that slowed the task a moment ago, or nil.
+// excludedWorker returns the worker that the task was recently moved off, or nil.
 func (t *task) excludedWorker(now Timestamp) *worker {
 	if now.Boot.Before(t.mayReturnAt) {
 		return t.movedFrom
@@ -103,12 +103,13 @@
 	w.orders.starts = append(w.orders.starts, t)
 }
 
-// choose returns the best worker but one with room for a task of the step, or nil.
-func (s *Scheduler) bestWorker(st *step, pool []*worker, but *worker) *worker {
+// bestWorker returns the worker with the highest score that has capacity for a
+// task of the step, or nil if there is none. It never returns excluded.
+func (s *Scheduler) bestWorker(st *step, pool []*worker, excluded *worker) *worker {
 	var best *worker
 	var bestScore float64
 	for _, w := range pool {
-		if w == but || !w.fits(st) || st.BestEffort && !s.mayPlaceBestEffort(w, st) {
+		if w == excluded || !w.fits(st) || st.BestEffort && !s.mayPlaceBestEffort(w, st) {
 			continue
 		}
 		if score := s.score(w, st); best == nil || score > bestScore || score == bestScore && w.id < best.id {
@@ -122,7 +123,8 @@
 	return st.reservation().Fits(w.capacity.Sub(w.used)) && w.satisfies(st)
 }
 
-// accepts reports whether a task of the step may run on w, whatever its size.
+// satisfies reports whether w meets the step's constraints, regardless of free
+// capacity.
 func (w *worker) satisfies(st *step) bool {
 	if st.RequiredLabel != "" && !slices.Contains(w.runner.Labels, st.RequiredLabel) {
 		return false
@@ -130,7 +132,7 @@
 	return st.AntiAffinity == 0 || w.countTasks(st) < st.AntiAffinity
 }
 
-// count returns the tasks of the step on w.
+// countTasks returns the number of the step's tasks on w.
 func (w *worker) countTasks(st *step) int {
 	n := 0
 	for _, t := range w.tasks {
@@ -141,17 +143,19 @@
 	return n
 }
 
-// The weights of a worker's score. Free room counts between 0 and 1.
+// The weights of a worker's score, to which each kind of free resource contributes
+// between 0 and 1.
 const (
-	interferenceWeight = 1.0 // rate that a task that fills takes from a serving task
-	// sensitivityWeight sends work that fills and harms little to workers whose
-	// serving tasks bear little of the rest, so that room is left elsewhere for
-	// what harms. At 1 it outweighs the task's own harm there.
+	interferenceWeight = 1.0 // of the service rate that a best-effort task takes from a latency-critical one
+	// sensitivityWeight prefers workers whose latency-critical tasks are sensitive
+	// to interference for best-effort tasks that cause little of it, so that other
+	// workers keep capacity for tasks that cause more. At 1 it outweighs the
+	// interference of the task itself.
 	sensitivityWeight = 0.5
-	bestEffortPenalty = 0.5 // for each task that fills
-	sameStepPenalty   = 1.0 // long-running tasks of a step should not fail together
-	sameImageWeight   = 2.0 // serving tasks of the same image
-	dataRackBonus     = 1.0 // the rack of the data
+	bestEffortPenalty = 0.5 // per best-effort task on the worker
+	sameStepPenalty   = 1.0 // per task of the same step, so that long-running tasks do not fail together
+	sameImageWeight   = 2.0 // for latency-critical tasks of the same image
+	dataRackBonus     = 1.0 // for the rack that holds the data
 )
 
 func (s *Scheduler) score(w *worker, st *step) float64 {
@@ -179,9 +183,10 @@
 	return float64(part) / float64(whole)
 }
 
-// kinship prefers workers whose serving tasks are of the same image. What
-// fills beside them is bounded by the one that it harms most, so a worker of
-// one image can take what is harmless to that image at full speed.
+// imageAffinity returns a score that prefers workers whose latency-critical tasks
+// have the step's image. Best-effort tasks are limited by the latency-critical
+// task that they slow down most, so a worker with a single image can run the
+// best-effort tasks that do not interfere with that image at full speed.
 func (w *worker) imageAffinity(st *step) float64 {
 	if w.latencyCritical == 0 {
 		return 0
@@ -196,13 +201,13 @@
 	return sameImageWeight * (2*share - 1)
 }
 
-// harm returns the rate that a task of the step takes from the serving task that
-// suffers most, weighed.
+// interferencePenalty returns the weighted service rate that a task of the step
+// takes from the latency-critical task on w that it slows down most.
 func (s *Scheduler) interferencePenalty(w *worker, st *step) float64 {
 	return interferenceWeight * s.headroomFor(w, st.Image).lossPerCore * st.cores()
 }
 
-// runsIn reports whether a task of the step runs in the rack.
+// runsIn reports whether a task of the step is placed in the rack.
 func (st *step) runsIn(rack string) bool {
 	for _, t := range st.tasks {
 		if t.worker != nil && t.worker.rack == rack {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,41 +9,41 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Preemption answers the load at which less urgent work holds the room that more
-// urgent work needs: waiting for it to end would make the urgent work late. It
-// stops the tasks whose loss is smallest, and only where that makes room. The
-// urgent task starts when the runner has confirmed the stops.
+// Preemption is for the case that less urgent tasks occupy the capacity that more
+// urgent tasks need, and that waiting for them to finish would make the urgent tasks
+// late. It stops the tasks with the smallest loss of work, and only if the urgent task
+// then fits. The urgent task starts once the runner has confirmed the stops.
 
 const (
-	// preemptionsAtOnce bounds the tasks that one run of the rules stops, so that a
-	// burst of urgent work does not empty all workers before its first tasks start.
+	// maxPreemptionsPerTick limits the tasks that one tick stops, so that a burst of
+	// urgent tasks does not empty all workers before the first of them start.
 	maxPreemptionsPerTick = 20
-	// preemptionCost is what a stop and a new start take of a task's processors, in
-	// seconds.
+	// preemptionCostSeconds is the time for which a stop and a restart occupy a task's
+	// processors without progress.
 	preemptionCostSeconds = 0.3
 )
 
-// preempt stops less urgent tasks for the steps that found no room, the most
-// urgent first.
-func (s *Scheduler) preempt(waiting []pendingStep, now Timestamp, short *searchCache) {
+// preempt stops less urgent tasks to make capacity for the steps that have unplaced
+// tasks, most urgent first.
+func (s *Scheduler) preempt(waiting []pendingStep, now Timestamp, cache *searchCache) {
 	if len(waiting) == 0 {
 		return
 	}
-	least := s.lowestRunningPriority()
+	lowest := s.maxRunningPriority()
 	stops := 0
 	reserved := make(map[*worker]units.Resources)
-	for _, u := range waiting {
-		if u.priority >= least || u.step.Gang || u.step.BestEffort || u.lateness != onTime || s.currentPolicy(u.job).Advice != nil {
+	for _, p := range waiting {
+		if p.priority >= lowest || p.step.Gang || p.step.BestEffort || p.lateness != onTime || s.currentPolicy(p.job).Advice != nil {
 			continue
 		}
-		for range u.step.unplaced {
-			w, victims := s.cheapestPreemption(u, short.eligibleWorkers(s.currentPolicy(u.job).Service, now), reserved)
+		for range p.step.unplaced {
+			w, victims := s.cheapestPreemption(p, cache.eligibleWorkers(s.currentPolicy(p.job).Service, now), reserved)
 			if w == nil || stops+len(victims) > maxPreemptionsPerTick {
 				break // the other tasks of the step are equal
 			}
-			reserved[w] = reserved[w].Add(u.step.reservation())
+			reserved[w] = reserved[w].Add(p.step.reservation())
 			for _, t := range victims {
-				klog.InfoS("task is preempted", "task", t.id.String(), "attempt", t.attempt, "worker", w.id, "percent", t.percent, "for", u.job.ID, "priority", u.priority)
+				klog.InfoS("task is preempted", "task", t.id.String(), "attempt", t.attempt, "worker", w.id, "percent", t.percent, "for", p.job.ID, "priority", p.priority)
 				s.stopTask(t, now)
 				stops++
 			}
@@ -51,29 +51,30 @@
 	}
 }
 
-// leastUrgent returns the priority of the least urgent job that runs; a higher
-// number is less urgent.
-func (s *Scheduler) lowestRunningPriority() int {
-	least := 0
+// maxRunningPriority returns the priority number of the least urgent running job; a
+// higher number is less urgent.
+func (s *Scheduler) maxRunningPriority() int {
+	lowest := 0
 	for _, j := range s.activeJobs {
 		if j.placedTasks > 0 {
-			least = max(least, s.currentPolicy(j).Priority)
+			lowest = max(lowest, s.currentPolicy(j).Priority)
 		}
 	}
-	return least
+	return lowest
 }
 
-// cheapest returns the worker on which the step gets room at the smallest loss,
-// and the tasks to stop there; none when stops that are under way make the room.
-func (s *Scheduler) cheapestPreemption(u pendingStep, pool []*worker, reserved map[*worker]units.Resources) (*worker, []*task) {
+// cheapestPreemption returns the worker on which a task of the step can be placed at
+// the smallest loss of work, and the tasks to stop there. No tasks are returned if the
+// capacity suffices once pending stops have ended.
+func (s *Scheduler) cheapestPreemption(p pendingStep, pool []*worker, reserved map[*worker]units.Resources) (*worker, []*task) {
 	var best *worker
 	var bestVictims []*task
 	lowest := 0.0
 	for _, w := range pool {
-		if !w.satisfies(u.step) {
+		if !w.satisfies(p.step) {
 			continue
 		}
-		victims, loss, ok := s.victims(w, u, reserved[w])
+		victims, loss, ok := s.victims(w, p, reserved[w])
 		if ok && (best == nil || loss < lowest || loss == lowest && w.id < best.id) {
 			best, bestVictims, lowest = w, victims, loss
 		}
@@ -81,16 +82,17 @@
 	return best, bestVictims
 }
 
-// victims returns the less urgent tasks to stop on w so that a task of the step
-// fits beside what is reserved, those of the smallest loss first, and their loss.
-func (s *Scheduler) victims(w *worker, u pendingStep, reserved units.Resources) (stops []*task, loss float64, ok bool) {
+// victims returns the less urgent tasks to stop on w, smallest loss first, so that a
+// task of the step fits in addition to reserved, and their total loss. ok is false if
+// it does not fit even then.
+func (s *Scheduler) victims(w *worker, p pendingStep, reserved units.Resources) (stops []*task, loss float64, ok bool) {
 	free := w.capacity.Sub(w.used).Sub(reserved)
 	var running []*task
 	for _, t := range w.tasks {
 		switch {
 		case t.stopOrderedAt != 0:
 			free = free.Add(t.step.reservation())
-		case s.preemptible(t, u.priority):
+		case s.preemptible(t, p.priority):
 			running = append(running, t)
 		}
 	}
@@ -98,22 +100,22 @@
 		return cmp.Or(cmp.Compare(a.preemptionLoss(), b.preemptionLoss()), cmp.Compare(a.id.String(), b.id.String()))
 	})
 	for _, t := range running {
-		if u.step.reservation().Fits(free) {
+		if p.step.reservation().Fits(free) {
 			break
 		}
 		free = free.Add(t.step.reservation())
 		stops = append(stops, t)
 	}
-	if !u.step.reservation().Fits(free) {
+	if !p.step.reservation().Fits(free) {
 		return nil, 0, false
 	}
-	// What holds none of the resource that is short is stopped for nothing.
+	// Keep the tasks that occupy none of the scarce resource: stopping them is useless.
 	stops = slices.DeleteFunc(stops, func(t *task) bool {
-		without := free.Sub(t.step.reservation())
-		if !u.step.reservation().Fits(without) {
+		remaining := free.Sub(t.step.reservation())
+		if !p.step.reservation().Fits(remaining) {
 			return false
 		}
-		free = without
+		free = remaining
 		return true
 	})
 	for _, t := range stops {
@@ -122,14 +124,15 @@
 	return stops, loss, true
 }
 
-// preemptible reports whether a task may be stopped for work of the priority.
-// Tasks that last have users of their own, and a gang would lose all its members.
+// preemptible reports whether a task may be stopped for a task of the given priority.
+// Long-running tasks are excluded because users depend on them, and gangs because the
+// stop of one member stops all of them.
 func (s *Scheduler) preemptible(t *task, priority int) bool {
 	return t.confirmed && !t.done && !t.step.LongRunning && !t.step.Gang && t.percent < nearCompletion && s.currentPolicy(t.job).Priority > priority
 }
 
-// loss returns the core-seconds that a stop of the task throws away. A task that
-// checkpoints also saves when it is stopped.
+// preemptionLoss returns the core-seconds of work that are lost if the task is stopped.
+// A checkpointing task loses no progress, because it also saves when it is stopped.
 func (t *task) preemptionLoss() float64 {
 	loss := preemptionCostSeconds * t.step.cores()
 	if !t.step.Checkpointing {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -11,8 +11,8 @@
 	return workflow.Step{Count: count, Size: cores(size), Checkpointing: true, Estimate: 5 * time.Second}
 }
 
-// Batch work holds all workers when urgent work comes. Without preemption the
-// urgent work waits for a batch task to end, and is late.
+// Batch tasks occupy all workers when urgent tasks arrive. Without preemption the urgent
+// tasks wait for a batch task to end and are late.
 func TestUrgentWorkPreemptsBatch(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 8)
@@ -23,7 +23,7 @@
 	}
 	f.report("a")
 	job := f.submit("quick", urgent(3))
-	f.tick() // stops as few as needed
+	f.tick() // stops as few tasks as needed
 	f.report("a")
 	started := 0
 	for task := range f.tick() {
@@ -41,7 +41,7 @@
 		}
 	}
 	if want := 2; batchLeft != want {
-		t.Errorf("batch tasks that run on: got %d, want %d", batchLeft, want)
+		t.Errorf("batch tasks that keep running: got %d, want %d", batchLeft, want)
 	}
 	for _, task := range f.scheduler.jobs[workflow.JobID("0000000000000001")].occurrences[0].steps[0].tasks {
 		if task.worker == nil && task.checkpoint != "saved" {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Stops take a moment. While they are under way, the same need must not stop more.
+// Stops take a moment. While they are pending, the same urgent tasks must not cause
+// further stops.
 func TestPreemptionWaitsForPendingStops(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 8)
@@ -67,12 +68,12 @@
 		}
 	}
 	if want := 2; stopped != want {
-		t.Errorf("stops after two runs of the rules: got %d, want %d", stopped, want)
+		t.Errorf("stops after two ticks: got %d, want %d", stopped, want)
 	}
 }
 
-// What must not be preempted: work of the same or a more urgent queue, watchers,
-// tasks about to end, and anything for work that would not fit all the same.
+// Tasks of an equally or more urgent queue, watchers and tasks close to their end must not
+// be preempted, and no task for one that would not fit even then.
 func TestPreemptionSparesProtectedTasks(t *testing.T) {
 	cases := map[string]struct {
 		queue   workflow.QueueName
@@ -80,11 +81,11 @@
 		percent int32
 		need    workflow.Step
 	}{
-		"equally urgent":        {"quick", batch(8, 1), 10, urgent(1)},
-		"watchers":              {"runs", workflow.Step{Count: 8, Size: cores(1), LongRunning: true}, 100, urgent(1)},
-		"about to end":          {"runs", batch(8, 1), 95, urgent(1)},
-		"too large to ever fit": {"runs", batch(8, 1), 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
-		"fills, no processors":  {"runs", workflow.Step{Count: 8, Size: cores(1), BestEffort: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
+		"equally urgent":                       {"quick", batch(8, 1), 10, urgent(1)},
+		"watchers":                             {"runs", workflow.Step{Count: 8, Size: cores(1), LongRunning: true}, 100, urgent(1)},
+		"about to end":                         {"runs", batch(8, 1), 95, urgent(1)},
+		"too large to ever fit":                {"runs", batch(8, 1), 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
+		"best-effort tasks hold no processors": {"runs", workflow.Step{Count: 8, Size: cores(1), BestEffort: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +101,7 @@
 			f.scheduler.Tick(f.now, true)
 			for _, task := range f.scheduler.workers["a"].tasks {
 				if task.stopOrderedAt != 0 {
-					t.Errorf("%s is stopped, want it to run on", task.id)
+					t.Errorf("%s is stopped, want it to keep running", task.id)
 				}
 			}
 		})
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -11,21 +11,22 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// The keys of the records: a job as it was submitted, and its progress.
+// Prefixes of the record keys: the job as submitted, and its progress.
 const (
 	jobPrefix      = "job/"
 	progressPrefix = "progress/"
 )
 
-// JobKey is the key of the record of a job.
+// JobKey returns the key of a job's record.
 func JobKey(id workflow.JobID) string { return jobPrefix + string(id) }
 
-// attemptGap is added to the highest known attempt of a recovered task, since
-// attempts that were ordered shortly before a takeover may not be recorded.
+// attemptGap is added to the highest known attempt of a recovered task, because
+// attempts that were ordered shortly before a change of leader may be unrecorded.
 const attemptGap = 8
 
-// Flush returns the records of everything that has changed since the last one
-// and its number, 0 when nothing has to be written. Committed takes the number.
+// Flush returns the records of all jobs that have changed since the last flush,
+// and the number of this flush, which is passed to CommitFlush once the records
+// are durable. The number is 0 if there is nothing to write.
 func (s *Scheduler) Flush() ([]durable.Record, uint64, error) {
 	var records []durable.Record
 	for id, j := range s.dirty {
@@ -49,8 +50,9 @@
 	return records, s.lastFlush, nil
 }
 
-// endsWaiting reports whether ends were reported since the last flush that
-// changed nothing; they count as recorded with the next flush.
+// hasUnflushedEnds reports whether runs have ended since the last flush. Such an
+// end may have changed no record, but it counts as durable only with the next
+// flush, which is therefore needed even without records.
 func (s *Scheduler) hasUnflushedEnds() bool {
 	for _, w := range s.workers {
 		if n := len(w.unflushedEnds); n > 0 && w.unflushedEnds[n-1].flush > s.lastFlush {
@@ -82,7 +84,7 @@
 	return record
 }
 
-// progress returns nil for a step that has not begun.
+// progress returns nil if no task of the step has been ordered or is done.
 func (st *step) progress() *wire.StepProgress {
 	record := &wire.StepProgress{Step: int32(st.number), Done: make([]byte, (len(st.tasks)+7)/8)}
 	begun := false
@@ -109,10 +111,10 @@
 	return record
 }
 
-// Recover takes over the newest records of an earlier scheduler. Runs that it
-// ordered are not recorded; the agents' reports show them, and until every
-// agent that was known has reported or its lease has ended, no task of a
-// recovered job starts.
+// Recover restores the jobs from the newest records of an earlier leader. The
+// runs that it ordered are not recorded but appear in the agents' reports. No
+// task of a recovered job starts until every previously known agent has reported
+// or its lease has expired.
 func (s *Scheduler) Recover(items []durable.Item, now Timestamp) error {
 	progress := make(map[string]*wire.ProgressRecord)
 	for _, item := range items {
@@ -213,14 +215,14 @@
 	o.openSteps()
 }
 
-// Worker adds a worker that was known to an earlier scheduler.
+// RecoverWorker adds a worker that was known to an earlier leader.
 func (s *Scheduler) RecoverWorker(id units.WorkerID, now Timestamp) {
 	s.AddWorker(id, now)
 	s.workers[id].mayHaveUnknownRuns = true
 }
 
-// Expired returns the records that delete the jobs which finished long enough
-// ago, and forgets these jobs.
+// RemoveExpired removes the jobs that finished more than FinishedRetention ago
+// and returns the records that delete them from the store.
 func (s *Scheduler) RemoveExpired(now Timestamp) []durable.Record {
 	var records []durable.Record
 	for id, j := range s.jobs {
--- a/internal/scheduler/relocate.go
+++ b/internal/scheduler/relocate.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Tasks that are paced down where they are, or run on a slow worker, move to a
-// worker that takes them at full speed and go on from their checkpoint.
+// Relocation moves tasks that are throttled or that run on a slow worker to a worker
+// that can run them at full speed. Checkpointing tasks resume there from their
+// checkpoint.
 
 const (
-	// A task slowed below slowedPace percent for slowedFor moves to a better
-	// worker, unless it is nearEnd (percent of its work).
+	// A task throttled to a pace below throttledPace percent for throttledFor moves to
+	// a better worker, unless it has completed nearCompletion percent of its work.
 	throttledPace  = 50
 	throttledFor   = 700 * time.Millisecond
 	nearCompletion = 90
-	// stayAway keeps a task that has moved from returning to the worker that
-	// slowed it, whose readings are better once it has left.
+	// returnDelay prevents a task from returning to the worker that it was moved off,
+	// whose readings improve once the task has left.
 	returnDelay = 3 * time.Second
-	// relocateEvery spaces the searches; the readings change no faster, and a
-	// search looks at every worker for every kind of slowed task.
+	// relocationInterval is the time between searches. The readings change no faster,
+	// and a search examines every worker for every kind of throttled task.
 	relocationInterval = 100 * time.Millisecond
-	// relocationsAtOnce keeps one search from moving more than its readings can tell.
+	// maxRelocationsPerSearch limits the moves that are based on the same readings.
 	maxRelocationsPerSearch = 10
 )
 
-// relocate stops tasks that are paced down or lag where they are, when another
-// worker has room for them and nothing that they harm.
-func (s *Scheduler) relocate(now Timestamp, short *searchCache) {
+// relocate stops tasks that are throttled or that would finish earlier elsewhere, if
+// another worker has capacity for them without interference.
+func (s *Scheduler) relocate(now Timestamp, cache *searchCache) {
 	if now.Boot.Before(s.nextRelocation) {
 		return
 	}
@@ -34,7 +35,7 @@
 			if !t.throttled(now) && !t.runsFasterElsewhere(now) {
 				continue
 			}
-			if s.hasBetterWorker(t, now, short) {
+			if s.hasBetterWorker(t, now, cache) {
 				t.movedFrom, t.mayReturnAt = w, now.Boot.Add(returnDelay)
 				s.stopTask(t, now)
 				moved++
@@ -46,21 +47,22 @@
 	}
 }
 
-// findBetter reports whether another worker would take the task.
-func (s *Scheduler) hasBetterWorker(t *task, now Timestamp, short *searchCache) bool {
-	if short.hasFailure(t.step) {
+// hasBetterWorker reports whether the task can be placed on another worker.
+func (s *Scheduler) hasBetterWorker(t *task, now Timestamp, cache *searchCache) bool {
+	if cache.hasFailure(t.step) {
 		return false
 	}
-	pool := short.eligibleWorkers(s.currentPolicy(t.job).Service, now)
+	pool := cache.eligibleWorkers(s.currentPolicy(t.job).Service, now)
 	if s.bestWorker(t.step, pool, t.worker) != nil {
 		return true
 	}
 	if s.bestWorker(t.step, pool, nil) == nil {
-		short.addFailure(t.step)
+		cache.addFailure(t.step)
 	}
 	return false
 }
 
+// throttled reports whether the agent has throttled the task long enough to move it.
 func (t *task) throttled(now Timestamp) bool {
 	return t.step.BestEffort && t.step.Checkpointing && t.confirmed && t.stopOrderedAt == 0 && !t.done &&
 		t.pace < throttledPace && t.percent < nearCompletion && now.Boot.Sub(t.paceSince) > throttledFor
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// stopRepeat is after how long a stop is ordered again when the run is
+	// stopRetryInterval is the time after which a stop is ordered again if the run is
 	// still listed.
 	stopRetryInterval = time.Second
-	// roomBackoff keeps a worker that refused for want of room from being
-	// chosen before its next report.
+	// noCapacityBackoff is how long a worker that rejected a start for lack of
+	// capacity is avoided, which bridges the time until its next report.
 	noCapacityBackoff = 200 * time.Millisecond
-	// failureBackoff is how long a worker is avoided after a refusal or after
-	// failuresInRow failed runs; it doubles up to longestBackoff.
+	// failureBackoff is how long a worker is avoided after failureThreshold consecutive
+	// rejections or failed runs. It doubles with each further one up to maxBackoff.
 	failureBackoff   = time.Second
 	maxBackoff       = 8 * time.Second
 	failureThreshold = 3
 )
 
-// Join adds the worker of an agent that has registered in the store.
+// AddWorker adds the worker of an agent that has registered in the store. It has no
+// effect on an existing worker.
 func (s *Scheduler) AddWorker(id units.WorkerID, now Timestamp) {
 	if s.workers[id] == nil {
 		s.workers[id] = &worker{id: id, latestLeaseEnd: now.Boot.Add(s.MaxLeaseDuration), tasks: make(map[workflow.TaskID]*task)}
 	}
 }
 
-// Attach begins a session with an agent. Orders of earlier sessions that the
-// agent has not carried out by now never will be.
+// Attach begins a session with an agent. Orders of earlier sessions that the agent has
+// not executed so far are never executed.
 func (s *Scheduler) Attach(id units.WorkerID, now Timestamp) {
 	s.AddWorker(id, now)
 	w := s.workers[id]
 	w.attached, w.synced, w.unresponsive, w.runsEnded = true, false, false, false
-	w.lastReport = 0
+	w.reportSequence = 0
 	w.discardOrders()
 	for _, t := range w.tasks {
 		t.startPending, t.startSequence, t.stopOrderedAt = false, 0, 0
@@ -54,7 +55,8 @@
 	}
 }
 
-// dropOrders forgets orders that were not sent.
+// discardOrders discards the pending orders and releases the tasks whose start was not
+// sent.
 func (w *worker) discardOrders() {
 	starts := w.orders.starts
 	w.orders = pendingOrders{}
@@ -63,16 +65,16 @@
 	}
 }
 
-// Granted takes note that the agent may keep its runs from now on for the time
-// of one grant. An agent that knows no runner can't extend any lease.
+// ExtendLease records that the agent was granted a lease for its runs now. An agent
+// that reports no runner can't extend the lease of any run.
 func (s *Scheduler) ExtendLease(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	if w := s.workers[id]; w != nil && r.GetRunner() != nil {
 		w.latestLeaseEnd = now.Boot.Add(s.MaxLeaseDuration)
 	}
 }
 
-// Sent takes note that the agent has admitted the starts; reports with a
-// higher sequence show them.
+// ConfirmStarts records that the agent has accepted the start orders of the tasks.
+// Reports with a sequence number above sequence show their runs.
 func (s *Scheduler) ConfirmStarts(id units.WorkerID, tasks []workflow.TaskID, sequence uint64) {
 	w := s.workers[id]
 	if w == nil {
@@ -85,13 +87,14 @@
 	}
 }
 
-// Report takes over what an agent knows of its runner.
+// ApplyReport updates the tables from an agent's report on its runner. It ignores a
+// report that is not newer than the last one.
 func (s *Scheduler) ApplyReport(id units.WorkerID, r *wire.WorkerReport, now Timestamp) {
 	w := s.workers[id]
-	if w == nil || r.GetSequence() <= w.lastReport {
+	if w == nil || r.GetSequence() <= w.reportSequence {
 		return
 	}
-	w.lastReport = r.GetSequence()
+	w.reportSequence = r.GetSequence()
 	for _, rejection := range r.GetRejected() {
 		s.applyRejection(w, rejection, now)
 	}
@@ -116,10 +119,10 @@
 	})
 }
 
-// setRunner takes over the runner's own state; another incarnation holds
-// nothing of what the previous one did. One under the same id may hold what was
-// ordered for the previous one and arrived late, so what is lost is told by the
-// lists.
+// setRunner updates the state of the worker's runner. The runs of the previous
+// incarnation are lost if the runner has a new id. A new incarnation with the same id
+// may run tasks whose start was ordered for the previous one and arrived late, so its
+// lists of runs determine which tasks are lost.
 func (s *Scheduler) setRunner(w *worker, in *wire.RunnerState, now Timestamp) {
 	info := runner.Info{
 		Incarnation: runner.Incarnation{ID: in.GetId(), Born: in.GetBornUnixMs()},
@@ -143,7 +146,7 @@
 	w.unresponsive, w.runsEnded = in.GetSilent(), in.GetEmpty()
 }
 
-// loseTasks releases the tasks that no longer run on w.
+// releaseTasks releases the tasks on w that lost reports as no longer running.
 func (s *Scheduler) releaseTasks(w *worker, now Timestamp, lost func(*task) bool) {
 	for _, t := range w.tasks {
 		if lost(t) {
@@ -154,10 +157,13 @@
 	}
 }
 
+// applyRejection releases a task whose start was rejected. A worker without capacity
+// is avoided briefly. Other reasons count as a failure of the worker unless they only
+// concern the order.
 func (s *Scheduler) applyRejection(w *worker, in *wire.RejectedStart, now Timestamp) {
 	id, err := workflow.ParseTaskID(in.GetTask())
 	if err != nil {
-		klog.ErrorS(err, "rejection is skipped", "worker", w.id)
+		klog.ErrorS(err, "rejected start in a worker report is ignored", "worker", w.id)
 		return
 	}
 	t := w.tasks[id]
@@ -178,8 +184,8 @@
 
 func (w *worker) avoid(now Timestamp, d time.Duration) { w.retryAt = max(w.retryAt, now.Boot.Add(d)) }
 
-// failed counts a failure; each failure beyond failuresInRow doubles the time
-// for which the worker is avoided.
+// recordFailure counts a failure on the worker. From failureThreshold consecutive
+// failures on, the worker is avoided, for twice as long with each further failure.
 func (w *worker) recordFailure(now Timestamp) {
 	w.failureStreak++
 	if w.failureStreak >= failureThreshold {
@@ -187,14 +193,14 @@
 	}
 }
 
-// ends takes note of runs that have ended.
+// applyEnds processes the runs that have ended on w.
 func (s *Scheduler) applyEnds(w *worker, rows []*wire.EndRow, now Timestamp) {
 	last := w.durableEnd
 	for _, row := range rows {
 		last = max(last, row.GetNumber())
 		id, err := workflow.ParseTaskID(row.GetTask())
 		if err != nil {
-			klog.ErrorS(err, "end is skipped", "worker", w.id)
+			klog.ErrorS(err, "ended run in a worker report is ignored", "worker", w.id)
 			continue
 		}
 		if t := s.task(id); t != nil {
@@ -229,7 +235,7 @@
 	}
 }
 
-// taskDone marks a task, or every task of its gang, as done.
+// taskDone marks the task as done; in a gang, all tasks of the step.
 func (s *Scheduler) taskDone(t *task, now Timestamp) {
 	if t.done || t.step.LongRunning || t.job.state.Final() {
 		return
@@ -282,15 +288,15 @@
 	}
 }
 
-// taskFailed counts a failed run, each once: a new leader may hear of the ends
-// of several runs in any order.
+// taskFailed counts a failed run. Each attempt is counted once, whatever the order,
+// because a new leader may receive the ends of several runs in any order.
 func (s *Scheduler) taskFailed(w *worker, t *task, attempt workflow.Attempt, now Timestamp) {
 	if t.done || slices.Contains(t.failedAttempts, attempt) {
 		return
 	}
 	w.recordFailure(now)
 	if t.step.LongRunning {
-		return // it runs again however often it fails
+		return // restarted regardless of the number of failures
 	}
 	t.failedAttempts = append(t.failedAttempts, attempt)
 	s.markDirty(t.job)
@@ -300,14 +306,14 @@
 	}
 }
 
-// rows compares what runs with the tables and returns the tasks that are as
-// the tables say.
+// applyRuns updates the tables from the runs that w lists, and stops the runs that do
+// not belong there. It returns the tasks whose runs match the tables.
 func (s *Scheduler) applyRuns(w *worker, rows []*wire.RunRow, now Timestamp) map[workflow.TaskID]bool {
 	listed := make(map[workflow.TaskID]bool, len(rows))
 	for _, row := range rows {
 		id, err := workflow.ParseTaskID(row.GetTask())
 		if err != nil {
-			klog.ErrorS(err, "run is skipped", "worker", w.id)
+			klog.ErrorS(err, "run in a worker report is ignored", "worker", w.id)
 			continue
 		}
 		attempt := workflow.Attempt(row.GetAttempt())
@@ -338,9 +344,9 @@
 	return listed
 }
 
-// adopt reports whether the run on w is the task's current one, and takes it
-// over when the task has none. The highest attempt says nothing about which run
-// is alive: of a recovered step it is known for all tasks together.
+// adopt reports whether the run on w is the current run of the task. It makes it the
+// current run if the task has none. The highest attempt does not tell which run is
+// active, because for a recovered step it is only known for all tasks together.
 func (s *Scheduler) adopt(w *worker, t *task, attempt workflow.Attempt) bool {
 	if t.worker == w && t.attempt == attempt {
 		return true
@@ -352,7 +358,7 @@
 	return true
 }
 
-// task returns the row of a task, or nil.
+// task returns the task with the given id, or nil if it does not exist.
 func (s *Scheduler) task(id workflow.TaskID) *task {
 	j := s.jobs[id.Job]
 	if j == nil || id.Step >= len(j.Steps) || id.Index >= j.Steps[id.Step].Count {
@@ -366,7 +372,7 @@
 	return nil
 }
 
-// Committed takes note that everything up to a flush is durable.
+// CommitFlush records that all flushes up to the given one are durable.
 func (s *Scheduler) CommitFlush(flush uint64) {
 	for len(s.unflushedStates) > 0 && s.unflushedStates[0].stateFlush <= flush {
 		s.unflushedStates[0].durableState = s.unflushedStates[0].state
@@ -381,8 +387,8 @@
 	}
 }
 
-// Recorded returns the number up to which the ends of a worker's incarnation
-// are durable.
+// DurableEnds returns the start time of the runner's incarnation, and the number up to
+// which the ends of its runs are durable.
 func (s *Scheduler) DurableEnds(id units.WorkerID) (born int64, number uint64) {
 	if w := s.workers[id]; w != nil {
 		return w.runner.Born, w.durableEnd
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,10 +1,10 @@
-// Package scheduler decides which task runs where. It is a set of tables and
-// of rules over them, without input or output: a process feeds it submissions,
-// cancellations, reports of workers and the operators' state, asks it for
-// orders, and writes its records to the store.
+// Package scheduler decides which task runs on which worker. It consists of
+// in-memory tables and rules over them and does no input or output. The leader
+// passes it submissions, cancellations, worker reports and the operators' state,
+// collects its orders, and writes its records to the store.
 //
-// Reading order: scheduler.go (tables), submit.go, report.go, tick.go,
-// order.go, place.go, records.go.
+// Start reading at scheduler.go (tables), then submit.go, report.go, tick.go,
+// backlog.go, place.go and records.go.
 package scheduler
 
 import (
@@ -19,47 +19,47 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Now is the time of an event on both clocks.
+// Timestamp is a point in time on both clocks.
 type Timestamp struct {
-	Boot bootclock.Instant // leases, time-outs
-	Wall time.Time         // due times, ages of jobs
+	Boot bootclock.Instant // for leases and timeouts
+	Wall time.Time         // for due times and the ages of jobs
 }
 
-// Scheduler holds the tables. Set the exported fields before the first call.
-// It is not safe for concurrent use.
+// Scheduler holds the tables. The exported fields must be set before the first
+// call. It is not safe for concurrent use.
 type Scheduler struct {
-	// GrantBound is how long after its last grant a worker that is not heard
-	// of may still run tasks.
+	// MaxLeaseDuration is how long after the last extension of its lease an
+	// unreachable worker may still run tasks.
 	MaxLeaseDuration time.Duration
-	// KeepFinished is how long the state of a finished job is kept.
+	// FinishedRetention is how long the state of a finished job is kept.
 	FinishedRetention time.Duration
 
-	operatorState   operations.State
-	jobs            map[workflow.JobID]*job
-	activeJobs      map[workflow.JobID]*job // jobs whose state is not final
-	unflushedStates []*job                  // jobs whose newest state is not durable yet
-	workers         map[units.WorkerID]*worker
-	dirty           map[workflow.JobID]*job        // changed since the last Flush
-	lastFlush       uint64                         // number of the last Flush
-	needsAdvice     bool                           // a queue needs advice
-	openRequests    int                            // questions for advice without an answer
-	meanJobWork     map[workflow.QueueName]float64 // core-seconds of a job
-	// usualSpeed is the logarithm of the speed of a queue's tasks on all workers,
-	// relative to their estimates.
+	operatorState      operations.State
+	jobs               map[workflow.JobID]*job
+	activeJobs         map[workflow.JobID]*job // jobs whose state is not final
+	unflushedStates    []*job                  // jobs whose current state is not durable yet, in flush order
+	workers            map[units.WorkerID]*worker
+	dirty              map[workflow.JobID]*job        // changed since the last Flush
+	lastFlush          uint64                         // number of the last Flush
+	needsAdvice        bool                           // at least one queue requires advice
+	openAdviceRequests int                            // advice requests without a reply
+	meanJobWork        map[workflow.QueueName]float64 // core-seconds per job
+	// queueSpeed is the logarithm of the mean speed of a queue's tasks on all
+	// workers, relative to their estimates.
 	queueSpeed     map[workflow.QueueName]float64
-	nextRelocation bootclock.Instant // next search for better workers of slowed tasks
+	nextRelocation bootclock.Instant // next search for better workers for throttled or slow tasks
 	model          interference.Model
 }
 
 // New returns a scheduler without jobs and workers.
-func New(grantBound, keepFinished time.Duration) *Scheduler {
+func New(maxLeaseDuration, finishedRetention time.Duration) *Scheduler {
 	return &Scheduler{
-		MaxLeaseDuration: grantBound, FinishedRetention: keepFinished,
+		MaxLeaseDuration: maxLeaseDuration, FinishedRetention: finishedRetention,
 		jobs: make(map[workflow.JobID]*job), activeJobs: make(map[workflow.JobID]*job), meanJobWork: make(map[workflow.QueueName]float64), queueSpeed: make(map[workflow.QueueName]float64), workers: make(map[units.WorkerID]*worker), dirty: make(map[workflow.JobID]*job),
 	}
 }
 
-// SetOperations takes over the operators' state.
+// SetOperatorState replaces the operators' state.
 func (s *Scheduler) SetOperatorState(state operations.State) {
 	s.operatorState = state
 	s.needsAdvice = false
@@ -71,110 +71,110 @@
 	}
 }
 
-// job is a row of the table of jobs.
+// job is a row of the job table.
 type job struct {
 	*workflow.Job
-	submittedPolicy workflow.Policy // when it was accepted; the queue's current one goes first
+	submittedPolicy workflow.Policy // at acceptance; used only if the queue no longer exists
 	state           workflow.State
-	durableState    workflow.State // state that is durable, which clients may see
-	stateFlush      uint64         // flush that makes state durable
-	finishedAt      time.Time      // when state became final
+	durableState    workflow.State // last state that is durable; the only one that clients may see
+	stateFlush      uint64         // number of the flush that makes state durable
+	finishedAt      time.Time      // when the state became final
 	submittedAt     bootclock.Instant
-	occurrences     []*occurrence // those that have begun and are not complete
-	completed       int           // occurrences below this number are done
-	opened          int           // occurrences below this number have begun
-	started         bool          // a task has been ordered to start
-	recovered       bool          // accepted before this scheduler began
-	placedTasks     int           // tasks with a worker
+	occurrences     []*occurrence // due and not complete
+	completed       int           // all occurrences below this number are complete
+	opened          int           // all occurrences below this number have become due
+	started         bool          // at least one task was assigned to a worker
+	recovered       bool          // accepted by an earlier leader
+	placedTasks     int           // tasks assigned to a worker
 }
 
-// occurrence is one repetition of the steps of a job.
+// occurrence is one repetition of a job's steps.
 type occurrence struct {
 	number    int
 	steps     []*step
-	stepsLeft int // steps that are not done
+	stepsLeft int // steps with tasks that are not done
 }
 
-// step is the state of one step of an occurrence.
+// step is the state of one step in one occurrence.
 type step struct {
 	*workflow.Step
 	number    int
-	open      bool // every step that it depends on is done
+	open      bool // all steps that it depends on are done
 	tasks     []*task
 	tasksLeft int // tasks that are not done
-	unplaced  int // tasks that are neither done nor placed
+	unplaced  int // tasks that are neither done nor assigned to a worker
 	advice    advice
 }
 
-// task is one task. It has at most one worker at a time.
+// task is a row of the task table. A task has at most one worker at a time.
 type task struct {
 	id             workflow.TaskID
 	job            *job
 	step           *step
 	done           bool
-	attempt        workflow.Attempt   // of the run on worker, or of the last one
-	highestAttempt workflow.Attempt   // that was ordered or seen
-	renumbered     bool               // attempts of an earlier scheduler that are not recorded were skipped
-	failedAttempts []workflow.Attempt // runs that were counted as failures, in no order
+	attempt        workflow.Attempt   // of the run on worker, or of the previous run
+	highestAttempt workflow.Attempt   // highest attempt that was ordered or reported
+	renumbered     bool               // attempts that an earlier leader may have ordered but not recorded were skipped
+	failedAttempts []workflow.Attempt // attempts counted as failures, unordered
 	checkpoint     string
-	worker         *worker           // nil when it is not placed
-	startPending   bool              // the order is on its way, so that a report can't show it yet
-	startSequence  uint64            // reports with a higher sequence show the run
-	confirmed      bool              // a report has shown the run at work
-	stopOrderedAt  bootclock.Instant // when a stop was ordered last; 0 for never
+	worker         *worker           // nil while the task is unplaced
+	startPending   bool              // the start order was sent and not acknowledged; reports can't show the run yet
+	startSequence  uint64            // reports with a higher sequence number show the run
+	confirmed      bool              // a report has shown that the run has started
+	stopOrderedAt  bootclock.Instant // when a stop was last ordered; 0 if never
 	percent        int
 	lastProgress   progressReading
-	load           int64             // of the last report: tail latency in ms, or processors in use
-	pace           int               // percent, of the last report
-	paceSince      bootclock.Instant // first report of that pace
-	movedFrom      *worker           // worker that slowed the task last, or nil
-	mayReturnAt    bootclock.Instant // until then it does not return there
+	load           int64             // from the last report: tail latency in ms, or processors in use in millicores
+	pace           int               // percent, from the last report
+	paceSince      bootclock.Instant // time of the first report with this pace
+	movedFrom      *worker           // worker that the task was last moved off, or nil
+	mayReturnAt    bootclock.Instant // the task does not return to movedFrom earlier
 }
 
-// worker is a row of the table of workers: an agent and its runner.
+// worker is a row of the worker table: an agent and its runner.
 type worker struct {
 	id                 units.WorkerID
-	attached           bool // a session to the agent exists
-	synced             bool // the last report of the session shows everything that runs
-	unresponsive       bool // the runner does not answer its agent
-	runsEnded          bool // a silent runner can't run anything any more
+	attached           bool // a session with the agent exists
+	synced             bool // the session's last report lists all runs on the worker
+	unresponsive       bool // the runner does not respond to its agent
+	runsEnded          bool // the runner is unresponsive, and none of its runs can still be active
 	runner             runner.Info
 	capacity           units.Resources
 	used               units.Resources
 	rack               string
-	lastReport         uint64            // of the last report
-	latestLeaseEnd     bootclock.Instant // nothing runs there after it, unless a report shows otherwise
-	mayHaveUnknownRuns bool              // runs of an earlier scheduler may be there that the tables lack
+	reportSequence     uint64            // sequence number of the last report
+	latestLeaseEnd     bootclock.Instant // no task runs there afterwards, unless a report shows otherwise
+	mayHaveUnknownRuns bool              // runs ordered by an earlier leader may be missing from the tables
 	tasks              map[workflow.TaskID]*task
-	latencyCritical    int // placed tasks with a latency target
-	bestEffort         int // placed tasks that fill
-	// What the placed tasks ask for, with a latency target and without.
+	latencyCritical    int // latency-critical tasks placed here
+	bestEffort         int // best-effort tasks placed here
+	// Processors requested by the placed tasks with and without a latency target.
 	latencyCriticalProcessors, otherProcessors units.Millicores
-	usage                                      usage // what the tasks really take
-	retryAt                                    bootclock.Instant
-	failureStreak                              int // failures in a row
+	usage                                      usage             // measured resource usage
+	retryAt                                    bootclock.Instant // avoided until then
+	failureStreak                              int               // consecutive failures
 	speed                                      speed
 	durableEnd                                 uint64
-	unflushedEnds                              []reportedEnds // ends whose record is on its way
+	unflushedEnds                              []reportedEnds // reported ends whose records are not durable yet
 	orders                                     pendingOrders
 }
 
-// recordedEnds says that ends up to number are durable once the flush is.
+// reportedEnds states that the ends up to number become durable with the flush.
 type reportedEnds struct {
 	flush  uint64
 	number uint64
 }
 
-// pending are orders that were decided and not taken yet.
+// pendingOrders are orders that TakeOrders has not returned yet.
 type pendingOrders struct {
 	starts         []*task
 	descriptions   []*task
 	stops          []workflow.TaskID
-	attempts       []workflow.Attempt // of stops
-	durableEndRose bool               // recordedEnd has risen
+	attempts       []workflow.Attempt // of the runs in stops
+	durableEndRose bool               // durableEnd has increased and must be sent
 }
 
-// drop forgets what was decided of a task that has left the worker.
+// remove deletes the start and the description of a task that has left the worker.
 func (p *pendingOrders) remove(t *task) {
 	is := func(o *task) bool { return o == t }
 	p.starts = slices.DeleteFunc(p.starts, is)
@@ -185,8 +185,8 @@
 	return len(p.starts) == 0 && len(p.stops) == 0 && len(p.descriptions) == 0 && !p.durableEndRose
 }
 
-// policyOf returns the current policy of the job's queue, or the one under
-// which it was accepted when the queue no longer exists.
+// currentPolicy returns the current policy of the job's queue, or the policy at
+// its acceptance if the queue no longer exists.
 func (s *Scheduler) currentPolicy(j *job) *workflow.Policy {
 	if route := s.operatorState.Configuration.Queue(j.Queue); route != nil {
 		return &route.Policy
@@ -194,7 +194,7 @@
 	return &j.submittedPolicy
 }
 
-// settled reports whether everything that may run on w is in the tables.
+// runsKnown reports whether the tables contain every task that may run on w.
 func (w *worker) runsKnown(now Timestamp) bool {
 	switch {
 	case w.attached && w.synced:
@@ -205,7 +205,7 @@
 	return now.Boot.After(w.latestLeaseEnd)
 }
 
-// release takes a task off its worker.
+// release removes the task from its worker.
 func (t *task) release() {
 	w := t.worker
 	if w == nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-// assign puts a task on a worker.
+// assign places the task on a worker.
 func (t *task) assign(w *worker, attempt workflow.Attempt) {
 	t.worker, t.attempt = w, attempt
 	t.highestAttempt = max(t.highestAttempt, attempt)
@@ -256,7 +256,8 @@
 	}
 }
 
-// claim is what a task of the step takes from a worker's capacity.
+// reservation returns what a task of the step takes of a worker's capacity. A
+// best-effort task reserves no processors: it uses those that others leave free.
 func (st *step) reservation() units.Resources {
 	size := st.Size
 	if st.BestEffort {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -8,7 +8,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// A step must not start before all tasks of the steps before it are done.
+// A step must not start before all tasks of the steps that it depends on are done.
 func TestStepsRunInDependencyOrder(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 8)
@@ -32,8 +32,9 @@
 	f.wantState(id, workflow.Completed)
 }
 
-// Nothing starts in a failure domain that is out, on a draining runner, on a
-// runner without the label, beyond the room or beyond the limit per worker.
+// No task may start in a failure domain that is out of service, on a draining runner, on
+// a runner without the required label, beyond the capacity, or beyond the limit per
+// worker.
 func TestPlacementKeepsConstraints(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("out", 8).runner.Domain = "south"
@@ -59,7 +60,7 @@
 	}
 }
 
-// Occurrences begin at their due times and not before; they may overlap.
+// Occurrences must start at their due times and not earlier. They may overlap.
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 8)
@@ -77,8 +78,8 @@
 	}
 }
 
-// A step whose queue needs advice starts only with a ticket that is valid, on
-// a runner that has one.
+// A step whose queue requires advice may start only with a valid ticket, and only on a
+// runner for which it has one.
 func TestStepWaitsForTicket(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 8)
@@ -92,10 +93,10 @@
 	}
 	questions := f.scheduler.AdviceRequests(f.now)
 	if len(questions) != 1 || len(questions[0].RunnerIDs) != 2 {
-		t.Fatalf("got questions %+v, want one about two runners", questions)
+		t.Fatalf("got requests %+v, want one for two runners", questions)
 	}
 	if again := f.scheduler.AdviceRequests(f.now); len(again) != 0 {
-		t.Errorf("got %d questions while one is open, want none", len(again))
+		t.Errorf("got %d requests while one has no reply, want none", len(again))
 	}
 	f.scheduler.SetAdvice(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
 	for task, worker := range f.tick() {
@@ -106,8 +107,8 @@
 	f.wantState(id, workflow.Running)
 }
 
-// A job whose progress is lost between two leaders keeps its done tasks and
-// its checkpoints, and a finished job keeps its state.
+// After a change of leader, a job must keep its done tasks and checkpoints, and a finished
+// job its state. Without them, done tasks would run again.
 func TestTakeoverKeepsProgress(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 8)
@@ -128,6 +129,6 @@
 		t.Errorf("got checkpoint %q and %d failures, want saved and 1", task.checkpoint, len(task.failedAttempts))
 	}
 	if !f.scheduler.task(workflow.TaskID{Job: id}).done {
-		t.Error("the done task is not done after the takeover")
+		t.Error("the done task is not done after the change of leader")
 	}
 }
--- a/internal/scheduler/searchcache.go
+++ b/internal/scheduler/searchcache.go
@@ -2,21 +2,21 @@
 
 import "wasabihill.example/wasabihill/pkg/units"
 
-// shortage keeps what one tick has found out about its pools, so that the rules
-// do not search all workers again for every waiting and every slowed task. It
-// answers the load of more work than the workers hold, where nearly every search
-// fails. While a tick places tasks, room only shrinks, so what found none finds
-// none later in the same tick.
+// searchCache caches the results of worker searches for one tick, so that the rules
+// do not search all workers again for every pending and every throttled task. It
+// matters under overload, when nearly every search fails. Free capacity only shrinks
+// while a tick places tasks, so a search that failed also fails later in that tick.
 type searchCache struct {
 	scheduler   *Scheduler
 	workers     map[units.ServiceName][]*worker
-	failedSizes map[searchKey][]units.Resources // sizes that found no worker
+	failedSizes map[searchKey][]units.Resources // task sizes that fit on no worker
 }
 
-// demand is what decides, beside the size, which workers may take a task.
+// searchKey holds the properties other than the size that determine which workers
+// can run a task.
 type searchKey struct {
 	service     units.ServiceName
-	image       string // of tasks that fill
+	image       string // only for best-effort tasks
 	requirement string
 }
 
@@ -24,27 +24,28 @@
 	return &searchCache{scheduler: s, workers: make(map[units.ServiceName][]*worker), failedSizes: make(map[searchKey][]units.Resources)}
 }
 
-// pool returns the workers of a service that may get new tasks.
-func (x *searchCache) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
-	pool, ok := x.workers[service]
+// eligibleWorkers returns the workers that may receive new tasks of a service.
+func (c *searchCache) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
+	pool, ok := c.workers[service]
 	if !ok {
-		pool = x.scheduler.eligibleWorkers(service, now)
-		x.workers[service] = pool
+		pool = c.scheduler.eligibleWorkers(service, now)
+		c.workers[service] = pool
 	}
 	return pool
 }
 
-func (x *searchCache) key(st *step) searchKey {
-	d := searchKey{service: x.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
+func (c *searchCache) key(st *step) searchKey {
+	d := searchKey{service: c.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
 	if st.BestEffort {
 		d.image = "fills " + st.Image
 	}
 	return d
 }
 
-// add takes note that no worker has room for a task of the step. A step whose
-// tasks keep apart, or stay away from a worker, says nothing about others.
-func (x *searchCache) addFailure(st *step) {
+// addFailure records that no worker has capacity for a task of the step. Gangs, steps
+// with anti-affinity and steps with relocated tasks are not recorded: their search
+// excludes workers that are suitable for other steps.
+func (c *searchCache) addFailure(st *step) {
 	if st.AntiAffinity > 0 || st.Gang {
 		return
 	}
@@ -53,13 +54,14 @@
 			return
 		}
 	}
-	d := x.key(st)
-	x.failedSizes[d] = append(x.failedSizes[d], st.Size)
+	d := c.key(st)
+	c.failedSizes[d] = append(c.failedSizes[d], st.Size)
 }
 
-// covers reports whether a task that asks for no more found no worker.
-func (x *searchCache) hasFailure(st *step) bool {
-	for _, size := range x.failedSizes[x.key(st)] {
+// hasFailure reports whether the search for a task that is no larger than a task of
+// the step has already failed.
+func (c *searchCache) hasFailure(st *step) bool {
+	for _, size := range c.failedSizes[c.key(st)] {
 		if size.Fits(st.Size) {
 			return true
 		}
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -10,59 +10,63 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// A worker that turns slow, or on which tasks stand still, stays healthy by its
-// own account and has the most free room, so it attracts all urgent work. What
-// shows it is the progress of its tasks: the scheduler compares that with their
-// estimates and with what the queue's tasks reach on all workers, avoids a worker
-// on which several jobs progress far too slowly, and moves off what would end
+// A worker that becomes slow, or whose tasks stall, still reports itself as healthy
+// and has the most free capacity, so it would attract all urgent tasks. The
+// scheduler detects it by the progress of its tasks, relative to their estimates
+// and to the mean speed of their queue on all workers. It avoids a worker on which
+// several jobs progress far too slowly, and relocates the tasks that would finish
 // earlier elsewhere.
 
 const (
-	// progressWindow is the least time between two readings of a task's progress,
-	// which is given in whole percent.
+	// minProgressInterval is the minimum time between two readings of a task's
+	// progress, which is reported in whole percent.
 	minProgressInterval = 250 * time.Millisecond
-	// leastProgress in percent stands for a task that has made none.
+	// minProgressPercent is assumed for a task without progress, since the logarithm
+	// of zero is not finite.
 	minProgressPercent = 0.5
-	// slowLog is the logarithm of the speed, relative to the other workers, below
-	// which a worker counts as slow: two fifths. Sound ones differ by a quarter.
+	// slowThreshold is the logarithm of the speed, relative to the other workers,
+	// below which a worker counts as slow: 40 percent. Healthy workers differ by 25.
 	slowThreshold = -0.9
-	// speedFollow is the weight of a new reading in the speed of a worker.
+	// speedSmoothing is the weight of a new reading in the speed of a worker.
 	speedSmoothing = 0.25
-	// usualFollow is the weight of a new reading in the usual speed of a queue,
-	// and usualClip bounds it, so that slow workers do not become the usual.
+	// queueSpeedSmoothing is the weight of a new reading in the speed of a queue.
+	// maxQueueSpeedError limits the deviation of a reading, so that slow workers
+	// barely change the speed of the queue.
 	queueSpeedSmoothing = 0.02
 	maxQueueSpeedError  = 0.5
-	// slowReadings of slowJobs jobs are needed: the tasks of one job share the
-	// error of its estimate.
+	// A worker counts as slow only after minSlowReadings readings from minSlowJobs
+	// jobs, because the tasks of one job share the error of its estimate.
 	minSlowReadings = 4
 	minSlowJobs     = 2
-	// speedKept is after how long without a reading the speed is forgotten.
+	// speedExpiry is the time without readings after which the speed is discarded.
 	speedExpiry = 2 * time.Second
-	// slowBackoff is how long a slow worker is avoided; it doubles up to
-	// longestBackoff while the worker stays slow.
+	// slowWorkerBackoff is how long a slow worker is avoided. It doubles up to
+	// maxBackoff while the worker stays slow.
 	slowWorkerBackoff = time.Second
-	// moveGain is how many times longer a task must be predicted to run where it
-	// is before it is moved, and moveCost what the move itself takes.
+	// A task is relocated if its predicted remaining time on its worker exceeds
+	// minRelocationGain times that on another worker plus relocationCost, the time
+	// that the relocation takes.
 	minRelocationGain = 1.5
 	relocationCost    = 300 * time.Millisecond
 )
 
-// speed is how fast a worker runs the tasks that end.
+// speed estimates how fast a worker runs tasks that have an end.
 type speed struct {
-	log         float64 // logarithm of the speed relative to the usual one
+	log         float64 // logarithm of the speed relative to the queues' speeds
 	readings    int
-	jobs        [minSlowJobs]workflow.JobID // the last ones that were read, each once
+	jobs        [minSlowJobs]workflow.JobID // most recent jobs with readings, without repetition
 	lastReading bootclock.Instant           // of the last reading
-	timesSlow   int                         // times in a row that it was found slow
+	timesSlow   int                         // consecutive times that the worker was found slow
 }
 
-// progressReading is the last reading of a task's progress that was used.
+// progressReading is the last reading of a task's progress that was evaluated.
 type progressReading struct {
 	percent int
 	at      bootclock.Instant // 0 before the first
 }
 
-// measure takes in a reading of the progress of a task that runs at full pace.
+// updateSpeed updates the speeds of the worker and the queue from the progress of a
+// task. Only tasks that run at full pace are evaluated.
 func (s *Scheduler) updateSpeed(w *worker, t *task, percent, pace int, now Timestamp) {
 	last := t.lastProgress
 	if t.step.LongRunning || t.step.BestEffort || pace < 100 || t.stopOrderedAt != 0 {
@@ -88,7 +92,7 @@
 	}
 }
 
-// take follows the readings of a worker.
+// add updates the speed with a reading from a task of the job.
 func (v *speed) add(reading float64, job workflow.JobID, now Timestamp) {
 	if now.Boot.Sub(v.lastReading) > speedExpiry {
 		*v = speed{timesSlow: v.timesSlow}
@@ -104,13 +108,13 @@
 	}
 }
 
-// slow reports whether several jobs have progressed far too slowly lately.
+// slow reports whether several jobs have recently progressed far too slowly.
 func (v *speed) slow(now Timestamp) bool {
 	return v.log < slowThreshold && v.readings >= minSlowReadings && v.jobs[minSlowJobs-1] != "" && now.Boot.Sub(v.lastReading) <= speedExpiry
 }
 
-// lags reports whether a task would end earlier if it were stopped and started on
-// another worker now.
+// runsFasterElsewhere reports whether the task would finish earlier if it were
+// stopped now and started on another worker.
 func (t *task) runsFasterElsewhere(now Timestamp) bool {
 	w := t.worker
 	if !w.speed.slow(now) {
--- a/internal/scheduler/speed_test.go
+++ b/internal/scheduler/speed_test.go
@@ -13,8 +13,8 @@
 	return workflow.Step{Count: count, Size: cores(1), Estimate: time.Second}
 }
 
-// progressed reports from every worker that its tasks have run for a while, at the
-// speed given by worker; 1 is what their estimates say.
+// reportProgress reports from every worker that its tasks have run for d at the speed
+// given by worker id. Speed 1 matches a task of one second that runs as estimated.
 func (f *fixture) reportProgress(d time.Duration, speeds map[string]float64) {
 	f.advance(d)
 	for id, a := range f.agents {
@@ -25,8 +25,8 @@
 	}
 }
 
-// slowFixture starts jobs of the urgent queue on worker a alone, then adds two
-// empty workers.
+// slowFixture starts jobs of the urgent queue on worker a as the only worker, and then
+// adds two empty workers.
 func slowFixture(t *testing.T, jobs int) (*fixture, []workflow.JobID) {
 	f := newFixture(t)
 	f.addWorker("a", 16)
@@ -51,9 +51,9 @@
 	}
 }
 
-// A worker that turns slow keeps the most free room and is healthy by its own
-// account. New urgent work must go elsewhere as soon as several jobs progress far
-// too slowly there, and what runs there must move when it ends earlier elsewhere.
+// A worker that becomes slow has the most free capacity and reports itself as healthy. New
+// urgent tasks must go elsewhere once several jobs progress far too slowly there, and its
+// tasks must move if they would finish earlier elsewhere.
 func TestTasksMoveOffSlowWorker(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Tasks that stand still are the slowest: they must be left as well.
+// A worker whose tasks make no progress at all must be avoided as well.
 func TestWorkerWithStalledTasksIsAvoided(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
@@ -84,8 +84,8 @@
 	f.wantAvoided("a")
 }
 
-// One job whose estimate is far too low looks slow wherever it runs. The worker
-// must not be blamed for it, or estimates alone would empty workers.
+// A job whose estimate is far too low looks slow on every worker. The worker must not be
+// marked slow for it, or wrong estimates alone would empty workers.
 func TestLowEstimateOfOneJobMarksNoWorkerSlow(t *testing.T) {
 	f, _ := slowFixture(t, 1)
 	for range 4 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// When the estimates of all jobs of a queue are too low, all workers look slow and
-// none is: the scheduler must learn what is usual instead of moving tasks around.
+// If the estimates of all jobs of a queue are too low, all workers look slow although none
+// is. The scheduler must learn the speed of the queue instead of relocating tasks.
 func TestQueueSpeedIsLearned(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 16)
@@ -120,12 +120,12 @@
 	}
 	for id, w := range f.scheduler.workers {
 		if w.speed.slow(f.now) {
-			t.Errorf("worker %s at the usual speed: got slow (%+v), want not", id, w.speed)
+			t.Errorf("worker %s at the speed of the queue: got slow (%+v), want not slow", id, w.speed)
 		}
 	}
 }
 
-// A slow worker is tried again: it must get work once it is as fast as the others.
+// A slow worker must receive tasks again after its backoff, in case it has recovered.
 func TestSlowWorkerIsRetried(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	for range 3 {
@@ -136,12 +136,13 @@
 	f.advance(maxBackoff)
 	f.report("a")
 	if got := len(f.scheduler.eligibleWorkers("desk", f.now)); got != 3 {
-		t.Errorf("workers in the pool after the pause: got %d, want 3", got)
+		t.Errorf("eligible workers after the backoff: got %d, want 3", got)
 	}
 }
 
-// Serving tasks on a slow worker are slow whatever fills beside them. The images
-// that do must not be blamed for it on all other workers.
+// Latency-critical tasks on a slow worker are slow regardless of the best-effort tasks
+// beside them. The model must not attribute this to the best-effort images, which would
+// exclude them from all other workers.
 func TestSlowWorkerDoesNotTrainInterferenceModel(t *testing.T) {
 	f, _ := slowFixture(t, 2)
 	a := f.agents["a"]
@@ -156,7 +157,7 @@
 		for name, row := range a.running {
 			switch step := f.scheduler.task(mustParse(t, name)).step; {
 			case step.LongRunning:
-				row.Load = 60 // of 18
+				row.Load = 60 // target: 18
 			case step.BestEffort:
 				row.Load = 4000
 			}
@@ -164,6 +165,6 @@
 		f.reportProgress(600*time.Millisecond, map[string]float64{"a": 0.05})
 	}
 	if got := f.scheduler.model.PerCore("web", "press"); got > 0.1 {
-		t.Errorf("loss by the image beside the slow serving task: got %.2f per core, want about 0", got)
+		t.Errorf("loss caused by the image on the slow worker: got %.2f per core, want about 0", got)
 	}
 }
--- a/internal/scheduler/submit.go
+++ b/internal/scheduler/submit.go
@@ -9,7 +9,7 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// Accept adds a job whose record is durable. A job that is known stays as it is.
+// Accept adds a job whose record is durable. It has no effect on an existing job.
 func (s *Scheduler) Accept(j *workflow.Job, p workflow.Policy, now Timestamp) {
 	if s.jobs[j.ID] != nil {
 		return
@@ -21,7 +21,7 @@
 	s.openDueOccurrences(row, now)
 }
 
-// begin opens the occurrences that are due.
+// openDueOccurrences adds the occurrences of the job that have become due.
 func (s *Scheduler) openDueOccurrences(j *job, now Timestamp) {
 	for j.opened < j.Occurrences() && !now.Wall.Before(j.Due(j.opened)) {
 		o := newOccurrence(j, j.opened)
@@ -44,7 +44,7 @@
 	return o
 }
 
-// open marks the steps whose predecessors are done.
+// openSteps marks the steps whose dependencies are done as open.
 func (o *occurrence) openSteps() {
 	for _, st := range o.steps {
 		if !st.open {
@@ -53,19 +53,20 @@
 	}
 }
 
+// dependenciesDone reports whether all steps that st depends on are done.
 func (o *occurrence) dependenciesDone(st *step) bool {
-	for _, before := range st.After {
-		if o.steps[before].tasksLeft > 0 {
+	for _, dependency := range st.After {
+		if o.steps[dependency].tasksLeft > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Known reports whether the job's record is known.
+// HasJob reports whether the job exists.
 func (s *Scheduler) HasJob(id workflow.JobID) bool { return s.jobs[id] != nil }
 
-// State returns the durable state of a job and false when no such job exists.
+// JobState returns the durable state of a job, and false if no such job exists.
 func (s *Scheduler) JobState(id workflow.JobID) (workflow.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -77,8 +78,8 @@
 	return j.durableState, true
 }
 
-// Pending returns how many jobs of a queue have not begun; jobs with due times
-// do not count.
+// PendingJobs returns the number of jobs of a queue that have not started, without
+// the jobs that have due times.
 func (s *Scheduler) PendingJobs(queue workflow.QueueName) int {
 	n := 0
 	for _, j := range s.activeJobs {
@@ -89,9 +90,9 @@
 	return n
 }
 
-// Cancel cancels a job that is not final, and returns the flush after which
-// its final state is durable. It returns 0 when the job is unknown or its final
-// state is durable already.
+// Cancel cancels a job that has not ended, and returns the number of the flush that
+// makes its final state durable. It returns 0 if the job does not exist or its final
+// state is already durable.
 func (s *Scheduler) Cancel(id workflow.JobID, now Timestamp) uint64 {
 	j := s.jobs[id]
 	if j == nil || j.durableState.Final() {
@@ -106,7 +107,7 @@
 	return j.stateFlush
 }
 
-// finish gives a job its final state and stops what still runs of it.
+// finishJob sets the final state of a job and stops its remaining runs.
 func (s *Scheduler) finishJob(j *job, state workflow.State, now Timestamp) {
 	j.state, j.finishedAt = state, now.Wall
 	klog.InfoS("job ended", "job", j.ID, "state", state, "age", now.Boot.Sub(j.submittedAt).Round(time.Millisecond), "recovered", j.recovered)
@@ -123,14 +124,16 @@
 	}
 }
 
+// markDirty includes the job's progress in the next flush.
 func (s *Scheduler) markDirty(j *job) { s.dirty[j.ID] = j }
 
-// stop orders the end of a task's run; the task stays on its worker until a
-// report shows that it has ended.
+// stopTask orders the stop of a task's run. The task stays on its worker until a
+// report shows that the run has ended. A start that was not sent yet is withdrawn
+// instead.
 func (s *Scheduler) stopTask(t *task, now Timestamp) {
 	t.stopOrderedAt = now.Boot
 	w := t.worker
-	if slices.Contains(w.orders.starts, t) { // not sent yet
+	if slices.Contains(w.orders.starts, t) { // the start was not sent yet
 		t.release()
 		return
 	}
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -8,8 +8,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// A run whose attempt is lower than the highest of its step is still the
-// task's only run after a takeover. Starting the task again would run it twice.
+// After a change of leader, a run whose attempt is below the highest of its step may still
+// be the task's only run. Starting the task again would run it twice.
 func TestTakeoverAdoptsRunOfLowerAttempt(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.addWorker("a", 2), f.addWorker("b", 2)
@@ -36,15 +36,16 @@
 		f.report(id)
 	}
 	if got := f.tick(); len(got) != 0 {
-		t.Errorf("got starts %v after the takeover, want none: both tasks run", got)
+		t.Errorf("got starts %v after the change of leader, want none: both tasks run", got)
 	}
 	if got := len(a.running) + len(b.running); got != 2 {
 		t.Errorf("got %d runs, want 2", got)
 	}
 }
 
-// Until every agent that an earlier leader knew has reported, or its leases
-// have ended, a task without a known run may be running there.
+// A task without a known run may be running on a worker of an earlier leader until that
+// worker's agent has reported or its leases have expired. Starting the task earlier could
+// run it twice.
 func TestTakeoverWaitsForDisconnectedAgent(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 1)
@@ -60,11 +61,11 @@
 	f.agents["a"].end(anyRun(f.agents["a"]), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 0 {
-		t.Errorf("got starts %v, want none before the silent agent's leases have ended", got)
+		t.Errorf("got starts %v, want none before the disconnected agent's leases have expired", got)
 	}
 	f.advance(testMaxLeaseDuration + 1)
 	if got := f.tick(); len(got) != 1 {
-		t.Errorf("got starts %v, want the task of the silent agent", got)
+		t.Errorf("got starts %v, want the task of the disconnected agent", got)
 	}
 }
 
@@ -75,8 +76,8 @@
 	return ""
 }
 
-// An agent whose runner is gone for good has nothing to report. It must not
-// hold back every recovered job for ever.
+// An agent whose runner is permanently gone never lists its runs. It must not block all
+// recovered jobs for ever.
 func TestTakeoverDoesNotWaitForMissingRunner(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 1)
@@ -104,8 +105,8 @@
 	}
 }
 
-// A task that is lost before its start was sent must leave the orders: the
-// process ended when they were taken.
+// A task that is lost before its start was sent must be removed from the pending orders.
+// Otherwise the process crashed when the orders were taken.
 func TestLostTaskLeavesPendingOrders(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 4)
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -11,16 +11,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Orders are the orders for one agent.
+// Orders are the pending orders for one agent.
 type Orders struct {
 	Worker            units.WorkerID
-	RunnerID          string // incarnation that they are meant for
+	RunnerID          string // incarnation of the runner that the orders are for
 	Starts            []runner.Start
 	Stops             []Stop
-	Descriptions      []runner.Start          // of runs that the agent knows only from its runner's lists
-	Estimates         []interference.Estimate // of the images that run there
-	RunnerStartUnixMs int64                   // incarnation to which Recorded belongs
-	DurableEnds       uint64                  // ends up to this number are durable
+	Descriptions      []runner.Start          // of runs that the agent has only seen in its runner's lists
+	Estimates         []interference.Estimate // interference estimates for the images on the worker
+	RunnerStartUnixMs int64                   // start of the incarnation that DurableEnds refers to
+	DurableEnds       uint64                  // the ends of runs up to this number are durable
 }
 
 // Stop is an order to end a run.
@@ -29,9 +29,10 @@
 	Attempt workflow.Attempt
 }
 
-// Tick runs every rule over the tables: due occurrences, workers whose leases
-// have ended, workers that leave, then placement, preemption and moves. mayStart is false while the
-// operators' state is not known to be current, so that nothing starts.
+// Tick applies all rules to the tables: it opens due occurrences, releases tasks
+// whose leases have expired, drains workers, and then places, preempts and
+// relocates tasks. mayStart is false while the operators' state may be stale; then
+// no task starts.
 func (s *Scheduler) Tick(now Timestamp, mayStart bool) {
 	for _, j := range s.activeJobs {
 		if j.opened < j.Occurrences() {
@@ -45,21 +46,22 @@
 		}
 	}
 	if mayStart {
-		short := s.newSearchCache()
-		waiting := s.placePending(now, short)
-		s.preempt(waiting, now, short)
-		s.relocate(now, short)
+		cache := s.newSearchCache()
+		waiting := s.placePending(now, cache)
+		s.preempt(waiting, now, cache)
+		s.relocate(now, cache)
 	}
 }
 
-// expire releases what a worker without a session can't run any more.
+// releaseExpired releases the tasks of a worker without a current list of runs once
+// the worker can no longer run them.
 func (s *Scheduler) releaseExpired(w *worker, now Timestamp) {
 	if !w.runsKnown(now) {
 		return
 	}
 	if w.mayHaveUnknownRuns {
 		w.mayHaveUnknownRuns = false
-		klog.InfoS("runs of an earlier leader are known", "worker", w.id, "attached", w.attached)
+		klog.InfoS("all runs of an earlier leader are in the tables", "worker", w.id, "attached", w.attached)
 	}
 	if !w.synced && len(w.tasks) > 0 {
 		klog.InfoS("worker is given up", "worker", w.id, "tasks", len(w.tasks))
@@ -67,8 +69,8 @@
 	}
 }
 
-// leave moves tasks off a draining worker: those that never end, so that they
-// run elsewhere before it is gone.
+// drainWorker stops the long-running tasks of a draining worker, which would not
+// end by themselves, so that they restart elsewhere before the worker is gone.
 func (s *Scheduler) drainWorker(w *worker, now Timestamp) {
 	for _, t := range w.tasks {
 		if t.step.LongRunning && t.stopOrderedAt == 0 && t.confirmed {
@@ -77,7 +79,7 @@
 	}
 }
 
-// TakeOrders returns what has been decided since the last call.
+// TakeOrders returns and clears the pending orders of all attached workers.
 func (s *Scheduler) TakeOrders() []Orders {
 	var all []Orders
 	for _, w := range s.workers {
@@ -104,7 +106,7 @@
 	return all
 }
 
-// order returns what an agent must know of the task's run.
+// order returns the start order of the task's current run.
 func (t *task) order() runner.Start {
 	return runner.Start{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
 		Fills: t.step.BestEffort, Target: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -118,7 +118,7 @@
 		},
 		{
 			"steps do not wait for each other",
-			change{"internal/scheduler/submit.go", "		if o.steps[before].tasksLeft > 0 {\n			return false\n		}\n", "		_ = before\n"},
+			change{"internal/scheduler/submit.go", "		if o.steps[dependency].tasksLeft > 0 {\n			return false\n		}\n", "		_ = dependency\n"},
 			"configuration", "steps run in their order",
 		},
 		{
