--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -49,7 +49,7 @@
 	if !s.needsAdvice {
 		return nil
 	}
-	var questions []AdviceRequest
+	var requests []AdviceRequest
 	for _, p := range s.pendingSteps(now) {
 		policy := s.currentPolicy(p.job)
 		a := &p.step.advice
@@ -60,18 +60,18 @@
 		slices.SortFunc(pool, func(x, y *worker) int {
 			return cmp.Or(cmp.Compare(y.capacity.Processors-y.used.Processors, x.capacity.Processors-x.used.Processors), cmp.Compare(x.id, y.id))
 		})
-		q := AdviceRequest{Step: StepID{p.job.ID, p.occurrence, p.step.number}}
+		request := AdviceRequest{Step: StepID{p.job.ID, p.occurrence, p.step.number}}
 		for _, w := range pool[:min(len(pool), maxRequestWorkers)] {
-			q.RunnerIDs = append(q.RunnerIDs, w.runner.ID)
+			request.RunnerIDs = append(request.RunnerIDs, w.runner.ID)
 		}
-		if len(q.RunnerIDs) == 0 {
+		if len(request.RunnerIDs) == 0 {
 			continue
 		}
 		a.requested = true
 		s.openAdviceRequests++
-		questions = append(questions, q)
+		requests = append(requests, request)
 	}
-	return questions
+	return requests
 }
 
 // SetAdvice stores the reply to a request: the tickets by runner incarnation, which
--- a/internal/scheduler/besteffort.go
+++ b/internal/scheduler/besteffort.go
@@ -56,8 +56,8 @@
 
 // usage is the measured and predicted resource usage of a worker's tasks.
 type usage struct {
-	utilization     float64           // learned share of their requested processors that latency-critical tasks use; 0 before the first reading
-	lastReading     bootclock.Instant // time of the last reading
+	utilization     float64 // learned share of their requested processors that latency-critical tasks use; 0 before the first reading
+	lastReading     bootclock.Instant
 	readings        []interference.Serving
 	rates           []float64              // service rate of each of readings, as observed
 	endedTasks      []interference.Filling // best-effort tasks released since the last reading
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -389,7 +389,7 @@
 
 // DurableEnds returns the start time of the runner's incarnation, and the number up to
 // which the ends of its runs are durable.
-func (s *Scheduler) DurableEnds(id units.WorkerID) (born int64, number uint64) {
+func (s *Scheduler) DurableEnds(id units.WorkerID) (startUnixMs int64, number uint64) {
 	if w := s.workers[id]; w != nil {
 		return w.runner.Born, w.durableEnd
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -91,14 +91,14 @@
 	if got := f.tick(); len(got) != 0 {
 		t.Fatalf("got starts %v without advice, want none", got)
 	}
-	questions := f.scheduler.AdviceRequests(f.now)
-	if len(questions) != 1 || len(questions[0].RunnerIDs) != 2 {
-		t.Fatalf("got requests %+v, want one for two runners", questions)
+	requests := f.scheduler.AdviceRequests(f.now)
+	if len(requests) != 1 || len(requests[0].RunnerIDs) != 2 {
+		t.Fatalf("got requests %+v, want one for two runners", requests)
 	}
 	if again := f.scheduler.AdviceRequests(f.now); len(again) != 0 {
 		t.Errorf("got %d requests while one has no reply, want none", len(again))
 	}
-	f.scheduler.SetAdvice(questions[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
+	f.scheduler.SetAdvice(requests[0].Step, map[string]string{"runner-b": "t"}, 3*time.Second, f.now)
 	for task, worker := range f.tick() {
 		if worker != "b" {
 			t.Errorf("%s started on %s, want b", task, worker)
--- a/internal/scheduler/speed.go
+++ b/internal/scheduler/speed.go
@@ -25,7 +25,7 @@
 	// of zero is not finite.
 	minProgressPercent = 0.5
 	// slowThreshold is the logarithm of the speed, relative to the other workers,
-	// below which a worker counts as slow: 40 percent. Healthy workers differ by 25.
+	// below which a worker counts as slow: 40 percent. Healthy workers differ by 25 percent.
 	slowThreshold = -0.9
 	// speedSmoothing is the weight of a new reading in the speed of a worker.
 	speedSmoothing = 0.25
@@ -55,8 +55,8 @@
 	log         float64 // logarithm of the speed relative to the queues' speeds
 	readings    int
 	jobs        [minSlowJobs]workflow.JobID // most recent jobs with readings, without repetition
-	lastReading bootclock.Instant           // of the last reading
-	timesSlow   int                         // consecutive times that the worker was found slow
+	lastReading bootclock.Instant
+	timesSlow   int // consecutive times that the worker was found slow
 }
 
 // progressReading is the last reading of a task's progress that was evaluated.
@@ -82,9 +82,9 @@
 	}
 	done := max(float64(percent-last.percent), minProgressPercent) / 100
 	reading := math.Log(done * t.step.Estimate.Seconds() / elapsed.Seconds())
-	usual := s.queueSpeed[t.job.Queue]
-	s.queueSpeed[t.job.Queue] = usual + queueSpeedSmoothing*min(max(reading-usual, -maxQueueSpeedError), maxQueueSpeedError)
-	w.speed.add(reading-usual, t.job.ID, now)
+	queueSpeed := s.queueSpeed[t.job.Queue]
+	s.queueSpeed[t.job.Queue] = queueSpeed + queueSpeedSmoothing*min(max(reading-queueSpeed, -maxQueueSpeedError), maxQueueSpeedError)
+	w.speed.add(reading-queueSpeed, t.job.ID, now)
 	if w.speed.slow(now) && !now.Boot.Before(w.retryAt) {
 		w.avoid(now, min(slowWorkerBackoff<<min(w.speed.timesSlow, 4), maxBackoff))
 		w.speed.timesSlow++
