--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,7 +1,6 @@
-// Package durable is what the scheduler needs of the store that the platform
-// runs: topics of records with offsets, conditional appends, appends that are
-// fenced by a producer's epoch, and topics that keep the newest record of each
-// key for good.
+// Package durable defines the interface to the platform's store. The store has topics
+// of records with offsets, conditional appends, appends that are fenced by the epoch of
+// their producer, and keyed topics that retain the newest record of each key.
 package durable
 
 import (
@@ -12,37 +11,37 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind tells the failures of a call apart.
+// Kind classifies the errors of a call.
 type Kind string
 
 // The kinds of Error.
 const (
-	Unavailable Kind = "unavailable" // nothing was done
-	Unknown     Kind = "unknown"     // an append may have been done, or may still be
-	Conflict    Kind = "conflict"    // the topic does not end at the expected offset; nothing was done
-	Fenced      Kind = "fenced"      // a producer with a higher epoch has taken over; nothing was done
-	OutOfOrder  Kind = "outOfOrder"  // another sequence number was expected; nothing was done
-	Expired     Kind = "expired"     // the records were deleted
-	Invalid     Kind = "invalid"     // the call or its answer is malformed
+	Unavailable Kind = "unavailable" // the call was not executed
+	Unknown     Kind = "unknown"     // an append may have been executed, or may still be
+	Conflict    Kind = "conflict"    // the topic does not end at the expected offset; nothing was appended
+	Fenced      Kind = "fenced"      // a producer with a higher epoch exists; nothing was appended
+	OutOfOrder  Kind = "outOfOrder"  // a different sequence number was expected; nothing was appended
+	Expired     Kind = "expired"     // the records are no longer retained
+	Invalid     Kind = "invalid"     // the request or the response is malformed
 )
 
-// Error is the error type of the store's clients.
+// Error is the error type of store clients.
 type Error = fault.Error[Kind]
 
-// Topic names a topic. Its first partition is the only one in use.
+// Topic is the name of a topic. Only its first partition is used.
 type Topic string
 
 // Record is one record of a topic.
 type Record struct {
 	Key   string // empty in a topic without keys
-	Value []byte // nil in a topic with keys: the key was deleted
+	Value []byte // nil in a topic with keys if the key was deleted
 }
 
-// Batch is the answer to a read.
+// Batch is the result of a read.
 type Batch struct {
 	Records []Record
-	Next    units.Offset // offset after the last of Records
-	End     units.Offset // end of the topic at the time of the answer
+	Next    units.Offset // offset that follows the last of Records
+	End     units.Offset // end of the topic at the time of the response
 }
 
 // Item is the newest record of a key.
@@ -51,42 +50,44 @@
 	Value []byte
 }
 
-// Snapshot is the newest record of every key. Changes made during the read may
-// be missing; reading the topic from From on shows them.
+// Snapshot holds the newest record of each key. Changes made during the read may be
+// missing; they are found by reading the topic from offset From.
 type Snapshot struct {
 	Items []Item
 	From  units.Offset
 }
 
-// Producer makes repeated appends idempotent and fences older producers.
+// Producer makes repeated appends idempotent and fences producers of the same name with
+// lower epochs.
 type Producer struct {
 	Name     string
 	Epoch    uint64
-	Sequence uint64 // of this append; rises by one with each
+	Sequence uint64 // of this append; increases by one with each append
 }
 
-// Append is one call that appends records, all or none.
+// AppendRequest appends records atomically.
 type AppendRequest struct {
 	Topic       Topic
 	Keyed       bool
 	Records     []Record
-	ExpectedEnd *units.Offset // nil, or the offset at which the topic must end
-	Producer    *Producer     // nil, or the producer of the append
+	ExpectedEnd *units.Offset // offset at which the topic must end, or nil for any
+	Producer    *Producer     // producer of the append, or nil
 }
 
-// Store is the platform's store. All calls may be made concurrently. Errors
-// are of type *Error.
+// Store is a client of the platform's store. It is safe for concurrent use. Errors are
+// of type *Error.
 type Store interface {
-	// Append returns the offset of the first record. Kinds: Unavailable,
-	// Unknown, Conflict, Fenced, OutOfOrder, Invalid.
+	// Append appends records and returns the offset of the first one. Error kinds:
+	// Unavailable, Unknown, Conflict, Fenced, OutOfOrder, Invalid.
 	Append(ctx context.Context, a AppendRequest) (units.Offset, error)
-	// Read waits at most wait for a record at or after from. Kinds:
-	// Unavailable, Expired, Invalid. With Expired, Next is the first retained
-	// offset.
+	// Read returns records from offset from on. If there are none, it waits for at most
+	// wait. Error kinds: Unavailable, Expired, Invalid. With Expired, Batch.Next is the
+	// first retained offset.
 	Read(ctx context.Context, topic Topic, keyed bool, from units.Offset, wait time.Duration) (Batch, error)
-	// Newest reads the newest record of each key. Kinds: Unavailable, Invalid.
+	// ReadSnapshot returns the newest record of each key. Error kinds: Unavailable,
+	// Invalid.
 	ReadSnapshot(ctx context.Context, topic Topic) (Snapshot, error)
-	// Range returns the first retained offset of a topic and its end, which
-	// are equal when no record is retained. Kinds: Unavailable, Invalid.
+	// Range returns the first retained offset of a topic and its end. They are equal if no
+	// record is retained. Error kinds: Unavailable, Invalid.
 	Range(ctx context.Context, topic Topic) (first, end units.Offset, err error)
 }
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,8 +1,8 @@
-// Package jobstore writes the scheduler's records to the platform's store: one
-// append at a time that carries everything which has gathered meanwhile, fenced
-// by the leader's term. An append without an answer is repeated under the same
-// sequence number, so its records are in the topic once and their fate is known
-// before anybody is told.
+// Package jobstore writes the scheduler's records to the platform's store. It sends one
+// append at a time, which contains all records written meanwhile and is fenced by the
+// leader's term. An append without a response is retried with the same sequence number.
+// So its records are in the topic exactly once, and its outcome is certain before
+// anything is acknowledged.
 package jobstore
 
 import (
@@ -19,24 +19,25 @@
 )
 
 const (
-	// Topic holds the jobs and their progress.
+	// Topic is the topic of the jobs and their progress.
 	Topic durable.Topic = "jobs"
-	// producerName is shared by all leaders; their terms fence each other.
+	// producerName is the same for all leaders, so that a leader fences earlier ones by
+	// its term.
 	producerName = "scheduler"
-	// gather is how long an append waits for more records, so that a burst of
-	// submissions costs few calls.
+	// batchDelay is how long an append waits for more records, so that a burst of
+	// submissions needs few calls.
 	batchDelay = 2 * time.Millisecond
-	// retryPause follows an append that was not carried out.
+	// retryDelay is the delay before a failed call is retried.
 	retryDelay = 60 * time.Millisecond
-	// stalledAfter is the time without a successful append after which new
-	// submissions are refused at once instead of waiting for the store.
+	// stallTimeout is how long an append may take before new submissions are rejected
+	// at once instead of waiting for the store.
 	stallTimeout = 700 * time.Millisecond
-	// maxBatch bounds the records of one append in bytes, half of what the
-	// store takes in a call.
+	// maxBatchBytes limits the records of an append to half of what the store accepts
+	// in a call.
 	maxBatchBytes = 1 << 20
 )
 
-// Writer appends records. Set the exported fields before Fence.
+// Writer appends records. The exported fields must be set before Fence is called.
 type Writer struct {
 	Store durable.Store
 	Epoch uint64 // the leader's term
@@ -45,42 +46,43 @@
 	pending     []write
 	wakeup      chan struct{}
 	sequence    uint64
-	appendStart bootclock.Instant // when the append under way was first tried; 0 without one
+	appendStart bootclock.Instant // when the current append was first sent; 0 if there is none
 }
 
+// write is one call of Write.
 type write struct {
 	records   []durable.Record
 	onDurable func()
 }
 
-// New returns a writer of a term.
+// New returns a writer for the term epoch.
 func New(store durable.Store, epoch uint64) *Writer {
 	return &Writer{Store: store, Epoch: epoch, wakeup: make(chan struct{}, 1)}
 }
 
-// Fence ends the appends of all earlier terms. After it, a read of the topic
-// misses none of their records. Kinds: Fenced, or the context's end.
+// Fence prevents any further appends by earlier terms, so that a later read of the topic
+// returns all of their records. Error kinds: Fenced, or the error of ctx.
 func (w *Writer) Fence(ctx context.Context) error {
 	return w.append(ctx, nil)
 }
 
-// Load reads the newest records. It is called between Fence and Run.
+// LoadSnapshot reads the newest records. It must be called after Fence and before Run.
 func (w *Writer) LoadSnapshot(ctx context.Context) ([]durable.Item, error) {
 	for {
 		snapshot, err := w.Store.ReadSnapshot(ctx, Topic)
 		if err == nil || ctx.Err() != nil || fault.Is(err, durable.Invalid) {
 			return snapshot.Items, err
 		}
-		klog.InfoS("records of jobs can't be read", "err", err)
+		klog.InfoS("job records can't be read; retrying", "err", err)
 		pause.For(ctx, retryDelay)
 	}
 }
 
-// Write queues records; done is called from the goroutine of Run once they are
-// durable, in the order of the calls.
-func (w *Writer) Write(records []durable.Record, done func()) {
+// Write queues records for the next append. Once they are durable, Run calls onDurable
+// from its goroutine, in the order of the calls of Write.
+func (w *Writer) Write(records []durable.Record, onDurable func()) {
 	w.mu.Lock()
-	w.pending = append(w.pending, write{records, done})
+	w.pending = append(w.pending, write{records, onDurable})
 	w.mu.Unlock()
 	select {
 	case w.wakeup <- struct{}{}:
@@ -88,15 +90,15 @@
 	}
 }
 
-// Stalled reports whether the store has not taken an append for a while.
+// Stalled reports whether the current append has taken longer than stallTimeout.
 func (w *Writer) Stalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.appendStart != 0 && bootclock.Now().Sub(w.appendStart) > stallTimeout
 }
 
-// Run appends until ctx ends, or returns an error of kind Fenced when a later
-// term has taken over.
+// Run appends the queued records until ctx ends. It returns an error of kind Fenced if a
+// later term has fenced this one.
 func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
@@ -128,7 +130,8 @@
 	}
 }
 
-// take removes entries up to maxBatch from the queue.
+// takeBatch removes and returns the oldest writes, about maxBatchBytes of records but at
+// least one write.
 func (w *Writer) takeBatch() []write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,7 +147,7 @@
 	return batch
 }
 
-// append repeats one append until the store has answered it.
+// append sends an append and retries it until the store has responded.
 func (w *Writer) append(ctx context.Context, records []durable.Record) error {
 	w.setAppendStart(bootclock.Now())
 	defer w.setAppendStart(0)
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,13 +1,13 @@
-// Package leadership decides which entry process leads the scheduler. A claim
-// or a renewal is an append to a topic of the platform's store on condition
-// that nothing was appended since, so of two claims one wins. The term is the
-// offset after the claim; it fences the records and the orders of earlier
-// leaders.
+// Package leadership elects the entry process that runs the scheduler. A claim or a
+// renewal of the leadership is an append to a topic of the platform's store, on the
+// condition that nothing else was appended since. So one of two concurrent claims wins.
+// The term is the offset after the claim. It serves as a fencing token against the
+// records and orders of earlier leaders.
 //
-// A leader has authority for a time after each renewal, measured from before
-// it was sent; a follower claims only after a longer time without one. While
-// the store answers nobody, a leader may keep its authority by promises of all
-// other entry processes not to claim.
+// Each renewal extends the leader's lease, counted from the time before the renewal was
+// sent. A follower claims the leadership only after a longer time without a renewal.
+// While the store responds to no process, a leader may extend its lease by promises of
+// all other entry processes not to claim.
 package leadership
 
 import (
@@ -28,101 +28,105 @@
 )
 
 const (
-	// Topic holds the claims and renewals.
+	// Topic is the topic of the claims and renewals.
 	Topic durable.Topic = "leadership"
-	// renewEvery leaves room for one failed renewal within the authority.
+	// renewInterval allows for one failed renewal within a lease.
 	renewInterval = 500 * time.Millisecond
-	// authorityFor is how long a renewal gives authority.
+	// leaseDuration is the duration of the lease that a renewal gives.
 	leaseDuration = 1700 * time.Millisecond
-	// claimAfter is the time without a renewal after which a follower claims;
-	// it exceeds authorityFor by what clocks may differ in that time.
+	// claimTimeout is the time without a renewal after which a follower claims the
+	// leadership. It exceeds leaseDuration by the possible clock drift in that time.
 	claimTimeout = 1900 * time.Millisecond
-	// claimTrusted is how long a claim without an answer is not denied. Others read
-	// it a few milliseconds before or after the answer; without one for so long the
-	// answer is probably lost, and somebody else should lead.
+	// pendingClaimTimeout is how long this process does not renounce the term of a claim
+	// without a response. Other processes read the claim a few milliseconds before or
+	// after the response. If there is none for this long, it is probably lost, and
+	// another process should lead.
 	pendingClaimTimeout = 250 * time.Millisecond
-	// PromiseFor is how long a promise not to claim holds.
+	// PromiseDuration is how long a promise not to claim is valid.
 	PromiseDuration = 2 * time.Second
-	// startQuiet keeps a process that was restarted from claiming while a
-	// promise of its previous run may hold.
+	// restartDelay prevents a restarted process from claiming while a promise of its
+	// previous incarnation may be valid.
 	restartDelay = PromiseDuration + 200*time.Millisecond
-	// renewTimeout leaves time to ask for support before the authority ends.
+	// renewTimeout leaves time to request promises before the lease ends.
 	renewTimeout = 500 * time.Millisecond
-	// vacancyWait bounds a long poll while the leader can't be reached.
+	// disconnectedPollTimeout limits a long poll while there is no session with the
+	// leader.
 	disconnectedPollTimeout = 100 * time.Millisecond
-	// readWait bounds a long poll.
+	// maxPollTimeout limits a long poll.
 	maxPollTimeout = 700 * time.Millisecond
-	// retryPause follows a call that the store did not answer.
+	// retryDelay is the delay before a failed call is retried.
 	retryDelay = 100 * time.Millisecond
-	// reachableFor is how long after an answer the store counts as reachable.
+	// reachableTimeout is how long after its last response the store is considered
+	// reachable.
 	reachableTimeout = 800 * time.Millisecond
 )
 
-// Term numbers the leaders; a later leader has a higher one.
+// Term is the number of a leadership. A later leader has a higher term.
 type Term uint64
 
-// Leader is who leads.
+// Leader describes a leader.
 type Leader struct {
 	Name    string
-	Address string // of its sessions, IP:port
+	Address string // address for sessions with it, IP:port
 	Term    Term
 }
 
-// Elector takes part in the choice of the leader. Set the exported fields
-// before Run.
+// Elector takes part in the election of the leader. The exported fields must be set
+// before Run is called.
 type Elector struct {
 	Store      durable.Store
-	Name       string // of this process's machine
-	Address    string // of this process's sessions
-	FirstStart bool   // no earlier run of this process can have promised anything
-	// Handicap delays a claim, so that of several processes that may claim a
-	// better placed one does.
+	Name       string // name of this process's machine
+	Address    string // address for sessions with this process
+	FirstStart bool   // no earlier incarnation of this process can have made a promise
+	// ClaimDelay delays claims of this process, so that a process that is better placed
+	// claims first.
 	ClaimDelay time.Duration
-	// Lead runs the scheduler for a term until its context ends.
+	// RunLeader runs the scheduler for a term until its context ends.
 	RunLeader func(ctx context.Context, term Term)
-	// OnChange is called when another leader is known.
+	// OnChange is called when the leader changes.
 	OnChange func(Leader)
-	// Support asks the other entry processes for promises, and reports until
-	// when all of them have promised not to claim.
+	// RequestPromises requests promises from all other entry processes. It returns the
+	// time until which none of them claims, and false if not all have promised.
 	RequestPromises func(ctx context.Context, term Term) (bootclock.Instant, bool)
 
-	// Vacant asks the leader's machine whether the leader's process has ended
-	// and another one runs there. It is called while Connected reports false.
+	// LeaderExited queries the leader's machine and reports whether the leader's process
+	// has ended and another one runs there. It is called while Connected reports false.
 	LeaderExited func(ctx context.Context, leader Leader) bool
-	Connected    func() bool
+	// Connected reports whether this process leads or has a session with the leader.
+	Connected func() bool
 
 	mu                sync.Mutex
 	leader            Leader
-	wonTerm           Term              // highest term that this process has won
-	pendingClaim      Term              // its claim is on its way; 0 for none
-	pendingClaimUntil bootclock.Instant // until when the claim on its way is not denied
-	renouncedTerm     Term              // this process has denied to lead this term and never will
-	leaseEnd          bootclock.Instant // until when this process leads
-	promisedUntil     bootclock.Instant // no claim before
-	storeAnsweredAt   bootclock.Instant // last answer of the store
-	renewalSeenAt     bootclock.Instant // last renewal of another leader, or 0
-	nextOffset        units.Offset      // end of the topic as far as it is known
-	released          bool              // the last leader gave up its leadership
-	eligibleSince     bootclock.Instant // since when a claim is possible; 0 while it is not
+	wonTerm           Term              // highest term won by this process
+	pendingClaim      Term              // term of a claim without a response; 0 if there is none
+	pendingClaimUntil bootclock.Instant // the pending claim's term is not renounced before this time
+	renouncedTerm     Term              // highest term that this process has renounced and therefore never leads
+	leaseEnd          bootclock.Instant // end of this process's lease as leader
+	promisedUntil     bootclock.Instant // this process does not claim before this time
+	storeAnsweredAt   bootclock.Instant // time of the store's last response
+	renewalSeenAt     bootclock.Instant // when a renewal was last seen or has to be assumed; 0 if never
+	nextOffset        units.Offset      // known end of the topic
+	released          bool              // the last leader has released the leadership
+	eligibleSince     bootclock.Instant // time since which a claim is possible; 0 if it is not
 }
 
-// Leader returns the newest known leader; its Term is 0 before the first.
+// Leader returns the last known leader. Its Term is 0 if there has been none.
 func (e *Elector) Leader() Leader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader
 }
 
-// Leads reports whether this process leads the term now.
+// Leads reports whether this process leads the term and its lease is valid.
 func (e *Elector) Leads(term Term) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader.Term == term && e.leader.Name == e.Name && bootclock.Now().Before(e.leaseEnd)
 }
 
-// Promise answers a leader's request for support: no claim for PromiseFor. It
-// is refused when the store answers this process, which can then take over, or
-// when a later term is known.
+// Promise handles a leader's request for a promise not to claim for PromiseDuration. It
+// refuses if the store is reachable for this process, which can then become leader, or
+// if it knows a later term. It also returns the last known term.
 func (e *Elector) Promise(term Term) (promised, reachable bool, known Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,10 +139,10 @@
 	return true, false, e.leader.Term
 }
 
-// Renounce answers whether this process leads the term or is about to. When it
-// does not, it never will, so whoever asked may take the leadership over at once.
-// Others can read a claim before this process has the answer to it, so one that
-// has just been sent is not denied.
+// ConfirmOrRenounce reports whether this process leads the term or is about to. If it
+// reports false, this process never leads the term, so the caller may claim the
+// leadership at once. Other processes can read a claim before this process receives the
+// response to it, so the term of a claim that was just sent is not renounced.
 func (e *Elector) ConfirmOrRenounce(term Term) (leads bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -149,7 +153,7 @@
 	return false
 }
 
-// Observe takes note of a later term that another process knows.
+// ObserveTerm ends this process's lease if another process knows a later term.
 func (e *Elector) ObserveTerm(term Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,8 +162,8 @@
 	}
 }
 
-// Run follows the leadership and takes it when nobody renews it, until ctx
-// ends. Then it gives the leadership up if this process has it.
+// Run follows the leader and claims the leadership if it is not renewed. When ctx ends,
+// it releases the leadership if this process has it.
 func (e *Elector) Run(ctx context.Context) error {
 	e.mu.Lock()
 	e.promisedUntil = bootclock.Now()
@@ -171,7 +175,7 @@
 		if err := e.seekLastRecord(ctx); err == nil {
 			break
 		} else if ctx.Err() == nil {
-			klog.InfoS("leadership can't be read", "err", err)
+			klog.InfoS("leadership records can't be read; retrying", "err", err)
 			pause.Jittered(ctx, retryDelay)
 		}
 	}
@@ -183,7 +187,7 @@
 	return nil
 }
 
-// find reads the last record of the topic.
+// seekLastRecord sets the read position to the last record of the topic.
 func (e *Elector) seekLastRecord(ctx context.Context) error {
 	first, end, err := e.Store.Range(ctx, Topic)
 	if err != nil {
@@ -192,7 +196,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.storeAnsweredAt = bootclock.Now()
-	e.renewalSeenAt = e.storeAnsweredAt // a leader may have renewed just now
+	e.renewalSeenAt = e.storeAnsweredAt // a leader may just have renewed its lease
 	e.nextOffset = end
 	if end > first {
 		e.nextOffset = end - 1 // read the newest record
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// follow reads records until this process has claimed the leadership.
+// follow reads records until this process has won the leadership.
 func (e *Elector) follow(ctx context.Context) (Term, bool) {
 	for ctx.Err() == nil {
 		if (e.mayClaim() || e.leaderExited(ctx)) && e.claimDelayElapsed() {
@@ -210,14 +214,14 @@
 			}
 		}
 		if err := e.read(ctx, e.pollTimeout()); err != nil && ctx.Err() == nil {
-			klog.V(1).InfoS("leadership can't be read", "err", err)
+			klog.V(1).InfoS("leadership records can't be read; retrying", "err", err)
 			pause.Jittered(ctx, retryDelay)
 		}
 	}
 	return 0, false
 }
 
-// wait returns how long a read may wait, so that a claim is not delayed.
+// pollTimeout returns how long a read may wait without delaying a claim.
 func (e *Elector) pollTimeout() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,7 +235,7 @@
 	return min(max(left, 20*time.Millisecond), maxPollTimeout)
 }
 
-// handicapOver reports whether a claim has been possible for long enough.
+// claimDelayElapsed reports whether a claim has been possible for ClaimDelay.
 func (e *Elector) claimDelayElapsed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,15 +248,15 @@
 
 func (e *Elector) connected() bool { return e.Connected == nil || e.Connected() }
 
-// vacant reports whether the known leader's process has ended for certain: it
-// was an earlier run of this process, or its machine runs another process.
+// leaderExited reports whether the known leader's process has certainly ended: it was an
+// earlier incarnation of this process, or its machine runs another process.
 func (e *Elector) leaderExited(ctx context.Context) bool {
 	leader := e.Leader()
 	if leader.Term == 0 || e.connected() {
 		return false
 	}
 	if leader.Name == e.Name {
-		klog.InfoS("leadership is vacant: an earlier run of this process had it", "term", leader.Term)
+		klog.InfoS("leadership is vacant: the leader was an earlier incarnation of this process", "term", leader.Term)
 		return true
 	}
 	if e.LeaderExited == nil || !e.LeaderExited(ctx, leader) {
@@ -262,6 +266,8 @@
 	return true
 }
 
+// mayClaim reports whether no promise prevents a claim and the leadership was released or
+// not renewed for claimTimeout.
 func (e *Elector) mayClaim() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -272,15 +278,15 @@
 	return e.released || now.Sub(e.renewalSeenAt) > claimTimeout
 }
 
-// read takes over records since the last read. errMissed says that some can't
-// be read any more; the next read goes on after them.
+// read reads and applies the records since the last read. It returns errRecordsDeleted if
+// some of them are no longer retained; the next read continues after them.
 func (e *Elector) read(ctx context.Context, wait time.Duration) error {
 	e.mu.Lock()
 	from := e.nextOffset
 	e.mu.Unlock()
 	batch, err := e.Store.Read(ctx, Topic, false, from, wait)
 	if fault.Is(err, durable.Expired) {
-		klog.InfoS("records of the leadership were deleted", "from", from, "first", batch.Next)
+		klog.InfoS("leadership records were deleted before they were read", "from", from, "first", batch.Next)
 		if err := e.seekLastRecord(ctx); err != nil {
 			return err
 		}
@@ -299,14 +305,14 @@
 	return nil
 }
 
-// errMissed says that records were deleted before this process has read them.
-var errRecordsDeleted = fault.New("read", durable.Expired, "records were missed")
+// errRecordsDeleted is returned if records were deleted before this process read them.
+var errRecordsDeleted = fault.New("read", durable.Expired, "records were deleted before they were read")
 
-// apply takes over a record.
+// apply updates the known leader from a record.
 func (e *Elector) apply(value []byte) {
 	record := &wire.LeadershipRecord{}
 	if err := proto.Unmarshal(value, record); err != nil {
-		klog.ErrorS(err, "record of the leadership is skipped")
+		klog.ErrorS(err, "malformed leadership record is ignored")
 		return
 	}
 	e.mu.Lock()
@@ -318,12 +324,12 @@
 	leader := e.leader
 	e.mu.Unlock()
 	if changed && e.OnChange != nil {
-		klog.InfoS("leader known", "leader", leader.Name, "address", leader.Address, "term", leader.Term)
+		klog.InfoS("leader changed", "leader", leader.Name, "address", leader.Address, "term", leader.Term)
 		e.OnChange(leader)
 	}
 }
 
-// claim tries to become the leader.
+// claim tries to become the leader. It returns the term if it succeeds.
 func (e *Elector) claim(ctx context.Context) (Term, bool) {
 	e.mu.Lock()
 	at := e.nextOffset
@@ -336,16 +342,16 @@
 		e.mu.Unlock()
 	}()
 	if _, err := e.append(ctx, at, term, false); err != nil {
-		klog.InfoS("claim of the leadership failed", "term", term, "err", err)
+		klog.InfoS("leadership claim failed", "term", term, "err", err)
 		if !fault.Is(err, durable.Conflict) {
 			pause.Jittered(ctx, retryDelay)
 		}
-		return 0, false // a claim that was done all the same is read back and not renewed
+		return 0, false // if the claim succeeded nevertheless, it is read back later and not renewed
 	}
 	e.mu.Lock()
 	if term <= e.renouncedTerm {
 		e.mu.Unlock()
-		return 0, false // somebody was told that this process does not lead
+		return 0, false // this process has renounced the term in a reply
 	}
 	e.wonTerm = term
 	e.nextOffset, e.released, e.renewalSeenAt = at+1, false, sent
@@ -364,7 +370,7 @@
 	return e.Store.Append(ctx, durable.AppendRequest{Topic: Topic, ExpectedEnd: &at, Records: []durable.Record{{Value: value}}})
 }
 
-// lead renews the leadership while Lead runs.
+// lead runs RunLeader and renews the leadership until either ends.
 func (e *Elector) lead(ctx context.Context, term Term) {
 	leadCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -388,20 +394,20 @@
 	e.resign(term)
 }
 
-// renewal is the result of an attempt to renew.
+// renewalResult is the result of an attempt to renew the leadership.
 type renewalResult int
 
 const (
 	renewed  renewalResult = iota
-	retryNow               // the topic's end is known again
+	retryNow               // the end of the topic is known again
 	unanswered
 	lost
 )
 
-// renewPauses says how long to wait after an attempt.
+// renewDelays is the delay before the next attempt, by the result of the last one.
 var renewDelays = [...]time.Duration{renewed: renewInterval, retryNow: 0, unanswered: retryDelay}
 
-// renew extends the authority.
+// renew tries to extend the lease, by a renewal in the store or else by promises.
 func (e *Elector) renew(ctx context.Context, term Term) renewalResult {
 	e.mu.Lock()
 	at := e.nextOffset
@@ -434,17 +440,17 @@
 	return unanswered
 }
 
-// readBack follows a renewal that met another record: an earlier renewal that
-// was done without an answer, or another leader's claim. It reports whether
-// this process still leads.
+// readBack is called if a renewal conflicts with another record: an earlier renewal whose
+// response was lost, or the claim of another leader. It determines whether this process
+// still leads.
 func (e *Elector) readBack(ctx context.Context, term Term) renewalResult {
 	err := e.read(ctx, 0)
 	if errors.Is(err, errRecordsDeleted) {
-		klog.InfoS("leadership is given up, a claim may have been missed", "term", term)
+		klog.InfoS("leadership is given up: another claim may have been among the deleted records", "term", term)
 		return lost
 	}
 	if err != nil {
-		klog.InfoS("leadership can't be read back", "term", term, "err", err)
+		klog.InfoS("leadership records can't be read after a conflicting renewal", "term", term, "err", err)
 		return unanswered
 	}
 	leader := e.Leader()
@@ -455,21 +461,21 @@
 	return retryNow
 }
 
-// resign ends the authority at once and tells the others, on a planned stop,
-// that they need not wait.
+// resign ends the lease at once. If this process still leads, it also appends a release
+// record, so that the other processes need not wait before they claim.
 func (e *Elector) resign(term Term) {
 	e.mu.Lock()
 	e.leaseEnd = 0
 	at := e.nextOffset
-	mine := e.leader.Term == term
+	current := e.leader.Term == term
 	e.renewalSeenAt = bootclock.Now()
 	e.mu.Unlock()
-	if !mine {
+	if !current {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if _, err := e.append(ctx, at, term, true); err != nil {
-		klog.InfoS("leadership is not released", "term", term, "err", err)
+		klog.InfoS("leadership release failed; followers wait for the claim timeout", "term", term, "err", err)
 	}
 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -14,60 +14,61 @@
 	"wasabihill.example/wasabihill/platform"
 )
 
-// asked asks an elector whether it leads while its first claim is on its way: the
-// store has carried it out, and the answer arrives after the delay.
-type asked struct {
+// queryingStore delays the response to the elector's first claim, which the store has
+// already executed, and then queries the elector whether it leads.
+type queryingStore struct {
 	durable.Store
 	elector *leadership.Elector
 	delay   time.Duration
 	leads   chan bool
 }
 
-func (a *asked) Append(ctx context.Context, in durable.AppendRequest) (units.Offset, error) {
-	offset, err := a.Store.Append(ctx, in)
+func (q *queryingStore) Append(ctx context.Context, in durable.AppendRequest) (units.Offset, error) {
+	offset, err := q.Store.Append(ctx, in)
 	if *in.ExpectedEnd == 0 {
-		time.Sleep(a.delay)
-		a.leads <- a.elector.ConfirmOrRenounce(1)
+		time.Sleep(q.delay)
+		q.leads <- q.elector.ConfirmOrRenounce(1)
 	}
 	return offset, err
 }
 
-// startAsked starts an elector that is asked once its first claim is delayed.
-func startAsked(t *testing.T, delay time.Duration) (*candidate, chan bool) {
+// startQueried starts an elector with a queryingStore. The channel receives the result of
+// the query.
+func startQueried(t *testing.T, delay time.Duration) (*candidate, chan bool) {
 	leads := make(chan bool, 16)
 	c := start(t, metastore.NewLog(), "a", func(e *leadership.Elector) {
-		e.Store = &asked{Store: e.Store, elector: e, delay: delay, leads: leads}
+		e.Store = &queryingStore{Store: e.Store, elector: e, delay: delay, leads: leads}
 	})
 	return c, leads
 }
 
-// A follower reads a claim from the store before the claimant has the answer to
-// it, and asks whether the claimant leads. A claimant that denies it then gives a
-// claim up that everybody follows, and the processes are without a leader until
-// another claim.
-func TestClaimOnItsWayIsNotDenied(t *testing.T) {
-	c, leads := startAsked(t, 0)
+// A follower may read a claim from the store and query the claimant before the claimant
+// has received the response to its claim. If the claimant renounced the term then, it
+// would give up a claim that all other processes follow, and there would be no leader
+// until another claim.
+func TestPendingClaimIsNotRenounced(t *testing.T) {
+	c, leads := startQueried(t, 0)
 	if got, want := c.wantTerm(t, 2*time.Second), leadership.Term(1); got != want {
 		t.Errorf("term: got %d, want %d, the first claim", got, want)
 	}
 	if !<-leads {
-		t.Error("term 1 was denied while its claim was on its way")
+		t.Error("term 1 was renounced while its claim had no response yet")
 	}
 }
 
-// candidate is an elector with the store's door of its own.
+// candidate is an elector with its own connection to the store, which the test can cut.
 type candidate struct {
 	*leadership.Elector
-	door  *metastore.Door
-	terms chan leadership.Term
-	stop  func()
+	storeConnection *metastore.Door
+	terms           chan leadership.Term
+	stop            func()
 }
 
 func start(t *testing.T, log *metastore.Log, name string, change func(*leadership.Elector)) *candidate {
 	t.Helper()
-	door := log.Open()
-	c := &candidate{door: door, terms: make(chan leadership.Term, 16)}
-	c.Elector = &leadership.Elector{Store: platform.NewStore(door.Address), Name: name, Address: name, FirstStart: true}
+	connection := log.Open()
+	c := &candidate{storeConnection: connection, terms: make(chan leadership.Term, 16)}
+	c.Elector = &leadership.Elector{Store: platform.NewStore(connection.Address), Name: name, Address: name, FirstStart: true}
 	c.RunLeader = func(ctx context.Context, term leadership.Term) {
 		c.terms <- term
 		<-ctx.Done()
@@ -81,7 +82,7 @@
 	c.stop = func() {
 		cancel()
 		wait.Wait()
-		door.Close()
+		connection.Close()
 	}
 	t.Cleanup(c.stop)
 	return c
@@ -98,7 +99,8 @@
 	}
 }
 
-// Never may two processes have authority at one moment.
+// Two processes must never hold the lease at the same time, even if the leader loses the
+// store: both would give orders.
 func TestOneLeaderAtATime(t *testing.T) {
 	log := metastore.NewLog()
 	candidates := []*candidate{start(t, log, "a", nil), start(t, log, "b", nil), start(t, log, "c", nil)}
@@ -116,7 +118,7 @@
 		if cut == 200 { // about a second: the leader loses the store
 			for _, c := range candidates {
 				if c.Leads(c.Leader().Term) {
-					c.door.Set(metastore.Fault{Silent: true})
+					c.storeConnection.Set(metastore.Fault{Silent: true})
 				}
 			}
 		}
@@ -127,8 +129,9 @@
 	}
 }
 
-// A later leader has a higher term: it fences records and orders.
-func TestTermsRise(t *testing.T) {
+// A later leader must have a higher term; otherwise the term would not fence the records
+// and orders of earlier leaders.
+func TestLaterLeaderHasHigherTerm(t *testing.T) {
 	log := metastore.NewLog()
 	a := start(t, log, "a", nil)
 	first := a.wantTerm(t, 3*time.Second)
@@ -139,25 +142,25 @@
 	}
 }
 
-// A process that has denied to lead a term never leads it, although its claim
-// may still be answered: whoever asked takes the leadership over.
-func TestDenialIsFinal(t *testing.T) {
-	c, leads := startAsked(t, 400*time.Millisecond)
+// A process that has renounced a term must never lead it, even if the response to its claim
+// arrives later, because the process that sent the query may claim the leadership.
+func TestRenouncedTermIsNeverLed(t *testing.T) {
+	c, leads := startQueried(t, 400*time.Millisecond)
 	if <-leads {
-		t.Fatal("term 1 is led although the answer to its claim is 400 ms late")
+		t.Fatal("term 1 is confirmed although the response to its claim is 400 ms late")
 	}
 	select {
 	case term := <-c.terms:
 		if term == 1 {
-			t.Error("term 1 is led after it was denied")
+			t.Error("term 1 is led after it was renounced")
 		}
 	case <-time.After(time.Second):
 	}
 }
 
-// A promise not to claim is refused by a process that the store answers, and
-// holds for its time otherwise.
-func TestPromise(t *testing.T) {
+// A process must refuse to promise not to claim while it can reach the store. A promise
+// must delay its claims for PromiseDuration; otherwise two processes could lead.
+func TestPromiseDelaysClaim(t *testing.T) {
 	log := metastore.NewLog()
 	a := start(t, log, "a", nil)
 	term := a.wantTerm(t, 3*time.Second)
@@ -166,14 +169,14 @@
 	if promised, reachable, _ := b.Promise(term); promised || !reachable {
 		t.Errorf("with the store: got promised %t, reachable %t, want a refusal", promised, reachable)
 	}
-	b.door.Set(metastore.Fault{Silent: true})
+	b.storeConnection.Set(metastore.Fault{Silent: true})
 	time.Sleep(1500 * time.Millisecond)
 	if promised, _, _ := b.Promise(term); !promised {
 		t.Error("without the store: got a refusal, want a promise")
 	}
 	at := bootclock.Now()
-	a.door.Set(metastore.Fault{Silent: true})
-	b.door.Set(metastore.Fault{})
+	a.storeConnection.Set(metastore.Fault{Silent: true})
+	b.storeConnection.Set(metastore.Fault{})
 	b.wantTerm(t, 8*time.Second)
 	if waited := bootclock.Now().Sub(at); waited < leadership.PromiseDuration-100*time.Millisecond {
 		t.Errorf("claimed %v after the promise, want at least %v", waited, leadership.PromiseDuration)
--- a/internal/workflow/codec.go
+++ b/internal/workflow/codec.go
@@ -9,7 +9,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// ToWire converts a job and the policy of its queue for a message or a record.
+// ToWire converts a job and the policy of its queue to their message form, which is
+// also the form of the stored record.
 func ToWire(j *Job, p Policy) *wire.JobRecord {
 	record := &wire.JobRecord{
 		Id: string(j.ID), Queue: string(j.Queue), Spec: j.Spec, Repetitions: int32(j.Repetitions),
@@ -36,10 +37,10 @@
 	return j, policyFromWire(record.GetPolicy())
 }
 
-// Encode returns the record of an accepted job.
+// Encode returns the encoded record of an accepted job.
 func Encode(j *Job, p Policy) ([]byte, error) { return proto.Marshal(ToWire(j, p)) }
 
-// Decode reads a record that Encode wrote.
+// Decode decodes a record written by Encode.
 func Decode(data []byte) (*Job, Policy, error) {
 	record := &wire.JobRecord{}
 	if err := proto.Unmarshal(data, record); err != nil {
@@ -58,8 +59,8 @@
 		LongRunning: s.LongRunning, Fills: s.BestEffort, Image: s.Image,
 		LatencyTargetMs: s.LatencyTarget.Milliseconds(), MayMiss: int32(s.MaxUnavailable),
 	}
-	for _, before := range s.After {
-		w.After = append(w.After, int32(before))
+	for _, dependency := range s.After {
+		w.After = append(w.After, int32(dependency))
 	}
 	return w
 }
@@ -75,8 +76,8 @@
 		BestEffort: w.GetFills(), Image: w.GetImage(), LatencyTarget: millis(w.GetLatencyTargetMs()),
 		MaxUnavailable: int(w.GetMayMiss()),
 	}
-	for _, before := range w.GetAfter() {
-		s.After = append(s.After, int(before))
+	for _, dependency := range w.GetAfter() {
+		s.After = append(s.After, int(dependency))
 	}
 	return s
 }
--- a/internal/workflow/check.go
+++ b/internal/workflow/validate.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// The limits of one job.
+// Limits of a job.
 const (
 	maxSpecBytes = 4000
 	maxSteps     = 256
 	maxTasks     = 100_000
 )
 
-// Check reports the first reason why the job can't be accepted.
+// Validate returns an error that describes the first reason to reject the job, or nil.
 func (j *Job) Validate() error {
 	if len(j.Spec) > maxSpecBytes {
 		return fmt.Errorf("spec has %d bytes; at most %d are allowed", len(j.Spec), maxSpecBytes)
@@ -40,9 +40,9 @@
 	if s.Size.Processors < 0 || s.Size.Memory < 0 || s.Size.Accelerators < 0 {
 		return fmt.Errorf("size %v is negative", s.Size)
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= number {
-			return fmt.Errorf("depends on step %d, which is not an earlier one", before)
+	for _, dependency := range s.After {
+		if dependency < 0 || dependency >= number {
+			return fmt.Errorf("depends on step %d, which is not an earlier one", dependency)
 		}
 	}
 	return nil
--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -1,5 +1,5 @@
-// Package workflow describes the jobs that a scheduler places: steps of equal
-// tasks, their order, sizes and constraints. It holds no state of a run.
+// Package workflow defines the jobs that the scheduler places: steps of equal tasks
+// with their dependencies, sizes and constraints. It holds no runtime state.
 package workflow
 
 import (
@@ -11,49 +11,49 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// JobID names a job; the client chooses it, so a repeated submission of the
-// same id is one job.
+// JobID identifies a job. The client chooses it, so that a repeated submission with
+// the same id refers to the same job.
 type JobID string
 
-// QueueName names the queue that a job was submitted to.
+// QueueName is the name of the queue that a job was submitted to.
 type QueueName string
 
-// Job is a submitted job. It does not change after it was accepted.
+// Job is a submitted job. It is immutable once accepted.
 type Job struct {
 	ID          JobID
 	Queue       QueueName
-	Spec        string        // opaque to the scheduler, passed to each run as it is
-	Steps       []Step        // at least one; a step comes after the steps that it depends on
-	Repetitions int           // occurrences of the steps; 0 means one occurrence without a due time
-	FirstDue    time.Time     // due time of occurrence 0; zero without repetitions
-	Interval    time.Duration // between the due times of two occurrences
-	Submitted   time.Time     // when the first entry process read the submission
+	Spec        string        // opaque to the scheduler; passed unchanged to each run
+	Steps       []Step        // at least one; each step follows the steps that it depends on
+	Repetitions int           // number of occurrences; 0 means one occurrence without a due time
+	FirstDue    time.Time     // due time of occurrence 0; zero if Repetitions is 0
+	Interval    time.Duration // between the due times of consecutive occurrences
+	Submitted   time.Time     // when an entry process first received the submission
 }
 
 // Step is a set of equal tasks.
 type Step struct {
 	Count          int
-	Size           units.Resources // requested by each task
-	Estimate       time.Duration   // the client's rough estimate of one task
-	After          []int           // earlier steps whose tasks must all be done first
+	Size           units.Resources // requested per task
+	Estimate       time.Duration   // the client's rough estimate of the duration of one task
+	After          []int           // numbers of the earlier steps that must be done before this one starts
 	Checkpointing  bool            // tasks save their progress and resume from it
-	Gang           bool            // tasks work only while all of them run
-	SameRack       bool            // tasks are slower when they run on several racks
-	RequiredLabel  string          // label that the worker must have; empty for none
-	DataRack       string          // rack on which the tasks are fastest; empty for none
-	AntiAffinity   int             // most tasks of the step on one worker; 0 for no limit
-	Speculative    bool            // several copies of a task may run at the same time
+	Gang           bool            // tasks make progress only while all of them run
+	SameRack       bool            // tasks run slower if they are spread over several racks
+	RequiredLabel  string          // label that a worker must have; empty for none
+	DataRack       string          // rack on which the tasks run fastest; empty for none
+	AntiAffinity   int             // maximum number of the step's tasks per worker; 0 for no limit
+	Speculative    bool            // several copies of a task may run concurrently
 	LongRunning    bool            // tasks run until the job is cancelled
-	BestEffort     bool            // the step uses processors that other tasks leave idle
-	Image          string          // tasks of one image behave alike
-	LatencyTarget  time.Duration   // tail latency that a serving task must keep; 0 for none
-	MaxUnavailable int             // tasks that may be away at a time because of the scheduler
+	BestEffort     bool            // tasks use only processors that other tasks leave free
+	Image          string          // tasks with the same image behave alike
+	LatencyTarget  time.Duration   // maximum tail latency of a latency-critical task; 0 for none
+	MaxUnavailable int             // maximum number of tasks that the scheduler may make unavailable at a time
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns the number of times that the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Repetitions) }
 
-// Due returns when occurrence k may start.
+// Due returns the time from which occurrence k may start.
 func (j *Job) Due(k int) time.Time {
 	if j.Repetitions == 0 {
 		return time.Time{}
@@ -61,7 +61,7 @@
 	return j.FirstDue.Add(time.Duration(k) * j.Interval)
 }
 
-// TaskID names one task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job        JobID
 	Occurrence int
@@ -80,7 +80,7 @@
 	return string(b)
 }
 
-// ParseTaskID reads the form that String writes.
+// ParseTaskID parses the format that String returns.
 func ParseTaskID(s string) (TaskID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 || parts[0] == "" {
@@ -97,7 +97,7 @@
 	return TaskID{JobID(parts[0]), numbers[0], numbers[1], numbers[2]}, nil
 }
 
-// Attempt numbers the runs of a task, from 1.
+// Attempt is the number of a run of a task, starting at 1.
 type Attempt int64
 
 // State is the state of a job as its client sees it.
@@ -107,45 +107,46 @@
 const (
 	Queued    State = "queued"
 	Running   State = "running"
-	Completed State = "completed" // every task has ended well
-	Failed    State = "failed"    // a task has failed as often as its queue allows
+	Completed State = "completed" // all tasks are done
+	Failed    State = "failed"    // a task has failed as often as the queue's policy allows
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether a job in state s never changes again.
+// Final reports whether s is a state that a job never leaves.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// End is how a run ended.
+// End is the way in which a run ended.
 type End string
 
 // The ends of a run.
 const (
 	Done           End = "done"
-	Errored        End = "errored" // failed by its own fault or the worker's
-	Stopped        End = "stopped" // on request
-	LeaseExpired   End = "lapsed"  // its lease expired
-	GangBroken     End = "broken"  // another member of its gang ended
-	GangIncomplete End = "alone"   // the other members of its gang did not start in time
+	Errored        End = "errored" // failed, because of the task or the worker
+	Stopped        End = "stopped" // by an order to stop
+	LeaseExpired   End = "lapsed"  // the lease of the run expired
+	GangBroken     End = "broken"  // another member of the gang ended
+	GangIncomplete End = "alone"   // the other members of the gang did not start in time
 )
 
-// Policy is what a queue's configuration says of its jobs.
+// Policy is the part of a queue's configuration that applies to its jobs.
 type Policy struct {
-	Service          units.ServiceName // workers of this service run the tasks
-	Priority         int               // 0 comes first
-	MaxAttempts      int               // runs of one task that may end errored
-	Stretch          float64           // latency objective as a multiple of the longest chain of work
-	LatencyAllowance time.Duration     // added to the objective
-	Advice           *Advice           // nil when any worker of the service may run a step
+	Service          units.ServiceName // service whose workers run the tasks
+	Priority         int               // 0 is the most urgent
+	MaxAttempts      int               // failed runs of a task after which the job fails
+	Stretch          float64           // latency objective as a multiple of the job's critical path
+	LatencyAllowance time.Duration     // fixed part of the latency objective, added to the multiple
+	Advice           *Advice           // nil if any worker of the service may run a step
 }
 
-// Advice bounds the calls to the service that knows which workers may run a step.
+// Advice holds the timing of the calls to the advice service, which issues tickets for
+// the workers that may run a step.
 type Advice struct {
-	CallTime       time.Duration // time of one call
-	TimePerWorker  time.Duration // time for each worker named
-	TicketValidity time.Duration // how long a ticket is valid
+	CallTime       time.Duration // fixed duration of a call
+	TimePerWorker  time.Duration // additional duration per worker in the request
+	TicketValidity time.Duration // validity of a ticket
 }
 
-// Summary describes the steps in a few words for a log line.
+// Summary returns a short description of the steps for a log line.
 func (j *Job) Summary() string {
 	var b strings.Builder
 	for i := range j.Steps {
--- a/internal/workflow/workflow_test.go
+++ b/internal/workflow/workflow_test.go
@@ -9,8 +9,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// A field that the record loses would change a job when another entry process
-// takes over.
+// A field that is missing from the record would change the job when another entry process
+// becomes leader.
 func TestRecordKeepsEveryField(t *testing.T) {
 	job := &Job{
 		ID: "5c0e7a21d94b36f8", Queue: "plans", Spec: "cut", Repetitions: 3,
@@ -40,6 +40,7 @@
 	}
 }
 
+// A task id must survive formatting and parsing, and malformed ids must be rejected.
 func TestTaskIDRoundTrip(t *testing.T) {
 	want := TaskID{"5c0e7a21d94b36f8", 2, 1, 17}
 	got, err := ParseTaskID(want.String())
@@ -53,16 +54,16 @@
 	}
 }
 
-// A job that can never be scheduled must be refused when it is submitted.
-func TestCheckRefuses(t *testing.T) {
+// A job that can never be scheduled must be rejected at submission.
+func TestValidateRejectsInvalidJobs(t *testing.T) {
 	cases := map[string]Job{
-		"no steps":        {},
-		"empty step":      {Steps: []Step{{Count: 0}}},
-		"later step":      {Steps: []Step{{Count: 1, After: []int{0}}}},
-		"negative size":   {Steps: []Step{{Count: 1, Size: units.Resources{Processors: -1}}}},
-		"too many tasks":  {Steps: []Step{{Count: maxTasks + 1}}},
-		"long spec":       {Spec: strings.Repeat("x", maxSpecBytes+1), Steps: []Step{{Count: 1}}},
-		"negative repeat": {Repetitions: -1, Steps: []Step{{Count: 1}}},
+		"no steps":                      {},
+		"step without tasks":            {Steps: []Step{{Count: 0}}},
+		"dependency on the step itself": {Steps: []Step{{Count: 1, After: []int{0}}}},
+		"negative size":                 {Steps: []Step{{Count: 1, Size: units.Resources{Processors: -1}}}},
+		"too many tasks":                {Steps: []Step{{Count: maxTasks + 1}}},
+		"long spec":                     {Spec: strings.Repeat("x", maxSpecBytes+1), Steps: []Step{{Count: 1}}},
+		"negative repetitions":          {Repetitions: -1, Steps: []Step{{Count: 1}}},
 	}
 	for name, job := range cases {
 		if err := job.Validate(); err == nil {
