--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,5 +1,5 @@
 // Package jobstore writes the scheduler's records to the platform's store. It sends one
-// append at a time, which contains all records written meanwhile and is fenced by the
+// append at a time, which contains all records queued meanwhile and is fenced by the
 // leader's term. An append without a response is retried with the same sequence number.
 // So its records are in the topic exactly once, and its outcome is certain before
 // anything is acknowledged.
--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -36,26 +36,26 @@
 // meant for overload: with earliest deadline first, every job would finish a
 // little late.
 func (s *Scheduler) pendingSteps(now Timestamp) []pendingStep {
-	unsettled := s.hasUnknownRuns()
-	var waiting []pendingStep
+	unknownRuns := s.hasUnknownRuns()
+	var pending []pendingStep
 	for _, j := range s.activeJobs {
-		if j.recovered && unsettled {
+		if j.recovered && unknownRuns {
 			continue
 		}
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
 				if st.open && st.unplaced > 0 {
-					waiting = append(waiting, s.rankStep(j, o, st, now))
+					pending = append(pending, s.rankStep(j, o, st, now))
 				}
 			}
 		}
 	}
-	slices.SortFunc(waiting, func(a, b pendingStep) int {
+	slices.SortFunc(pending, func(a, b pendingStep) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.lateness, b.lateness),
 			cmp.Compare(b.valueDensity, a.valueDensity), cmp.Compare(a.deadline, b.deadline),
 			cmp.Compare(a.job.ID, b.job.ID), cmp.Compare(a.step.number, b.step.number))
 	})
-	return waiting
+	return pending
 }
 
 // hasUnknownRuns reports whether runs that an earlier leader ordered may be
@@ -69,6 +69,7 @@
 	return false
 }
 
+// rankStep returns the step with its ordering keys. A long-running step is never late.
 func (s *Scheduler) rankStep(j *job, o *occurrence, st *step, now Timestamp) pendingStep {
 	policy := s.currentPolicy(j)
 	start := j.submittedAt
@@ -93,9 +94,9 @@
 // The value of a job is a fixed part plus a part proportional to its work relative
 // to the mean of its queue, up to a limit.
 const (
-	fixedValue = 0.3
-	workValue  = 0.7
-	maxValue   = 4.0
+	fixedValue      = 0.3
+	workValueWeight = 0.7
+	maxValue        = 4.0
 	// meanWorkSmoothing is the weight of a new job in the moving average of its
 	// queue's work per job.
 	meanWorkSmoothing = 0.1
@@ -112,7 +113,7 @@
 	if remaining <= 0 || mean <= 0 {
 		return 0
 	}
-	return min(fixedValue+workValue*j.work()/mean, maxValue) / remaining
+	return min(fixedValue+workValueWeight*j.work()/mean, maxValue) / remaining
 }
 
 // work returns the estimated work of one task in core-seconds.
--- a/internal/scheduler/besteffort.go
+++ b/internal/scheduler/besteffort.go
@@ -163,6 +163,8 @@
 	}
 }
 
+// predictLoss subtracts the expected effect of the given cores of the image from the
+// predicted rates.
 func (s *Scheduler) predictLoss(w *worker, image string, cores float64) {
 	clear(w.usage.headroomByImage)
 	for i, reading := range w.usage.readings {
@@ -189,7 +191,7 @@
 // headroom is how much of a best-effort image the latency-critical tasks of a worker
 // tolerate.
 type headroom struct {
-	cores       float64 // cores of the image until a latency-critical task exceeds maxLatencyShare
+	cores       float64 // cores of the image that fit before a latency-critical task nears its target
 	lossPerCore float64 // rate that one core takes from the task that it slows down most
 }
 
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -20,7 +20,7 @@
 		if policy.Advice != nil {
 			pool = s.workersWithTicket(p.step, pool, now)
 		}
-		waiting := p.step.unplaced
+		before := p.step.unplaced
 		if p.step.Gang {
 			s.placeGang(p.step, pool, now)
 		} else if !cache.hasFailure(p.step) {
@@ -29,7 +29,7 @@
 				cache.addFailure(p.step)
 			}
 		}
-		if placed := waiting - p.step.unplaced; placed > 0 {
+		if placed := before - p.step.unplaced; placed > 0 {
 			klog.InfoS("tasks placed", "job", p.job.ID, "occurrence", p.occurrence, "step", p.step.number, "placed", placed,
 				"waiting", p.step.unplaced, "grade", p.lateness, "workers", len(pool))
 		}
@@ -87,6 +87,7 @@
 	return nil
 }
 
+// nextAttempt returns the attempt number of the task's next run.
 func (t *task) nextAttempt() workflow.Attempt {
 	if t.job.recovered && !t.renumbered {
 		t.renumbered = true
@@ -95,6 +96,7 @@
 	return t.highestAttempt + 1
 }
 
+// startTask places the task on w and queues its start order.
 func (s *Scheduler) startTask(t *task, w *worker, attempt workflow.Attempt) {
 	t.assign(w, attempt)
 	if t.step.BestEffort {
@@ -146,7 +148,7 @@
 // The weights of a worker's score, to which each kind of free resource contributes
 // between 0 and 1.
 const (
-	interferenceWeight = 1.0 // of the service rate that a best-effort task takes from a latency-critical one
+	interferenceWeight = 1.0 // per unit of service rate that a best-effort task takes from a latency-critical one
 	// sensitivityWeight prefers workers whose latency-critical tasks are sensitive
 	// to interference for best-effort tasks that cause little of it, so that other
 	// workers keep capacity for tasks that cause more. At 1 it outweighs the
@@ -158,6 +160,7 @@
 	dataRackBonus     = 1.0 // for the rack that holds the data
 )
 
+// score rates w for a task of the step; the highest score is the best.
 func (s *Scheduler) score(w *worker, st *step) float64 {
 	free := w.capacity.Sub(w.used)
 	score := ratio(int64(free.Processors), int64(w.capacity.Processors)) + ratio(int64(free.Memory), int64(w.capacity.Memory))
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -25,15 +25,15 @@
 
 // preempt stops less urgent tasks to make capacity for the steps that have unplaced
 // tasks, most urgent first.
-func (s *Scheduler) preempt(waiting []pendingStep, now Timestamp, cache *searchCache) {
-	if len(waiting) == 0 {
+func (s *Scheduler) preempt(unplaced []pendingStep, now Timestamp, cache *searchCache) {
+	if len(unplaced) == 0 {
 		return
 	}
-	lowest := s.maxRunningPriority()
+	maxPriority := s.maxRunningPriority()
 	stops := 0
 	reserved := make(map[*worker]units.Resources)
-	for _, p := range waiting {
-		if p.priority >= lowest || p.step.Gang || p.step.BestEffort || p.lateness != onTime || s.currentPolicy(p.job).Advice != nil {
+	for _, p := range unplaced {
+		if p.priority >= maxPriority || p.step.Gang || p.step.BestEffort || p.lateness != onTime || s.currentPolicy(p.job).Advice != nil {
 			continue
 		}
 		for range p.step.unplaced {
@@ -54,13 +54,13 @@
 // maxRunningPriority returns the priority number of the least urgent running job; a
 // higher number is less urgent.
 func (s *Scheduler) maxRunningPriority() int {
-	lowest := 0
+	maxPriority := 0
 	for _, j := range s.activeJobs {
 		if j.placedTasks > 0 {
-			lowest = max(lowest, s.currentPolicy(j).Priority)
+			maxPriority = max(maxPriority, s.currentPolicy(j).Priority)
 		}
 	}
-	return lowest
+	return maxPriority
 }
 
 // cheapestPreemption returns the worker on which a task of the step can be placed at
@@ -69,14 +69,14 @@
 func (s *Scheduler) cheapestPreemption(p pendingStep, pool []*worker, reserved map[*worker]units.Resources) (*worker, []*task) {
 	var best *worker
 	var bestVictims []*task
-	lowest := 0.0
+	lowestLoss := 0.0
 	for _, w := range pool {
 		if !w.satisfies(p.step) {
 			continue
 		}
 		victims, loss, ok := s.victims(w, p, reserved[w])
-		if ok && (best == nil || loss < lowest || loss == lowest && w.id < best.id) {
-			best, bestVictims, lowest = w, victims, loss
+		if ok && (best == nil || loss < lowestLoss || loss == lowestLoss && w.id < best.id) {
+			best, bestVictims, lowestLoss = w, victims, loss
 		}
 	}
 	return best, bestVictims
--- a/internal/scheduler/relocate.go
+++ b/internal/scheduler/relocate.go
@@ -23,7 +23,7 @@
 )
 
 // relocate stops tasks that are throttled or that would finish earlier elsewhere, if
-// another worker has capacity for them without interference.
+// another worker has capacity for them and its latency-critical tasks tolerate them.
 func (s *Scheduler) relocate(now Timestamp, cache *searchCache) {
 	if now.Boot.Before(s.nextRelocation) {
 		return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -150,7 +150,7 @@
 	bestEffort         int // best-effort tasks placed here
 	// Processors requested by the placed tasks with and without a latency target.
 	latencyCriticalProcessors, otherProcessors units.Millicores
-	usage                                      usage             // measured resource usage
+	usage                                      usage             // measured and predicted resource usage
 	retryAt                                    bootclock.Instant // avoided until then
 	failureStreak                              int               // consecutive failures
 	speed                                      speed
--- a/internal/scheduler/searchcache.go
+++ b/internal/scheduler/searchcache.go
@@ -35,11 +35,11 @@
 }
 
 func (c *searchCache) key(st *step) searchKey {
-	d := searchKey{service: c.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
+	key := searchKey{service: c.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
 	if st.BestEffort {
-		d.image = "fills " + st.Image
+		key.image = "fills " + st.Image
 	}
-	return d
+	return key
 }
 
 // addFailure records that no worker has capacity for a task of the step. Gangs, steps
@@ -54,8 +54,8 @@
 			return
 		}
 	}
-	d := c.key(st)
-	c.failedSizes[d] = append(c.failedSizes[d], st.Size)
+	key := c.key(st)
+	c.failedSizes[key] = append(c.failedSizes[key], st.Size)
 }
 
 // hasFailure reports whether the search for a task that is no larger than a task of
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -47,8 +47,8 @@
 	}
 	if mayStart {
 		cache := s.newSearchCache()
-		waiting := s.placePending(now, cache)
-		s.preempt(waiting, now, cache)
+		unplaced := s.placePending(now, cache)
+		s.preempt(unplaced, now, cache)
 		s.relocate(now, cache)
 	}
 }
