--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,8 +1,8 @@
-// Package jobstore writes the scheduler's records to the platform's store: one
-// append at a time that carries everything which has gathered meanwhile, fenced
-// by the leader's term. An append without an answer is repeated under the same
-// sequence number, so its records are in the topic once and their fate is known
-// before anybody is told.
+// Package jobstore writes the scheduler's records to the platform's store. It sends one
+// append at a time, which contains all records queued meanwhile and is fenced by the
+// leader's term. An append without a response is retried with the same sequence number.
+// So its records are in the topic exactly once, and its outcome is certain before
+// anything is acknowledged.
 package jobstore
 
 import (
@@ -19,94 +19,96 @@
 )
 
 const (
-	// Topic holds the jobs and their progress.
+	// Topic is the topic of the jobs and their progress.
 	Topic durable.Topic = "jobs"
-	// producerName is shared by all leaders; their terms fence each other.
+	// producerName is the same for all leaders, so that a leader fences earlier ones by
+	// its term.
 	producerName = "scheduler"
-	// gather is how long an append waits for more records, so that a burst of
-	// submissions costs few calls.
-	gather = 2 * time.Millisecond
-	// retryPause follows an append that was not carried out.
-	retryPause = 60 * time.Millisecond
-	// stalledAfter is the time without a successful append after which new
-	// submissions are refused at once instead of waiting for the store.
-	stalledAfter = 700 * time.Millisecond
-	// maxBatch bounds the records of one append in bytes, half of what the
-	// store takes in a call.
-	maxBatch = 1 << 20
+	// batchDelay is how long an append waits for more records, so that a burst of
+	// submissions needs few calls.
+	batchDelay = 2 * time.Millisecond
+	// retryDelay is the delay before a failed call is retried.
+	retryDelay = 60 * time.Millisecond
+	// stallTimeout is how long an append may take before new submissions are rejected
+	// at once instead of waiting for the store.
+	stallTimeout = 700 * time.Millisecond
+	// maxBatchBytes limits the records of an append to half of what the store accepts
+	// in a call.
+	maxBatchBytes = 1 << 20
 )
 
-// Writer appends records. Set the exported fields before Fence.
+// Writer appends records. The exported fields must be set before Fence is called.
 type Writer struct {
 	Store durable.Store
 	Epoch uint64 // the leader's term
 
-	mu       sync.Mutex
-	queue    []entry
-	wake     chan struct{}
-	sequence uint64
-	trying   bootclock.Instant // when the append under way was first tried; 0 without one
+	mu          sync.Mutex
+	pending     []write
+	wakeup      chan struct{}
+	sequence    uint64
+	appendStart bootclock.Instant // when the current append was first sent; 0 if there is none
 }
 
-type entry struct {
-	records []durable.Record
-	done    func()
+// write is one call of Write.
+type write struct {
+	records   []durable.Record
+	onDurable func()
 }
 
-// New returns a writer of a term.
+// New returns a writer for the term epoch.
 func New(store durable.Store, epoch uint64) *Writer {
-	return &Writer{Store: store, Epoch: epoch, wake: make(chan struct{}, 1)}
+	return &Writer{Store: store, Epoch: epoch, wakeup: make(chan struct{}, 1)}
 }
 
-// Fence ends the appends of all earlier terms. After it, a read of the topic
-// misses none of their records. Kinds: Fenced, or the context's end.
+// Fence prevents any further appends by earlier terms, so that a later read of the topic
+// returns all of their records. Error kinds: Fenced, or the error of ctx.
 func (w *Writer) Fence(ctx context.Context) error {
 	return w.append(ctx, nil)
 }
 
-// Load reads the newest records. It is called between Fence and Run.
-func (w *Writer) Load(ctx context.Context) ([]durable.Item, error) {
+// LoadSnapshot reads the newest records. It must be called after Fence and before Run.
+func (w *Writer) LoadSnapshot(ctx context.Context) ([]durable.Item, error) {
 	for {
-		snapshot, err := w.Store.Newest(ctx, Topic)
+		snapshot, err := w.Store.ReadSnapshot(ctx, Topic)
 		if err == nil || ctx.Err() != nil || fault.Is(err, durable.Invalid) {
 			return snapshot.Items, err
 		}
-		klog.InfoS("records of jobs can't be read", "err", err)
-		pause.For(ctx, retryPause)
+		klog.InfoS("job records can't be read; retrying", "err", err)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-// Write queues records; done is called from the goroutine of Run once they are
-// durable, in the order of the calls.
-func (w *Writer) Write(records []durable.Record, done func()) {
+// Write queues records for the next append. Once they are durable, Run calls onDurable
+// from its goroutine, in the order of the calls of Write.
+func (w *Writer) Write(records []durable.Record, onDurable func()) {
 	w.mu.Lock()
-	w.queue = append(w.queue, entry{records, done})
+	w.pending = append(w.pending, write{records, onDurable})
 	w.mu.Unlock()
 	select {
-	case w.wake <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Stalled reports whether the store has not taken an append for a while.
+// Stalled reports whether the current append has taken longer than stallTimeout.
 func (w *Writer) Stalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.trying != 0 && bootclock.Now().Sub(w.trying) > stalledAfter
+	return w.appendStart != 0 && bootclock.Now().Sub(w.appendStart) > stallTimeout
 }
 
-// Run appends until ctx ends, or returns an error of kind Fenced when a later
-// term has taken over.
+// Run appends the queued records until ctx ends. It returns an error of kind Fenced if a
+// later term has fenced this one.
 func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.wake:
+		case <-w.wakeup:
 		}
-		pause.For(ctx, gather)
+		pause.For(ctx, batchDelay)
 		for {
-			batch := w.take()
+			batch := w.takeBatch()
 			if len(batch) == 0 {
 				break
 			}
@@ -120,36 +122,37 @@
 				}
 			}
 			for _, e := range batch {
-				if e.done != nil {
-					e.done()
+				if e.onDurable != nil {
+					e.onDurable()
 				}
 			}
 		}
 	}
 }
 
-// take removes entries up to maxBatch from the queue.
-func (w *Writer) take() []entry {
+// takeBatch removes and returns the oldest writes, about maxBatchBytes of records but at
+// least one write.
+func (w *Writer) takeBatch() []write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	size, n := 0, 0
-	for n < len(w.queue) && (n == 0 || size < maxBatch) {
-		for _, r := range w.queue[n].records {
+	for n < len(w.pending) && (n == 0 || size < maxBatchBytes) {
+		for _, r := range w.pending[n].records {
 			size += len(r.Key) + len(r.Value)
 		}
 		n++
 	}
-	batch := w.queue[:n:n]
-	w.queue = w.queue[n:]
+	batch := w.pending[:n:n]
+	w.pending = w.pending[n:]
 	return batch
 }
 
-// append repeats one append until the store has answered it.
+// append sends an append and retries it until the store has responded.
 func (w *Writer) append(ctx context.Context, records []durable.Record) error {
-	w.setTrying(bootclock.Now())
-	defer w.setTrying(0)
+	w.setAppendStart(bootclock.Now())
+	defer w.setAppendStart(0)
 	w.sequence++
-	call := durable.Append{Topic: Topic, Keyed: true, Records: records,
+	call := durable.AppendRequest{Topic: Topic, Keyed: true, Records: records,
 		Producer: &durable.Producer{Name: producerName, Epoch: w.Epoch, Sequence: w.sequence}}
 	for {
 		_, err := w.Store.Append(ctx, call)
@@ -163,12 +166,12 @@
 			return err
 		}
 		klog.InfoS("append to the jobs' topic is repeated", "sequence", w.sequence, "records", len(records), "err", err)
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-func (w *Writer) setTrying(at bootclock.Instant) {
+func (w *Writer) setAppendStart(at bootclock.Instant) {
 	w.mu.Lock()
-	w.trying = at
+	w.appendStart = at
 	w.mu.Unlock()
 }
--- a/internal/scheduler/cost_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,13 +9,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// crowded is a deployment whose processors are all in use: every worker has
-// serving tasks and tasks that fill, half of these slowed, and more wait than
-// will find room.
-func crowded(t testing.TB, workers int) *fixture {
+// overloadedFixture returns a deployment whose processors are all in use. Every worker
+// runs latency-critical and best-effort tasks, half of the latter are throttled, and
+// more tasks are pending than fit.
+func overloadedFixture(t testing.TB, workers int) *fixture {
 	f := newFixture(t)
 	for i := range workers {
-		f.worker(units.WorkerID(fmt.Sprintf("w%03d", i)), 16)
+		f.addWorker(units.WorkerID(fmt.Sprintf("w%03d", i)), 16)
 	}
 	half := units.Resources{Processors: 1500, Memory: units.GiB}
 	for i := range workers / 2 {
@@ -25,18 +25,18 @@
 	f.reportAll()
 	for i := range workers / 3 {
 		f.submit("runs", workflow.Step{Count: 70, Size: units.Resources{Processors: 1800, Memory: 256 * units.MiB}, Estimate: 2 * time.Second,
-			Fills: true, Checkpointing: true, Image: fmt.Sprint("filling-", i%15)})
+			BestEffort: true, Checkpointing: true, Image: fmt.Sprint("filling-", i%15)})
 	}
 	for range 6 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.tick()
 		f.reportAll()
 	}
 	return f
 }
 
-// reportAll reports every run, those that serve close to their target and every
-// second one that fills slowed down.
+// reportAll reports every run: latency-critical tasks close to their target, and every
+// second best-effort task throttled.
 func (f *fixture) reportAll() {
 	for id, a := range f.agents {
 		n := 0
@@ -46,7 +46,7 @@
 				f.Fatal(err)
 			}
 			row.Load = 40
-			if f.s.task(parsed).step.Fills {
+			if f.scheduler.task(parsed).step.BestEffort {
 				n++
 				row.Load, row.Pace = 900, 100-int32(n%2)*70
 			}
@@ -55,24 +55,25 @@
 	}
 }
 
+// BenchmarkCrowdedTick measures a tick of an overloaded deployment.
 func BenchmarkCrowdedTick(b *testing.B) {
 	for _, workers := range []int{60, 300} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
-			f := crowded(b, workers)
+			f := overloadedFixture(b, workers)
 			waiting, slowed := 0, 0
-			for _, u := range f.s.backlog(f.now) {
-				waiting += u.step.idle
+			for _, u := range f.scheduler.pendingSteps(f.now) {
+				waiting += u.step.unplaced
 			}
-			for _, w := range f.s.workers {
+			for _, w := range f.scheduler.workers {
 				for _, t := range w.tasks {
-					if t.slowed(f.now) {
+					if t.throttled(f.now) {
 						slowed++
 					}
 				}
 			}
 			for b.Loop() {
-				f.s.Tick(f.now, true)
-				f.pass(5 * time.Millisecond)
+				f.scheduler.Tick(f.now, true)
+				f.advance(5 * time.Millisecond)
 			}
 			b.ReportMetric(float64(waiting), "waiting")
 			b.ReportMetric(float64(slowed), "slowed")
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -9,47 +9,47 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// place gives waiting tasks to workers, the most urgent first, and returns the
-// steps that found no room for all their tasks. What does not fit waits; smaller
-// or less urgent work may take the room that is left.
-func (s *Scheduler) place(now Now, short *shortage) []urgency {
-	var without []urgency
-	for _, u := range s.backlog(now) {
-		policy := s.policyOf(u.job)
-		pool := short.pool(policy.Service, now)
+// placePending places the pending tasks, most urgent first, and returns the steps
+// that still have unplaced tasks. A step that does not fit does not block the
+// others: smaller or less urgent tasks may use the remaining capacity.
+func (s *Scheduler) placePending(now Timestamp, cache *searchCache) []pendingStep {
+	var unplaced []pendingStep
+	for _, p := range s.pendingSteps(now) {
+		policy := s.currentPolicy(p.job)
+		pool := cache.eligibleWorkers(policy.Service, now)
 		if policy.Advice != nil {
-			pool = s.advised(u.step, pool, now)
+			pool = s.workersWithTicket(p.step, pool, now)
 		}
-		waiting := u.step.idle
-		if u.step.Gang {
-			s.placeGang(u.step, pool, now)
-		} else if !short.covers(u.step) {
-			s.placeStep(u.step, pool, now)
-			if u.step.idle > 0 && policy.Advice == nil {
-				short.add(u.step)
+		before := p.step.unplaced
+		if p.step.Gang {
+			s.placeGang(p.step, pool, now)
+		} else if !cache.hasFailure(p.step) {
+			s.placeStep(p.step, pool, now)
+			if p.step.unplaced > 0 && policy.Advice == nil {
+				cache.addFailure(p.step)
 			}
 		}
-		if placed := waiting - u.step.idle; placed > 0 {
-			klog.InfoS("tasks placed", "job", u.job.ID, "occurrence", u.occurrence, "step", u.step.number, "placed", placed,
-				"waiting", u.step.idle, "grade", u.grade, "workers", len(pool))
+		if placed := before - p.step.unplaced; placed > 0 {
+			klog.InfoS("tasks placed", "job", p.job.ID, "occurrence", p.occurrence, "step", p.step.number, "placed", placed,
+				"waiting", p.step.unplaced, "grade", p.lateness, "workers", len(pool))
 		}
-		if u.step.idle > 0 {
-			without = append(without, u)
+		if p.step.unplaced > 0 {
+			unplaced = append(unplaced, p)
 		}
 	}
-	return without
+	return unplaced
 }
 
-// pool returns the workers that may get new tasks of a service. Those that have
-// failed lately are left out, unless they are most: then the work fails, not
-// the workers.
-func (s *Scheduler) pool(service units.ServiceName, now Now) []*worker {
+// eligibleWorkers returns the workers that may receive new tasks of a service.
+// Workers that are avoided after failures are excluded unless they are the
+// majority, since then the tasks are at fault and not the workers.
+func (s *Scheduler) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
 	var pool, avoided []*worker
 	for _, w := range s.workers {
-		if !w.attached || !w.listed || w.info.Draining || w.info.Service != service || s.state.Out[w.info.Domain] {
+		if !w.attached || !w.synced || w.runner.Draining || w.runner.Service != service || s.operatorState.Out[w.runner.Domain] {
 			continue
 		}
-		if now.Boot.Before(w.avoidUntil) {
+		if now.Boot.Before(w.retryAt) {
 			avoided = append(avoided, w)
 		} else {
 			pool = append(pool, w)
@@ -61,54 +61,57 @@
 	return pool
 }
 
-// placeStep places the tasks of a step one by one. The tasks are equal, so the
-// first that finds no room ends the attempt.
-func (s *Scheduler) placeStep(st *step, pool []*worker, now Now) {
+// placeStep places the tasks of a step one by one. The tasks are equal, so it stops
+// at the first one that fits on no worker.
+func (s *Scheduler) placeStep(st *step, pool []*worker, now Timestamp) {
 	for _, t := range st.tasks {
-		if st.idle == 0 {
+		if st.unplaced == 0 {
 			return
 		}
 		if t.done || t.worker != nil {
 			continue
 		}
-		w := s.choose(st, pool, t.slowedBy(now))
+		w := s.bestWorker(st, pool, t.excludedWorker(now))
 		if w == nil {
 			return
 		}
-		s.start(t, w, t.nextAttempt())
+		s.startTask(t, w, t.nextAttempt())
 	}
 }
 
-// slowedBy returns the worker that slowed the task a moment ago, or nil.
-func (t *task) slowedBy(now Now) *worker {
-	if now.Boot.Before(t.movedUntil) {
+// excludedWorker returns the worker that the task was recently moved off, or nil.
+func (t *task) excludedWorker(now Timestamp) *worker {
+	if now.Boot.Before(t.mayReturnAt) {
 		return t.movedFrom
 	}
 	return nil
 }
 
+// nextAttempt returns the attempt number of the task's next run.
 func (t *task) nextAttempt() workflow.Attempt {
 	if t.job.recovered && !t.renumbered {
 		t.renumbered = true
-		return t.highest + attemptGap
+		return t.highestAttempt + attemptGap
 	}
-	return t.highest + 1
+	return t.highestAttempt + 1
 }
 
-func (s *Scheduler) start(t *task, w *worker, attempt workflow.Attempt) {
+// startTask places the task on w and queues its start order.
+func (s *Scheduler) startTask(t *task, w *worker, attempt workflow.Attempt) {
 	t.assign(w, attempt)
-	if t.step.Fills {
-		s.addExpected(w, t.step.Image, t.step.cores())
+	if t.step.BestEffort {
+		s.predictLoss(w, t.step.Image, t.step.cores())
 	}
 	w.orders.starts = append(w.orders.starts, t)
 }
 
-// choose returns the best worker but one with room for a task of the step, or nil.
-func (s *Scheduler) choose(st *step, pool []*worker, but *worker) *worker {
+// bestWorker returns the worker with the highest score that has capacity for a
+// task of the step, or nil if there is none. It never returns excluded.
+func (s *Scheduler) bestWorker(st *step, pool []*worker, excluded *worker) *worker {
 	var best *worker
 	var bestScore float64
 	for _, w := range pool {
-		if w == but || !w.fits(st) || st.Fills && !s.mayFill(w, st) {
+		if w == excluded || !w.fits(st) || st.BestEffort && !s.mayPlaceBestEffort(w, st) {
 			continue
 		}
 		if score := s.score(w, st); best == nil || score > bestScore || score == bestScore && w.id < best.id {
@@ -119,19 +122,20 @@
 }
 
 func (w *worker) fits(st *step) bool {
-	return st.claim().Fits(w.capacity.Sub(w.used)) && w.accepts(st)
+	return st.reservation().Fits(w.capacity.Sub(w.used)) && w.satisfies(st)
 }
 
-// accepts reports whether a task of the step may run on w, whatever its size.
-func (w *worker) accepts(st *step) bool {
-	if st.Requirement != "" && !slices.Contains(w.info.Labels, st.Requirement) {
+// satisfies reports whether w meets the step's constraints, regardless of free
+// capacity.
+func (w *worker) satisfies(st *step) bool {
+	if st.RequiredLabel != "" && !slices.Contains(w.runner.Labels, st.RequiredLabel) {
 		return false
 	}
-	return st.AntiAffinity == 0 || w.count(st) < st.AntiAffinity
+	return st.AntiAffinity == 0 || w.countTasks(st) < st.AntiAffinity
 }
 
-// count returns the tasks of the step on w.
-func (w *worker) count(st *step) int {
+// countTasks returns the number of the step's tasks on w.
+func (w *worker) countTasks(st *step) int {
 	n := 0
 	for _, t := range w.tasks {
 		if t.step == st {
@@ -141,33 +145,36 @@
 	return n
 }
 
-// The weights of a worker's score. Free room counts between 0 and 1.
+// The weights of a worker's score, to which each kind of free resource contributes
+// between 0 and 1.
 const (
-	harmWeight = 1.0 // rate that a task that fills takes from a serving task
-	// sensitivityWeight sends work that fills and harms little to workers whose
-	// serving tasks bear little of the rest, so that room is left elsewhere for
-	// what harms. At 1 it outweighs the task's own harm there.
+	interferenceWeight = 1.0 // per unit of service rate that a best-effort task takes from a latency-critical one
+	// sensitivityWeight prefers workers whose latency-critical tasks are sensitive
+	// to interference for best-effort tasks that cause little of it, so that other
+	// workers keep capacity for tasks that cause more. At 1 it outweighs the
+	// interference of the task itself.
 	sensitivityWeight = 0.5
-	besideFilling     = 0.5 // for each task that fills
-	sameStep          = 1.0 // long-running tasks of a step should not fail together
-	kinWeight         = 2.0 // serving tasks of the same image
-	nearData          = 1.0 // the rack of the data
+	bestEffortPenalty = 0.5 // per best-effort task on the worker
+	sameStepPenalty   = 1.0 // per task of the same step, so that long-running tasks do not fail together
+	sameImageWeight   = 2.0 // for latency-critical tasks of the same image
+	dataRackBonus     = 1.0 // for the rack that holds the data
 )
 
+// score rates w for a task of the step; the highest score is the best.
 func (s *Scheduler) score(w *worker, st *step) float64 {
 	free := w.capacity.Sub(w.used)
 	score := ratio(int64(free.Processors), int64(w.capacity.Processors)) + ratio(int64(free.Memory), int64(w.capacity.Memory))
-	if st.Fills {
-		score = w.spare()/w.cores() - s.harm(w, st) + sensitivityWeight*harmWeight*w.use.sensitivity*st.cores()
+	if st.BestEffort {
+		score = w.bestEffortCores()/w.cores() - s.interferencePenalty(w, st) + sensitivityWeight*interferenceWeight*w.usage.sensitivity*st.cores()
 	}
 	if st.LatencyTarget > 0 {
-		return score - besideFilling*float64(w.filling) + w.kinship(st)
+		return score - bestEffortPenalty*float64(w.bestEffort) + w.imageAffinity(st)
 	}
 	if st.LongRunning {
-		score -= sameStep * float64(w.count(st))
+		score -= sameStepPenalty * float64(w.countTasks(st))
 	}
 	if st.DataRack != "" && st.DataRack == w.rack || st.SameRack && st.runsIn(w.rack) {
-		score += nearData
+		score += dataRackBonus
 	}
 	return score
 }
@@ -179,11 +186,12 @@
 	return float64(part) / float64(whole)
 }
 
-// kinship prefers workers whose serving tasks are of the same image. What
-// fills beside them is bounded by the one that it harms most, so a worker of
-// one image can take what is harmless to that image at full speed.
-func (w *worker) kinship(st *step) float64 {
-	if w.serving == 0 {
+// imageAffinity returns a score that prefers workers whose latency-critical tasks
+// have the step's image. Best-effort tasks are limited by the latency-critical
+// task that they slow down most, so a worker with a single image can run the
+// best-effort tasks that do not interfere with that image at full speed.
+func (w *worker) imageAffinity(st *step) float64 {
+	if w.latencyCritical == 0 {
 		return 0
 	}
 	same := 0
@@ -192,17 +200,17 @@
 			same++
 		}
 	}
-	share := float64(same) / float64(w.serving)
-	return kinWeight * (2*share - 1)
+	share := float64(same) / float64(w.latencyCritical)
+	return sameImageWeight * (2*share - 1)
 }
 
-// harm returns the rate that a task of the step takes from the serving task that
-// suffers most, weighed.
-func (s *Scheduler) harm(w *worker, st *step) float64 {
-	return harmWeight * s.roomFor(w, st.Image).harm * st.cores()
+// interferencePenalty returns the weighted service rate that a task of the step
+// takes from the latency-critical task on w that it slows down most.
+func (s *Scheduler) interferencePenalty(w *worker, st *step) float64 {
+	return interferenceWeight * s.headroomFor(w, st.Image).lossPerCore * st.cores()
 }
 
-// runsIn reports whether a task of the step runs in the rack.
+// runsIn reports whether a task of the step is placed in the rack.
 func (st *step) runsIn(rack string) bool {
 	for _, t := range st.tasks {
 		if t.worker != nil && t.worker.rack == rack {
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -11,21 +11,22 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// The keys of the records: a job as it was submitted, and its progress.
+// Prefixes of the record keys: the job as submitted, and its progress.
 const (
 	jobPrefix      = "job/"
 	progressPrefix = "progress/"
 )
 
-// JobKey is the key of the record of a job.
+// JobKey returns the key of a job's record.
 func JobKey(id workflow.JobID) string { return jobPrefix + string(id) }
 
-// attemptGap is added to the highest known attempt of a recovered task, since
-// attempts that were ordered shortly before a takeover may not be recorded.
+// attemptGap is added to the highest known attempt of a recovered task, because
+// attempts that were ordered shortly before a change of leader may be unrecorded.
 const attemptGap = 8
 
-// Flush returns the records of everything that has changed since the last one
-// and its number, 0 when nothing has to be written. Committed takes the number.
+// Flush returns the records of all jobs that have changed since the last flush,
+// and the number of this flush, which is passed to CommitFlush once the records
+// are durable. The number is 0 if there is nothing to write.
 func (s *Scheduler) Flush() ([]durable.Record, uint64, error) {
 	var records []durable.Record
 	for id, j := range s.dirty {
@@ -35,25 +36,26 @@
 		}
 		records = append(records, durable.Record{Key: progressPrefix + string(id), Value: value})
 	}
-	if len(records) == 0 && !s.endsWaiting() {
+	if len(records) == 0 && !s.hasUnflushedEnds() {
 		return nil, 0, nil
 	}
-	s.flushed++
+	s.lastFlush++
 	for _, j := range s.dirty {
-		if j.state != j.shown {
-			j.shownBy = s.flushed
-			s.waiting = append(s.waiting, j)
+		if j.state != j.durableState {
+			j.stateFlush = s.lastFlush
+			s.unflushedStates = append(s.unflushedStates, j)
 		}
 	}
 	clear(s.dirty)
-	return records, s.flushed, nil
+	return records, s.lastFlush, nil
 }
 
-// endsWaiting reports whether ends were reported since the last flush that
-// changed nothing; they count as recorded with the next flush.
-func (s *Scheduler) endsWaiting() bool {
+// hasUnflushedEnds reports whether runs have ended since the last flush. Such an
+// end may have changed no record, but it counts as durable only with the next
+// flush, which is therefore needed even without records.
+func (s *Scheduler) hasUnflushedEnds() bool {
 	for _, w := range s.workers {
-		if n := len(w.ends); n > 0 && w.ends[n-1].flush > s.flushed {
+		if n := len(w.unflushedEnds); n > 0 && w.unflushedEnds[n-1].flush > s.lastFlush {
 			return true
 		}
 	}
@@ -62,8 +64,8 @@
 
 func (j *job) progress() *wire.ProgressRecord {
 	record := &wire.ProgressRecord{State: string(j.state), Completed: int32(j.completed)}
-	if !j.finished.IsZero() {
-		record.EndedUnixMs = j.finished.UnixMilli()
+	if !j.finishedAt.IsZero() {
+		record.EndedUnixMs = j.finishedAt.UnixMilli()
 		return record
 	}
 	for _, o := range j.occurrences {
@@ -82,16 +84,16 @@
 	return record
 }
 
-// progress returns nil for a step that has not begun.
+// progress returns nil if no task of the step has been ordered or is done.
 func (st *step) progress() *wire.StepProgress {
 	record := &wire.StepProgress{Step: int32(st.number), Done: make([]byte, (len(st.tasks)+7)/8)}
 	begun := false
 	for i, t := range st.tasks {
-		begun = begun || t.highest > 0 || t.done
-		record.HighestAttempt = max(record.HighestAttempt, int64(t.highest))
+		begun = begun || t.highestAttempt > 0 || t.done
+		record.HighestAttempt = max(record.HighestAttempt, int64(t.highestAttempt))
 		if t.done {
 			record.Done[i/8] |= 1 << (i % 8)
-		} else if len(t.failed) > 0 || t.checkpoint != "" {
+		} else if len(t.failedAttempts) > 0 || t.checkpoint != "" {
 			record.Tasks = append(record.Tasks, t.progress())
 		}
 	}
@@ -103,17 +105,17 @@
 
 func (t *task) progress() *wire.TaskProgress {
 	record := &wire.TaskProgress{Index: int32(t.id.Index), Checkpoint: t.checkpoint}
-	for _, attempt := range t.failed {
+	for _, attempt := range t.failedAttempts {
 		record.FailedAttempts = append(record.FailedAttempts, int64(attempt))
 	}
 	return record
 }
 
-// Recover takes over the newest records of an earlier scheduler. Runs that it
-// ordered are not recorded; the agents' reports show them, and until every
-// agent that was known has reported or its lease has ended, no task of a
-// recovered job starts.
-func (s *Scheduler) Recover(items []durable.Item, now Now) error {
+// Recover restores the jobs from the newest records of an earlier leader. The
+// runs that it ordered are not recorded but appear in the agents' reports. No
+// task of a recovered job starts until every previously known agent has reported
+// or its lease has expired.
+func (s *Scheduler) Recover(items []durable.Item, now Timestamp) error {
 	progress := make(map[string]*wire.ProgressRecord)
 	for _, item := range items {
 		if id, ok := cutPrefix(item.Key, progressPrefix); ok {
@@ -144,7 +146,7 @@
 	return s[len(prefix):], true
 }
 
-func (s *Scheduler) recoverJob(j *workflow.Job, policy workflow.Policy, p *wire.ProgressRecord, now Now) {
+func (s *Scheduler) recoverJob(j *workflow.Job, policy workflow.Policy, p *wire.ProgressRecord, now Timestamp) {
 	s.Accept(j, policy, now)
 	row := s.jobs[j.ID]
 	row.recovered = true
@@ -152,12 +154,12 @@
 		return
 	}
 	row.started = true
-	row.state, row.shown = workflow.State(p.GetState()), workflow.State(p.GetState())
+	row.state, row.durableState = workflow.State(p.GetState()), workflow.State(p.GetState())
 	row.completed = int(p.GetCompleted())
 	if row.state.Final() {
-		row.finished = time.UnixMilli(p.GetEndedUnixMs())
+		row.finishedAt = time.UnixMilli(p.GetEndedUnixMs())
 		row.occurrences = nil
-		delete(s.live, j.ID)
+		delete(s.activeJobs, j.ID)
 		return
 	}
 	kept := row.occurrences[:0]
@@ -176,7 +178,7 @@
 	}
 	kept = row.occurrences[:0]
 	for _, o := range row.occurrences {
-		if o.left > 0 {
+		if o.stepsLeft > 0 {
 			kept = append(kept, o)
 		}
 	}
@@ -190,11 +192,11 @@
 		}
 		st := o.steps[sp.GetStep()]
 		for i, t := range st.tasks {
-			t.highest = workflow.Attempt(sp.GetHighestAttempt())
+			t.highestAttempt = workflow.Attempt(sp.GetHighestAttempt())
 			if i/8 < len(sp.GetDone()) && sp.GetDone()[i/8]&(1<<(i%8)) != 0 {
 				t.done = true
-				st.left--
-				st.idle--
+				st.tasksLeft--
+				st.unplaced--
 			}
 		}
 		for _, tp := range sp.GetTasks() {
@@ -202,29 +204,29 @@
 				t := st.tasks[tp.GetIndex()]
 				t.checkpoint = tp.GetCheckpoint()
 				for _, attempt := range tp.GetFailedAttempts() {
-					t.failed = append(t.failed, workflow.Attempt(attempt))
+					t.failedAttempts = append(t.failedAttempts, workflow.Attempt(attempt))
 				}
 			}
 		}
-		if st.left == 0 {
-			o.left--
+		if st.tasksLeft == 0 {
+			o.stepsLeft--
 		}
 	}
-	o.open()
+	o.openSteps()
 }
 
-// Worker adds a worker that was known to an earlier scheduler.
-func (s *Scheduler) RecoverWorker(id units.WorkerID, now Now) {
-	s.Join(id, now)
-	s.workers[id].unknown = true
+// RecoverWorker adds a worker that was known to an earlier leader.
+func (s *Scheduler) RecoverWorker(id units.WorkerID, now Timestamp) {
+	s.AddWorker(id, now)
+	s.workers[id].mayHaveUnknownRuns = true
 }
 
-// Expired returns the records that delete the jobs which finished long enough
-// ago, and forgets these jobs.
-func (s *Scheduler) Expired(now Now) []durable.Record {
+// RemoveExpired removes the jobs that finished more than FinishedRetention ago
+// and returns the records that delete them from the store.
+func (s *Scheduler) RemoveExpired(now Timestamp) []durable.Record {
 	var records []durable.Record
 	for id, j := range s.jobs {
-		if j.shown.Final() && j.placed == 0 && now.Wall.Sub(j.finished) > s.KeepFinished {
+		if j.durableState.Final() && j.placedTasks == 0 && now.Wall.Sub(j.finishedAt) > s.FinishedRetention {
 			delete(s.jobs, id)
 			records = append(records, durable.Record{Key: JobKey(id)}, durable.Record{Key: progressPrefix + string(id)})
 		}
--- a/internal/scheduler/submit.go
+++ b/internal/scheduler/submit.go
@@ -9,79 +9,80 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// Accept adds a job whose record is durable. A job that is known stays as it is.
-func (s *Scheduler) Accept(j *workflow.Job, p workflow.Policy, now Now) {
+// Accept adds a job whose record is durable. It has no effect on an existing job.
+func (s *Scheduler) Accept(j *workflow.Job, p workflow.Policy, now Timestamp) {
 	if s.jobs[j.ID] != nil {
 		return
 	}
 	age := min(max(now.Wall.Sub(j.Submitted), 0), time.Minute)
-	row := &job{Job: j, policy: p, state: workflow.Queued, shown: workflow.Queued, submitted: now.Boot.Add(-age)}
-	s.jobs[j.ID], s.live[j.ID] = row, row
-	s.learnWork(row)
-	s.begin(row, now)
+	row := &job{Job: j, submittedPolicy: p, state: workflow.Queued, durableState: workflow.Queued, submittedAt: now.Boot.Add(-age)}
+	s.jobs[j.ID], s.activeJobs[j.ID] = row, row
+	s.updateMeanWork(row)
+	s.openDueOccurrences(row, now)
 }
 
-// begin opens the occurrences that are due.
-func (s *Scheduler) begin(j *job, now Now) {
-	for j.begun < j.Occurrences() && !now.Wall.Before(j.Due(j.begun)) {
-		o := newOccurrence(j, j.begun)
+// openDueOccurrences adds the occurrences of the job that have become due.
+func (s *Scheduler) openDueOccurrences(j *job, now Timestamp) {
+	for j.opened < j.Occurrences() && !now.Wall.Before(j.Due(j.opened)) {
+		o := newOccurrence(j, j.opened)
 		j.occurrences = append(j.occurrences, o)
-		j.begun++
+		j.opened++
 	}
 }
 
 func newOccurrence(j *job, number int) *occurrence {
-	o := &occurrence{number: number, left: len(j.Steps)}
+	o := &occurrence{number: number, stepsLeft: len(j.Steps)}
 	for i := range j.Steps {
-		st := &step{Step: &j.Steps[i], number: i, left: j.Steps[i].Count, idle: j.Steps[i].Count}
+		st := &step{Step: &j.Steps[i], number: i, tasksLeft: j.Steps[i].Count, unplaced: j.Steps[i].Count}
 		st.tasks = make([]*task, st.Count)
 		for index := range st.tasks {
 			st.tasks[index] = &task{id: workflow.TaskID{Job: j.ID, Occurrence: number, Step: i, Index: index}, job: j, step: st}
 		}
 		o.steps = append(o.steps, st)
 	}
-	o.open()
+	o.openSteps()
 	return o
 }
 
-// open marks the steps whose predecessors are done.
-func (o *occurrence) open() {
+// openSteps marks the steps whose dependencies are done as open.
+func (o *occurrence) openSteps() {
 	for _, st := range o.steps {
 		if !st.open {
-			st.open = o.ready(st)
+			st.open = o.dependenciesDone(st)
 		}
 	}
 }
 
-func (o *occurrence) ready(st *step) bool {
-	for _, before := range st.After {
-		if o.steps[before].left > 0 {
+// dependenciesDone reports whether all steps that st depends on are done.
+func (o *occurrence) dependenciesDone(st *step) bool {
+	for _, dependency := range st.After {
+		if o.steps[dependency].tasksLeft > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Known reports whether the job's record is known.
-func (s *Scheduler) Known(id workflow.JobID) bool { return s.jobs[id] != nil }
+// HasJob reports whether the job exists.
+func (s *Scheduler) HasJob(id workflow.JobID) bool { return s.jobs[id] != nil }
 
-// State returns the durable state of a job and false when no such job exists.
-func (s *Scheduler) State(id workflow.JobID) (workflow.State, bool) {
+// JobState returns the durable state of a job, and false if no such job exists.
+func (s *Scheduler) JobState(id workflow.JobID) (workflow.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return "", false
 	}
-	if !j.shown.Final() && j.started {
+	if !j.durableState.Final() && j.started {
 		return workflow.Running, true
 	}
-	return j.shown, true
+	return j.durableState, true
 }
 
-// Pending returns how many jobs of a queue have not begun; jobs with due times
-// do not count.
-func (s *Scheduler) Pending(queue workflow.QueueName) int {
+// PendingJobs returns the number of jobs of a queue that have not started, without
+// the jobs that have due times.
+func (s *Scheduler) PendingJobs(queue workflow.QueueName) int {
 	n := 0
-	for _, j := range s.live {
+	for _, j := range s.activeJobs {
 		if j.Queue == queue && !j.started && j.Repetitions == 0 {
 			n++
 		}
@@ -89,55 +90,57 @@
 	return n
 }
 
-// Cancel cancels a job that is not final, and returns the flush after which
-// its final state is durable. It returns 0 when the job is unknown or its final
-// state is durable already.
-func (s *Scheduler) Cancel(id workflow.JobID, now Now) uint64 {
+// Cancel cancels a job that has not ended, and returns the number of the flush that
+// makes its final state durable. It returns 0 if the job does not exist or its final
+// state is already durable.
+func (s *Scheduler) Cancel(id workflow.JobID, now Timestamp) uint64 {
 	j := s.jobs[id]
-	if j == nil || j.shown.Final() {
+	if j == nil || j.durableState.Final() {
 		return 0
 	}
 	if !j.state.Final() {
-		s.finish(j, workflow.Cancelled, now)
+		s.finishJob(j, workflow.Cancelled, now)
 	}
 	if s.dirty[id] != nil {
-		return s.flushed + 1
+		return s.lastFlush + 1
 	}
-	return j.shownBy
+	return j.stateFlush
 }
 
-// finish gives a job its final state and stops what still runs of it.
-func (s *Scheduler) finish(j *job, state workflow.State, now Now) {
-	j.state, j.finished = state, now.Wall
-	klog.InfoS("job ended", "job", j.ID, "state", state, "age", now.Boot.Sub(j.submitted).Round(time.Millisecond), "recovered", j.recovered)
-	delete(s.live, j.ID)
-	s.touch(j)
+// finishJob sets the final state of a job and stops its remaining runs.
+func (s *Scheduler) finishJob(j *job, state workflow.State, now Timestamp) {
+	j.state, j.finishedAt = state, now.Wall
+	klog.InfoS("job ended", "job", j.ID, "state", state, "age", now.Boot.Sub(j.submittedAt).Round(time.Millisecond), "recovered", j.recovered)
+	delete(s.activeJobs, j.ID)
+	s.markDirty(j)
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
 				if t.worker != nil {
-					s.stop(t, now)
+					s.stopTask(t, now)
 				}
 			}
 		}
 	}
 }
 
-func (s *Scheduler) touch(j *job) { s.dirty[j.ID] = j }
+// markDirty includes the job's progress in the next flush.
+func (s *Scheduler) markDirty(j *job) { s.dirty[j.ID] = j }
 
-// stop orders the end of a task's run; the task stays on its worker until a
-// report shows that it has ended.
-func (s *Scheduler) stop(t *task, now Now) {
-	t.stopSent = now.Boot
+// stopTask orders the stop of a task's run. The task stays on its worker until a
+// report shows that the run has ended. A start that was not sent yet is withdrawn
+// instead.
+func (s *Scheduler) stopTask(t *task, now Timestamp) {
+	t.stopOrderedAt = now.Boot
 	w := t.worker
-	if slices.Contains(w.orders.starts, t) { // not sent yet
+	if slices.Contains(w.orders.starts, t) { // the start was not sent yet
 		t.release()
 		return
 	}
-	s.stopRun(w, t.id, t.attempt)
+	s.orderStop(w, t.id, t.attempt)
 }
 
-func (s *Scheduler) stopRun(w *worker, id workflow.TaskID, attempt workflow.Attempt) {
+func (s *Scheduler) orderStop(w *worker, id workflow.TaskID, attempt workflow.Attempt) {
 	w.orders.stops = append(w.orders.stops, id)
 	w.orders.attempts = append(w.orders.attempts, attempt)
 }
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -8,11 +8,11 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// A run whose attempt is lower than the highest of its step is still the
-// task's only run after a takeover. Starting the task again would run it twice.
+// After a change of leader, a run whose attempt is below the highest of its step may still
+// be the task's only run. Starting the task again would run it twice.
 func TestTakeoverAdoptsRunOfLowerAttempt(t *testing.T) {
 	f := newFixture(t)
-	a, b := f.worker("a", 2), f.worker("b", 2)
+	a, b := f.addWorker("a", 2), f.addWorker("b", 2)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1), LongRunning: true, AntiAffinity: 1})
 	if got := len(f.tick()); got != 2 {
 		t.Fatalf("got %d starts, want 2", got)
@@ -29,63 +29,64 @@
 	if got := f.tick(); len(got) != 1 {
 		t.Fatalf("got starts %v, want one", got)
 	}
-	f.takeOver()
+	f.startNewLeader()
 	for id := range f.agents {
-		f.s.Attach(id, f.now)
+		f.scheduler.Attach(id, f.now)
 		f.agents[id].sequence = 0
 		f.report(id)
 	}
 	if got := f.tick(); len(got) != 0 {
-		t.Errorf("got starts %v after the takeover, want none: both tasks run", got)
+		t.Errorf("got starts %v after the change of leader, want none: both tasks run", got)
 	}
 	if got := len(a.running) + len(b.running); got != 2 {
 		t.Errorf("got %d runs, want 2", got)
 	}
 }
 
-// Until every agent that an earlier leader knew has reported, or its leases
-// have ended, a task without a known run may be running there.
-func TestTakeoverWaitsForSilentAgent(t *testing.T) {
+// A task without a known run may be running on a worker of an earlier leader until that
+// worker's agent has reported or its leases have expired. Starting the task earlier could
+// run it twice.
+func TestTakeoverWaitsForDisconnectedAgent(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 1)
-	f.worker("b", 1)
+	f.addWorker("a", 1)
+	f.addWorker("b", 1)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	if got := len(f.tick()); got != 2 {
 		t.Fatalf("got %d starts, want 2", got)
 	}
-	f.takeOver()
-	f.s.Attach("a", f.now)
+	f.startNewLeader()
+	f.scheduler.Attach("a", f.now)
 	f.agents["a"].sequence = 0
 	f.report("a")
-	f.agents["a"].end(firstRun(f.agents["a"]), workflow.Done)
+	f.agents["a"].end(anyRun(f.agents["a"]), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 0 {
-		t.Errorf("got starts %v, want none before the silent agent's leases have ended", got)
+		t.Errorf("got starts %v, want none before the disconnected agent's leases have expired", got)
 	}
-	f.pass(testGrantBound + 1)
+	f.advance(testMaxLeaseDuration + 1)
 	if got := f.tick(); len(got) != 1 {
-		t.Errorf("got starts %v, want the task of the silent agent", got)
+		t.Errorf("got starts %v, want the task of the disconnected agent", got)
 	}
 }
 
-func firstRun(a *agent) string {
+func anyRun(a *fakeAgent) string {
 	for task := range a.running {
 		return task
 	}
 	return ""
 }
 
-// An agent whose runner is gone for good has nothing to report. It must not
-// hold back every recovered job for ever.
+// An agent whose runner is permanently gone never lists its runs. It must not block all
+// recovered jobs for ever.
 func TestTakeoverDoesNotWaitForMissingRunner(t *testing.T) {
 	f := newFixture(t)
-	f.worker("a", 1)
-	f.worker("b", 1)
+	f.addWorker("a", 1)
+	f.addWorker("b", 1)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	f.tick()
-	f.takeOver()
+	f.startNewLeader()
 	for _, id := range []units.WorkerID{"a", "b"} {
-		f.s.Attach(id, f.now)
+		f.scheduler.Attach(id, f.now)
 		f.agents[id].sequence = 0
 	}
 	lost := f.agents["b"]
@@ -94,26 +95,26 @@
 	for range 8 {
 		f.report("a")
 		f.report("b")
-		f.pass(testGrantBound / 8)
+		f.advance(testMaxLeaseDuration / 8)
 	}
-	f.pass(testGrantBound / 8)
-	f.agents["a"].end(firstRun(f.agents["a"]), workflow.Done)
+	f.advance(testMaxLeaseDuration / 8)
+	f.agents["a"].end(anyRun(f.agents["a"]), workflow.Done)
 	f.report("a")
 	if got := f.tick(); len(got) != 1 {
 		t.Errorf("got starts %v, want the task of the missing runner", got)
 	}
 }
 
-// A task that is lost before its start was sent must leave the orders: the
-// process ended when they were taken.
-func TestLostBeforeItsStartWasSent(t *testing.T) {
+// A task that is lost before its start was sent must be removed from the pending orders.
+// Otherwise the process crashed when the orders were taken.
+func TestLostTaskLeavesPendingOrders(t *testing.T) {
 	f := newFixture(t)
-	a := f.worker("a", 4)
+	a := f.addWorker("a", 4)
 	f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
-	f.s.Tick(f.now, true)
+	f.scheduler.Tick(f.now, true)
 	a.runner = &wire.RunnerState{Id: "other", BornUnixMs: 2, Service: "desk", Domain: "north", Millicores: 4000, MemoryBytes: 64 << 30}
 	f.report("a")
-	for _, orders := range f.s.TakeOrders() {
+	for _, orders := range f.scheduler.TakeOrders() {
 		if len(orders.Starts) != 0 {
 			t.Errorf("got starts %v for a runner that was replaced, want none", orders.Starts)
 		}
--- a/internal/workflow/codec.go
+++ b/internal/workflow/codec.go
@@ -9,11 +9,12 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// ToWire converts a job and the policy of its queue for a message or a record.
+// ToWire converts a job and the policy of its queue to their message form, which is
+// also the form of the stored record.
 func ToWire(j *Job, p Policy) *wire.JobRecord {
 	record := &wire.JobRecord{
 		Id: string(j.ID), Queue: string(j.Queue), Spec: j.Spec, Repetitions: int32(j.Repetitions),
-		FirstUnixMs: unixMillis(j.First), IntervalMs: j.Interval.Milliseconds(),
+		FirstUnixMs: unixMillis(j.FirstDue), IntervalMs: j.Interval.Milliseconds(),
 		SubmittedUnixMs: unixMillis(j.Submitted), Policy: policyToWire(p),
 	}
 	for i := range j.Steps {
@@ -26,7 +27,7 @@
 func FromWire(record *wire.JobRecord) (*Job, Policy) {
 	j := &Job{
 		ID: JobID(record.GetId()), Queue: QueueName(record.GetQueue()), Spec: record.GetSpec(),
-		Repetitions: int(record.GetRepetitions()), First: fromUnixMillis(record.GetFirstUnixMs()),
+		Repetitions: int(record.GetRepetitions()), FirstDue: fromUnixMillis(record.GetFirstUnixMs()),
 		Interval: millis(record.GetIntervalMs()), Submitted: fromUnixMillis(record.GetSubmittedUnixMs()),
 		Steps: make([]Step, len(record.GetSteps())),
 	}
@@ -36,10 +37,10 @@
 	return j, policyFromWire(record.GetPolicy())
 }
 
-// Encode returns the record of an accepted job.
+// Encode returns the encoded record of an accepted job.
 func Encode(j *Job, p Policy) ([]byte, error) { return proto.Marshal(ToWire(j, p)) }
 
-// Decode reads a record that Encode wrote.
+// Decode decodes a record written by Encode.
 func Decode(data []byte) (*Job, Policy, error) {
 	record := &wire.JobRecord{}
 	if err := proto.Unmarshal(data, record); err != nil {
@@ -53,13 +54,13 @@
 	w := &wire.WorkflowStep{
 		Count: int32(s.Count), Millicores: int64(s.Size.Processors), MemoryBytes: int64(s.Size.Memory),
 		Accelerators: s.Size.Accelerators, EstimateMs: s.Estimate.Milliseconds(),
-		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Requirement: s.Requirement,
+		Checkpointing: s.Checkpointing, Gang: s.Gang, SameRack: s.SameRack, Requirement: s.RequiredLabel,
 		DataRack: s.DataRack, AntiAffinity: int32(s.AntiAffinity), Speculative: s.Speculative,
-		LongRunning: s.LongRunning, Fills: s.Fills, Image: s.Image,
-		LatencyTargetMs: s.LatencyTarget.Milliseconds(), MayMiss: int32(s.MayMiss),
+		LongRunning: s.LongRunning, Fills: s.BestEffort, Image: s.Image,
+		LatencyTargetMs: s.LatencyTarget.Milliseconds(), MayMiss: int32(s.MaxUnavailable),
 	}
-	for _, before := range s.After {
-		w.After = append(w.After, int32(before))
+	for _, dependency := range s.After {
+		w.After = append(w.After, int32(dependency))
 	}
 	return w
 }
@@ -70,13 +71,13 @@
 		Size: units.Resources{Processors: units.Millicores(w.GetMillicores()), Memory: units.Bytes(w.GetMemoryBytes()),
 			Accelerators: w.GetAccelerators()},
 		Estimate: millis(w.GetEstimateMs()), Checkpointing: w.GetCheckpointing(), Gang: w.GetGang(),
-		SameRack: w.GetSameRack(), Requirement: w.GetRequirement(), DataRack: w.GetDataRack(),
+		SameRack: w.GetSameRack(), RequiredLabel: w.GetRequirement(), DataRack: w.GetDataRack(),
 		AntiAffinity: int(w.GetAntiAffinity()), Speculative: w.GetSpeculative(), LongRunning: w.GetLongRunning(),
-		Fills: w.GetFills(), Image: w.GetImage(), LatencyTarget: millis(w.GetLatencyTargetMs()),
-		MayMiss: int(w.GetMayMiss()),
+		BestEffort: w.GetFills(), Image: w.GetImage(), LatencyTarget: millis(w.GetLatencyTargetMs()),
+		MaxUnavailable: int(w.GetMayMiss()),
 	}
-	for _, before := range w.GetAfter() {
-		s.After = append(s.After, int(before))
+	for _, dependency := range w.GetAfter() {
+		s.After = append(s.After, int(dependency))
 	}
 	return s
 }
@@ -84,13 +85,13 @@
 func policyToWire(p Policy) *wire.QueuePolicy {
 	w := &wire.QueuePolicy{
 		Service: string(p.Service), Priority: int32(p.Priority), MaxAttempts: int32(p.MaxAttempts),
-		Stretch: p.Stretch, TargetLatencyMs: p.TargetLatency.Milliseconds(),
+		Stretch: p.Stretch, TargetLatencyMs: p.LatencyAllowance.Milliseconds(),
 	}
 	if p.Advice != nil {
 		w.Advised = true
-		w.AdviceDecideMs = p.Advice.Decide.Milliseconds()
-		w.AdviceEachMs = p.Advice.Each.Milliseconds()
-		w.AdviceValidMs = p.Advice.Valid.Milliseconds()
+		w.AdviceDecideMs = p.Advice.CallTime.Milliseconds()
+		w.AdviceEachMs = p.Advice.TimePerWorker.Milliseconds()
+		w.AdviceValidMs = p.Advice.TicketValidity.Milliseconds()
 	}
 	return w
 }
@@ -98,10 +99,10 @@
 func policyFromWire(w *wire.QueuePolicy) Policy {
 	p := Policy{
 		Service: units.ServiceName(w.GetService()), Priority: int(w.GetPriority()), MaxAttempts: int(w.GetMaxAttempts()),
-		Stretch: w.GetStretch(), TargetLatency: millis(w.GetTargetLatencyMs()),
+		Stretch: w.GetStretch(), LatencyAllowance: millis(w.GetTargetLatencyMs()),
 	}
 	if w.GetAdvised() {
-		p.Advice = &Advice{Decide: millis(w.GetAdviceDecideMs()), Each: millis(w.GetAdviceEachMs()), Valid: millis(w.GetAdviceValidMs())}
+		p.Advice = &Advice{CallTime: millis(w.GetAdviceDecideMs()), TimePerWorker: millis(w.GetAdviceEachMs()), TicketValidity: millis(w.GetAdviceValidMs())}
 	}
 	return p
 }
