--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -129,9 +129,9 @@
 		c.mu.Unlock()
 		return false
 	case info.Sequence < c.info.Sequence:
-		// A delayed announcement is ignored, because a draining runner never
-		// leaves that state.
+		// The announcement was delayed and a later one has been applied.
 	default:
+		// A draining runner never stops draining.
 		changed = info.Draining != c.info.Draining
 		info.Draining = info.Draining || c.info.Draining
 		c.info = &info
@@ -147,12 +147,12 @@
 	return true
 }
 
-// replaceIncarnation drops the state of the previous incarnation, which no
-// longer runs anything. If the new incarnation has the same id, it may have accepted starts
-// that were sent to the previous one, including starts that it confirmed before
-// the agent detected the restart. The table of runs is therefore kept, and the
-// first listing requested from now on shows which runs are gone: that request
-// carries a higher token, which fences all earlier calls.
+// replaceIncarnation drops the state of the previous incarnation, which no longer
+// runs anything. If the new incarnation has the same id, it may have accepted
+// starts that were sent to the previous one, including starts that it confirmed
+// before the agent detected the restart. The table of runs is therefore kept, and
+// the first listing requested from now on shows which runs are gone: that request
+// carries a higher token, which fences all earlier calls. The caller holds c.mu.
 func (c *Controller) replaceIncarnation(info Info) {
 	sameID := c.info != nil && c.info.ID == info.ID
 	c.info = &info
@@ -190,6 +190,7 @@
 	c.notifyChange()
 }
 
+// notifyChange calls OnChange if it is set. The caller does not hold c.mu.
 func (c *Controller) notifyChange() {
 	if c.OnChange != nil {
 		c.OnChange()
@@ -204,8 +205,8 @@
 	c.mu.Unlock()
 }
 
-// MarkRecorded drops the ended runs up to number, which are durably recorded. It
-// ignores the numbers of another incarnation than the current one.
+// MarkRecorded drops the ended runs up to number, which are durably recorded. A
+// call for another incarnation than the current one has no effect.
 func (c *Controller) MarkRecorded(startedUnixMs int64, number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,8 +240,8 @@
 	if !now.Before(c.grantedUntil) || c.runnerClock == 0 {
 		return 0, false
 	}
-	left := min(c.grantedUntil.Sub(c.clockReadAt), c.LongestLease)
-	until := c.runnerClock + ClockTime(float64(left.Milliseconds())*(1-maxClockDrift))
+	remaining := min(c.grantedUntil.Sub(c.clockReadAt), c.LongestLease)
+	until := c.runnerClock + ClockTime(float64(remaining.Milliseconds())*(1-maxClockDrift))
 	c.leaseUntil = max(c.leaseUntil, until)
 	return c.leaseUntil, true
 }
@@ -253,8 +254,8 @@
 		// an earlier incarnation with this id may have carried one.
 		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.LongestLease+c.LongestLease/10))
 	}
-	left := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
-	end := c.clockReadAt.Add(time.Duration(float64(left)*(1+2*maxClockDrift)) + leaseExpiryMargin)
+	remaining := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
+	end := c.clockReadAt.Add(time.Duration(float64(remaining)*(1+2*maxClockDrift)) + leaseExpiryMargin)
 	return now.After(end)
 }
 
@@ -316,6 +317,7 @@
 	}
 }
 
+// awaitRunner waits until a runner has announced itself.
 func (c *Controller) awaitRunner(ctx context.Context) {
 	c.mu.Lock()
 	appeared := c.incarnationAppeared
@@ -326,6 +328,8 @@
 	}
 }
 
+// nextPoll returns the next poll, and whether a listing of the current incarnation has
+// been received. ok is false if no runner has announced itself.
 func (c *Controller) nextPoll() (call PollCall, listed, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -342,6 +346,7 @@
 	return call, c.listed, true
 }
 
+// handlePollError marks the runner as unresponsive and waits before the next poll.
 func (c *Controller) handlePollError(ctx context.Context, id string, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -94,10 +94,10 @@
 
 // Listing is the reply to a poll.
 type Listing struct {
-	StartedUnixMs int64
+	StartedUnixMs int64 // of the incarnation that replied; 0 if it is not in the reply
 	Clock         ClockTime
 	Running       []RunStatus
-	Ended         []EndedRun
+	Ended         []EndedRun // ended runs that the runner has not dropped yet
 }
 
 // Kind classifies the failures of a call.
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -26,7 +26,7 @@
 // and a Rejection is reported.
 func (c *Controller) Start(ctx context.Context, incarnation Incarnation, s StartOrder) {
 	c.mu.Lock()
-	reason := c.refusalReason(incarnation, s)
+	reason := c.rejectionReason(incarnation, s)
 	if reason == "" {
 		c.runs[s.Task] = &run{attempt: s.Attempt, starting: true, pace: fullPace,
 			bestEffort: s.BestEffort, latencyTarget: s.LatencyTarget, image: s.Image, processors: s.Processors}
@@ -47,9 +47,9 @@
 // carried out or a listing has already shown its run.
 const duplicateStart Kind = "repeated"
 
-// refusalReason returns why an order is not carried out, or "" if it is. The
+// rejectionReason returns why an order is not carried out, or "" if it is. The
 // caller holds c.mu.
-func (c *Controller) refusalReason(incarnation Incarnation, s StartOrder) Kind {
+func (c *Controller) rejectionReason(incarnation Incarnation, s StartOrder) Kind {
 	switch r := c.runs[s.Task]; {
 	case c.info == nil || c.info.Incarnation != incarnation:
 		return WrongIncarnation
@@ -63,16 +63,18 @@
 	return ""
 }
 
+// callStart carries out a start order. It repeats unanswered calls, and makes sure that
+// the run cannot start any more before it reports a Rejection.
 func (c *Controller) callStart(ctx context.Context, incarnation Incarnation, s StartOrder) {
 	mayArrive := false // the runner may still carry out an unanswered call
 	var err error
 	for i := 0; i < maxStartCalls; i++ {
-		call, refused := c.nextStartCall(incarnation, s)
-		if refused == duplicateStart {
+		call, rejection := c.nextStartCall(incarnation, s)
+		if rejection == duplicateStart {
 			return
 		}
-		if refused != "" {
-			err = fault.New("start", refused, "no further start call is made")
+		if rejection != "" {
+			err = fault.New("start", rejection, "no further start call is made")
 			break
 		}
 		err = c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Start(ctx, call) })
@@ -86,7 +88,7 @@
 		return
 	}
 	klog.InfoS("failed to start a run", "task", s.Task.String(), "attempt", s.Attempt, "runner", incarnation.ID, "mayArrive", mayArrive, "err", err)
-	if mayArrive && !finalRefusals[errorKind(err)] && !c.cancelStart(ctx, incarnation.ID, s) {
+	if mayArrive && !finalFailures[errorKind(err)] && !c.cancelStart(ctx, incarnation.ID, s) {
 		return // a listing has shown the run, or the runner was replaced
 	}
 	if errorKind(err) == Superseded || mayArrive && !c.hasOtherID(incarnation) {
@@ -122,18 +124,19 @@
 		Checkpoint: s.Checkpoint, Ticket: s.Ticket, Until: until}, ""
 }
 
-// hasOtherID reports whether the current runner has another id than incarnation.
-// It then rejects all calls to incarnation that are still in flight.
+// hasOtherID reports whether the current runner has another id than incarnation. The
+// current runner then rejects all calls to incarnation that are still in flight.
 func (c *Controller) hasOtherID(incarnation Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.info.ID != incarnation.ID
 }
 
-// finalRefusals are the failures after which the runner can no longer carry out an
+// finalFailures are the failures after which the runner can no longer carry out an
 // earlier call for the same attempt.
-var finalRefusals = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
+var finalFailures = map[Kind]bool{Superseded: true, Fenced: true, WrongIncarnation: true}
 
+// errorKind returns the kind of an error of the API.
 func errorKind(err error) Kind {
 	if e, ok := err.(*Error); ok {
 		return e.Kind
@@ -142,10 +145,10 @@
 }
 
 // cancelStart prevents an unanswered start from being carried out later, by
-// stopping the attempt: the runner rejects the start of an attempt for
-// which it has received a stop. It returns true once the start can no longer take effect, and
-// false when a listing has shown the run, the run is no longer in the table, or
-// ctx is done.
+// stopping the attempt: the runner rejects the start of an attempt for which it has
+// received a stop. It returns true once the start can no longer take effect, and
+// false when a listing has shown the run, the run is no longer in the table, or ctx
+// is done.
 func (c *Controller) cancelStart(ctx context.Context, id string, s StartOrder) bool {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -169,6 +172,7 @@
 	return false
 }
 
+// confirmStart marks a run as started.
 func (c *Controller) confirmStart(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,6 +181,7 @@
 	}
 }
 
+// rejectStart removes a run that has not started and adds a Rejection.
 func (c *Controller) rejectStart(s StartOrder, err error) {
 	c.mu.Lock()
 	if r := c.runs[s.Task]; r != nil && r.attempt == s.Attempt && r.starting {
@@ -208,6 +213,7 @@
 	}
 }
 
+// callStop repeats a stop as described for Stop.
 func (c *Controller) callStop(ctx context.Context, call StopCall) {
 	for ctx.Err() == nil {
 		err := c.callRunner(ctx, func(ctx context.Context) (ClockTime, error) { return c.API.Stop(ctx, call) })
@@ -224,6 +230,7 @@
 	}
 }
 
+// callRunner calls fn with a timeout of callTimeout.
 func (c *Controller) callRunner(ctx context.Context, fn func(context.Context) (ClockTime, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
