--- a/internal/capacity/recovery.go
+++ b/internal/capacity/recovery.go
@@ -121,7 +121,7 @@
 		entries = append(entries, roster.EncodeRegistered(roster.Worker{
 			ID: workerName(i), Epoch: 4, Domain: domains[i%len(domains)], Rack: units.RackName(fmt.Sprintf("rack-%03d", i/3)), Region: region(i),
 			LinkAddress: "10.0.0.1:7100", Capacity: units.Resources{Processors: 32000, Memory: 125e9},
-			Lessor: roster.Holder{Worker: workerName((i + len(domains)) % logWorkers), Epoch: 4},
+			Lessor: roster.WorkerEpoch{Worker: workerName((i + len(domains)) % logWorkers), Epoch: 4},
 		}))
 	}
 	return entries
@@ -140,7 +140,7 @@
 		}))
 		for n := range dayTasks {
 			task := units.Task{Job: id, Index: uint32(n)}
-			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.Holder{Worker: workerName((i*dayTasks + n) % logWorkers), Epoch: 4}, size, false),
+			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.WorkerEpoch{Worker: workerName((i*dayTasks + n) % logWorkers), Epoch: 4}, size, false),
 				ledger.EncodeStarted(task, 1))
 			if (jobs-i-1)*dayTasks+n >= running {
 				entries = append(entries, ledger.EncodeEnded(task, 1, wire.Outcome_OUTCOME_COMPLETED, time.Minute, size))
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -54,7 +54,7 @@
 		for _, p := range proposals {
 			f.apply(p.Encode())
 			f.apply(ledger.EncodeStarted(p.Task, p.Attempt))
-			w := f.worker(p.Holder.Worker)
+			w := f.worker(p.WorkerEpoch.Worker)
 			w.Committed = w.Committed.Add(p.Committed)
 			running = append(running, p)
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -45,7 +45,7 @@
 	// Mine reports whether this process dispatches the job; nil means all.
 	Mine func(units.JobID) bool
 	// Ended reports whether the worker epoch is recorded as ended; nil means none.
-	Ended func(ledger.Holder) bool
+	Ended func(ledger.WorkerEpoch) bool
 	// Dispatchers is how many processes share the limit of starts, 0 for one.
 	Dispatchers int
 }
@@ -62,12 +62,12 @@
 
 // Proposal is one entry to append to the jobs stream.
 type Proposal struct {
-	Action    Action
-	Task      units.Task
-	Attempt   units.Attempt // the new one when assigning
-	Holder    ledger.Holder
-	Committed units.Resources
-	Borrowed  bool // the team is over its quota
+	Action      Action
+	Task        units.Task
+	Attempt     units.Attempt // the new one when assigning
+	WorkerEpoch ledger.WorkerEpoch
+	Committed   units.Resources
+	Borrowed    bool // the team is over its quota
 	// MayEvict allows the agent to evict lower priorities for this launch;
 	// Victims are those that dispatch would choose, first to last.
 	MayEvict bool
@@ -85,7 +85,7 @@
 func (p Proposal) Encode() []byte {
 	switch p.Action {
 	case Assign:
-		return ledger.EncodeAssigned(p.Task, p.Attempt, p.Holder, p.Committed, p.Borrowed)
+		return ledger.EncodeAssigned(p.Task, p.Attempt, p.WorkerEpoch, p.Committed, p.Borrowed)
 	case Release:
 		return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{Reason: p.Reason})
 	default:
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -73,7 +73,7 @@
 		f.apply(p.Encode())
 		if p.Action == Assign {
 			f.apply(ledger.EncodeStarted(p.Task, p.Attempt))
-			w := f.worker(p.Holder.Worker)
+			w := f.worker(p.WorkerEpoch.Worker)
 			w.Committed = w.Committed.Add(p.Committed)
 		}
 	}
@@ -104,7 +104,7 @@
 	for _, p := range proposals {
 		if p.Action == Assign {
 			f.apply(entry(p))
-			w := f.worker(p.Holder.Worker)
+			w := f.worker(p.WorkerEpoch.Worker)
 			w.Committed = w.Committed.Sub(p.Committed)
 		}
 	}
@@ -235,7 +235,7 @@
 		for _, p := range f.tick() {
 			switch {
 			case p.Action != Assign || p.Task.Job == "long":
-			case p.Holder.Worker == "w0" && broken:
+			case p.WorkerEpoch.Worker == "w0" && broken:
 				f.finish([]Proposal{p}, fails)
 				sent, longest, last = sent+1, max(longest, f.now.Sub(last)), f.now
 			default:
@@ -249,7 +249,7 @@
 	broken = false
 	f.now = f.now.Add(10 * time.Minute)
 	f.submit("x", "a", low, 400, cores(1))
-	if got := count(f.run(10*time.Second), func(p Proposal) bool { return p.Holder.Worker == "w0" }); got != 1 {
+	if got := count(f.run(10*time.Second), func(p Proposal) bool { return p.WorkerEpoch.Worker == "w0" }); got != 1 {
 		t.Errorf("got %d tasks on the suspect while its probe runs, want 1", got)
 	}
 }
@@ -300,7 +300,7 @@
 	f.doc = &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "d0", State: environment.DomainOut}, {Name: "d1", State: environment.DomainIn}},
 		Teams: f.doc.Teams, LargestWorker: cores(32)}
 	f.in.Document = f.doc
-	in := func(p Proposal) bool { return f.worker(p.Holder.Worker).Domain == "d0" }
+	in := func(p Proposal) bool { return f.worker(p.WorkerEpoch.Worker).Domain == "d0" }
 	f.submit("k", "a", normal, 10_000, cores(1))
 	if got := count(f.run(10*time.Second), in); got != 0 {
 		t.Errorf("got %d starts in a domain that is out", got)
@@ -352,8 +352,8 @@
 	all := f.run(5 * time.Second)
 	beside := map[string]int{}
 	for _, p := range all {
-		if len(f.worker(p.Holder.Worker).Services) > 0 {
-			beside[string(p.Task.Job)+"@"+string(p.Holder.Worker)]++
+		if len(f.worker(p.WorkerEpoch.Worker).Services) > 0 {
+			beside[string(p.Task.Job)+"@"+string(p.WorkerEpoch.Worker)]++
 		}
 	}
 	for key, n := range beside {
@@ -375,7 +375,7 @@
 	}
 	domains, racks := map[units.DomainName]int{}, map[rackKey]int{}
 	for _, p := range f.run(time.Second) {
-		w := f.worker(p.Holder.Worker)
+		w := f.worker(p.WorkerEpoch.Worker)
 		domains[w.Domain]++
 		racks[rackKey{w.Domain, w.Rack}]++
 	}
@@ -417,8 +417,8 @@
 	f := newFixture(t, 3)
 	f.submit("j", "a", normal, 6, cores(1))
 	f.run(time.Second)
-	f.in.Ended = func(h ledger.Holder) bool { return h.Worker == "w0" }
-	held := len(f.l.TasksOn(ledger.Holder{Worker: "w0", Epoch: 1}))
+	f.in.Ended = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
+	held := len(f.l.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
 	all := f.run(2 * time.Second)
 	if got := count(all, func(p Proposal) bool { return p.Action == Release }); got != held || held == 0 {
 		t.Errorf("got %d releases, want %d", got, held)
--- a/internal/dispatch/interference.go
+++ b/internal/dispatch/interference.go
@@ -31,7 +31,7 @@
 	}
 	if !r.excessRead {
 		r.excessRead = true
-		for _, task := range d.in.Ledger.TasksOn(r.holder) {
+		for _, task := range d.in.Ledger.TasksOn(r.epoch) {
 			if j := d.in.Ledger.Job(task.Job); j != nil {
 				r.excess += d.excess(j.JobKind, r)
 			}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -125,9 +125,9 @@
 // assign proposes the task for the worker and takes it out of the room.
 func (d *Dispatcher) assign(q *request, r *row, mayEvict bool, victims []Victim) {
 	task, attempt := q.task(), q.row().Attempt+1
-	d.proposals = append(d.proposals, Proposal{Action: Assign, Task: task, Attempt: attempt, Holder: r.holder,
+	d.proposals = append(d.proposals, Proposal{Action: Assign, Task: task, Attempt: attempt, WorkerEpoch: r.epoch,
 		Committed: q.size, Borrowed: q.borrowed, MayEvict: mayEvict, Victims: victims})
-	f := flight{attempt: attempt, holder: r.holder, size: q.size, at: d.in.Now, team: q.job.Team, priority: q.job.Priority, kind: q.job.JobKind}
+	f := flight{attempt: attempt, epoch: r.epoch, size: q.size, at: d.in.Now, team: q.job.Team, priority: q.job.Priority, kind: q.job.JobKind}
 	if q.team != nil {
 		q.team.charge(q.size, q.job.Priority)
 		d.budget--
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -107,7 +107,7 @@
 		task units.Task
 	}
 	var all []candidate
-	for _, task := range d.in.Ledger.TasksOn(r.holder) {
+	for _, task := range d.in.Ledger.TasksOn(r.epoch) {
 		j, t := d.in.Ledger.Job(task.Job), d.in.Ledger.Task(task)
 		if t.State == ledger.Running && !j.IsWatcher() && may(j, t) {
 			all = append(all, candidate{j, t, task})
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -32,13 +32,13 @@
 			delete(d.released, v)
 		}
 	}
-	var ended []ledger.Holder
-	for h := range d.in.Ledger.Holders() {
+	var ended []ledger.WorkerEpoch
+	for h := range d.in.Ledger.WorkerEpochs() {
 		if d.in.Ended(h) {
 			ended = append(ended, h)
 		}
 	}
-	slices.SortFunc(ended, func(a, b ledger.Holder) int {
+	slices.SortFunc(ended, func(a, b ledger.WorkerEpoch) int {
 		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Epoch, b.Epoch))
 	})
 	left := maxReleases
@@ -52,7 +52,7 @@
 				continue
 			}
 			left--
-			d.proposals = append(d.proposals, Proposal{Action: Release, Task: task, Attempt: attempt, Holder: h, Reason: "lease expired"})
+			d.proposals = append(d.proposals, Proposal{Action: Release, Task: task, Attempt: attempt, WorkerEpoch: h, Reason: "lease expired"})
 		}
 	}
 }
--- a/internal/dispatch/rows.go
+++ b/internal/dispatch/rows.go
@@ -21,7 +21,7 @@
 // row is the working copy of a worker during one tick.
 type row struct {
 	*Worker
-	holder     ledger.Holder
+	epoch      ledger.WorkerEpoch
 	free       units.Resources
 	evictable  units.Resources
 	reserved   units.Resources // by the endpoints beside it
@@ -38,7 +38,7 @@
 // flight is a proposed assignment that the fold has not shown yet.
 type flight struct {
 	attempt  units.Attempt
-	holder   ledger.Holder
+	epoch    ledger.WorkerEpoch
 	team     units.TeamName
 	priority units.Priority
 	size     units.Resources
@@ -52,9 +52,9 @@
 	clear(d.byWorker)
 	for i := range d.in.Workers {
 		w := &d.in.Workers[i]
-		h := ledger.Holder{Worker: w.ID, Epoch: w.Epoch}
+		h := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
 		launching := d.in.Ledger.LaunchingOn(h)
-		r := row{Worker: w, holder: h, launching: launching.Count, mayLaunch: maxLaunching, ceiling: w.Capacity,
+		r := row{Worker: w, epoch: h, launching: launching.Count, mayLaunch: maxLaunching, ceiling: w.Capacity,
 			free: w.Capacity.Sub(w.Committed).Sub(launching.Committed), evictable: w.Evictable}
 		for _, s := range w.Services {
 			r.reserved = r.reserved.Add(d.policy.services[s])
@@ -88,7 +88,7 @@
 // usable reports whether a launch could be delivered and would be admitted.
 func (d *Dispatcher) usable(r *row) bool {
 	return r.Epoch != 0 && r.Session && !r.Draining && r.Age <= maxHeartbeatAge && d.policy.inService(r.Domain) &&
-		!d.policy.drained[r.ID] && (d.in.Ended == nil || !d.in.Ended(r.holder))
+		!d.policy.drained[r.ID] && (d.in.Ended == nil || !d.in.Ended(r.epoch))
 }
 
 func (d *Dispatcher) noteCapacity(c units.Resources) {
@@ -120,7 +120,7 @@
 			delete(d.inFlight, task)
 			continue
 		}
-		if i, ok := d.byWorker[f.holder.Worker]; ok && d.rows[i].Epoch == f.holder.Epoch {
+		if i, ok := d.byWorker[f.epoch.Worker]; ok && d.rows[i].Epoch == f.epoch.Epoch {
 			r := &d.rows[i]
 			r.free = r.free.Sub(f.size)
 			r.launching++
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -77,7 +77,7 @@
 		proposals := append(append([]Proposal(nil), f.d.Tick(f.in)...), other.Tick(f.in)...)
 		for _, p := range proposals {
 			f.apply(p.Encode())
-			if row := f.l.Task(p.Task); row != nil && row.State == ledger.Assigned && row.Worker == p.Holder.Worker && row.Attempt == p.Attempt {
+			if row := f.l.Task(p.Task); row != nil && row.State == ledger.Assigned && row.Worker == p.WorkerEpoch.Worker && row.Attempt == p.Attempt {
 				f.apply(ledger.EncodeEnded(p.Task, p.Attempt, wire.Outcome_OUTCOME_COMPLETED, time.Second, cores(4)))
 			}
 		}
@@ -103,7 +103,7 @@
 	f.submit("learning", "a", normal, 16, want)
 	plain, learning := 0, 0
 	for _, p := range f.run(5 * time.Second) {
-		w := f.worker(p.Holder.Worker)
+		w := f.worker(p.WorkerEpoch.Worker)
 		switch {
 		case p.Task.Job == "learning":
 			learning++
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -73,7 +73,7 @@
 		if !proposed {
 			return
 		}
-		id = f.holder.Worker
+		id = f.epoch.Worker
 	}
 	if i, ok := d.byWorker[id]; ok {
 		p.add(&d.rows[i])
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -45,8 +45,8 @@
 	listedAt     time.Time
 }
 
-func (w *workerRow) holder() ledger.Holder {
-	return ledger.Holder{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
+func (w *workerRow) holder() ledger.WorkerEpoch {
+	return ledger.WorkerEpoch{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
 }
 
 func (w *workerRow) reachable(now time.Time) bool {
@@ -63,8 +63,8 @@
 	jobsOut      outbox
 	announceAt   time.Time                        // next announcement
 	watchersAt   time.Time                        // next comparison of the document's watchers with the ledger
-	chain        map[roster.Holder]time.Time      // workers whose lessor has ended, since when that is known
-	asking       map[roster.Holder]time.Time      // epochs that wait for a registration or a lessor, since when
+	chain        map[roster.WorkerEpoch]time.Time // workers whose lessor has ended, since when that is known
+	asking       map[roster.WorkerEpoch]time.Time // epochs that wait for a registration or a lessor, since when
 	unknown      map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
 	missing      map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
 	reconcileAt  time.Time                        // next comparison of full lists with the ledger
@@ -88,8 +88,8 @@
 		workers:    make(map[units.WorkerID]*workerRow),
 		membersOut: newOutbox(e.writers.members),
 		jobsOut:    newOutbox(e.writers.jobs),
-		chain:      make(map[roster.Holder]time.Time),
-		asking:     make(map[roster.Holder]time.Time),
+		chain:      make(map[roster.WorkerEpoch]time.Time),
+		asking:     make(map[roster.WorkerEpoch]time.Time),
 		unknown:    make(map[units.JobID]time.Time),
 		planner:    newPlanner(),
 		logUp:      true,
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -111,12 +111,12 @@
 		lessor, _ := r.Worker(w.Lessor.Worker)
 		reply.LessorAddress = lessor.LinkAddress
 	}
-	for _, name := range r.Lessees(w.Holder()) {
+	for _, name := range r.Lessees(w.WorkerEpoch()) {
 		lessee, _ := r.Worker(name)
 		reply.Lessees = append(reply.Lessees, &wire.Lessee{
 			Worker: string(name), Epoch: uint64(lessee.Epoch), Term: uint64(lessee.Term),
 		})
-		reply.Standbys = append(reply.Standbys, c.standbysFor(lessee.Holder())...)
+		reply.Standbys = append(reply.Standbys, c.standbysFor(lessee.WorkerEpoch())...)
 	}
 }
 
@@ -126,7 +126,7 @@
 // lease ends with the other. One of the two changes.
 func betterLessor(r *roster.Roster, w roster.Worker) bool {
 	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
-	if w.Lessor == (roster.Holder{}) {
+	if w.Lessor == (roster.WorkerEpoch{}) {
 		_, ok := r.ChooseLessor(w.ID, place, nil)
 		return ok
 	}
@@ -141,7 +141,7 @@
 // be its lessor without making another such pair.
 func hasOtherLessor(r *roster.Roster, w, lessor roster.Worker) bool {
 	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
-	chosen, ok := r.ChooseLessor(w.ID, place, func(h roster.Holder) bool { return h.Worker != lessor.ID })
+	chosen, ok := r.ChooseLessor(w.ID, place, func(h roster.WorkerEpoch) bool { return h.Worker != lessor.ID })
 	other, _ := r.Worker(chosen.Worker)
 	return ok && other.Lessor.Worker != w.ID
 }
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -36,7 +36,7 @@
 	}
 	var batches []batch
 	c.jobs.View(func(l *ledger.Ledger) {
-		for h := range l.Holders() {
+		for h := range l.WorkerEpochs() {
 			w := c.workers[h.Worker]
 			if w == nil || now.Before(w.launching) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.beat.GetEpoch()) < h.Epoch {
 				continue
@@ -56,7 +56,7 @@
 	}
 }
 
-func (c *control) callsFor(l *ledger.Ledger, h ledger.Holder, w *workerRow) (*wire.Launch, *wire.Stop) {
+func (c *control) callsFor(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerRow) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
 	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.beat.GetEpoch(), Reason: "cancelled"}
--- a/internal/entry/lessor_test.go
+++ b/internal/entry/lessor_test.go
@@ -10,7 +10,7 @@
 // Guards against a pair of workers that stay each other's lessor, and against
 // both of a pair changing at once, which could make another pair.
 func TestBetterLessor(t *testing.T) {
-	holder := func(id units.WorkerID) roster.Holder { return roster.Holder{Worker: id, Epoch: 1} }
+	holder := func(id units.WorkerID) roster.WorkerEpoch { return roster.WorkerEpoch{Worker: id, Epoch: 1} }
 	for _, c := range []struct {
 		name    string
 		lessors map[units.WorkerID]units.WorkerID
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -62,7 +62,7 @@
 			Now: now, Ledger: l, Document: v.document, Workers: c.planner.rows, Interference: c.planner.interference,
 			LogReachable: reachableNow,
 			Mine:         func(id units.JobID) bool { return c.owners.Load().owns(string(id)) },
-			Ended: func(h ledger.Holder) bool {
+			Ended: func(h ledger.WorkerEpoch) bool {
 				w, ok := registered[h.Worker]
 				return ok && !w.Holds() && w.Epoch >= h.Epoch
 			},
@@ -129,14 +129,14 @@
 		}
 		c.planner.mayEvict[dispatch.Victim{Task: p.Task, Attempt: p.Attempt}] = true
 	}
-	if !c.jobsOut.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.Holder.Worker), now, entry) {
+	if !c.jobsOut.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.WorkerEpoch.Worker), now, entry) {
 		return
 	}
 	c.counters.proposals.Inc(1)
 	cause := ""
 	if p.Action == dispatch.Release {
-		cause = c.causes.Latest(string(p.Holder.Worker)) // the end of the worker's epoch
+		cause = c.causes.Latest(string(p.WorkerEpoch.Worker)) // the end of the worker's epoch
 	}
 	c.event("job", proposalNames[p.Action], p.Task.String(),
-		fmt.Sprintf("attempt %d %s %s", p.Attempt, p.Holder.Worker, p.Reason), cause)
+		fmt.Sprintf("attempt %d %s %s", p.Attempt, p.WorkerEpoch.Worker, p.Reason), cause)
 }
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -49,7 +49,7 @@
 func (c *control) compareLists(now time.Time) {
 	still := make(map[attemptKey]missingAttempt)
 	c.jobs.View(func(l *ledger.Ledger) {
-		for h := range l.Holders() {
+		for h := range l.WorkerEpochs() {
 			w := c.workers[h.Worker]
 			if w == nil || !w.reachable(now) || w.holder() != h || w.runningEpoch != h.Epoch {
 				continue
@@ -60,7 +60,7 @@
 	c.missing = still
 }
 
-func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerRow, still map[attemptKey]missingAttempt, now time.Time) {
+func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerRow, still map[attemptKey]missingAttempt, now time.Time) {
 	listed := w.mayRun()
 	for _, task := range l.TasksOn(h) {
 		row := l.Task(task)
--- a/internal/entry/reconcile_test.go
+++ b/internal/entry/reconcile_test.go
@@ -16,7 +16,7 @@
 // and against a release of one that its worker runs or is about to report.
 func TestReconcileReleasesOnlyLostAttempts(t *testing.T) {
 	task := units.Task{Job: "job-1"}
-	holder := ledger.Holder{Worker: "worker-1", Epoch: 7}
+	holder := ledger.WorkerEpoch{Worker: "worker-1", Epoch: 7}
 	size := units.Resources{Processors: 1000, Memory: units.GiB}
 	entries := [][]byte{
 		ledger.EncodeSubmitted(&wire.JobSubmitted{Job: "job-1", Key: "k", Team: "team", Name: "plan", Tasks: 1, Spec: &wire.TaskSpec{
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -26,7 +26,7 @@
 	var known roster.Worker
 	var found bool
 	c.members.View(func(r *roster.Roster) { known, found = r.Worker(w.id) })
-	h := roster.Holder{Worker: w.id, Epoch: epoch}
+	h := roster.WorkerEpoch{Worker: w.id, Epoch: epoch}
 	switch {
 	case !found || known.Epoch < epoch:
 		if c.mine("worker/"+string(w.id), h, now) {
@@ -43,7 +43,7 @@
 
 // mine reports whether this process acts on the key: as its owner, or because
 // the owner has not acted for foreignAfter.
-func (c *control) mine(key string, h roster.Holder, now time.Time) bool {
+func (c *control) mine(key string, h roster.WorkerEpoch, now time.Time) bool {
 	if c.owners.Load().owns(key) {
 		return true
 	}
@@ -55,14 +55,14 @@
 	return now.Sub(since) > foreignAfter
 }
 
-func (c *control) proposeRegistration(w *workerRow, h roster.Holder, now time.Time) {
+func (c *control) proposeRegistration(w *workerRow, h roster.WorkerEpoch, now time.Time) {
 	m := w.beat
 	place := roster.Place{Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion())}
 	row := roster.Worker{
 		ID: w.id, Epoch: h.Epoch, Domain: place.Domain, Rack: place.Rack, Region: place.Region,
 		LinkAddress: m.GetLinkAddress(), Capacity: m.GetCapacity().Units(),
 	}
-	row.Lessor, _ = c.chooseLessor(w.id, place, roster.Holder{}, now)
+	row.Lessor, _ = c.chooseLessor(w.id, place, roster.WorkerEpoch{}, now)
 	if c.membersOut.add(fmt.Sprintf("register/%s@%d", w.id, h.Epoch), now, roster.EncodeRegistered(row)) {
 		c.event("worker", "registering", string(w.id), fmt.Sprintf("epoch %d, lessor %q", h.Epoch, row.Lessor.Worker), "")
 	}
@@ -74,22 +74,22 @@
 	if !ok {
 		// Where only two workers are left, the current lessor in a new term is
 		// better than none: the lessee has given up the present term.
-		lessor, ok = c.chooseLessor(w.id, place, roster.Holder{}, now)
+		lessor, ok = c.chooseLessor(w.id, place, roster.WorkerEpoch{}, now)
 	}
 	if !ok {
 		return
 	}
 	key := fmt.Sprintf("lessor/%s@%d/%d", w.id, known.Epoch, known.Term)
-	if c.membersOut.add(key, now, roster.EncodeLessorChanged(known.Holder(), known.Term+1, lessor)) {
+	if c.membersOut.add(key, now, roster.EncodeLessorChanged(known.WorkerEpoch(), known.Term+1, lessor)) {
 		c.event("worker", "lessorChanging", string(w.id), fmt.Sprintf("to %s, term %d", lessor.Worker, known.Term+1), "")
 	}
 }
 
 // chooseLessor picks a lessor that has been heard recently and is not the
 // current one, which did not answer.
-func (c *control) chooseLessor(id units.WorkerID, at roster.Place, current roster.Holder, now time.Time) (chosen roster.Holder, ok bool) {
+func (c *control) chooseLessor(id units.WorkerID, at roster.Place, current roster.WorkerEpoch, now time.Time) (chosen roster.WorkerEpoch, ok bool) {
 	c.members.View(func(r *roster.Roster) {
-		chosen, ok = r.ChooseLessor(id, at, func(h roster.Holder) bool {
+		chosen, ok = r.ChooseLessor(id, at, func(h roster.WorkerEpoch) bool {
 			w := c.workers[h.Worker]
 			return h != current && w != nil && w.reachable(now) && units.Epoch(w.beat.GetEpoch()) == h.Epoch && !w.beat.GetDraining()
 		})
@@ -122,14 +122,14 @@
 			done = settled(r, x)
 			known, _ = r.Worker(id)
 		})
-		if done || known.Lessor != (roster.Holder{Worker: lessor.id, Epoch: units.Epoch(lessor.beat.GetEpoch())}) {
+		if done || known.Lessor != (roster.WorkerEpoch{Worker: lessor.id, Epoch: units.Epoch(lessor.beat.GetEpoch())}) {
 			continue
 		}
 		if c.unrecordedActivations(lessor) {
 			continue
 		}
 		key := fmt.Sprintf("expire/%s@%d/%d", id, known.Epoch, known.Term)
-		if c.membersOut.add(key, now, roster.EncodeLeaseExpired(known.Holder(), known.Term)) {
+		if c.membersOut.add(key, now, roster.EncodeLeaseExpired(known.WorkerEpoch(), known.Term)) {
 			c.counters.expiries.Inc(1)
 			c.event("worker", "leaseExpired", string(id), "attested by "+string(lessor.id), "")
 		}
@@ -176,8 +176,8 @@
 }
 
 // chained returns the workers in force whose lessor has ended.
-func (c *control) chained() map[roster.Holder]chainedExpiry {
-	due := make(map[roster.Holder]chainedExpiry)
+func (c *control) chained() map[roster.WorkerEpoch]chainedExpiry {
+	due := make(map[roster.WorkerEpoch]chainedExpiry)
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
 			if _, ok := r.ChainExpirable(w.ID); !ok || !w.Holds() {
@@ -190,7 +190,7 @@
 					continue
 				}
 			}
-			due[w.Holder()] = d
+			due[w.WorkerEpoch()] = d
 		}
 	})
 	return due
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -19,12 +19,12 @@
 		return
 	}
 	type ended struct {
-		holder ledger.Holder
+		holder ledger.WorkerEpoch
 		newest roster.Worker
 	}
 	var holders []ended
 	c.jobs.View(func(l *ledger.Ledger) {
-		for h := range l.Holders() {
+		for h := range l.WorkerEpochs() {
 			holders = append(holders, ended{holder: h})
 		}
 	})
@@ -42,7 +42,7 @@
 	}
 }
 
-func (c *control) releaseOn(h ledger.Holder, newest roster.Worker, now time.Time) {
+func (c *control) releaseOn(h ledger.WorkerEpoch, newest roster.Worker, now time.Time) {
 	adopted := c.adopted(h, newest)
 	if adopted == nil {
 		return
@@ -67,7 +67,7 @@
 
 // adopted returns which attempts of an ended epoch may still run, or nil while
 // that is not known.
-func (c *control) adopted(h ledger.Holder, newest roster.Worker) func(units.Task, units.Attempt) bool {
+func (c *control) adopted(h ledger.WorkerEpoch, newest roster.Worker) func(units.Task, units.Attempt) bool {
 	w := c.workers[h.Worker]
 	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.beat.GetEpoch()) != newest.Epoch {
 		return nil
--- a/internal/entry/reports_test.go
+++ b/internal/entry/reports_test.go
@@ -26,7 +26,7 @@
 // nobody has recorded, and the task stays open for ever.
 func TestRecordedNeedsTheLedger(t *testing.T) {
 	task := units.Task{Job: "job-1"}
-	holder := ledger.Holder{Worker: "worker-1", Epoch: 7}
+	holder := ledger.WorkerEpoch{Worker: "worker-1", Epoch: 7}
 	submitted := ledger.EncodeSubmitted(&wire.JobSubmitted{Job: "job-1", Key: "k", Team: "team", Name: "plan", Tasks: 1,
 		Spec: &wire.TaskSpec{Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: wire.Priority_PRIORITY_NORMAL, Team: "team", JobKind: "plan",
 			Size: wire.FromResources(units.Resources{Processors: 1000, Memory: units.GiB}), RunMilliseconds: 1000}})
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -114,7 +114,7 @@
 	err := b.do(ctx, func(c *control) {
 		running := make(map[units.WorkerID]int)
 		c.jobs.View(func(l *ledger.Ledger) {
-			for h := range l.Holders() {
+			for h := range l.WorkerEpochs() {
 				running[h.Worker] += len(l.TasksOn(h))
 			}
 		})
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -74,10 +74,10 @@
 }
 
 // standbysFor returns the watchers that run on a holder.
-func (c *control) standbysFor(h roster.Holder) []*wire.Standby {
+func (c *control) standbysFor(h roster.WorkerEpoch) []*wire.Standby {
 	var list []*wire.Standby
 	c.jobs.View(func(l *ledger.Ledger) {
-		for _, task := range l.TasksOn(ledger.Holder(h)) {
+		for _, task := range l.TasksOn(ledger.WorkerEpoch(h)) {
 			job, row := l.Job(task.Job), l.Task(task)
 			if job.IsWatcher() && row.State == ledger.Running {
 				list = append(list, &wire.Standby{
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -22,7 +22,7 @@
 		entries = append(entries, EncodeSubmitted(m))
 		for n := range uint32(10) {
 			task := units.Task{Job: units.JobID(m.Job), Index: n}
-			a, h := units.Attempt(1), Holder{units.WorkerID(fmt.Sprint("worker-", (i*10+int(n))%1000)), 4}
+			a, h := units.Attempt(1), WorkerEpoch{units.WorkerID(fmt.Sprint("worker-", (i*10+int(n))%1000)), 4}
 			if n == 0 {
 				entries = append(entries, EncodeAssigned(task, a, h, sizes, false), EncodeStarted(task, a),
 					EncodeEvicted(task, a, "checkpoint-1", "latency"))
--- a/internal/ledger/encode.go
+++ b/internal/ledger/encode.go
@@ -24,7 +24,7 @@
 }
 
 // EncodeAssigned encodes that attempt a, the next of the task, goes to the holder.
-func EncodeAssigned(t units.Task, a units.Attempt, h Holder, committed units.Resources, borrowed bool) []byte {
+func EncodeAssigned(t units.Task, a units.Attempt, h WorkerEpoch, committed units.Resources, borrowed bool) []byte {
 	return encode(&wire.JobsEntry{Kind: &wire.JobsEntry_Assigned{Assigned: &wire.TaskAssigned{
 		Task: wire.NewTaskRef(t, a), Worker: string(h.Worker), Epoch: uint64(h.Epoch),
 		Committed: wire.FromResources(committed), Borrowed: borrowed}}})
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -125,14 +125,14 @@
 		}
 		a := units.Attempt(max(1, current+rapid.SampledFrom([]int{0, 0, 0, 0, -1, -2, 1}).Draw(t, "late")))
 		next := units.Attempt(max(1, current+rapid.SampledFrom([]int{1, 1, 1, 1, 0, 2}).Draw(t, "early")))
-		h := Holder{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 2).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch"))}
+		h := WorkerEpoch{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 2).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch"))}
 		outcome := rapid.SampledFrom([]wire.Outcome{wire.Outcome_OUTCOME_COMPLETED, wire.Outcome_OUTCOME_STOPPED}).Draw(t, "outcome")
 		choices := []func() []byte{
 			func() []byte { return EncodeAssigned(task, next, h, units.Resources{}, next%2 == 0) },
 			func() []byte { return EncodeStarted(task, a) },
 			func() []byte { return EncodeReleased(task, a, Release{Reason: "lost", IsFailure: a%3 == 0}) },
 			func() []byte { return EncodeEvicted(task, a, fmt.Sprint("c", a), "noisy") },
-			func() []byte { return EncodeAssigned(task, next, Holder{"w9", 1}, units.Resources{}, false) }, // the other dispatcher
+			func() []byte { return EncodeAssigned(task, next, WorkerEpoch{"w9", 1}, units.Resources{}, false) }, // the other dispatcher
 			func() []byte {
 				return EncodeEnded(task, a, outcome, time.Second, units.Resources{Processors: 500, Memory: units.GiB})
 			},
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	for h, tasks := range l.holders {
+	for h, tasks := range l.openTasksByEpoch {
 		held += len(tasks)
 		for _, task := range tasks {
 			if row := l.Task(task); row == nil || row.Worker != h.Worker || row.Epoch != h.Epoch {
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -64,8 +64,8 @@
 		}
 	case t.State.Open():
 		l.openTasks++
-		h := Holder{t.Worker, t.Epoch}
-		l.holders[h] = append(l.holders[h], units.Task{Job: j.ID, Index: index})
+		h := WorkerEpoch{t.Worker, t.Epoch}
+		l.openTasksByEpoch[h] = append(l.openTasksByEpoch[h], units.Task{Job: j.ID, Index: index})
 		tm := l.team(j.Team)
 		tm.used[j.Priority] = tm.used[j.Priority].Add(t.Committed)
 		if t.State == Assigned {
@@ -94,17 +94,17 @@
 		}
 	case t.State.Open():
 		l.openTasks--
-		l.unhold(Holder{t.Worker, t.Epoch}, units.Task{Job: j.ID, Index: index})
+		l.unhold(WorkerEpoch{t.Worker, t.Epoch}, units.Task{Job: j.ID, Index: index})
 		tm := l.team(j.Team)
 		tm.used[j.Priority] = tm.used[j.Priority].Sub(t.Committed)
 		if t.State == Assigned {
-			l.addLaunching(Holder{t.Worker, t.Epoch}, t.Committed, -1)
+			l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 		}
 	}
 }
 
-func (l *Ledger) unhold(h Holder, task units.Task) {
-	held := l.holders[h]
+func (l *Ledger) unhold(h WorkerEpoch, task units.Task) {
+	held := l.openTasksByEpoch[h]
 	for i := range held {
 		if held[i] == task {
 			held[i] = held[len(held)-1]
@@ -113,10 +113,10 @@
 		}
 	}
 	if len(held) == 0 {
-		delete(l.holders, h)
+		delete(l.openTasksByEpoch, h)
 		return
 	}
-	l.holders[h] = held
+	l.openTasksByEpoch[h] = held
 }
 
 // Launching is what the assigned attempts on a holder commit that no report
@@ -126,7 +126,7 @@
 	Count     int
 }
 
-func (l *Ledger) addLaunching(h Holder, size units.Resources, n int) {
+func (l *Ledger) addLaunching(h WorkerEpoch, size units.Resources, n int) {
 	s := l.launching[h]
 	s.Count += n
 	if s.Count <= 0 {
@@ -143,7 +143,7 @@
 
 // LaunchingOn returns the sum of the attempts that are assigned to the holder
 // and not known to have started.
-func (l *Ledger) LaunchingOn(h Holder) Launching { return l.launching[h] }
+func (l *Ledger) LaunchingOn(h WorkerEpoch) Launching { return l.launching[h] }
 
 // Job returns the row of a job, or nil. It is valid until the next Apply.
 func (l *Ledger) Job(id units.JobID) *Job { return l.jobs[id] }
@@ -197,10 +197,10 @@
 
 // TasksOn returns the tasks whose open attempt is on the holder, unordered. The
 // slice is valid until the next Apply.
-func (l *Ledger) TasksOn(h Holder) []units.Task { return l.holders[h] }
+func (l *Ledger) TasksOn(h WorkerEpoch) []units.Task { return l.openTasksByEpoch[h] }
 
 // Holders iterates over the worker epochs that have open attempts.
-func (l *Ledger) Holders() iter.Seq[Holder] { return maps.Keys(l.holders) }
+func (l *Ledger) WorkerEpochs() iter.Seq[WorkerEpoch] { return maps.Keys(l.openTasksByEpoch) }
 
 // Watchers returns the watchers that have not ended, by name.
 func (l *Ledger) Watchers() []*Job {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -133,7 +133,7 @@
 func (j *Job) IsWatcher() bool { return j.Kind == wire.TaskKind_TASK_KIND_WATCHER }
 
 // Holder is one epoch of a worker.
-type Holder struct {
+type WorkerEpoch struct {
 	Worker units.WorkerID
 	Epoch  units.Epoch
 }
@@ -153,21 +153,21 @@
 	// rejected. It must not call back into the Ledger's Apply or Restore.
 	Observe func(Change)
 
-	jobs         map[units.JobID]*Job
-	keys         map[teamKey]units.JobID
-	teams        map[units.TeamName]*team
-	holders      map[Holder][]units.Task
-	launching    map[Holder]Launching
-	watchers     map[units.JobID]*Job // not ended
-	ended        []*Job               // by order of ending
-	endedTasks   int
-	kinds        map[units.JobKind]*Learned
-	failing      map[units.WorkerID]*failing
-	rejections   map[Reason]uint64
-	nextSequence uint64
-	nextEnded    uint64
-	waitingTasks int
-	openTasks    int
+	jobs             map[units.JobID]*Job
+	keys             map[teamKey]units.JobID
+	teams            map[units.TeamName]*team
+	openTasksByEpoch map[WorkerEpoch][]units.Task
+	launching        map[WorkerEpoch]Launching
+	watchers         map[units.JobID]*Job // not ended
+	ended            []*Job               // by order of ending
+	endedTasks       int
+	kinds            map[units.JobKind]*Learned
+	failing          map[units.WorkerID]*failing
+	rejections       map[Reason]uint64
+	nextSequence     uint64
+	nextEnded        uint64
+	waitingTasks     int
+	openTasks        int
 }
 
 type teamKey struct {
@@ -184,16 +184,16 @@
 
 func (l *Ledger) reset() {
 	*l = Ledger{
-		Observe:    l.Observe,
-		jobs:       map[units.JobID]*Job{},
-		keys:       map[teamKey]units.JobID{},
-		teams:      map[units.TeamName]*team{},
-		holders:    map[Holder][]units.Task{},
-		launching:  map[Holder]Launching{},
-		watchers:   map[units.JobID]*Job{},
-		kinds:      map[units.JobKind]*Learned{},
-		failing:    map[units.WorkerID]*failing{},
-		rejections: map[Reason]uint64{},
+		Observe:          l.Observe,
+		jobs:             map[units.JobID]*Job{},
+		keys:             map[teamKey]units.JobID{},
+		teams:            map[units.TeamName]*team{},
+		openTasksByEpoch: map[WorkerEpoch][]units.Task{},
+		launching:        map[WorkerEpoch]Launching{},
+		watchers:         map[units.JobID]*Job{},
+		kinds:            map[units.JobKind]*Learned{},
+		failing:          map[units.WorkerID]*failing{},
+		rejections:       map[Reason]uint64{},
 	}
 	l.nextSequence, l.nextEnded = 1, 1
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -44,7 +44,7 @@
 
 var (
 	one    = units.Task{Job: "a", Index: 0}
-	holder = Holder{"worker-1", 3}
+	holder = WorkerEpoch{"worker-1", 3}
 )
 
 func assigned(t units.Task, a units.Attempt) []byte {
@@ -133,7 +133,7 @@
 	negative.Spec.Size.MemoryBytes = -1
 	impostor := submission(WatcherPrefix+"b", 1)
 	cases := [][]byte{nil, {0xff}, EncodeSubmitted(huge), EncodeSubmitted(negative), EncodeSubmitted(impostor),
-		EncodeAssigned(one, 0, holder, units.Resources{}, false), EncodeAssigned(one, 1, Holder{}, units.Resources{}, false),
+		EncodeAssigned(one, 0, holder, units.Resources{}, false), EncodeAssigned(one, 1, WorkerEpoch{}, units.Resources{}, false),
 		EncodeAssigned(one, 1, holder, units.Resources{Memory: -5}, false), EncodeCancelled("", "")}
 	for i, c := range cases {
 		if err := g.l.Apply(9, c); !fault.Is(err, Malformed) {
--- a/internal/ledger/rules.go
+++ b/internal/ledger/rules.go
@@ -211,7 +211,7 @@
 // what it commits.
 func (l *Ledger) leaveAssigned(t *Task, to State, offset units.Offset) {
 	if t.State == Assigned {
-		l.addLaunching(Holder{t.Worker, t.Epoch}, t.Committed, -1)
+		l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 	}
 	t.State, t.Since = to, offset
 }
--- a/internal/roster/encode.go
+++ b/internal/roster/encode.go
@@ -33,19 +33,19 @@
 
 // EncodeLessorChanged encodes that the worker's lessor changes; term is the
 // current one plus one.
-func EncodeLessorChanged(w Holder, term units.Term, lessor Holder) []byte {
+func EncodeLessorChanged(w WorkerEpoch, term units.Term, lessor WorkerEpoch) []byte {
 	return encode(&wire.MembersEntry{Kind: &wire.MembersEntry_LessorChanged{LessorChanged: &wire.LessorChanged{
 		Worker: string(w.Worker), Epoch: uint64(w.Epoch), Term: uint64(term), Lessor: string(lessor.Worker), LessorEpoch: uint64(lessor.Epoch)}}})
 }
 
 // EncodeLeaseExpired encodes that the lease of the epoch has run out.
-func EncodeLeaseExpired(w Holder, term units.Term) []byte {
+func EncodeLeaseExpired(w WorkerEpoch, term units.Term) []byte {
 	return encode(&wire.MembersEntry{Kind: &wire.MembersEntry_LeaseExpired{LeaseExpired: &wire.LeaseExpired{
 		Worker: string(w.Worker), Epoch: uint64(w.Epoch), Term: uint64(term)}}})
 }
 
 // EncodeLeft encodes the planned stop of the epoch.
-func EncodeLeft(w Holder) []byte {
+func EncodeLeft(w WorkerEpoch) []byte {
 	return encode(&wire.MembersEntry{Kind: &wire.MembersEntry_WorkerLeft{WorkerLeft: &wire.WorkerLeft{
 		Worker: string(w.Worker), Epoch: uint64(w.Epoch)}}})
 }
--- a/internal/roster/history_test.go
+++ b/internal/roster/history_test.go
@@ -21,15 +21,15 @@
 // instances that come and go.
 func history(t *rapid.T) [][]byte {
 	var entries [][]byte
-	holders := rapid.Custom(func(t *rapid.T) Holder {
-		return Holder{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 4).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 4).Draw(t, "epoch"))}
+	holders := rapid.Custom(func(t *rapid.T) WorkerEpoch {
+		return WorkerEpoch{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 4).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 4).Draw(t, "epoch"))}
 	})
 	for range rapid.IntRange(10, 120).Draw(t, "length") {
 		w, lessor := holders.Draw(t, "holder"), holders.Draw(t, "lessor")
 		term := units.Term(rapid.IntRange(1, 4).Draw(t, "term"))
 		row := worker(string(w.Worker), w.Epoch, fmt.Sprint("d", w.Epoch%3), "r", lessor)
 		if rapid.IntRange(0, 2).Draw(t, "alone") == 0 {
-			row.Lessor = Holder{}
+			row.Lessor = WorkerEpoch{}
 		}
 		entries = append(entries, rapid.SampledFrom([][]byte{EncodeRegistered(row), EncodeRegistered(row), EncodeLessorChanged(w, term, lessor),
 			EncodeLeaseExpired(w, term), EncodeLeft(w), EncodeEntryAnnounced(Entry{ID: units.EntryID(w.Worker)}),
@@ -45,7 +45,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		entries := history(t)
 		r, restored := New(), New()
-		ended, terms := map[Holder]bool{}, map[Holder]units.Term{}
+		ended, terms := map[WorkerEpoch]bool{}, map[WorkerEpoch]units.Term{}
 		cut := rapid.IntRange(0, len(entries)-1).Draw(t, "snapshot")
 		for i, e := range entries {
 			if i == cut {
@@ -69,14 +69,14 @@
 			for _, w := range r.Workers() {
 				for epoch := units.Epoch(1); epoch <= 4; epoch++ {
 					if r.EndedEpoch(w.ID, epoch) {
-						ended[Holder{w.ID, epoch}] = true
+						ended[WorkerEpoch{w.ID, epoch}] = true
 					}
 				}
-				if w.Holds() == r.EndedEpoch(w.ID, w.Epoch) || w.Lessor.Worker == w.ID || w.Term < terms[w.Holder()] {
-					t.Errorf("entry %d: row %+v after term %d", i, w, terms[w.Holder()])
+				if w.Holds() == r.EndedEpoch(w.ID, w.Epoch) || w.Lessor.Worker == w.ID || w.Term < terms[w.WorkerEpoch()] {
+					t.Errorf("entry %d: row %+v after term %d", i, w, terms[w.WorkerEpoch()])
 				}
-				terms[w.Holder()] = w.Term
-				if w.Holds() && w.Lessor != (Holder{}) {
+				terms[w.WorkerEpoch()] = w.Term
+				if w.Holds() && w.Lessor != (WorkerEpoch{}) {
 					lessees++
 				}
 			}
@@ -97,14 +97,14 @@
 // FuzzApply guards against input that panics the fold or leaves a state that
 // cannot be restored.
 func FuzzApply(f *testing.F) {
-	for _, e := range [][]byte{nil, {0x1a, 0xff}, EncodeEntryAnnounced(Entry{ID: "e"}), EncodeEntryLeft("e"), EncodeLeft(Holder{"a", 1}),
-		EncodeRegistered(worker("b", 2, "d1", "r1", Holder{"a", 1})), EncodeLessorChanged(Holder{"b", 1}, 2, Holder{"a", 1}), EncodeLeaseExpired(Holder{"a", 1}, 1)} {
+	for _, e := range [][]byte{nil, {0x1a, 0xff}, EncodeEntryAnnounced(Entry{ID: "e"}), EncodeEntryLeft("e"), EncodeLeft(WorkerEpoch{"a", 1}),
+		EncodeRegistered(worker("b", 2, "d1", "r1", WorkerEpoch{"a", 1})), EncodeLessorChanged(WorkerEpoch{"b", 1}, 2, WorkerEpoch{"a", 1}), EncodeLeaseExpired(WorkerEpoch{"a", 1}, 1)} {
 		f.Add(e)
 	}
 	f.Fuzz(func(t *testing.T, entry []byte) {
 		r, restored := New(), New()
-		_ = r.Apply(1, EncodeRegistered(worker("a", 1, "d1", "r1", Holder{})))
-		_ = r.Apply(2, EncodeRegistered(worker("b", 1, "d2", "r2", Holder{"a", 1})))
+		_ = r.Apply(1, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})))
+		_ = r.Apply(2, EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})))
 		_ = r.Apply(3, entry)
 		state, err := r.Snapshot()
 		if err != nil {
--- a/internal/roster/lessor.go
+++ b/internal/roster/lessor.go
@@ -41,7 +41,7 @@
 
 // candidate is a possible lessor with the order of preference.
 type candidate struct {
-	holder   Holder
+	holder   WorkerEpoch
 	mutual   int // 1 when it is a lessee of the worker: neither could expire the other
 	distance int
 	lessees  int
@@ -58,15 +58,15 @@
 // domain of the region first, then in another rack, then in another region,
 // with the fewest lessees. Two workers become each other's lessor only when
 // there is no other choice. The worker need not be registered.
-func (r *Roster) ChooseLessor(id units.WorkerID, at Place, usable func(Holder) bool) (Holder, bool) {
+func (r *Roster) ChooseLessor(id units.WorkerID, at Place, usable func(WorkerEpoch) bool) (WorkerEpoch, bool) {
 	var best candidate
 	found := false
 	for _, w := range r.workers {
-		if w.ID == id || !w.Holds() || (usable != nil && !usable(w.Holder())) {
+		if w.ID == id || !w.Holds() || (usable != nil && !usable(w.WorkerEpoch())) {
 			continue
 		}
-		c := candidate{holder: w.Holder(), distance: at.distance(Place{w.Domain, w.Rack, w.Region}),
-			lessees: len(r.lessees[w.Holder()]), hash: ring(id, w.ID)}
+		c := candidate{holder: w.WorkerEpoch(), distance: at.distance(Place{w.Domain, w.Rack, w.Region}),
+			lessees: len(r.lessees[w.WorkerEpoch()]), hash: ring(id, w.ID)}
 		if w.Lessor.Worker == id {
 			c.mutual = 1
 		}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -60,7 +60,7 @@
 }
 
 // Holder is one epoch of a worker.
-type Holder struct {
+type WorkerEpoch struct {
 	Worker units.WorkerID
 	Epoch  units.Epoch
 }
@@ -74,7 +74,7 @@
 	Region      units.RegionName
 	LinkAddress string
 	Capacity    units.Resources
-	Lessor      Holder // zero when there was no other worker
+	Lessor      WorkerEpoch // zero when there was no other worker
 	Term        units.Term
 	Expired     bool
 	Left        bool
@@ -88,14 +88,14 @@
 func (w *Worker) Holds() bool { return !w.Expired && !w.Left }
 
 // Holder returns the newest epoch of the worker.
-func (w *Worker) Holder() Holder { return Holder{w.ID, w.Epoch} }
+func (w *Worker) WorkerEpoch() WorkerEpoch { return WorkerEpoch{w.ID, w.Epoch} }
 
 // Change describes an entry that took effect, or why it did not.
 type Change struct {
 	Offset units.Offset
 	Kind   string // entry kind, such as "leaseExpired"
 	Entry  units.EntryID
-	Worker Holder
+	Worker WorkerEpoch
 	Reason Reason // empty when the entry took effect
 }
 
@@ -107,7 +107,7 @@
 
 	entries    map[units.EntryID]*Entry
 	workers    map[units.WorkerID]*Worker
-	lessees    map[Holder]map[units.WorkerID]bool // of registrations in force
+	lessees    map[WorkerEpoch]map[units.WorkerID]bool // of registrations in force
 	ended      int
 	rejections map[Reason]uint64
 }
@@ -117,7 +117,7 @@
 	return &Roster{
 		entries:    map[units.EntryID]*Entry{},
 		workers:    map[units.WorkerID]*Worker{},
-		lessees:    map[Holder]map[units.WorkerID]bool{},
+		lessees:    map[WorkerEpoch]map[units.WorkerID]bool{},
 		rejections: map[Reason]uint64{},
 	}
 }
@@ -159,7 +159,7 @@
 }
 
 // Lessees returns the workers in force whose lessor is the holder, sorted.
-func (r *Roster) Lessees(h Holder) []units.WorkerID {
+func (r *Roster) Lessees(h WorkerEpoch) []units.WorkerID {
 	return slices.Sorted(maps.Keys(r.lessees[h]))
 }
 
@@ -169,7 +169,7 @@
 // unless the worker has changed its lessor or left.
 func (r *Roster) ChainExpirable(id units.WorkerID) (units.Offset, bool) {
 	w := r.workers[id]
-	if w == nil || !w.Holds() || w.Lessor == (Holder{}) {
+	if w == nil || !w.Holds() || w.Lessor == (WorkerEpoch{}) {
 		return 0, false
 	}
 	lessor := r.workers[w.Lessor.Worker]
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -10,7 +10,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-func worker(id string, epoch units.Epoch, domain, rack string, lessor Holder) Worker {
+func worker(id string, epoch units.Epoch, domain, rack string, lessor WorkerEpoch) Worker {
 	return Worker{ID: units.WorkerID(id), Epoch: epoch, Domain: units.DomainName(domain), Rack: units.RackName(rack), Region: "pwani",
 		Capacity: units.Resources{Processors: 32000, Memory: 125 * units.GiB}, Lessor: lessor}
 }
@@ -28,26 +28,26 @@
 // on an earlier epoch or term: it would release tasks that still run.
 func TestLeaseRules(t *testing.T) {
 	r := New()
-	a, b, c := Holder{"a", 1}, Holder{"b", 1}, Holder{"c", 1}
-	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", Holder{})), EncodeRegistered(worker("b", 1, "d2", "r2", a)),
+	a, b, c := WorkerEpoch{"a", 1}, WorkerEpoch{"b", 1}, WorkerEpoch{"c", 1}
+	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})), EncodeRegistered(worker("b", 1, "d2", "r2", a)),
 		EncodeRegistered(worker("c", 1, "d3", "r3", a)), EncodeLessorChanged(b, 2, c))
 	steps := []struct {
 		entry []byte
 		want  Reason
 	}{
-		{EncodeLeaseExpired(b, 1), ReasonTerm},                                     // recorded by the earlier lessor
-		{EncodeLessorChanged(b, 2, a), ReasonTerm},                                 // lost the race
-		{EncodeLessorChanged(b, 3, b), ReasonLessor},                               // itself
-		{EncodeLessorChanged(b, 3, Holder{"a", 9}), ReasonLessor},                  // not registered
-		{EncodeRegistered(worker("b", 1, "d2", "r2", a)), ReasonOldEpoch},          // repeated
-		{EncodeRegistered(worker("b", 2, "d2", "r2", a)), ""},                      // restarted agent
-		{EncodeLeaseExpired(b, 2), ReasonOldEpoch},                                 // of the earlier epoch
-		{EncodeLeaseExpired(Holder{"b", 2}, 1), ""},                                // now valid
-		{EncodeLeft(Holder{"b", 2}), ReasonEnded},                                  // ended once
-		{EncodeLessorChanged(Holder{"b", 2}, 2, c), ReasonEnded},                   // cannot come back
-		{EncodeLessorChanged(c, 2, Holder{"b", 2}), ReasonLessor},                  // lessor has ended
-		{EncodeLeaseExpired(Holder{"x", 1}, 1), ReasonUnknownWorker},               // never registered
-		{EncodeRegistered(worker("b", 3, "d2", "r2", Holder{"c", 1})), Reason("")}, // the worker returns
+		{EncodeLeaseExpired(b, 1), ReasonTerm},                                          // recorded by the earlier lessor
+		{EncodeLessorChanged(b, 2, a), ReasonTerm},                                      // lost the race
+		{EncodeLessorChanged(b, 3, b), ReasonLessor},                                    // itself
+		{EncodeLessorChanged(b, 3, WorkerEpoch{"a", 9}), ReasonLessor},                  // not registered
+		{EncodeRegistered(worker("b", 1, "d2", "r2", a)), ReasonOldEpoch},               // repeated
+		{EncodeRegistered(worker("b", 2, "d2", "r2", a)), ""},                           // restarted agent
+		{EncodeLeaseExpired(b, 2), ReasonOldEpoch},                                      // of the earlier epoch
+		{EncodeLeaseExpired(WorkerEpoch{"b", 2}, 1), ""},                                // now valid
+		{EncodeLeft(WorkerEpoch{"b", 2}), ReasonEnded},                                  // ended once
+		{EncodeLessorChanged(WorkerEpoch{"b", 2}, 2, c), ReasonEnded},                   // cannot come back
+		{EncodeLessorChanged(c, 2, WorkerEpoch{"b", 2}), ReasonLessor},                  // lessor has ended
+		{EncodeLeaseExpired(WorkerEpoch{"x", 1}, 1), ReasonUnknownWorker},               // never registered
+		{EncodeRegistered(worker("b", 3, "d2", "r2", WorkerEpoch{"c", 1})), Reason("")}, // the worker returns
 	}
 	for i, s := range steps {
 		var got Reason
@@ -69,16 +69,16 @@
 // would ever record its expiry.
 func TestChain(t *testing.T) {
 	r := New()
-	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", Holder{})), EncodeRegistered(worker("b", 1, "d2", "r2", Holder{"a", 1})))
+	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})), EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})))
 	if _, ok := r.ChainExpirable("b"); ok {
 		t.Error("expirable while the lessor holds")
 	}
-	_ = r.Apply(7, EncodeLeaseExpired(Holder{"a", 1}, 1))
+	_ = r.Apply(7, EncodeLeaseExpired(WorkerEpoch{"a", 1}, 1))
 	if at, ok := r.ChainExpirable("b"); !ok || at != 7 {
 		t.Errorf("got %d, %v, want expirable since 7", at, ok)
 	}
-	_ = r.Apply(8, EncodeRegistered(worker("a", 2, "d1", "r1", Holder{"b", 1})))
-	_ = r.Apply(9, EncodeLessorChanged(Holder{"b", 1}, 2, Holder{"a", 2}))
+	_ = r.Apply(8, EncodeRegistered(worker("a", 2, "d1", "r1", WorkerEpoch{"b", 1})))
+	_ = r.Apply(9, EncodeLessorChanged(WorkerEpoch{"b", 1}, 2, WorkerEpoch{"a", 2}))
 	if _, ok := r.ChainExpirable("b"); ok {
 		t.Error("expirable after the lessor changed")
 	}
@@ -104,12 +104,12 @@
 		if ok && (l.Domain == w.Domain || l.Lessor.Worker == w.ID) {
 			t.Errorf("worker %s in %s has lessor %s in %s, whose lessor is %s", w.ID, w.Domain, l.ID, l.Domain, l.Lessor.Worker)
 		}
-		most = max(most, len(r.Lessees(w.Holder())))
+		most = max(most, len(r.Lessees(w.WorkerEpoch())))
 	}
 	if most > 3 {
 		t.Errorf("one lessor has %d lessees, want at most 3", most)
 	}
-	got, ok := r.ChooseLessor("new", Place{"d1", "", "pwani"}, func(h Holder) bool { return h.Worker == "w1" || h.Worker == "w4" })
+	got, ok := r.ChooseLessor("new", Place{"d1", "", "pwani"}, func(h WorkerEpoch) bool { return h.Worker == "w1" || h.Worker == "w4" })
 	if !ok || (got.Worker != "w1" && got.Worker != "w4") {
 		t.Errorf("got %v, want one of the two that are usable", got)
 	}
@@ -152,14 +152,14 @@
 // one, and against damaged input.
 func TestSnapshot(t *testing.T) {
 	r, restored := New(), New()
-	apply(t, r, EncodeEntryAnnounced(Entry{ID: "e1", LinkAddress: "127.0.0.1:1"}), EncodeRegistered(worker("a", 1, "d1", "r1", Holder{})),
-		EncodeRegistered(worker("b", 1, "d2", "r2", Holder{"a", 1})), EncodeLeft(Holder{"a", 1}), EncodeLeft(Holder{"a", 1}))
+	apply(t, r, EncodeEntryAnnounced(Entry{ID: "e1", LinkAddress: "127.0.0.1:1"}), EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})),
+		EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})), EncodeLeft(WorkerEpoch{"a", 1}), EncodeLeft(WorkerEpoch{"a", 1}))
 	before, _ := r.Snapshot()
 	if err := restored.Restore(before); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []*Roster{r, restored} {
-		_ = x.Apply(20, EncodeLeaseExpired(Holder{"b", 1}, 1))
+		_ = x.Apply(20, EncodeLeaseExpired(WorkerEpoch{"b", 1}, 1))
 	}
 	got, _ := restored.Snapshot()
 	if want, _ := r.Snapshot(); !bytes.Equal(got, want) {
--- a/internal/roster/rules.go
+++ b/internal/roster/rules.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-func holder(worker string, epoch uint64) Holder {
-	return Holder{units.WorkerID(worker), units.Epoch(epoch)}
+func holder(worker string, epoch uint64) WorkerEpoch {
+	return WorkerEpoch{units.WorkerID(worker), units.Epoch(epoch)}
 }
 
 func (r *Roster) announce(offset units.Offset, m *wire.EntryAnnounced) error {
@@ -108,7 +108,7 @@
 		return "", fmt.Errorf("registered: more than %d workers", MaxWorkers)
 	}
 	lessor := holder(m.GetLessor(), m.GetLessorEpoch())
-	if lessor != (Holder{}) && !r.mayLease(lessor, id) {
+	if lessor != (WorkerEpoch{}) && !r.mayLease(lessor, id) {
 		return ReasonLessor, nil
 	}
 	w := &Worker{ID: id, Epoch: epoch, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()),
@@ -129,13 +129,13 @@
 
 // mayLease reports whether the lessor is in force and another worker. A lessor
 // that has ended would grant nothing and could record no expiry.
-func (r *Roster) mayLease(lessor Holder, lessee units.WorkerID) bool {
+func (r *Roster) mayLease(lessor WorkerEpoch, lessee units.WorkerID) bool {
 	w := r.workers[lessor.Worker]
 	return lessor.Worker != lessee && w != nil && w.Epoch == lessor.Epoch && w.Holds()
 }
 
 // current returns the row if h is its epoch in force.
-func (r *Roster) current(h Holder) (*Worker, Reason) {
+func (r *Roster) current(h WorkerEpoch) (*Worker, Reason) {
 	w := r.workers[h.Worker]
 	switch {
 	case w == nil || h.Epoch > w.Epoch:
@@ -148,7 +148,7 @@
 	return w, ""
 }
 
-func (r *Roster) changeLessor(offset units.Offset, h Holder, term units.Term, lessor Holder) Reason {
+func (r *Roster) changeLessor(offset units.Offset, h WorkerEpoch, term units.Term, lessor WorkerEpoch) Reason {
 	w, reason := r.current(h)
 	switch {
 	case reason != "":
@@ -164,7 +164,7 @@
 	return ""
 }
 
-func (r *Roster) expire(offset units.Offset, h Holder, term units.Term) Reason {
+func (r *Roster) expire(offset units.Offset, h WorkerEpoch, term units.Term) Reason {
 	w, reason := r.current(h)
 	if reason != "" {
 		return reason
@@ -177,7 +177,7 @@
 	return ""
 }
 
-func (r *Roster) leave(offset units.Offset, h Holder) Reason {
+func (r *Roster) leave(offset units.Offset, h WorkerEpoch) Reason {
 	w, reason := r.current(h)
 	if reason != "" {
 		return reason
@@ -204,7 +204,7 @@
 }
 
 func (r *Roster) lease(w *Worker) {
-	if w.Lessor == (Holder{}) {
+	if w.Lessor == (WorkerEpoch{}) {
 		return
 	}
 	if r.lessees[w.Lessor] == nil {
--- a/internal/trial/fixture.go
+++ b/internal/trial/fixture.go
@@ -36,7 +36,7 @@
 	kinds    []kind
 	jobs     map[units.JobID]*spec
 	saved    map[units.Task]float64 // work up to the last checkpoint
-	ended    map[ledger.Holder]bool
+	ended    map[ledger.WorkerEpoch]bool
 	learned  *interference
 	m        measures
 	rows     []dispatch.Worker
@@ -57,7 +57,7 @@
 func newFixture(f Firm, c Case, v Version, seed uint64) *fixture {
 	x := &fixture{firm: f, c: c, version: v, l: ledger.New(), due: map[time.Duration][]func(){}, jobs: map[units.JobID]*spec{},
 		world: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2)), saved: map[units.Task]float64{},
-		ended: map[ledger.Holder]bool{}, learned: &interference{}}
+		ended: map[ledger.WorkerEpoch]bool{}, learned: &interference{}}
 	x.doc = document(f, environment.DomainIn)
 	x.s = dispatch.New(rand.New(rand.NewPCG(seed, 3)))
 	if v == Naive {
@@ -190,7 +190,7 @@
 		}
 	}
 	in := dispatch.Input{Now: time.Unix(0, 0).Add(x.elapsed), Ledger: x.l, Document: x.doc, Workers: x.rows,
-		LogReachable: x.logUp(), Ended: func(h ledger.Holder) bool { return x.ended[h] }}
+		LogReachable: x.logUp(), Ended: func(h ledger.WorkerEpoch) bool { return x.ended[h] }}
 	if x.version == Product {
 		in.Interference = x.learned.table
 	}
@@ -212,11 +212,11 @@
 		return // or the same proposal has won before
 	}
 	t := x.l.Task(p.Task)
-	if t == nil || t.State != ledger.Assigned || t.Attempt != p.Attempt || t.Worker != p.Holder.Worker || t.Epoch != p.Holder.Epoch {
+	if t == nil || t.State != ledger.Assigned || t.Attempt != p.Attempt || t.Worker != p.WorkerEpoch.Worker || t.Epoch != p.WorkerEpoch.Epoch {
 		return
 	}
 	for _, m := range x.machines {
-		if m.id == p.Holder.Worker {
+		if m.id == p.WorkerEpoch.Worker {
 			x.after(1, func() { m.launch(x, p) })
 		}
 	}
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -55,7 +55,9 @@
 	contention = 2.0
 )
 
-func (m *machine) holder() ledger.Holder { return ledger.Holder{Worker: m.id, Epoch: m.epoch} }
+func (m *machine) holder() ledger.WorkerEpoch {
+	return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch}
+}
 
 // committed is what the agent has admitted.
 func (m *machine) committed(f Firm) units.Resources {
@@ -68,7 +70,7 @@
 
 // launch admits the attempt or rejects it.
 func (m *machine) launch(x *fixture, p dispatch.Proposal) {
-	if !m.alive || m.epoch != p.Holder.Epoch {
+	if !m.alive || m.epoch != p.WorkerEpoch.Epoch {
 		return // unanswered; the end of the epoch releases it
 	}
 	j := x.l.Job(p.Task.Job)
--- a/internal/trial/naive.go
+++ b/internal/trial/naive.go
@@ -25,7 +25,7 @@
 	out := n.release(in)
 	rooms := make([]units.Resources, len(in.Workers))
 	for i, w := range in.Workers {
-		h := ledger.Holder{Worker: w.ID, Epoch: w.Epoch}
+		h := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
 		rooms[i] = w.Capacity.Sub(w.Committed).Sub(in.Ledger.LaunchingOn(h).Committed)
 	}
 	visits := 0
@@ -62,14 +62,14 @@
 		}
 		rooms[n.next] = rooms[n.next].Sub(j.Size)
 		return dispatch.Proposal{Action: dispatch.Assign, Task: units.Task{Job: j.ID, Index: index}, Attempt: j.Tasks[index].Attempt + 1,
-			Holder: ledger.Holder{Worker: w.ID, Epoch: w.Epoch}, Committed: j.Size}, true
+			WorkerEpoch: ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}, Committed: j.Size}, true
 	}
 	return dispatch.Proposal{}, false
 }
 
 func (n *naive) release(in dispatch.Input) []dispatch.Proposal {
 	var out []dispatch.Proposal
-	for h := range in.Ledger.Holders() {
+	for h := range in.Ledger.WorkerEpochs() {
 		if !in.Ended(h) {
 			continue
 		}
