--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -50,7 +50,7 @@
 		b.StartTimer()
 		proposals := f.d.Tick(f.in)
 		b.StopTimer()
-		rows, jobs, assigned = rows+float64(f.d.Stats.RowsVisited), jobs+float64(f.d.Stats.JobsVisited), assigned+float64(f.d.Stats.Assigned)
+		rows, jobs, assigned = rows+float64(f.d.Stats.WorkersScanned), jobs+float64(f.d.Stats.JobsVisited), assigned+float64(f.d.Stats.Assigned)
 		for _, p := range proposals {
 			f.apply(p.Encode())
 			f.apply(ledger.EncodeStarted(p.Task, p.Attempt))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -15,19 +15,19 @@
 
 // Worker is one row of the table of workers, made from its newest heartbeat.
 type Worker struct {
-	ID        units.WorkerID
-	Epoch     units.Epoch // 0 before the agent holds the worker
-	Domain    units.DomainName
-	Rack      units.RackName
-	Region    units.RegionName
-	Capacity  units.Resources
-	Committed units.Resources // endpoints' reservations included
-	Evictable units.Resources // committed by batch below urgent
-	Services  []units.ServiceName
-	Busy      float64       // of the busiest endpoint beside it: busy and queued requests over slots
-	Age       time.Duration // of the heartbeat
-	Draining  bool
-	Session   bool // a launch can be delivered
+	ID           units.WorkerID
+	Epoch        units.Epoch // 0 before the agent holds the worker
+	Domain       units.DomainName
+	Rack         units.RackName
+	Region       units.RegionName
+	Capacity     units.Resources
+	Committed    units.Resources // endpoints' reservations included
+	Evictable    units.Resources // committed by batch below urgent
+	Services     []units.ServiceName
+	EndpointLoad float64       // of the busiest endpoint beside it: busy and queued requests over slots
+	HeartbeatAge time.Duration // of the heartbeat
+	Draining     bool
+	HasSession   bool // a launch can be delivered
 }
 
 // Interference holds how much a job kind slows a service beside it: the ratio
@@ -43,11 +43,11 @@
 	Interference Interference
 	LogReachable bool
 	// Mine reports whether this process dispatches the job; nil means all.
-	Mine func(units.JobID) bool
+	OwnsJob func(units.JobID) bool
 	// Ended reports whether the worker epoch is recorded as ended; nil means none.
-	Ended func(ledger.WorkerEpoch) bool
+	EpochEnded func(ledger.WorkerEpoch) bool
 	// Dispatchers is how many processes share the limit of starts, 0 for one.
-	Dispatchers int
+	DispatcherCount int
 }
 
 // Action is what a proposal asks for.
@@ -71,12 +71,12 @@
 	// MayEvict allows the agent to evict lower priorities for this launch;
 	// Victims are those that dispatch would choose, first to last.
 	MayEvict bool
-	Victims  []Victim
+	Victims  []TaskAttempt
 	Reason   string
 }
 
 // Victim is an attempt that may be evicted.
-type Victim struct {
+type TaskAttempt struct {
 	Task    units.Task
 	Attempt units.Attempt
 }
@@ -95,11 +95,11 @@
 
 // Stats counts the work of one tick.
 type Stats struct {
-	JobsVisited int
-	RowsVisited int
-	Assigned    int
-	Unplaced    int // tasks that were visited and found no worker
-	Preempting  int
+	JobsVisited    int
+	WorkersScanned int
+	Assigned       int
+	Unplaced       int // tasks that were visited and found no worker
+	Preemptions    int
 }
 
 // Dispatcher holds what the systems remember between ticks. One goroutine
@@ -128,7 +128,7 @@
 	inFlight  map[units.Task]flight
 	retries   map[units.Task]retry
 	unplaced  map[units.Task]time.Time
-	released  map[Victim]time.Time
+	released  map[TaskAttempt]time.Time
 	spreadJob *ledger.Job
 	spread    *placed // of spreadJob
 	scans     int
@@ -159,7 +159,7 @@
 		inFlight: map[units.Task]flight{},
 		retries:  map[units.Task]retry{},
 		unplaced: map[units.Task]time.Time{},
-		released: map[Victim]time.Time{},
+		released: map[TaskAttempt]time.Time{},
 		reserved: map[units.WorkerID]reservation{},
 		history:  map[units.WorkerID]*history{},
 		suspects: map[units.WorkerID]*suspect{},
@@ -199,4 +199,4 @@
 	return waiting > 0
 }
 
-func (d *Dispatcher) mine(job units.JobID) bool { return d.in.Mine == nil || d.in.Mine(job) }
+func (d *Dispatcher) mine(job units.JobID) bool { return d.in.OwnsJob == nil || d.in.OwnsJob(job) }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -39,7 +39,7 @@
 	f.in = Input{Ledger: f.l, Document: f.doc, LogReachable: true}
 	for i := range workers {
 		f.in.Workers = append(f.in.Workers, Worker{ID: units.WorkerID(fmt.Sprint("w", i)), Epoch: 1, Domain: units.DomainName(fmt.Sprint("d", i%4)),
-			Rack: units.RackName(fmt.Sprint("r", i/4%3)), Capacity: cores(32), Session: true})
+			Rack: units.RackName(fmt.Sprint("r", i/4%3)), Capacity: cores(32), HasSession: true})
 	}
 	return f
 }
@@ -111,7 +111,7 @@
 }
 
 func fails(p Proposal) []byte {
-	return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{Reason: "exit 1", IsFailure: true})
+	return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{Reason: "exit 1", CountsAsFailure: true})
 }
 
 func completes(used units.Resources) func(Proposal) []byte {
@@ -417,7 +417,7 @@
 	f := newFixture(t, 3)
 	f.submit("j", "a", normal, 6, cores(1))
 	f.run(time.Second)
-	f.in.Ended = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
+	f.in.EpochEnded = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
 	held := len(f.l.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
 	all := f.run(2 * time.Second)
 	if got := count(all, func(p Proposal) bool { return p.Action == Release }); got != held || held == 0 {
--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -81,7 +81,7 @@
 // watchers proposes every waiting watcher. The document's validation has
 // checked them against the quotas, so they are not held back here.
 func (d *Dispatcher) watchers() {
-	if !d.in.Ledger.WatcherWaits() {
+	if !d.in.Ledger.HasWaitingWatcher() {
 		return
 	}
 	watching := d.in.Ledger.Watchers()
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -69,7 +69,7 @@
 	var least float64
 	found := 0
 	consider := func(r *row) {
-		d.Stats.RowsVisited++
+		d.Stats.WorkersScanned++
 		if !d.fits(r, q) {
 			return
 		}
@@ -123,7 +123,7 @@
 }
 
 // assign proposes the task for the worker and takes it out of the room.
-func (d *Dispatcher) assign(q *request, r *row, mayEvict bool, victims []Victim) {
+func (d *Dispatcher) assign(q *request, r *row, mayEvict bool, victims []TaskAttempt) {
 	task, attempt := q.task(), q.row().Attempt+1
 	d.proposals = append(d.proposals, Proposal{Action: Assign, Task: task, Attempt: attempt, WorkerEpoch: r.epoch,
 		Committed: q.size, Borrowed: q.borrowed, MayEvict: mayEvict, Victims: victims})
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -30,7 +30,7 @@
 	var least float64
 	for _, i := range d.eligible {
 		r := &d.rows[i]
-		d.Stats.RowsVisited++
+		d.Stats.WorkersScanned++
 		need := missing(q.size, r.free)
 		if r.probe || r.launching >= 2*maxLaunching || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
@@ -65,7 +65,7 @@
 	n := len(d.eligible)
 	for range min(n, tries) {
 		r := &d.rows[d.eligible[d.Random.IntN(n)]]
-		d.Stats.RowsVisited++
+		d.Stats.WorkersScanned++
 		need := missing(q.size, r.free)
 		if r.probe || r.launching >= r.mayLaunch || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
@@ -81,9 +81,9 @@
 	return false
 }
 
-func (d *Dispatcher) evict(q *request, r *row, victims []Victim) {
+func (d *Dispatcher) evict(q *request, r *row, victims []TaskAttempt) {
 	d.preempts++
-	d.Stats.Preempting++
+	d.Stats.Preemptions++
 	need := missing(q.size, r.free)
 	r.evictable = r.evictable.Sub(need)
 	d.assign(q, r, true, victims)
@@ -100,7 +100,7 @@
 // victims returns the batch tasks on the worker to evict for the need, or nil
 // when they do not suffice: borrowed work first, then the lowest priority, then
 // what started last and has the least to lose.
-func (d *Dispatcher) victims(r *row, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []Victim {
+func (d *Dispatcher) victims(r *row, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
 	type candidate struct {
 		job  *ledger.Job
 		row  *ledger.Task
@@ -117,15 +117,15 @@
 		if a.row.Borrowed != b.row.Borrowed {
 			return map[bool]int{true: -1, false: 1}[a.row.Borrowed]
 		}
-		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(b.row.Since, a.row.Since),
+		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(b.row.StateOffset, a.row.StateOffset),
 			cmp.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index))
 	})
-	victims := make([]Victim, 0, 2)
+	victims := make([]TaskAttempt, 0, 2)
 	for _, c := range all {
 		if need.Fits(units.Resources{}) {
 			break
 		}
-		victims = append(victims, Victim{c.task, c.row.Attempt})
+		victims = append(victims, TaskAttempt{c.task, c.row.Attempt})
 		need = need.Sub(c.row.Committed)
 	}
 	if len(victims) == 0 || !need.Fits(units.Resources{}) {
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -27,7 +27,7 @@
 	d.teams = d.teams[:0]
 	for _, name := range d.in.Ledger.Teams() {
 		t := d.policy.teams[name] // unknown: no quota, so its work waits
-		row := teamRow{name: name, quota: t.Quota, borrows: t.MayBorrow, used: d.in.Ledger.Used(name)}
+		row := teamRow{name: name, quota: t.Quota, borrows: t.MayBorrow, used: d.in.Ledger.TeamUsage(name)}
 		d.teams = append(d.teams, row)
 	}
 	for _, f := range d.inFlight {
--- a/internal/dispatch/ramp.go
+++ b/internal/dispatch/ramp.go
@@ -95,7 +95,7 @@
 	if budget == 0 {
 		budget = DefaultStartsPerTick
 	}
-	if n := d.in.Dispatchers; n > 1 {
+	if n := d.in.DispatcherCount; n > 1 {
 		budget = (budget + n - 1) / n
 	}
 	if age := d.in.Now.Sub(d.outage.backAt); !d.outage.backAt.IsZero() && age < logRamp {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -13,7 +13,7 @@
 
 // releasing reports whether the release of the task's attempt has just been
 // proposed, and notes it otherwise.
-func (d *Dispatcher) releasing(v Victim) bool {
+func (d *Dispatcher) releasing(v TaskAttempt) bool {
 	if at, ok := d.released[v]; ok && d.in.Now.Sub(at) <= proposalTimeout {
 		return true
 	}
@@ -24,7 +24,7 @@
 // releaseEnded proposes the release of every attempt whose worker epoch has
 // ended, so that the tasks run elsewhere. It is not a failure of the task.
 func (d *Dispatcher) releaseEnded() {
-	if d.in.Ended == nil {
+	if d.in.EpochEnded == nil {
 		return
 	}
 	for v, at := range d.released {
@@ -34,7 +34,7 @@
 	}
 	var ended []ledger.WorkerEpoch
 	for h := range d.in.Ledger.WorkerEpochs() {
-		if d.in.Ended(h) {
+		if d.in.EpochEnded(h) {
 			ended = append(ended, h)
 		}
 	}
@@ -48,7 +48,7 @@
 				return
 			}
 			attempt := d.in.Ledger.Task(task).Attempt
-			if !d.mine(task.Job) || d.releasing(Victim{task, attempt}) {
+			if !d.mine(task.Job) || d.releasing(TaskAttempt{task, attempt}) {
 				continue
 			}
 			left--
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -46,7 +46,7 @@
 	var least float64
 	for _, i := range d.eligible {
 		r := &d.rows[i]
-		d.Stats.RowsVisited++
+		d.Stats.WorkersScanned++
 		if _, taken := d.reserved[r.ID]; taken || r.probe || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
--- a/internal/dispatch/rows.go
+++ b/internal/dispatch/rows.go
@@ -66,7 +66,7 @@
 		d.rows = append(d.rows, r)
 		d.noteCapacity(w.Capacity.Sub(r.reserved))
 	}
-	d.Stats.RowsVisited += len(d.rows)
+	d.Stats.WorkersScanned += len(d.rows)
 	d.updateSuspects()
 	for i := range d.rows {
 		r := &d.rows[i]
@@ -81,14 +81,14 @@
 // headroom is what batch leaves free beside an endpoint on top of the
 // endpoint's reservation: a little always, more when its slots fill up.
 func headroom(w *Worker, reserved units.Resources) units.Millicores {
-	extra := float64(reserved.Processors) * max(0, w.Busy-busySlots)
+	extra := float64(reserved.Processors) * max(0, w.EndpointLoad-busySlots)
 	return min(w.Capacity.Processors/headroomShare+units.Millicores(extra), w.Capacity.Processors/2)
 }
 
 // usable reports whether a launch could be delivered and would be admitted.
 func (d *Dispatcher) usable(r *row) bool {
-	return r.Epoch != 0 && r.Session && !r.Draining && r.Age <= maxHeartbeatAge && d.policy.inService(r.Domain) &&
-		!d.policy.drained[r.ID] && (d.in.Ended == nil || !d.in.Ended(r.epoch))
+	return r.Epoch != 0 && r.HasSession && !r.Draining && r.HeartbeatAge <= maxHeartbeatAge && d.policy.inService(r.Domain) &&
+		!d.policy.drained[r.ID] && (d.in.EpochEnded == nil || !d.in.EpochEnded(r.epoch))
 }
 
 func (d *Dispatcher) noteCapacity(c units.Resources) {
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	if f.l.Job("j").Ended == 0 || f.l.Job("k").Ended == 0 {
+	if f.l.Job("j").EndSequence == 0 || f.l.Job("k").EndSequence == 0 {
 		t.Error("the jobs have not ended")
 	}
 	if f.l.Rejections()[ledger.ReasonAttempt]+f.l.Rejections()[ledger.ReasonNotWaiting]+f.l.Rejections()[ledger.ReasonNotOpen]+f.l.Rejections()[ledger.ReasonJobEnded] == 0 {
@@ -121,7 +121,7 @@
 func TestHeadroom(t *testing.T) {
 	f := newFixture(t, 1)
 	w := &f.in.Workers[0]
-	w.Services, w.Committed, w.Busy = []units.ServiceName{"desk"}, cores(8), 1.25
+	w.Services, w.Committed, w.EndpointLoad = []units.ServiceName{"desk"}, cores(8), 1.25
 	f.submit("batch", "a", normal, 40, cores(1))
 	if got := len(f.run(5 * time.Second)); got != 24-5 {
 		t.Errorf("got %d tasks beside a busy endpoint, want 19: an extra half of 8 reserved cores and one stay free", got)
--- a/internal/dispatch/size.go
+++ b/internal/dispatch/size.go
@@ -55,12 +55,12 @@
 }
 
 func (d *Dispatcher) learnedSize(kind units.JobKind) learnedSize {
-	k := d.in.Ledger.Learned(kind)
+	k := d.in.Ledger.KindUsage(kind)
 	if k == nil {
 		return learnedSize{}
 	}
 	l, ok := d.learned[kind]
-	if ok && l.updated == k.Updated {
+	if ok && l.updated == k.UpdatedOffset {
 		return l
 	}
 	if len(d.learned) > 8192 {
@@ -70,7 +70,7 @@
 	least := units.Resources{Processors: max(1, units.Millicores(k.Processors.Quantile(processorsPermille))),
 		Memory: max(leastMemory, memory+memory/memoryMargin)}
 	n := float64(max(1, k.Memory.Samples))
-	l = learnedSize{updated: k.Updated, samples: k.Memory.Samples, least: least, most: scale(least, 1+uncertainty/(n*n))}
+	l = learnedSize{updated: k.UpdatedOffset, samples: k.Memory.Samples, least: least, most: scale(least, 1+uncertainty/(n*n))}
 	d.learned[kind] = l
 	return l
 }
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -134,7 +134,7 @@
 
 // usedBy adds up what the team's open attempts of every priority commit.
 func usedBy(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
-	for _, used := range l.Used(name) {
+	for _, used := range l.TeamUsage(name) {
 		sum = sum.Add(used)
 	}
 	return sum
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -167,7 +167,7 @@
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
-		c.live = c.liveness.Live(r, now)
+		c.live = c.liveness.LiveEntries(r, now)
 	})
 	ids := make([]units.EntryID, 0, len(c.live)+1)
 	for _, l := range c.live {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -75,7 +75,7 @@
 	runID        string
 	recorder     *timeline.Recorder
 	collector    *timeline.Collector
-	causes       timeline.Causes
+	causes       timeline.LatestEvents
 	config       *stream.Follower[*configuration.State]
 	members      *stream.Follower[*roster.Roster]
 	jobs         *stream.Follower[*ledger.Ledger]
@@ -163,9 +163,9 @@
 // known event about the same subject, of whichever process.
 func (e *Entry) event(lane, kind, subject, text, cause string) {
 	if cause == "" {
-		cause = e.causes.Latest(subject)
+		cause = e.causes.Get(subject)
 	}
-	e.causes.Note(subject, e.recorder.Record(lane, kind, subject, text, cause))
+	e.causes.Set(subject, e.recorder.Record(lane, kind, subject, text, cause))
 }
 
 // collect keeps events of other processes.
@@ -173,7 +173,7 @@
 	received := timeline.FromWire(events)
 	e.collector.Add(received...)
 	for _, event := range received {
-		e.causes.Note(event.Subject, event.ID())
+		e.causes.Set(event.Subject, event.ID())
 	}
 }
 
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -41,7 +41,7 @@
 
 // collectOwn adds this process's events to those of others.
 func (e *Entry) collectOwn() {
-	e.collector.Add(e.recorder.After(e.collector.Acknowledged(e.runID), e.Settings.Limits.TimelineEvents)...)
+	e.collector.Add(e.recorder.EventsAfter(e.collector.LastSequence(e.runID), e.Settings.Limits.TimelineEvents)...)
 }
 
 func (e *Entry) collectFrom(ctx context.Context, peer roster.Entry, limit int) {
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -19,7 +19,7 @@
 // heartbeat answers POST /link/heartbeat.
 func (e *Entry) heartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	now := time.Now()
-	e.recorder.Observe(m.GetClock())
+	e.recorder.UpdateClock(m.GetClock())
 	e.collect(m.GetEvents())
 	session := link.FromContext(ctx)
 	e.descriptions.complete(m, session)
@@ -33,9 +33,9 @@
 	reply.WantConfig = e.adoptDocument(m)
 	e.describeConfig(units.Offset(m.GetConfigOffset()), reply)
 	if len(m.GetEvents()) > 0 {
-		reply.EventsAcknowledged = e.collector.Acknowledged(m.GetProcess())
+		reply.EventsAcknowledged = e.collector.LastSequence(m.GetProcess())
 	}
-	reply.Clock = e.recorder.Clock()
+	reply.Clock = e.recorder.AdvanceClock()
 	return reply, nil
 }
 
@@ -99,7 +99,7 @@
 		return
 	}
 	reply.RegisteredEpoch = uint64(w.Epoch)
-	reply.Expired = epoch > 0 && r.EndedEpoch(id, epoch)
+	reply.Expired = epoch > 0 && r.EpochEnded(id, epoch)
 	if w.Epoch != epoch {
 		return
 	}
@@ -125,7 +125,7 @@
 // neither can take over the other's watchers in a log outage, because its own
 // lease ends with the other. One of the two changes.
 func betterLessor(r *roster.Roster, w roster.Worker) bool {
-	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
+	place := roster.Location{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	if w.Lessor == (roster.WorkerEpoch{}) {
 		_, ok := r.ChooseLessor(w.ID, place, nil)
 		return ok
@@ -140,7 +140,7 @@
 // hasOtherLessor reports whether a worker other than its present lessor could
 // be its lessor without making another such pair.
 func hasOtherLessor(r *roster.Roster, w, lessor roster.Worker) bool {
-	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
+	place := roster.Location{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	chosen, ok := r.ChooseLessor(w.ID, place, func(h roster.WorkerEpoch) bool { return h.Worker != lessor.ID })
 	other, _ := r.Worker(chosen.Worker)
 	return ok && other.Lessor.Worker != w.ID
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -70,7 +70,7 @@
 		case row.State == ledger.Assigned && units.Epoch(w.beat.GetEpoch()) == h.Epoch && len(launch.Tasks) < maxLaunch:
 			job := l.Job(task.Job)
 			launch.Tasks = append(launch.Tasks, &wire.LaunchTask{
-				Task: ref, Spec: job.Launch(task.Index), Cause: c.causes.Latest(task.String()), MayEvict: c.planner.mayEvict[dispatch.Victim{Task: task, Attempt: row.Attempt}],
+				Task: ref, Spec: job.LaunchSpec(task.Index), Cause: c.causes.Get(task.String()), MayEvict: c.planner.mayEvict[dispatch.TaskAttempt{Task: task, Attempt: row.Attempt}],
 			})
 		case row.State == ledger.Stopping:
 			stop.Tasks = append(stop.Tasks, ref)
@@ -86,13 +86,13 @@
 	var reply wire.LaunchReply
 	var failed error
 	if len(launch.Tasks) > 0 {
-		launch.Clock = e.recorder.Clock()
+		launch.Clock = e.recorder.AdvanceClock()
 		failed = session.Call(ctx, "/link/launch", launch, &reply)
-		e.recorder.Observe(reply.GetClock())
+		e.recorder.UpdateClock(reply.GetClock())
 	}
 	if len(stop.Tasks) > 0 {
 		var stopped wire.StopReply
-		stop.Clock = e.recorder.Clock()
+		stop.Clock = e.recorder.AdvanceClock()
 		if err := session.Call(ctx, "/link/stop", stop, &stopped); err != nil {
 			failed = err
 		}
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -16,7 +16,7 @@
 type planner struct {
 	dispatcher   *dispatch.Dispatcher
 	interference dispatch.Interference
-	mayEvict     map[dispatch.Victim]bool // assignments that may evict, until they are launched
+	mayEvict     map[dispatch.TaskAttempt]bool // assignments that may evict, until they are launched
 	rows         []dispatch.Worker
 }
 
@@ -28,7 +28,7 @@
 	return planner{
 		dispatcher:   dispatch.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		interference: make(dispatch.Interference),
-		mayEvict:     make(map[dispatch.Victim]bool),
+		mayEvict:     make(map[dispatch.TaskAttempt]bool),
 	}
 }
 
@@ -61,12 +61,12 @@
 		proposals := c.planner.dispatcher.Tick(dispatch.Input{
 			Now: now, Ledger: l, Document: v.document, Workers: c.planner.rows, Interference: c.planner.interference,
 			LogReachable: reachableNow,
-			Mine:         func(id units.JobID) bool { return c.owners.Load().owns(string(id)) },
-			Ended: func(h ledger.WorkerEpoch) bool {
+			OwnsJob:      func(id units.JobID) bool { return c.owners.Load().owns(string(id)) },
+			EpochEnded: func(h ledger.WorkerEpoch) bool {
 				w, ok := registered[h.Worker]
-				return ok && !w.Holds() && w.Epoch >= h.Epoch
+				return ok && !w.Active() && w.Epoch >= h.Epoch
 			},
-			Dispatchers: len(c.owners.Load().live),
+			DispatcherCount: len(c.owners.Load().live),
 		})
 		for _, p := range proposals {
 			c.propose(l, p, now)
@@ -102,9 +102,9 @@
 	row := dispatch.Worker{
 		ID: w.id, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion()),
 		Capacity: m.GetCapacity().Units(), Committed: m.GetCommitted().Units(), Evictable: m.GetEvictable().Units(),
-		Age: now.Sub(w.heard), Draining: m.GetDraining(), Session: w.reachable(now) && m.GetLeaseValid(),
+		HeartbeatAge: now.Sub(w.heard), Draining: m.GetDraining(), HasSession: w.reachable(now) && m.GetLeaseValid(),
 	}
-	if known, ok := registered[w.id]; ok && known.Holds() && known.Epoch == units.Epoch(m.GetEpoch()) {
+	if known, ok := registered[w.id]; ok && known.Active() && known.Epoch == units.Epoch(m.GetEpoch()) {
 		row.Epoch = known.Epoch
 	}
 	for _, e := range m.GetEndpoints() {
@@ -127,7 +127,7 @@
 		if len(c.planner.mayEvict) >= maxMayEvict {
 			clear(c.planner.mayEvict)
 		}
-		c.planner.mayEvict[dispatch.Victim{Task: p.Task, Attempt: p.Attempt}] = true
+		c.planner.mayEvict[dispatch.TaskAttempt{Task: p.Task, Attempt: p.Attempt}] = true
 	}
 	if !c.jobsOut.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.WorkerEpoch.Worker), now, entry) {
 		return
@@ -135,7 +135,7 @@
 	c.counters.proposals.Inc(1)
 	cause := ""
 	if p.Action == dispatch.Release {
-		cause = c.causes.Latest(string(p.WorkerEpoch.Worker)) // the end of the worker's epoch
+		cause = c.causes.Get(string(p.WorkerEpoch.Worker)) // the end of the worker's epoch
 	}
 	c.event("job", proposalNames[p.Action], p.Task.String(),
 		fmt.Sprintf("attempt %d %s %s", p.Attempt, p.WorkerEpoch.Worker, p.Reason), cause)
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -32,7 +32,7 @@
 		if c.mine("worker/"+string(w.id), h, now) {
 			c.proposeRegistration(w, h, now)
 		}
-	case known.Epoch == epoch && known.Holds() && w.beat.GetWantsLessor() && units.Term(w.beat.GetLeaseTerm()) == known.Term:
+	case known.Epoch == epoch && known.Active() && w.beat.GetWantsLessor() && units.Term(w.beat.GetLeaseTerm()) == known.Term:
 		if c.mine("worker/"+string(w.id), h, now) {
 			c.proposeLessor(w, known, now)
 		}
@@ -57,7 +57,7 @@
 
 func (c *control) proposeRegistration(w *workerRow, h roster.WorkerEpoch, now time.Time) {
 	m := w.beat
-	place := roster.Place{Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion())}
+	place := roster.Location{Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion())}
 	row := roster.Worker{
 		ID: w.id, Epoch: h.Epoch, Domain: place.Domain, Rack: place.Rack, Region: place.Region,
 		LinkAddress: m.GetLinkAddress(), Capacity: m.GetCapacity().Units(),
@@ -69,7 +69,7 @@
 }
 
 func (c *control) proposeLessor(w *workerRow, known roster.Worker, now time.Time) {
-	place := roster.Place{Domain: known.Domain, Rack: known.Rack, Region: known.Region}
+	place := roster.Location{Domain: known.Domain, Rack: known.Rack, Region: known.Region}
 	lessor, ok := c.chooseLessor(w.id, place, known.Lessor, now)
 	if !ok {
 		// Where only two workers are left, the current lessor in a new term is
@@ -87,7 +87,7 @@
 
 // chooseLessor picks a lessor that has been heard recently and is not the
 // current one, which did not answer.
-func (c *control) chooseLessor(id units.WorkerID, at roster.Place, current roster.WorkerEpoch, now time.Time) (chosen roster.WorkerEpoch, ok bool) {
+func (c *control) chooseLessor(id units.WorkerID, at roster.Location, current roster.WorkerEpoch, now time.Time) (chosen roster.WorkerEpoch, ok bool) {
 	c.members.View(func(r *roster.Roster) {
 		chosen, ok = r.ChooseLessor(id, at, func(h roster.WorkerEpoch) bool {
 			w := c.workers[h.Worker]
@@ -106,7 +106,7 @@
 	if !ok || w.Epoch < epoch {
 		return false
 	}
-	return w.Epoch > epoch || w.Term > term || !w.Holds()
+	return w.Epoch > epoch || w.Term > term || !w.Active()
 }
 
 // acceptExpiries records the expiries that the agent attests as lessor. A
@@ -180,11 +180,11 @@
 	due := make(map[roster.WorkerEpoch]chainedExpiry)
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
-			if _, ok := r.ChainExpirable(w.ID); !ok || !w.Holds() {
+			if _, ok := r.ExpirableSince(w.ID); !ok || !w.Active() {
 				continue
 			}
 			d := chainedExpiry{w.Term, leases.ExpiredChainWait}
-			if lessor, ok := r.Worker(w.Lessor.Worker); ok && lessor.Holds() {
+			if lessor, ok := r.Worker(w.Lessor.Worker); ok && lessor.Active() {
 				d.wait = leases.ReplacedChainWait
 				if !c.accounted(lessor) {
 					continue
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -32,7 +32,7 @@
 	c.members.View(func(r *roster.Roster) {
 		for _, h := range holders {
 			newest, ok := r.Worker(h.holder.Worker)
-			if ok && newest.Holds() && newest.Epoch > h.holder.Epoch {
+			if ok && newest.Active() && newest.Epoch > h.holder.Epoch {
 				over = append(over, ended{h.holder, newest})
 			}
 		}
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -26,7 +26,7 @@
 		return ledger.EncodeEnded(t, a, r.GetOutcome(), time.Duration(r.GetRunMilliseconds())*time.Millisecond, r.GetUsed().Units())
 	},
 	wire.Outcome_OUTCOME_FAILED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		return release(r, ledger.Release{Reason: r.GetReason(), IsFailure: true, Checkpoint: r.GetCheckpoint()})
+		return release(r, ledger.Release{Reason: r.GetReason(), CountsAsFailure: true, Checkpoint: r.GetCheckpoint()})
 	},
 	wire.Outcome_OUTCOME_EVICTED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
 		t, a := reported(r)
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -20,7 +20,7 @@
 		var rows []*ledger.Job
 		for _, name := range l.Teams() {
 			if f.Team == "" || f.Team == name {
-				rows = append(rows, l.JobsOf(name)...)
+				rows = append(rows, l.TeamJobs(name)...)
 			}
 		}
 		slices.SortFunc(rows, func(a, b *ledger.Job) int { return cmp.Compare(b.Sequence, a.Sequence) })
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -81,7 +81,7 @@
 			job, row := l.Job(task.Job), l.Task(task)
 			if job.IsWatcher() && row.State == ledger.Running {
 				list = append(list, &wire.Standby{
-					Task: wire.NewTaskRef(task, row.Attempt), Spec: job.Launch(task.Index),
+					Task: wire.NewTaskRef(task, row.Attempt), Spec: job.LaunchSpec(task.Index),
 					Holder: string(h.Worker), HolderEpoch: uint64(h.Epoch),
 				})
 			}
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -137,7 +137,7 @@
 // Launch returns what the agent needs to start the current attempt of a task.
 // A borrowed attempt runs at the lowest priority, so that the agent evicts it
 // before work that is within its team's quota.
-func (j *Job) Launch(index uint32) *wire.TaskSpec {
+func (j *Job) LaunchSpec(index uint32) *wire.TaskSpec {
 	t := &j.Tasks[index]
 	s := j.spec(t.Committed, t.Checkpoint)
 	if t.Borrowed {
--- a/internal/ledger/encode.go
+++ b/internal/ledger/encode.go
@@ -37,15 +37,15 @@
 
 // Release is why an attempt is given up and the task waits again.
 type Release struct {
-	Reason     string
-	IsFailure  bool   // counts against the task and the worker
-	Checkpoint string // last one known, empty to keep the earlier one
+	Reason          string
+	CountsAsFailure bool   // counts against the task and the worker
+	Checkpoint      string // last one known, empty to keep the earlier one
 }
 
 // EncodeReleased encodes that the attempt was refused, failed or lost its lease.
 func EncodeReleased(t units.Task, a units.Attempt, r Release) []byte {
 	return encode(&wire.JobsEntry{Kind: &wire.JobsEntry_Released{Released: &wire.TaskReleased{
-		Task: wire.NewTaskRef(t, a), Reason: r.Reason, CountsAsFailure: r.IsFailure, Checkpoint: r.Checkpoint}}})
+		Task: wire.NewTaskRef(t, a), Reason: r.Reason, CountsAsFailure: r.CountsAsFailure, Checkpoint: r.Checkpoint}}})
 }
 
 // EncodeEnded encodes that the attempt ended; outcome is COMPLETED or STOPPED. used
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -130,7 +130,7 @@
 		choices := []func() []byte{
 			func() []byte { return EncodeAssigned(task, next, h, units.Resources{}, next%2 == 0) },
 			func() []byte { return EncodeStarted(task, a) },
-			func() []byte { return EncodeReleased(task, a, Release{Reason: "lost", IsFailure: a%3 == 0}) },
+			func() []byte { return EncodeReleased(task, a, Release{Reason: "lost", CountsAsFailure: a%3 == 0}) },
 			func() []byte { return EncodeEvicted(task, a, fmt.Sprint("c", a), "noisy") },
 			func() []byte { return EncodeAssigned(task, next, WorkerEpoch{"w9", 1}, units.Resources{}, false) }, // the other dispatcher
 			func() []byte {
@@ -234,7 +234,7 @@
 		queued += len(j.Waiting())
 	}
 	_, gotWaiting, gotOpen := l.Counts()
-	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.Used("moulds")[units.PriorityNormal] != used {
+	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.TeamUsage("moulds")[units.PriorityNormal] != used {
 		t.Errorf("rows have %d waiting, %d open; indexes have %d and %d waiting, %d and %d open, %d launching too few",
 			waiting, open, gotWaiting, queued, gotOpen, held, launching)
 	}
@@ -288,7 +288,7 @@
 // is malformed, or leaves a state that cannot be restored.
 func FuzzApply(f *testing.F) {
 	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), assigned(one, 1),
-		EncodeStarted(one, 1), EncodeReleased(one, 1, Release{Reason: "x", IsFailure: true}), EncodeEvicted(one, 1, "c", "r"),
+		EncodeStarted(one, 1), EncodeReleased(one, 1, Release{Reason: "x", CountsAsFailure: true}), EncodeEvicted(one, 1, "c", "r"),
 		EncodeEnded(one, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{Processors: 1, Memory: 1}),
 		EncodeCancelled("a", ""), EncodeFailed(one, "x")} {
 		f.Add(e)
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -167,7 +167,7 @@
 
 // JobsOf returns the retained jobs of a team by order of submission. The slice
 // is valid until the next Apply.
-func (l *Ledger) JobsOf(name units.TeamName) []*Job {
+func (l *Ledger) TeamJobs(name units.TeamName) []*Job {
 	if t := l.teams[name]; t != nil {
 		return t.jobs
 	}
@@ -188,7 +188,7 @@
 }
 
 // Used returns what the team's open attempts commit, by priority.
-func (l *Ledger) Used(name units.TeamName) [units.PriorityUrgent + 1]units.Resources {
+func (l *Ledger) TeamUsage(name units.TeamName) [units.PriorityUrgent + 1]units.Resources {
 	if t := l.teams[name]; t != nil {
 		return t.used
 	}
@@ -208,7 +208,7 @@
 }
 
 // WatcherWaits reports whether a watcher waits to be assigned.
-func (l *Ledger) WatcherWaits() bool {
+func (l *Ledger) HasWaitingWatcher() bool {
 	for _, j := range l.watchers {
 		if len(j.waiting) > 0 {
 			return true
--- a/internal/ledger/learned.go
+++ b/internal/ledger/learned.go
@@ -33,11 +33,11 @@
 type weighted struct{ bucket, weight uint32 }
 
 // Learned is what the ended tasks of one job kind have used.
-type Learned struct {
-	Updated    units.Offset
-	Processors Histogram // millicores
-	Memory     Histogram // KiB
-	RunTime    Histogram // milliseconds
+type KindUsage struct {
+	UpdatedOffset units.Offset
+	Processors    Histogram // millicores
+	Memory        Histogram // KiB
+	RunTime       Histogram // milliseconds
 }
 
 func bucketOf(v uint64) uint32 {
@@ -104,10 +104,10 @@
 		if len(l.kinds) >= maxKinds {
 			l.forgetOldestKind()
 		}
-		k = &Learned{}
+		k = &KindUsage{}
 		l.kinds[kind] = k
 	}
-	k.Updated = offset
+	k.UpdatedOffset = offset
 	if ran > 0 {
 		k.RunTime.Add(uint64(ran.Milliseconds()))
 	}
@@ -119,9 +119,9 @@
 
 func (l *Ledger) forgetOldestKind() {
 	var oldest units.JobKind
-	var at *Learned
+	var at *KindUsage
 	for name, k := range l.kinds {
-		if at == nil || k.Updated < at.Updated || (k.Updated == at.Updated && name < oldest) {
+		if at == nil || k.UpdatedOffset < at.UpdatedOffset || (k.UpdatedOffset == at.UpdatedOffset && name < oldest) {
 			oldest, at = name, k
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // Learned returns the statistics of a job kind, or nil.
-func (l *Ledger) Learned(kind units.JobKind) *Learned { return l.kinds[kind] }
+func (l *Ledger) KindUsage(kind units.JobKind) *KindUsage { return l.kinds[kind] }
 
 // failing is the run of failures of a worker since its last success.
 type failing struct {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -20,8 +20,8 @@
 
 // The kinds of errors.
 const (
-	Malformed Kind = "malformed entry"
-	BadState  Kind = "bad snapshot"
+	Malformed   Kind = "malformed entry"
+	BadSnapshot Kind = "bad snapshot"
 )
 
 // State is the state of a task.
@@ -87,7 +87,7 @@
 	FailedWorkers []units.WorkerID // distinct, in order of first failure
 	Checkpoint    string           // to resume from
 	Reason        string           // of the last release, eviction or failure
-	Since         units.Offset     // where State began
+	StateOffset   units.Offset     // where State began
 	Committed     units.Resources  // of the current attempt
 	Borrowed      bool             // the current attempt exceeds the team's quota
 }
@@ -100,26 +100,26 @@
 
 // Job is the row of one job. Callers read it on the goroutine that applies.
 type Job struct {
-	ID          units.JobID
-	Key         string // idempotency key within the team, empty for none
-	Team        units.TeamName
-	Name        string
-	Kind        wire.TaskKind
-	Priority    units.Priority
-	JobKind     units.JobKind
-	Size        units.Resources // declared
-	RunTime     time.Duration   // declared, 0 for a watcher
-	Checkpoint  string          // of the submission
-	Sequence    uint64          // order of submission
-	Submitted   units.Offset
-	SubmittedAt time.Time // wall clock, display only
-	Cancelled   bool
-	Failed      bool   // a task failed for good; waiting tasks do not start
-	Reason      string // of the cancellation or failure
-	Tasks       []Task // nil once the job has ended
-	Outcomes    []Outcome
-	Ended       uint64       // order of ending, 0 before
-	EndedAt     units.Offset // where the last task ended
+	ID           units.JobID
+	Key          string // idempotency key within the team, empty for none
+	Team         units.TeamName
+	Name         string
+	Kind         wire.TaskKind
+	Priority     units.Priority
+	JobKind      units.JobKind
+	Size         units.Resources // declared
+	RunTime      time.Duration   // declared, 0 for a watcher
+	Checkpoint   string          // of the submission
+	Sequence     uint64          // order of submission
+	SubmitOffset units.Offset
+	SubmittedAt  time.Time // wall clock, display only
+	Cancelled    bool
+	Failed       bool   // a task failed for good; waiting tasks do not start
+	Reason       string // of the cancellation or failure
+	Tasks        []Task // nil once the job has ended
+	Outcomes     []Outcome
+	EndSequence  uint64       // order of ending, 0 before
+	EndOffset    units.Offset // where the last task ended
 
 	waiting    []uint32 // ascending indexes of tasks that may be assigned
 	unfinished int      // tasks that are not terminal
@@ -161,7 +161,7 @@
 	watchers         map[units.JobID]*Job // not ended
 	ended            []*Job               // by order of ending
 	endedTasks       int
-	kinds            map[units.JobKind]*Learned
+	kinds            map[units.JobKind]*KindUsage
 	failing          map[units.WorkerID]*failing
 	rejections       map[Reason]uint64
 	nextSequence     uint64
@@ -191,7 +191,7 @@
 		openTasksByEpoch: map[WorkerEpoch][]units.Task{},
 		launching:        map[WorkerEpoch]Launching{},
 		watchers:         map[units.JobID]*Job{},
-		kinds:            map[units.JobKind]*Learned{},
+		kinds:            map[units.JobKind]*KindUsage{},
 		failing:          map[units.WorkerID]*failing{},
 		rejections:       map[Reason]uint64{},
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -160,7 +160,7 @@
 	if len(queue) != 2 || queue[0].ID != "b" || fmt.Sprint(queue[0].Waiting()) != "[0 2]" {
 		t.Errorf("got queue %v", queue)
 	}
-	if got := g.l.Used("moulds")[units.PriorityNormal].Processors; got != 2000 {
+	if got := g.l.TeamUsage("moulds")[units.PriorityNormal].Processors; got != 2000 {
 		t.Errorf("got %d millicores used, want 2000", got)
 	}
 	if got := g.l.TasksOn(holder); len(got) != 1 || got[0] != b1 {
@@ -170,8 +170,8 @@
 	if got := queue[0].Waiting(); fmt.Sprint(got) != "[0 1 2]" {
 		t.Errorf("got waiting %v after eviction, want all three in order", got)
 	}
-	if _, waiting, open := g.l.Counts(); waiting != 4 || open != 0 || !g.l.Used("moulds")[units.PriorityNormal].IsZero() || g.l.JobByKey("moulds", "key-a").ID != "a" {
-		t.Errorf("got %d waiting, %d open, %v used", waiting, open, g.l.Used("moulds"))
+	if _, waiting, open := g.l.Counts(); waiting != 4 || open != 0 || !g.l.TeamUsage("moulds")[units.PriorityNormal].IsZero() || g.l.JobByKey("moulds", "key-a").ID != "a" {
+		t.Errorf("got %d waiting, %d open, %v used", waiting, open, g.l.TeamUsage("moulds"))
 	}
 }
 
@@ -199,7 +199,7 @@
 		g.apply(EncodeSubmitted(m), EncodeCancelled(units.JobID(m.Job), ""))
 	}
 	jobs, waiting, open := g.l.Counts()
-	if jobs != RetainedJobs || waiting != 0 || open != 0 || len(g.l.keys) != RetainedJobs || len(g.l.JobsOf("moulds")) != RetainedJobs {
+	if jobs != RetainedJobs || waiting != 0 || open != 0 || len(g.l.keys) != RetainedJobs || len(g.l.TeamJobs("moulds")) != RetainedJobs {
 		t.Errorf("got %d jobs, %d keys, want %d", jobs, len(g.l.keys), RetainedJobs)
 	}
 	if g.l.Job("job-49") != nil || g.l.Job("job-50") == nil {
--- a/internal/ledger/rules.go
+++ b/internal/ledger/rules.go
@@ -133,7 +133,7 @@
 	switch {
 	case j == nil:
 		return ReasonUnknownJob
-	case j.Ended != 0:
+	case j.EndSequence != 0:
 		return ReasonJobEnded
 	case int64(e.task.Index) >= int64(len(j.Tasks)):
 		return ReasonUnknownTask
@@ -175,7 +175,7 @@
 	if change != nil {
 		change(t)
 	}
-	t.State, t.Since = to, offset
+	t.State, t.StateOffset = to, offset
 	if to.Waiting() && j.Failed {
 		t.State = Failed
 	}
@@ -213,7 +213,7 @@
 	if t.State == Assigned {
 		l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 	}
-	t.State, t.Since = to, offset
+	t.State, t.StateOffset = to, offset
 }
 
 func (l *Ledger) release(j *Job, t *Task, e *event) Reason {
@@ -285,7 +285,7 @@
 	if old != nil {
 		// A watcher that was removed from the document may be added again. Its
 		// attempts go on counting, so that none is named twice.
-		if !old.IsWatcher() || old.Ended == 0 || m.GetSpec().GetKind() != wire.TaskKind_TASK_KIND_WATCHER {
+		if !old.IsWatcher() || old.EndSequence == 0 || m.GetSpec().GetKind() != wire.TaskKind_TASK_KIND_WATCHER {
 			l.noteResult(c, ReasonDuplicateJob)
 			return nil
 		}
@@ -300,10 +300,10 @@
 		l.ended = slices.DeleteFunc(l.ended, func(j *Job) bool { return j == old })
 	}
 	j := newJob(m)
-	j.Sequence, j.Submitted = l.nextSequence, offset
+	j.Sequence, j.SubmitOffset = l.nextSequence, offset
 	l.nextSequence++
 	for i := range j.Tasks {
-		j.Tasks[i] = Task{State: Pending, Since: offset, Attempt: first, Checkpoint: j.Checkpoint}
+		j.Tasks[i] = Task{State: Pending, StateOffset: offset, Attempt: first, Checkpoint: j.Checkpoint}
 	}
 	l.add(j)
 	l.noteResult(c, "")
@@ -320,7 +320,7 @@
 	case j == nil:
 		l.noteResult(c, ReasonUnknownJob)
 		return nil
-	case j.Ended != 0:
+	case j.EndSequence != 0:
 		l.noteResult(c, ReasonJobEnded)
 		return nil
 	case j.Cancelled:
@@ -351,7 +351,7 @@
 	}
 	tm := l.team(j.Team)
 	tm.jobs = insertJob(tm.jobs, j)
-	if j.Ended != 0 {
+	if j.EndSequence != 0 {
 		return
 	}
 	if j.IsWatcher() {
@@ -374,7 +374,7 @@
 		j.Outcomes[i] = Outcome{j.Tasks[i].State, j.Tasks[i].Attempt}
 	}
 	j.Tasks, j.waiting = nil, nil
-	j.Ended, j.EndedAt = l.nextEnded, offset
+	j.EndSequence, j.EndOffset = l.nextEnded, offset
 	l.nextEnded++
 	delete(l.watchers, j.ID)
 	l.ended = append(l.ended, j)
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -20,7 +20,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.kinds)) {
 		k := l.kinds[name]
-		s.Kinds = append(s.Kinds, &wire.LearnedKind{JobKind: string(name), Updated: uint64(k.Updated),
+		s.Kinds = append(s.Kinds, &wire.LearnedKind{JobKind: string(name), Updated: uint64(k.UpdatedOffset),
 			Processors: k.Processors.encode(), Memory: k.Memory.encode(), RunTime: k.RunTime.encode()})
 	}
 	for _, w := range slices.Sorted(maps.Keys(l.failing)) {
@@ -33,14 +33,14 @@
 	}
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
-		return nil, fault.Wrap("snapshot", BadState, err)
+		return nil, fault.Wrap("snapshot", BadSnapshot, err)
 	}
 	return b, nil
 }
 
 func encodeJob(j *Job) *wire.LedgerJob {
 	m := &wire.LedgerJob{Submitted: j.Submission(), Cancelled: j.Cancelled, Failed: j.Failed, CancelReason: j.Reason,
-		Sequence: j.Sequence, SubmittedOffset: uint64(j.Submitted), Ended: j.Ended, EndedOffset: uint64(j.EndedAt)}
+		Sequence: j.Sequence, SubmittedOffset: uint64(j.SubmitOffset), Ended: j.EndSequence, EndedOffset: uint64(j.EndOffset)}
 	for i := range j.Tasks {
 		m.Tasks = append(m.Tasks, encodeTask(&j.Tasks[i]))
 	}
@@ -53,7 +53,7 @@
 
 func encodeTask(t *Task) *wire.LedgerTask {
 	m := &wire.LedgerTask{Attempt: uint32(t.Attempt), State: uint32(t.State), Worker: string(t.Worker), Epoch: uint64(t.Epoch),
-		Failures: t.Failures, Checkpoint: t.Checkpoint, Reason: t.Reason, Since: uint64(t.Since), Borrowed: t.Borrowed}
+		Failures: t.Failures, Checkpoint: t.Checkpoint, Reason: t.Reason, Since: uint64(t.StateOffset), Borrowed: t.Borrowed}
 	if !t.Committed.IsZero() {
 		m.Committed = wire.FromResources(t.Committed)
 	}
@@ -68,7 +68,7 @@
 func (l *Ledger) Restore(state []byte) error {
 	var s wire.LedgerState
 	if err := proto.Unmarshal(state, &s); err != nil {
-		return fault.Wrap("restore", BadState, err)
+		return fault.Wrap("restore", BadSnapshot, err)
 	}
 	n := New()
 	n.Observe = l.Observe
@@ -77,7 +77,7 @@
 	}
 	n.nextSequence, n.nextEnded = max(1, s.GetNextSequence()), max(1, s.GetNextEnded())
 	for _, m := range s.GetKinds() {
-		k := &Learned{Updated: units.Offset(m.GetUpdated())}
+		k := &KindUsage{UpdatedOffset: units.Offset(m.GetUpdated())}
 		k.Processors.decode(m.GetProcessors())
 		k.Memory.decode(m.GetMemory())
 		k.RunTime.decode(m.GetRunTime())
@@ -97,19 +97,19 @@
 	shared := map[string]string{} // one copy of each team, kind and worker name
 	for _, m := range jobs {
 		if err := checkSubmitted(m.GetSubmitted()); err != nil {
-			return fault.Wrap("restore", BadState, err)
+			return fault.Wrap("restore", BadSnapshot, err)
 		}
 		j, err := decodeJob(m, shared)
 		if err != nil {
 			return err
 		}
 		l.add(j)
-		if j.Ended != 0 {
+		if j.EndSequence != 0 {
 			l.ended = append(l.ended, j)
 			l.endedTasks += len(j.Outcomes)
 		}
 	}
-	slices.SortFunc(l.ended, func(a, b *Job) int { return cmp.Compare(a.Ended, b.Ended) })
+	slices.SortFunc(l.ended, func(a, b *Job) int { return cmp.Compare(a.EndSequence, b.EndSequence) })
 	return nil
 }
 
@@ -117,13 +117,13 @@
 	n := m.GetSubmitted().GetTasks()
 	ended := m.GetEnded() != 0
 	if ended && (uint32(len(m.GetOutcomeStates())) != n || uint32(len(m.GetOutcomeAttempts())) != n) || !ended && uint32(len(m.GetTasks())) != n {
-		return nil, fault.New("restore", BadState, "job %q: rows of its %d tasks are missing", m.GetSubmitted().GetJob(), n)
+		return nil, fault.New("restore", BadSnapshot, "job %q: rows of its %d tasks are missing", m.GetSubmitted().GetJob(), n)
 	}
 	j := newJob(m.GetSubmitted())
 	j.Team, j.JobKind = units.TeamName(share(shared, string(j.Team))), units.JobKind(share(shared, string(j.JobKind)))
 	j.Cancelled, j.Failed, j.Reason = m.GetCancelled(), m.GetFailed(), m.GetCancelReason()
-	j.Sequence, j.Submitted = m.GetSequence(), units.Offset(m.GetSubmittedOffset())
-	j.Ended, j.EndedAt = m.GetEnded(), units.Offset(m.GetEndedOffset())
+	j.Sequence, j.SubmitOffset = m.GetSequence(), units.Offset(m.GetSubmittedOffset())
+	j.EndSequence, j.EndOffset = m.GetEnded(), units.Offset(m.GetEndedOffset())
 	if ended {
 		j.Tasks, j.Outcomes = nil, make([]Outcome, n)
 		for i := range j.Outcomes {
@@ -133,7 +133,7 @@
 	}
 	for i, t := range m.GetTasks() {
 		if s := State(t.GetState()); t.GetState() >= uint32(stateCount) || s < Pending {
-			return nil, fault.New("restore", BadState, "task %s/%d is in state %d", j.ID, i, t.GetState())
+			return nil, fault.New("restore", BadSnapshot, "task %s/%d is in state %d", j.ID, i, t.GetState())
 		}
 		j.Tasks[i] = decodeTask(t, shared)
 	}
@@ -143,7 +143,7 @@
 func decodeTask(m *wire.LedgerTask, shared map[string]string) Task {
 	t := Task{Attempt: units.Attempt(m.GetAttempt()), State: State(m.GetState()), Worker: units.WorkerID(share(shared, m.GetWorker())),
 		Epoch: units.Epoch(m.GetEpoch()), Failures: m.GetFailures(), Checkpoint: m.GetCheckpoint(), Reason: m.GetReason(),
-		Since: units.Offset(m.GetSince()), Committed: m.GetCommitted().Units(), Borrowed: m.GetBorrowed()}
+		StateOffset: units.Offset(m.GetSince()), Committed: m.GetCommitted().Units(), Borrowed: m.GetBorrowed()}
 	for _, w := range m.GetFailedWorkers() {
 		t.FailedWorkers = append(t.FailedWorkers, units.WorkerID(share(shared, w)))
 	}
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -95,7 +95,7 @@
 	recorder := timeline.NewRecorder("agent/"+string(s.Worker)+"/"+runID(), s.Limits.TimelineEvents, time.Now)
 	var acknowledged atomic.Uint64
 	changes := scope.Counter("agent_events")
-	var causes timeline.Causes
+	var causes timeline.LatestEvents
 	a := &agent.Agent{
 		WorkerID: s.Worker, Domain: s.FailureDomain, Rack: s.Rack, Region: s.Region,
 		LinkAddress: s.LinkAddress.String(), AdvertisedLinkAddress: s.AdvertisedLinkAddress.String(), Process: recorder.Process(),
@@ -108,15 +108,15 @@
 		Events: func(kind, subject, text string) {
 			changes.Inc(1)
 			klog.InfoS("agent event", "kind", kind, "subject", subject, "text", text)
-			causes.Note(subject, recorder.Record("worker", kind, subject, text, causes.Latest(subject)))
+			causes.Set(subject, recorder.Record("worker", kind, subject, text, causes.Get(subject)))
 		},
-		Caused: causes.Note,
+		Caused: causes.Set,
 		PendingEvents: func() []*wire.Event {
-			return timeline.ToWire(recorder.After(acknowledged.Load(), eventsPerHeartbeat))
+			return timeline.ToWire(recorder.EventsAfter(acknowledged.Load(), eventsPerHeartbeat))
 		},
 		AcknowledgeEvents: acknowledged.Store,
-		Clock:             recorder.Clock,
-		ObserveClock:      recorder.Observe,
+		Clock:             recorder.AdvanceClock,
+		ObserveClock:      recorder.UpdateClock,
 	}
 	for _, e := range s.Entries {
 		a.Entries = append(a.Entries, e.String())
--- a/internal/roster/history_test.go
+++ b/internal/roster/history_test.go
@@ -61,22 +61,22 @@
 				_ = restored.Apply(units.Offset(i+1), e)
 			}
 			for h := range ended {
-				if !r.EndedEpoch(h.Worker, h.Epoch) {
+				if !r.EpochEnded(h.Worker, h.Epoch) {
 					t.Errorf("entry %d: epoch %v is no longer ended", i, h)
 				}
 			}
 			lessees := 0
 			for _, w := range r.Workers() {
 				for epoch := units.Epoch(1); epoch <= 4; epoch++ {
-					if r.EndedEpoch(w.ID, epoch) {
+					if r.EpochEnded(w.ID, epoch) {
 						ended[WorkerEpoch{w.ID, epoch}] = true
 					}
 				}
-				if w.Holds() == r.EndedEpoch(w.ID, w.Epoch) || w.Lessor.Worker == w.ID || w.Term < terms[w.WorkerEpoch()] {
+				if w.Active() == r.EpochEnded(w.ID, w.Epoch) || w.Lessor.Worker == w.ID || w.Term < terms[w.WorkerEpoch()] {
 					t.Errorf("entry %d: row %+v after term %d", i, w, terms[w.WorkerEpoch()])
 				}
 				terms[w.WorkerEpoch()] = w.Term
-				if w.Holds() && w.Lessor != (WorkerEpoch{}) {
+				if w.Active() && w.Lessor != (WorkerEpoch{}) {
 					lessees++
 				}
 			}
--- a/internal/roster/lessor.go
+++ b/internal/roster/lessor.go
@@ -8,7 +8,7 @@
 )
 
 // Place is where a worker is.
-type Place struct {
+type Location struct {
 	Domain units.DomainName
 	Rack   units.RackName
 	Region units.RegionName
@@ -17,7 +17,7 @@
 // distance ranks how likely a lessor at p shares the fate of a lessee at o:
 // lower is better. Another region comes late, because a partition between
 // regions would end the lease of a healthy worker.
-func (p Place) distance(o Place) int {
+func (p Location) lessorRank(o Location) int {
 	switch {
 	case p.Region == o.Region && p.Domain != o.Domain:
 		return 0
@@ -58,14 +58,14 @@
 // domain of the region first, then in another rack, then in another region,
 // with the fewest lessees. Two workers become each other's lessor only when
 // there is no other choice. The worker need not be registered.
-func (r *Roster) ChooseLessor(id units.WorkerID, at Place, usable func(WorkerEpoch) bool) (WorkerEpoch, bool) {
+func (r *Roster) ChooseLessor(id units.WorkerID, at Location, usable func(WorkerEpoch) bool) (WorkerEpoch, bool) {
 	var best candidate
 	found := false
 	for _, w := range r.workers {
-		if w.ID == id || !w.Holds() || (usable != nil && !usable(w.WorkerEpoch())) {
+		if w.ID == id || !w.Active() || (usable != nil && !usable(w.WorkerEpoch())) {
 			continue
 		}
-		c := candidate{holder: w.WorkerEpoch(), distance: at.distance(Place{w.Domain, w.Rack, w.Region}),
+		c := candidate{holder: w.WorkerEpoch(), distance: at.lessorRank(Location{w.Domain, w.Rack, w.Region}),
 			lessees: len(r.lessees[w.WorkerEpoch()]), hash: ring(id, w.ID)}
 		if w.Lessor.Worker == id {
 			c.mutual = 1
--- a/internal/roster/liveness.go
+++ b/internal/roster/liveness.go
@@ -8,7 +8,7 @@
 
 // DeadAfter is how long an entry process counts as alive after its last
 // announcement: three announcements of 5 s.
-const DeadAfter = 15 * time.Second
+const EntryTimeout = 15 * time.Second
 
 // Liveness tracks, on the local monotonic clock, when announcements of entry
 // processes were applied. The fold itself holds no times, because entry
@@ -29,8 +29,8 @@
 		l.seen = map[units.EntryID]announcement{}
 	}
 	for id, e := range r.entries {
-		if a, ok := l.seen[id]; !ok || a.offset != e.Announced {
-			l.seen[id] = announcement{e.Announced, now}
+		if a, ok := l.seen[id]; !ok || a.offset != e.AnnouncedOffset {
+			l.seen[id] = announcement{e.AnnouncedOffset, now}
 		}
 	}
 	for id := range l.seen {
@@ -43,11 +43,11 @@
 // Alive reports whether the entry announced itself recently.
 func (l *Liveness) Alive(id units.EntryID, now time.Time) bool {
 	a, ok := l.seen[id]
-	return ok && now.Sub(a.at) <= DeadAfter
+	return ok && now.Sub(a.at) <= EntryTimeout
 }
 
 // Live returns the rows of the entries that are alive, by id.
-func (l *Liveness) Live(r *Roster, now time.Time) []Entry {
+func (l *Liveness) LiveEntries(r *Roster, now time.Time) []Entry {
 	var live []Entry
 	for _, e := range r.Entries() {
 		if l.Alive(e.ID, now) {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -20,8 +20,8 @@
 
 // The kinds of errors.
 const (
-	Malformed Kind = "malformed entry"
-	BadState  Kind = "bad snapshot"
+	Malformed   Kind = "malformed entry"
+	BadSnapshot Kind = "bad snapshot"
 )
 
 // Reason says why an entry had no effect.
@@ -35,7 +35,7 @@
 	ReasonUnknownEntry  Reason = "unknownEntry"
 	ReasonEnded         Reason = "ended"
 	ReasonTerm          Reason = "term"
-	ReasonLessor        Reason = "lessor" // not in force, or the worker itself
+	ReasonInvalidLessor Reason = "lessor" // not in force, or the worker itself
 )
 
 // Limits of the fold; every entry process must use the same values.
@@ -45,18 +45,18 @@
 	MaxEntries = 128
 	// MaxEnded bounds the workers kept after their epoch ended, and MaxWorkers
 	// those whose registration holds.
-	MaxEnded   = 4096
-	MaxWorkers = 16384
-	maxText    = 256
+	MaxEndedWorkers  = 4096
+	MaxActiveWorkers = 16384
+	maxText          = 256
 )
 
 // Entry is the row of one entry process.
 type Entry struct {
-	ID          units.EntryID
-	LinkAddress string
-	Domain      units.DomainName
-	Region      units.RegionName
-	Announced   units.Offset // last announcement
+	ID              units.EntryID
+	LinkAddress     string
+	Domain          units.DomainName
+	Region          units.RegionName
+	AnnouncedOffset units.Offset // last announcement
 }
 
 // Holder is one epoch of a worker.
@@ -67,25 +67,25 @@
 
 // Worker is the row of one worker: its newest registration.
 type Worker struct {
-	ID          units.WorkerID
-	Epoch       units.Epoch
-	Domain      units.DomainName
-	Rack        units.RackName
-	Region      units.RegionName
-	LinkAddress string
-	Capacity    units.Resources
-	Lessor      WorkerEpoch // zero when there was no other worker
-	Term        units.Term
-	Expired     bool
-	Left        bool
-	EpochFloor  units.Epoch  // epochs at or below have ended
-	Registered  units.Offset // of the newest epoch
-	LessorSince units.Offset // where the current lessor was recorded
-	EndedAt     units.Offset // 0 while the registration holds
+	ID               units.WorkerID
+	Epoch            units.Epoch
+	Domain           units.DomainName
+	Rack             units.RackName
+	Region           units.RegionName
+	LinkAddress      string
+	Capacity         units.Resources
+	Lessor           WorkerEpoch // zero when there was no other worker
+	Term             units.Term
+	Expired          bool
+	Left             bool
+	EpochFloor       units.Epoch  // epochs at or below have ended
+	RegisteredOffset units.Offset // of the newest epoch
+	LessorOffset     units.Offset // where the current lessor was recorded
+	EndOffset        units.Offset // 0 while the registration holds
 }
 
 // Holds reports whether the newest epoch of the worker is in force.
-func (w *Worker) Holds() bool { return !w.Expired && !w.Left }
+func (w *Worker) Active() bool { return !w.Expired && !w.Left }
 
 // Holder returns the newest epoch of the worker.
 func (w *Worker) WorkerEpoch() WorkerEpoch { return WorkerEpoch{w.ID, w.Epoch} }
@@ -153,7 +153,7 @@
 // EndedEpoch reports whether the epoch of the worker is known to have ended, so
 // that its tasks may be released. It is false for an epoch that is not yet
 // registered here: the two streams are followed independently.
-func (r *Roster) EndedEpoch(id units.WorkerID, epoch units.Epoch) bool {
+func (r *Roster) EpochEnded(id units.WorkerID, epoch units.Epoch) bool {
 	w := r.workers[id]
 	return w != nil && epoch <= w.EpochFloor
 }
@@ -167,23 +167,23 @@
 // which offset both facts were recorded. After L plus the margin since a
 // process applied that offset, it may record the expiry with the current term,
 // unless the worker has changed its lessor or left.
-func (r *Roster) ChainExpirable(id units.WorkerID) (units.Offset, bool) {
+func (r *Roster) ExpirableSince(id units.WorkerID) (units.Offset, bool) {
 	w := r.workers[id]
-	if w == nil || !w.Holds() || w.Lessor == (WorkerEpoch{}) {
+	if w == nil || !w.Active() || w.Lessor == (WorkerEpoch{}) {
 		return 0, false
 	}
 	lessor := r.workers[w.Lessor.Worker]
 	if lessor == nil { // dropped long after it ended
-		return w.LessorSince, true
+		return w.LessorOffset, true
 	}
 	if w.Lessor.Epoch > lessor.EpochFloor {
 		return 0, false
 	}
-	at := lessor.EndedAt
-	if lessor.Holds() {
-		at = lessor.Registered // replaced by a higher epoch
+	at := lessor.EndOffset
+	if lessor.Active() {
+		at = lessor.RegisteredOffset // replaced by a higher epoch
 	}
-	return max(at, w.LessorSince), true
+	return max(at, w.LessorOffset), true
 }
 
 // Rejections returns how many entries had no effect, by reason.
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -37,15 +37,15 @@
 	}{
 		{EncodeLeaseExpired(b, 1), ReasonTerm},                                          // recorded by the earlier lessor
 		{EncodeLessorChanged(b, 2, a), ReasonTerm},                                      // lost the race
-		{EncodeLessorChanged(b, 3, b), ReasonLessor},                                    // itself
-		{EncodeLessorChanged(b, 3, WorkerEpoch{"a", 9}), ReasonLessor},                  // not registered
+		{EncodeLessorChanged(b, 3, b), ReasonInvalidLessor},                             // itself
+		{EncodeLessorChanged(b, 3, WorkerEpoch{"a", 9}), ReasonInvalidLessor},           // not registered
 		{EncodeRegistered(worker("b", 1, "d2", "r2", a)), ReasonOldEpoch},               // repeated
 		{EncodeRegistered(worker("b", 2, "d2", "r2", a)), ""},                           // restarted agent
 		{EncodeLeaseExpired(b, 2), ReasonOldEpoch},                                      // of the earlier epoch
 		{EncodeLeaseExpired(WorkerEpoch{"b", 2}, 1), ""},                                // now valid
 		{EncodeLeft(WorkerEpoch{"b", 2}), ReasonEnded},                                  // ended once
 		{EncodeLessorChanged(WorkerEpoch{"b", 2}, 2, c), ReasonEnded},                   // cannot come back
-		{EncodeLessorChanged(c, 2, WorkerEpoch{"b", 2}), ReasonLessor},                  // lessor has ended
+		{EncodeLessorChanged(c, 2, WorkerEpoch{"b", 2}), ReasonInvalidLessor},           // lessor has ended
 		{EncodeLeaseExpired(WorkerEpoch{"x", 1}, 1), ReasonUnknownWorker},               // never registered
 		{EncodeRegistered(worker("b", 3, "d2", "r2", WorkerEpoch{"c", 1})), Reason("")}, // the worker returns
 	}
@@ -57,7 +57,7 @@
 			t.Errorf("step %d: got reason %q, want %q", i, got, s.want)
 		}
 	}
-	if !r.EndedEpoch("b", 2) || r.EndedEpoch("b", 3) || r.EndedEpoch("x", 1) {
+	if !r.EpochEnded("b", 2) || r.EpochEnded("b", 3) || r.EpochEnded("x", 1) {
 		t.Error("ended epochs are wrong")
 	}
 	if got := fmt.Sprint(r.Lessees(c), r.Lessees(a)); got != "[b] [c]" {
@@ -70,16 +70,16 @@
 func TestChain(t *testing.T) {
 	r := New()
 	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})), EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})))
-	if _, ok := r.ChainExpirable("b"); ok {
+	if _, ok := r.ExpirableSince("b"); ok {
 		t.Error("expirable while the lessor holds")
 	}
 	_ = r.Apply(7, EncodeLeaseExpired(WorkerEpoch{"a", 1}, 1))
-	if at, ok := r.ChainExpirable("b"); !ok || at != 7 {
+	if at, ok := r.ExpirableSince("b"); !ok || at != 7 {
 		t.Errorf("got %d, %v, want expirable since 7", at, ok)
 	}
 	_ = r.Apply(8, EncodeRegistered(worker("a", 2, "d1", "r1", WorkerEpoch{"b", 1})))
 	_ = r.Apply(9, EncodeLessorChanged(WorkerEpoch{"b", 1}, 2, WorkerEpoch{"a", 2}))
-	if _, ok := r.ChainExpirable("b"); ok {
+	if _, ok := r.ExpirableSince("b"); ok {
 		t.Error("expirable after the lessor changed")
 	}
 }
@@ -91,7 +91,7 @@
 	offset := units.Offset(0)
 	for i := range 33 {
 		domain := fmt.Sprint("d", i%3)
-		id, place := fmt.Sprint("w", i), Place{units.DomainName(domain), "", "pwani"}
+		id, place := fmt.Sprint("w", i), Location{units.DomainName(domain), "", "pwani"}
 		lessor, _ := r.ChooseLessor(units.WorkerID(id), place, nil)
 		offset++
 		if err := r.Apply(offset, EncodeRegistered(worker(id, 1, domain, "", lessor))); err != nil {
@@ -109,7 +109,7 @@
 	if most > 3 {
 		t.Errorf("one lessor has %d lessees, want at most 3", most)
 	}
-	got, ok := r.ChooseLessor("new", Place{"d1", "", "pwani"}, func(h WorkerEpoch) bool { return h.Worker == "w1" || h.Worker == "w4" })
+	got, ok := r.ChooseLessor("new", Location{"d1", "", "pwani"}, func(h WorkerEpoch) bool { return h.Worker == "w1" || h.Worker == "w4" })
 	if !ok || (got.Worker != "w1" && got.Worker != "w4") {
 		t.Errorf("got %v, want one of the two that are usable", got)
 	}
@@ -125,7 +125,7 @@
 	l.Update(r, start)
 	_ = r.Apply(5, EncodeEntryAnnounced(Entry{ID: "e1"}))
 	l.Update(r, start.Add(10*time.Second))
-	if live := l.Live(r, start.Add(20*time.Second)); len(live) != 1 || live[0].ID != "e1" {
+	if live := l.LiveEntries(r, start.Add(20*time.Second)); len(live) != 1 || live[0].ID != "e1" {
 		t.Errorf("got live entries %v, want e1", live)
 	}
 	for i := range 2 * MaxEntries {
@@ -166,8 +166,8 @@
 		t.Error("restored state and folded state encode differently")
 	}
 	for _, bad := range [][]byte{{0xff}, got[:len(got)-1]} {
-		if err := restored.Restore(bad); !fault.Is(err, BadState) {
-			t.Errorf("got error %v, want kind %q", err, BadState)
+		if err := restored.Restore(bad); !fault.Is(err, BadSnapshot) {
+			t.Errorf("got error %v, want kind %q", err, BadSnapshot)
 		}
 	}
 	if err := r.Apply(21, []byte{1, 2}); !fault.Is(err, Malformed) {
--- a/internal/roster/rules.go
+++ b/internal/roster/rules.go
@@ -73,7 +73,7 @@
 	}
 	var oldest *Entry
 	for _, e := range r.entries {
-		if oldest == nil || e.Announced < oldest.Announced || (e.Announced == oldest.Announced && e.ID < oldest.ID) {
+		if oldest == nil || e.AnnouncedOffset < oldest.AnnouncedOffset || (e.AnnouncedOffset == oldest.AnnouncedOffset && e.ID < oldest.ID) {
 			oldest = e
 		}
 	}
@@ -104,19 +104,19 @@
 	if old != nil && epoch <= max(old.Epoch, old.EpochFloor) {
 		return ReasonOldEpoch, nil
 	}
-	if old == nil && len(r.workers)-r.ended >= MaxWorkers {
-		return "", fmt.Errorf("registered: more than %d workers", MaxWorkers)
+	if old == nil && len(r.workers)-r.ended >= MaxActiveWorkers {
+		return "", fmt.Errorf("registered: more than %d workers", MaxActiveWorkers)
 	}
 	lessor := holder(m.GetLessor(), m.GetLessorEpoch())
 	if lessor != (WorkerEpoch{}) && !r.mayLease(lessor, id) {
-		return ReasonLessor, nil
+		return ReasonInvalidLessor, nil
 	}
 	w := &Worker{ID: id, Epoch: epoch, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()),
 		Region: units.RegionName(m.GetRegion()), LinkAddress: m.GetLinkAddress(), Capacity: capacity,
-		Lessor: lessor, Term: 1, Registered: offset, LessorSince: offset,
+		Lessor: lessor, Term: 1, RegisteredOffset: offset, LessorOffset: offset,
 		EpochFloor: epoch - 1} // ends every lower epoch, also those that never registered
 	if old != nil {
-		if old.Holds() {
+		if old.Active() {
 			r.unlease(old)
 		} else {
 			r.ended--
@@ -131,7 +131,7 @@
 // that has ended would grant nothing and could record no expiry.
 func (r *Roster) mayLease(lessor WorkerEpoch, lessee units.WorkerID) bool {
 	w := r.workers[lessor.Worker]
-	return lessor.Worker != lessee && w != nil && w.Epoch == lessor.Epoch && w.Holds()
+	return lessor.Worker != lessee && w != nil && w.Epoch == lessor.Epoch && w.Active()
 }
 
 // current returns the row if h is its epoch in force.
@@ -142,7 +142,7 @@
 		return nil, ReasonUnknownWorker
 	case h.Epoch < w.Epoch:
 		return nil, ReasonOldEpoch
-	case !w.Holds():
+	case !w.Active():
 		return nil, ReasonEnded
 	}
 	return w, ""
@@ -156,10 +156,10 @@
 	case term != w.Term+1:
 		return ReasonTerm
 	case !r.mayLease(lessor, w.ID):
-		return ReasonLessor
+		return ReasonInvalidLessor
 	}
 	r.unlease(w)
-	w.Lessor, w.Term, w.LessorSince = lessor, term, offset
+	w.Lessor, w.Term, w.LessorOffset = lessor, term, offset
 	r.lease(w)
 	return ""
 }
@@ -189,13 +189,13 @@
 
 func (r *Roster) end(w *Worker, offset units.Offset) {
 	r.unlease(w)
-	w.EpochFloor, w.EndedAt = w.Epoch, offset
-	if r.ended++; r.ended <= MaxEnded {
+	w.EpochFloor, w.EndOffset = w.Epoch, offset
+	if r.ended++; r.ended <= MaxEndedWorkers {
 		return
 	}
 	var oldest *Worker
 	for _, w := range r.workers {
-		if !w.Holds() && (oldest == nil || w.EndedAt < oldest.EndedAt || (w.EndedAt == oldest.EndedAt && w.ID < oldest.ID)) {
+		if !w.Active() && (oldest == nil || w.EndOffset < oldest.EndOffset || (w.EndOffset == oldest.EndOffset && w.ID < oldest.ID)) {
 			oldest = w
 		}
 	}
--- a/internal/roster/snapshot.go
+++ b/internal/roster/snapshot.go
@@ -16,20 +16,20 @@
 	for _, e := range r.Entries() {
 		s.Entries = append(s.Entries, &wire.EntryAnnounced{Entry: string(e.ID), LinkAddress: e.LinkAddress,
 			FailureDomain: string(e.Domain), Region: string(e.Region)})
-		s.AnnouncedOffsets = append(s.AnnouncedOffsets, uint64(e.Announced))
+		s.AnnouncedOffsets = append(s.AnnouncedOffsets, uint64(e.AnnouncedOffset))
 	}
 	for _, w := range r.Workers() {
 		s.Workers = append(s.Workers, &wire.RosterWorker{
 			Registration: registration(&w), Term: uint64(w.Term), Expired: w.Expired, Left: w.Left,
-			EpochFloor: uint64(w.EpochFloor), RegisteredOffset: uint64(w.Registered),
-			LessorOffset: uint64(w.LessorSince), EndedOffset: uint64(w.EndedAt)})
+			EpochFloor: uint64(w.EpochFloor), RegisteredOffset: uint64(w.RegisteredOffset),
+			LessorOffset: uint64(w.LessorOffset), EndedOffset: uint64(w.EndOffset)})
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.rejections)) {
 		s.Rejections = append(s.Rejections, &wire.Rejections{Reason: string(reason), Count: r.rejections[reason]})
 	}
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
-		return nil, fault.Wrap("snapshot", BadState, err)
+		return nil, fault.Wrap("snapshot", BadSnapshot, err)
 	}
 	return b, nil
 }
@@ -45,30 +45,30 @@
 func (r *Roster) Restore(state []byte) error {
 	var s wire.RosterState
 	if err := proto.Unmarshal(state, &s); err != nil {
-		return fault.Wrap("restore", BadState, err)
+		return fault.Wrap("restore", BadSnapshot, err)
 	}
 	if len(s.GetAnnouncedOffsets()) != len(s.GetEntries()) {
-		return fault.New("restore", BadState, "%d entries, %d offsets", len(s.GetEntries()), len(s.GetAnnouncedOffsets()))
+		return fault.New("restore", BadSnapshot, "%d entries, %d offsets", len(s.GetEntries()), len(s.GetAnnouncedOffsets()))
 	}
 	n := New()
 	n.Observe = r.Observe
 	for i, e := range s.GetEntries() {
 		if err := n.announce(units.Offset(s.GetAnnouncedOffsets()[i]), e); err != nil {
-			return fault.Wrap("restore", BadState, err)
+			return fault.Wrap("restore", BadSnapshot, err)
 		}
 	}
 	for _, m := range s.GetWorkers() {
 		g := m.GetRegistration()
 		if g.GetWorker() == "" || g.GetEpoch() == 0 {
-			return fault.New("restore", BadState, "worker %q epoch %d", g.GetWorker(), g.GetEpoch())
+			return fault.New("restore", BadSnapshot, "worker %q epoch %d", g.GetWorker(), g.GetEpoch())
 		}
 		w := &Worker{ID: units.WorkerID(g.GetWorker()), Epoch: units.Epoch(g.GetEpoch()), Domain: units.DomainName(g.GetFailureDomain()),
 			Rack: units.RackName(g.GetRack()), Region: units.RegionName(g.GetRegion()), LinkAddress: g.GetLinkAddress(),
 			Capacity: g.GetCapacity().Units(), Lessor: holder(g.GetLessor(), g.GetLessorEpoch()), Term: units.Term(m.GetTerm()),
 			Expired: m.GetExpired(), Left: m.GetLeft(), EpochFloor: units.Epoch(m.GetEpochFloor()),
-			Registered: units.Offset(m.GetRegisteredOffset()), LessorSince: units.Offset(m.GetLessorOffset()), EndedAt: units.Offset(m.GetEndedOffset())}
+			RegisteredOffset: units.Offset(m.GetRegisteredOffset()), LessorOffset: units.Offset(m.GetLessorOffset()), EndOffset: units.Offset(m.GetEndedOffset())}
 		n.workers[w.ID] = w
-		if w.Holds() {
+		if w.Active() {
 			n.lease(w)
 		} else {
 			n.ended++
--- a/internal/timeline/causes.go
+++ b/internal/timeline/causes.go
@@ -9,13 +9,13 @@
 // Causes remembers the newest event about each subject, from this process or
 // another, so that the next event about the subject can name it as its cause.
 // It is safe for concurrent use; the zero value is ready.
-type Causes struct {
+type LatestEvents struct {
 	mu     sync.Mutex
 	latest map[string]string // subject to event id
 }
 
 // Note remembers that the event is the newest one about the subject.
-func (c *Causes) Note(subject, event string) {
+func (c *LatestEvents) Set(subject, event string) {
 	if subject == "" || event == "" {
 		return
 	}
@@ -28,7 +28,7 @@
 }
 
 // Latest returns the newest event about the subject, or "".
-func (c *Causes) Latest(subject string) string {
+func (c *LatestEvents) Get(subject string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.latest[subject]
--- a/internal/timeline/collector.go
+++ b/internal/timeline/collector.go
@@ -85,7 +85,7 @@
 }
 
 // Acknowledged returns the highest sequence kept of a process.
-func (c *Collector) Acknowledged(process string) uint64 {
+func (c *Collector) LastSequence(process string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.processes[process]; h != nil {
--- a/internal/timeline/recorder.go
+++ b/internal/timeline/recorder.go
@@ -50,7 +50,7 @@
 func (r *Recorder) place(sequence uint64) int { return int((sequence - 1) % uint64(cap(r.ring))) }
 
 // Clock advances the clock and returns it, to be sent with a message.
-func (r *Recorder) Clock() int64 {
+func (r *Recorder) AdvanceClock() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int64(r.tick())
@@ -63,7 +63,7 @@
 
 // Observe takes over the clock of a received message, so that events recorded
 // from now on come after those of its sender.
-func (r *Recorder) Observe(clock int64) {
+func (r *Recorder) UpdateClock(clock int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if limit := clockOf(r.now().Add(maxAhead)); Clock(clock) <= limit {
@@ -73,7 +73,7 @@
 
 // After returns at most limit events with a higher sequence, oldest first.
 // Events that the ring has overwritten are missing.
-func (r *Recorder) After(sequence uint64, limit int) []Event {
+func (r *Recorder) EventsAfter(sequence uint64, limit int) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	oldest := r.sequence - uint64(len(r.ring))
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -30,13 +30,13 @@
 	entry := NewRecorder("entry-1", 10, fixedNow)
 	agent := NewRecorder("agent-1", 10, func() time.Time { return fixedNow().Add(-30 * time.Second) })
 	cause := entry.Record("entry", "launch", "job/0", "", "")
-	agent.Observe(entry.Clock())
+	agent.UpdateClock(entry.AdvanceClock())
 	agent.Record("worker", "start", "job/0", "", cause)
-	if got, first := agent.After(0, 1)[0].Clock, entry.After(0, 1)[0].Clock; got <= first {
+	if got, first := agent.EventsAfter(0, 1)[0].Clock, entry.EventsAfter(0, 1)[0].Clock; got <= first {
 		t.Errorf("got clock %d of the effect, want more than %d", got, first)
 	}
-	agent.Observe(int64(clockOf(fixedNow().Add(time.Hour))))
-	if got := Clock(agent.Clock()).Time(); got.After(fixedNow().Add(time.Minute)) {
+	agent.UpdateClock(int64(clockOf(fixedNow().Add(time.Hour))))
+	if got := Clock(agent.AdvanceClock()).Time(); got.After(fixedNow().Add(time.Minute)) {
 		t.Errorf("got clock %v after a wrong received clock, want it ignored", got)
 	}
 }
@@ -47,13 +47,13 @@
 	for i := 1; i <= 5; i++ {
 		r.Record("worker", "tick", "w", fmt.Sprint(i), "")
 	}
-	if got := texts(r.After(0, 10)); got != "3 4 5" {
+	if got := texts(r.EventsAfter(0, 10)); got != "3 4 5" {
 		t.Errorf("got %q, want the newest three", got)
 	}
-	if got := texts(r.After(3, 1)); got != "4" {
+	if got := texts(r.EventsAfter(3, 1)); got != "4" {
 		t.Errorf("got %q, want 4", got)
 	}
-	if got := r.After(9, 10); got != nil {
+	if got := r.EventsAfter(9, 10); got != nil {
 		t.Errorf("got %v after the newest, want none", got)
 	}
 }
@@ -65,8 +65,8 @@
 	r := NewRecorder("agent-1", 100, fixedNow)
 	for i := 1; i <= 50; i++ {
 		r.Record("worker", "tick", "w", fmt.Sprint(i), "")
-		c.Add(r.After(0, 100)...)
-		c.Add(r.After(0, 100)...)
+		c.Add(r.EventsAfter(0, 100)...)
+		c.Add(r.EventsAfter(0, 100)...)
 	}
 	events := c.Events(nil, 0)
 	if len(events) > 20 || len(events) < 10 {
@@ -77,7 +77,7 @@
 			t.Errorf("got sequence %d after %d", events[i].Sequence, events[i-1].Sequence)
 		}
 	}
-	if got := c.Acknowledged("agent-1"); got != 50 {
+	if got := c.LastSequence("agent-1"); got != 50 {
 		t.Errorf("got acknowledged %d, want 50", got)
 	}
 	for i := range maxProcesses + 100 {
--- a/internal/trial/fixture.go
+++ b/internal/trial/fixture.go
@@ -185,12 +185,12 @@
 	for _, m := range x.machines {
 		if m.seen.ID != "" {
 			w := m.seen
-			w.Age, w.Session = x.elapsed-m.seenAt, m.alive
+			w.HeartbeatAge, w.HasSession = x.elapsed-m.seenAt, m.alive
 			x.rows = append(x.rows, w)
 		}
 	}
 	in := dispatch.Input{Now: time.Unix(0, 0).Add(x.elapsed), Ledger: x.l, Document: x.doc, Workers: x.rows,
-		LogReachable: x.logUp(), Ended: func(h ledger.WorkerEpoch) bool { return x.ended[h] }}
+		LogReachable: x.logUp(), EpochEnded: func(h ledger.WorkerEpoch) bool { return x.ended[h] }}
 	if x.version == Product {
 		in.Interference = x.learned.table
 	}
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -74,7 +74,7 @@
 		return // unanswered; the end of the epoch releases it
 	}
 	j := x.l.Job(p.Task.Job)
-	if j == nil || j.Ended != 0 {
+	if j == nil || j.EndSequence != 0 {
 		return
 	}
 	if p.MayEvict {
@@ -91,7 +91,7 @@
 	}
 	s := x.jobs[p.Task.Job]
 	m.running = append(m.running, &attempt{task: p.Task, attempt: p.Attempt, spec: s, committed: p.Committed,
-		priority: j.Launch(p.Task.Index).GetPriority().Units(), done: x.saved[p.Task], throttle: 1})
+		priority: j.LaunchSpec(p.Task.Index).GetPriority().Units(), done: x.saved[p.Task], throttle: 1})
 	m.reports = append(m.reports, ledger.EncodeStarted(p.Task, p.Attempt))
 	if s.urgent {
 		x.m.urgent = max(x.m.urgent, x.elapsed-s.at)
@@ -166,7 +166,7 @@
 
 func (m *machine) fail(x *fixture, a *attempt, reason string) {
 	x.m.failures++
-	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, IsFailure: true}))
+	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, CountsAsFailure: true}))
 }
 
 // kill ends the attempt that exceeds its committed memory most.
@@ -232,7 +232,7 @@
 		}
 	}
 	m.seen = dispatch.Worker{ID: m.id, Epoch: m.epoch, Domain: m.domain, Rack: m.rack, Region: "region", Capacity: x.firm.Capacity,
-		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, Busy: x.requests(m), Session: true, Draining: m.leaving}
+		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, EndpointLoad: x.requests(m), HasSession: true, Draining: m.leaving}
 	m.seenAt = x.elapsed
 }
 
--- a/internal/trial/naive.go
+++ b/internal/trial/naive.go
@@ -57,7 +57,7 @@
 	for range rooms {
 		n.next = (n.next + 1) % len(rooms)
 		w := in.Workers[n.next]
-		if !j.Size.Fits(rooms[n.next]) || in.Document.DomainIsOut(w.Domain) || !w.Session {
+		if !j.Size.Fits(rooms[n.next]) || in.Document.DomainIsOut(w.Domain) || !w.HasSession {
 			continue
 		}
 		rooms[n.next] = rooms[n.next].Sub(j.Size)
@@ -70,7 +70,7 @@
 func (n *naive) release(in dispatch.Input) []dispatch.Proposal {
 	var out []dispatch.Proposal
 	for h := range in.Ledger.WorkerEpochs() {
-		if !in.Ended(h) {
+		if !in.EpochEnded(h) {
 			continue
 		}
 		for _, task := range in.Ledger.TasksOn(h) {
