--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -113,39 +113,39 @@
 	// Stats describes the last tick.
 	Stats Stats
 
-	in        Input
-	rows      []row
-	byWorker  map[units.WorkerID]int32
-	eligible  []int32
-	roomy     []int32           // of eligible, those that are not full
-	sizes     []units.Resources // distinct capacities
-	noRoom    []shortage
-	proposals []Proposal
-	budget    int
-
-	policy    policy
-	teams     []teamRow
-	inFlight  map[units.Task]flight
-	retries   map[units.Task]retry
-	unplaced  map[units.Task]time.Time
-	released  map[TaskAttempt]time.Time
-	spreadJob *ledger.Job
-	spread    *placed // of spreadJob
-	scans     int
-	visits    int                // of jobs, that a walk may make
-	perTeam   int                // tasks of a team that may find no worker
-	started   bool               // the last tick assigned something
-	windows   [2]units.Resources // smallest batch assigned, this window and the last
-	windowAt  time.Time
-	missed    units.Priority // highest that found no worker in the tick
-	reserved  map[units.WorkerID]reservation
-	history   map[units.WorkerID]*history
-	suspects  map[units.WorkerID]*suspect
-	learned   map[units.JobKind]learnedSize
-	outage    outage
-	tickCount uint64
-	preempts  int
-	reclaims  int
+	input         Input
+	rows          []workerRow
+	byWorker      map[units.WorkerID]int32
+	eligible      []int32
+	available     []int32           // of eligible, those that are not full
+	capacities    []units.Resources // distinct capacities
+	noCapacityFor []unplaceableSize
+	proposals     []Proposal
+	startsLeft    int
+
+	policy           policy
+	teams            []teamRow
+	inFlight         map[units.Task]inFlightProposal
+	retries          map[units.Task]retryState
+	unplacedSince    map[units.Task]time.Time
+	proposedReleases map[TaskAttempt]time.Time
+	spreadCountsJob  *ledger.Job
+	spreadCounts     *spreadCount // of spreadJob
+	scans            int
+	jobVisitLimit    int                // of jobs, that a walk may make
+	teamMissLimit    int                // tasks of a team that may find no worker
+	assignedLastTick bool               // the last tick assigned something
+	smallestAssigned [2]units.Resources // smallest batch assigned, this window and the last
+	windowStart      time.Time
+	highestUnplaced  units.Priority // highest that found no worker in the tick
+	reservations     map[units.WorkerID]reservation
+	usableHistories  map[units.WorkerID]*usableHistory
+	suspects         map[units.WorkerID]*suspect
+	learnedSizes     map[units.JobKind]learnedSize
+	logOutage        logOutageState
+	tickCount        uint64
+	preemptions      int
+	reclaims         int
 }
 
 // DefaultStartsPerTick is 980 starts/s at 20 ticks/s with a fifth to spare.
@@ -154,16 +154,16 @@
 // New returns a dispatcher that draws from random.
 func New(random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
-		Random:   random,
-		byWorker: map[units.WorkerID]int32{},
-		inFlight: map[units.Task]flight{},
-		retries:  map[units.Task]retry{},
-		unplaced: map[units.Task]time.Time{},
-		released: map[TaskAttempt]time.Time{},
-		reserved: map[units.WorkerID]reservation{},
-		history:  map[units.WorkerID]*history{},
-		suspects: map[units.WorkerID]*suspect{},
-		learned:  map[units.JobKind]learnedSize{},
+		Random:           random,
+		byWorker:         map[units.WorkerID]int32{},
+		inFlight:         map[units.Task]inFlightProposal{},
+		retries:          map[units.Task]retryState{},
+		unplacedSince:    map[units.Task]time.Time{},
+		proposedReleases: map[TaskAttempt]time.Time{},
+		reservations:     map[units.WorkerID]reservation{},
+		usableHistories:  map[units.WorkerID]*usableHistory{},
+		suspects:         map[units.WorkerID]*suspect{},
+		learnedSizes:     map[units.JobKind]learnedSize{},
 	}
 }
 
@@ -171,32 +171,34 @@
 // until the next Tick. While the log is unreachable there are none, because
 // nothing could be recorded.
 func (d *Dispatcher) Tick(in Input) []Proposal {
-	d.in, d.Stats, d.proposals = in, Stats{}, d.proposals[:0]
+	d.input, d.Stats, d.proposals = in, Stats{}, d.proposals[:0]
 	d.tickCount++
-	d.outage.update(in.LogReachable, in.Now)
+	d.logOutage.update(in.LogReachable, in.Now)
 	if !in.LogReachable {
 		return nil
 	}
 	d.policy.update(in.Document)
-	d.buildRows()
-	d.settleInFlight()
-	d.findRoom()
-	d.budget = d.startBudget()
-	d.releaseEnded()
-	if !d.anythingWaiting() {
+	d.buildWorkerRows()
+	d.pruneInFlight()
+	d.listAvailable()
+	d.startsLeft = d.startBudget()
+	d.releaseEndedEpochs()
+	if !d.hasWaitingTasks() {
 		return d.proposals
 	}
-	d.noRoom, d.preempts, d.reclaims, d.scans = d.noRoom[:0], 0, 0, 0
-	d.spreadJob, d.spread, d.missed = nil, nil, 0
-	d.buildTeams()
-	d.settleReservations()
-	d.order()
+	d.noCapacityFor, d.preemptions, d.reclaims, d.scans = d.noCapacityFor[:0], 0, 0, 0
+	d.spreadCountsJob, d.spreadCounts, d.highestUnplaced = nil, nil, 0
+	d.buildTeamRows()
+	d.pruneReservations()
+	d.placeWaitingTasks()
 	return d.proposals
 }
 
-func (d *Dispatcher) anythingWaiting() bool {
-	_, waiting, _ := d.in.Ledger.Counts()
+func (d *Dispatcher) hasWaitingTasks() bool {
+	_, waiting, _ := d.input.Ledger.Counts()
 	return waiting > 0
 }
 
-func (d *Dispatcher) mine(job units.JobID) bool { return d.in.OwnsJob == nil || d.in.OwnsJob(job) }
+func (d *Dispatcher) ownsJob(job units.JobID) bool {
+	return d.input.OwnsJob == nil || d.input.OwnsJob(job)
+}
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -7,22 +7,22 @@
 
 // policy holds lookup tables of the document, rebuilt when it is replaced.
 type policy struct {
-	document *environment.Document
-	out      map[units.DomainName]bool // false for a domain in service, absent for an unknown one
-	drained  map[units.WorkerID]bool
-	teams    map[units.TeamName]environment.Team
-	services map[units.ServiceName]units.Resources
-	slowdown float64 // tolerated by the services of one worker together
+	document      *environment.Document
+	outOfService  map[units.DomainName]bool // false for a domain in service, absent for an unknown one
+	drained       map[units.WorkerID]bool
+	teams         map[units.TeamName]environment.Team
+	services      map[units.ServiceName]units.Resources
+	slowdownLimit float64 // tolerated by the services of one worker together
 }
 
 func (p *policy) update(doc *environment.Document) {
 	if p.document == doc {
 		return
 	}
-	*p = policy{document: doc, out: map[units.DomainName]bool{}, drained: map[units.WorkerID]bool{},
+	*p = policy{document: doc, outOfService: map[units.DomainName]bool{}, drained: map[units.WorkerID]bool{},
 		teams: map[units.TeamName]environment.Team{}, services: map[units.ServiceName]units.Resources{}}
 	for _, f := range doc.FailureDomains {
-		p.out[f.Name] = f.State == environment.DomainOut
+		p.outOfService[f.Name] = f.State == environment.DomainOut
 	}
 	for _, w := range doc.DrainedWorkers {
 		p.drained[w] = true
@@ -33,12 +33,12 @@
 	for _, s := range doc.Services {
 		p.services[s.Name] = s.PerEndpoint
 	}
-	p.slowdown = max(0, doc.Guards.LatencyRatio-1)
+	p.slowdownLimit = max(0, doc.Guards.LatencyRatio-1)
 }
 
 // inService reports whether tasks may start in the domain; one that the
 // document does not name counts as out.
 func (p *policy) inService(name units.DomainName) bool {
-	out, known := p.out[name]
+	out, known := p.outOfService[name]
 	return known && !out
 }
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxPreempts = 32 // of one tick; each costs the victims the work since their checkpoint
-	maxReclaims = 4
-	maxScans    = 256 // of all rows, in one tick
+	maxPreemptionsPerTick = 32 // of one tick; each costs the victims the work since their checkpoint
+	maxReclaimsPerTick    = 4
+	maxScansPerTick       = 256 // of all rows, in one tick
 	// reclaimAfter is how long work within its quota waits for room before
 	// borrowed work is evicted for it.
 	reclaimAfter = 2 * time.Second
@@ -21,17 +21,17 @@
 // preempt places urgent work on the worker where the least must be evicted.
 // It proposes at once: waiting for the evictions would cost another tick and
 // another append, and urgent work must start within 1.4 s.
-func (d *Dispatcher) preempt(q *request) bool {
-	if d.preempts >= maxPreempts || d.scans >= maxScans {
+func (d *Dispatcher) preempt(q *placementRequest) bool {
+	if d.preemptions >= maxPreemptionsPerTick || d.scans >= maxScansPerTick {
 		return false
 	}
 	d.scans++
-	var best *row
+	var best *workerRow
 	var least float64
 	for _, i := range d.eligible {
 		r := &d.rows[i]
 		d.Stats.WorkersScanned++
-		need := missing(q.size, r.free)
+		need := shortfall(q.size, r.free)
 		if r.probe || r.launching >= 2*maxLaunching || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
@@ -42,7 +42,7 @@
 	if best == nil {
 		return false
 	}
-	victims := d.victims(best, missing(q.size, best.free), func(j *ledger.Job, t *ledger.Task) bool {
+	victims := d.selectVictims(best, shortfall(q.size, best.free), func(j *ledger.Job, t *ledger.Task) bool {
 		return t.Borrowed || j.Priority < q.job.Priority
 	})
 	// Tasks that a restarted agent adopted are listed under its earlier epoch,
@@ -50,14 +50,14 @@
 	if victims == nil && q.job.Priority < units.PriorityUrgent {
 		return false
 	}
-	d.evict(q, best, victims)
+	d.assignWithEviction(q, best, victims)
 	return true
 }
 
 // reclaim takes back room from borrowed work for a task within its team's
 // quota that has waited.
-func (d *Dispatcher) reclaim(q *request) bool {
-	if !q.noRoom || d.reclaims >= maxReclaims || d.in.Now.Sub(d.unplaced[q.task()]) < reclaimAfter {
+func (d *Dispatcher) reclaim(q *placementRequest) bool {
+	if !q.noCapacity || d.reclaims >= maxReclaimsPerTick || d.input.Now.Sub(d.unplacedSince[q.task()]) < reclaimAfter {
 		return false
 	}
 	d.reclaims++
@@ -66,32 +66,32 @@
 	for range min(n, tries) {
 		r := &d.rows[d.eligible[d.Random.IntN(n)]]
 		d.Stats.WorkersScanned++
-		need := missing(q.size, r.free)
-		if r.probe || r.launching >= r.mayLaunch || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
+		need := shortfall(q.size, r.free)
+		if r.probe || r.launching >= r.launchLimit || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
 		if _, ok := d.cost(r, q); !ok {
 			continue
 		}
-		if v := d.victims(r, need, func(_ *ledger.Job, t *ledger.Task) bool { return t.Borrowed }); v != nil {
-			d.evict(q, r, v)
+		if v := d.selectVictims(r, need, func(_ *ledger.Job, t *ledger.Task) bool { return t.Borrowed }); v != nil {
+			d.assignWithEviction(q, r, v)
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Dispatcher) evict(q *request, r *row, victims []TaskAttempt) {
-	d.preempts++
+func (d *Dispatcher) assignWithEviction(q *placementRequest, r *workerRow, victims []TaskAttempt) {
+	d.preemptions++
 	d.Stats.Preemptions++
-	need := missing(q.size, r.free)
+	need := shortfall(q.size, r.free)
 	r.evictable = r.evictable.Sub(need)
 	d.assign(q, r, true, victims)
 	if victims == nil {
 		r.free = r.free.Add(need)
 	}
 	for _, v := range victims {
-		if t := d.in.Ledger.Task(v.Task); t != nil {
+		if t := d.input.Ledger.Task(v.Task); t != nil {
 			r.free = r.free.Add(t.Committed)
 		}
 	}
@@ -100,15 +100,15 @@
 // victims returns the batch tasks on the worker to evict for the need, or nil
 // when they do not suffice: borrowed work first, then the lowest priority, then
 // what started last and has the least to lose.
-func (d *Dispatcher) victims(r *row, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
+func (d *Dispatcher) selectVictims(r *workerRow, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
 	type candidate struct {
 		job  *ledger.Job
 		row  *ledger.Task
 		task units.Task
 	}
 	var all []candidate
-	for _, task := range d.in.Ledger.TasksOn(r.epoch) {
-		j, t := d.in.Ledger.Job(task.Job), d.in.Ledger.Task(task)
+	for _, task := range d.input.Ledger.TasksOn(r.epoch) {
+		j, t := d.input.Ledger.Job(task.Job), d.input.Ledger.Task(task)
 		if t.State == ledger.Running && !j.IsWatcher() && may(j, t) {
 			all = append(all, candidate{j, t, task})
 		}
@@ -135,7 +135,7 @@
 }
 
 // missing is what the room lacks for the size, in each dimension.
-func missing(size, room units.Resources) units.Resources {
+func shortfall(size, room units.Resources) units.Resources {
 	n := size.Sub(room)
 	return units.Resources{Processors: max(0, n.Processors), Memory: max(0, n.Memory), Accelerators: max(0, n.Accelerators)}
 }
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -7,12 +7,12 @@
 
 // teamRow is a team with work during one tick.
 type teamRow struct {
-	name    units.TeamName
-	quota   units.Resources
-	borrows bool
-	used    [units.PriorityUrgent + 1]units.Resources // open attempts and proposals in flight, by priority
-	share   float64                                   // dominant share of the quota
-	next    [units.PriorityUrgent + 1]cursor
+	name      units.TeamName
+	quota     units.Resources
+	mayBorrow bool
+	used      [units.PriorityUrgent + 1]units.Resources // open attempts and proposals in flight, by priority
+	share     float64                                   // dominant share of the quota
+	cursors   [units.PriorityUrgent + 1]cursor
 }
 
 // cursor is the place in a team's queue of one priority.
@@ -23,24 +23,24 @@
 }
 
 // buildTeams makes a row for every team that has jobs, sorted by name.
-func (d *Dispatcher) buildTeams() {
+func (d *Dispatcher) buildTeamRows() {
 	d.teams = d.teams[:0]
-	for _, name := range d.in.Ledger.Teams() {
+	for _, name := range d.input.Ledger.Teams() {
 		t := d.policy.teams[name] // unknown: no quota, so its work waits
-		row := teamRow{name: name, quota: t.Quota, borrows: t.MayBorrow, used: d.in.Ledger.TeamUsage(name)}
+		row := teamRow{name: name, quota: t.Quota, mayBorrow: t.MayBorrow, used: d.input.Ledger.TeamUsage(name)}
 		d.teams = append(d.teams, row)
 	}
 	for _, f := range d.inFlight {
-		if t := d.teamRow(f.team); t != nil {
+		if t := d.findTeam(f.team); t != nil {
 			t.used[f.priority] = t.used[f.priority].Add(f.size)
 		}
 	}
 	for i := range d.teams {
-		d.teams[i].share = dominantShare(d.teams[i].total(units.PriorityLow), d.teams[i].quota)
+		d.teams[i].share = dominantShare(d.teams[i].usageFrom(units.PriorityLow), d.teams[i].quota)
 	}
 }
 
-func (d *Dispatcher) teamRow(name units.TeamName) *teamRow {
+func (d *Dispatcher) findTeam(name units.TeamName) *teamRow {
 	for i := range d.teams {
 		if d.teams[i].name == name {
 			return &d.teams[i]
@@ -50,13 +50,13 @@
 }
 
 // charge adds a proposed attempt to the team's use.
-func (t *teamRow) charge(size units.Resources, p units.Priority) {
+func (t *teamRow) addUsage(size units.Resources, p units.Priority) {
 	t.used[p] = t.used[p].Add(size)
-	t.share = dominantShare(t.total(units.PriorityLow), t.quota)
+	t.share = dominantShare(t.usageFrom(units.PriorityLow), t.quota)
 }
 
 // total is what the team's work of a priority and above uses.
-func (t *teamRow) total(least units.Priority) units.Resources {
+func (t *teamRow) usageFrom(least units.Priority) units.Resources {
 	var sum units.Resources
 	for p := least; p <= units.PriorityUrgent; p++ {
 		sum = sum.Add(t.used[p])
@@ -67,8 +67,8 @@
 // within reports whether the size fits the quota beside the team's other work
 // of that priority and above. Lower work does not count, so that a team's
 // borrowed work cannot push its own urgent work over the quota.
-func (t *teamRow) within(size units.Resources, p units.Priority) bool {
-	return t.total(p).Add(size).Fits(t.quota)
+func (t *teamRow) withinQuota(size units.Resources, p units.Priority) bool {
+	return t.usageFrom(p).Add(size).Fits(t.quota)
 }
 
 // dominantShare is the largest used fraction of the quota in any dimension. A
@@ -93,6 +93,6 @@
 
 // neverWithin reports whether a single task exceeds the quota of a team that
 // may not borrow, so that it could never run.
-func neverWithin(size units.Resources, t environment.Team) bool {
+func alwaysOverQuota(size units.Resources, t environment.Team) bool {
 	return !t.MayBorrow && !size.Fits(t.Quota)
 }
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -9,69 +9,69 @@
 const (
 	// A task that has found no room for reserveAfter gets the next room on one
 	// worker, so that a stream of small tasks cannot starve a large one.
-	reserveAfter    = time.Minute
-	reservationFor  = 2 * time.Minute
-	maxReservations = 8
-	maxUnplaced     = 20_000
+	reserveAfter       = time.Minute
+	reservationTimeout = 2 * time.Minute
+	maxReservations    = 8
+	maxUnplacedTasks   = 20_000
 )
 
 // reservation keeps a worker free of other batch until the task fits.
 type reservation struct {
-	task  units.Task
-	until time.Time
+	task      units.Task
+	expiresAt time.Time
 }
 
 // miss notes that the task found no worker, and reserves one if it has waited
 // long enough for room. Interference may last; a reservation would not end it.
-func (d *Dispatcher) miss(q *request) {
+func (d *Dispatcher) recordUnplaced(q *placementRequest) {
 	// A task that higher priorities keep out does not wait for want of size.
-	d.missed = max(d.missed, q.job.Priority)
+	d.highestUnplaced = max(d.highestUnplaced, q.job.Priority)
 	task := q.task()
-	first, known := d.unplaced[task]
+	first, known := d.unplacedSince[task]
 	if !known {
-		if len(d.unplaced) < maxUnplaced {
-			d.unplaced[task] = d.in.Now
+		if len(d.unplacedSince) < maxUnplacedTasks {
+			d.unplacedSince[task] = d.input.Now
 		}
 		return
 	}
-	if !q.noRoom || !d.overtaken(q.size) || q.borrowed || q.job.Priority < d.missed || d.in.Now.Sub(first) < reserveAfter || len(d.reserved) >= min(maxReservations, len(d.eligible)/16+1) {
+	if !q.noCapacity || !d.smallerTasksPlaced(q.size) || q.overQuota || q.job.Priority < d.highestUnplaced || d.input.Now.Sub(first) < reserveAfter || len(d.reservations) >= min(maxReservations, len(d.eligible)/16+1) {
 		return
 	}
-	for _, r := range d.reserved {
+	for _, r := range d.reservations {
 		if r.task == task {
 			return
 		}
 	}
-	var best *row
+	var best *workerRow
 	var least float64
 	for _, i := range d.eligible {
 		r := &d.rows[i]
 		d.Stats.WorkersScanned++
-		if _, taken := d.reserved[r.ID]; taken || r.probe || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
+		if _, taken := d.reservations[r.ID]; taken || r.probe || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
 		if _, ok := d.cost(r, q); !ok {
 			continue
 		}
-		if c := dominantShare(missing(q.size, r.free), r.Capacity); best == nil || c < least {
+		if c := dominantShare(shortfall(q.size, r.free), r.Capacity); best == nil || c < least {
 			best, least = r, c
 		}
 	}
 	if best != nil {
-		d.reserved[best.ID] = reservation{task, d.in.Now.Add(reservationFor)}
+		d.reservations[best.ID] = reservation{task, d.input.Now.Add(reservationTimeout)}
 	}
 }
 
 // noteSmallest keeps the smallest batch size assigned in this window of
 // reserveAfter and the one before.
-func (d *Dispatcher) noteSmallest(q *request) {
-	if !q.batch() {
+func (d *Dispatcher) recordSmallestAssigned(q *placementRequest) {
+	if !q.isBatch() {
 		return
 	}
-	if d.in.Now.Sub(d.windowAt) >= reserveAfter {
-		d.windowAt, d.windows[1], d.windows[0] = d.in.Now, d.windows[0], units.Resources{}
+	if d.input.Now.Sub(d.windowStart) >= reserveAfter {
+		d.windowStart, d.smallestAssigned[1], d.smallestAssigned[0] = d.input.Now, d.smallestAssigned[0], units.Resources{}
 	}
-	if w := &d.windows[0]; w.IsZero() {
+	if w := &d.smallestAssigned[0]; w.IsZero() {
 		*w = q.size
 	} else {
 		*w = units.Resources{Processors: min(w.Processors, q.size.Processors), Memory: min(w.Memory, q.size.Memory),
@@ -80,8 +80,8 @@
 }
 
 // overtaken reports whether smaller tasks have found room lately.
-func (d *Dispatcher) overtaken(size units.Resources) bool {
-	for _, w := range d.windows {
+func (d *Dispatcher) smallerTasksPlaced(size units.Resources) bool {
+	for _, w := range d.smallestAssigned {
 		if !w.IsZero() && !size.Fits(w) {
 			return true
 		}
@@ -91,35 +91,35 @@
 
 // settleReservations drops those that are served, stale or on a worker that
 // may not be used.
-func (d *Dispatcher) settleReservations() {
-	for id, r := range d.reserved {
+func (d *Dispatcher) pruneReservations() {
+	for id, r := range d.reservations {
 		i, ok := d.byWorker[id]
-		t := d.in.Ledger.Task(r.task)
-		if !ok || !d.rows[i].ok || t == nil || !t.State.Waiting() || !d.in.Now.Before(r.until) {
-			delete(d.reserved, id)
+		t := d.input.Ledger.Task(r.task)
+		if !ok || !d.rows[i].eligible || t == nil || !t.State.Waiting() || !d.input.Now.Before(r.expiresAt) {
+			delete(d.reservations, id)
 		}
 	}
 }
 
 // serveReservations starts the tasks whose reserved worker has room now. They
 // may be far back in their queues, where a walk would not reach them.
-func (d *Dispatcher) serveReservations() {
+func (d *Dispatcher) placeReserved() {
 	for _, i := range d.eligible {
 		r := &d.rows[i]
-		s, taken := d.reserved[r.ID]
+		s, taken := d.reservations[r.ID]
 		if !taken {
 			continue
 		}
-		j := d.in.Ledger.Job(s.task.Job)
-		t := d.teamRow(j.Team)
-		if t == nil || !d.ready(j, s.task.Index) {
+		j := d.input.Ledger.Job(s.task.Job)
+		t := d.findTeam(j.Team)
+		if t == nil || !d.mayPropose(j, s.task.Index) {
 			continue
 		}
-		q := request{job: j, index: s.task.Index, team: t, size: d.size(j, &j.Tasks[s.task.Index])}
-		q.borrowed = !t.within(q.size, j.Priority)
+		q := placementRequest{job: j, index: s.task.Index, team: t, size: d.commitSize(j, &j.Tasks[s.task.Index])}
+		q.overQuota = !t.withinQuota(q.size, j.Priority)
 		switch _, ok := d.cost(r, &q); {
-		case !ok || (q.borrowed && !t.borrows):
-			delete(d.reserved, r.ID) // room is no longer all that it lacks
+		case !ok || (q.overQuota && !t.mayBorrow):
+			delete(d.reservations, r.ID) // room is no longer all that it lacks
 		case d.fits(r, &q):
 			d.assign(&q, r, false, nil)
 		}
@@ -128,10 +128,10 @@
 
 // mayUseReserved reports whether the worker is free of another task's
 // reservation. Urgent work and watchers do not wait for one.
-func (d *Dispatcher) mayUseReserved(r *row, q *request) bool {
-	if len(d.reserved) == 0 || !q.batch() {
+func (d *Dispatcher) reservationAllows(r *workerRow, q *placementRequest) bool {
+	if len(d.reservations) == 0 || !q.isBatch() {
 		return true
 	}
-	s, taken := d.reserved[r.ID]
+	s, taken := d.reservations[r.ID]
 	return !taken || s.task == q.task()
 }
--- a/internal/dispatch/size.go
+++ b/internal/dispatch/size.go
@@ -11,85 +11,85 @@
 	// learned size after one, half as much again after two, a fiftieth after ten.
 	// A declared size that is ten times too large would otherwise keep a kind
 	// from running often enough to be learned.
-	uncertainty = 2
+	learnedBandFactor = 2
 	// Processors can be shared for a moment and the tasks of a worker peak at
 	// different times, so the typical use is enough; memory cannot be shared,
 	// hence nearly the top plus one part in 16.
-	processorsPermille = 600
-	memoryPermille     = 970
-	memoryMargin       = 16
+	processorsPermille  = 600
+	memoryPermille      = 970
+	memoryMarginDivisor = 16
 	// Learned memory is never below this, for runs that are measured too early.
-	leastMemory = 64 * units.MiB
+	minLearnedMemory = 64 * units.MiB
 	// headroomShare of a worker's processors stays free of batch beside an
 	// endpoint, one part in so many: a request that arrives in a burst must not
 	// wait for a throttle to act. Above busySlots more is left, because the
 	// endpoint is about to exceed what it reserved.
-	headroomShare = 32
-	busySlots     = 0.75
+	headroomDivisor  = 32
+	highEndpointLoad = 0.75
 )
 
 // learnedSize caches the quantiles of a kind until it learns more.
 type learnedSize struct {
 	updated units.Offset
 	samples uint32
-	least   units.Resources
-	most    units.Resources
+	lower   units.Resources
+	upper   units.Resources
 }
 
 // size is what an attempt of the task commits.
-func (d *Dispatcher) size(j *ledger.Job, t *ledger.Task) units.Resources {
+func (d *Dispatcher) commitSize(j *ledger.Job, t *ledger.Task) units.Resources {
 	if j.IsWatcher() || j.JobKind == "" {
 		return j.Size
 	}
-	l := d.learnedSize(j.JobKind)
+	l := d.sizeOfKind(j.JobKind)
 	if l.samples == 0 {
 		return j.Size
 	}
-	s := larger(l.least, smaller(j.Size, l.most))
+	s := maxResources(l.lower, minResources(j.Size, l.upper))
 	if t.Failures > 0 { // it may have failed for want of memory
-		s = larger(s, j.Size)
+		s = maxResources(s, j.Size)
 	}
-	s = d.cap(s, j.Size)
+	s = d.capLearnedSize(s, j.Size)
 	s.Accelerators = j.Size.Accelerators // not learned: a task uses all or none
 	return s
 }
 
-func (d *Dispatcher) learnedSize(kind units.JobKind) learnedSize {
-	k := d.in.Ledger.KindUsage(kind)
+func (d *Dispatcher) sizeOfKind(kind units.JobKind) learnedSize {
+	k := d.input.Ledger.KindUsage(kind)
 	if k == nil {
 		return learnedSize{}
 	}
-	l, ok := d.learned[kind]
+	l, ok := d.learnedSizes[kind]
 	if ok && l.updated == k.UpdatedOffset {
 		return l
 	}
-	if len(d.learned) > 8192 {
-		clear(d.learned)
+	if len(d.learnedSizes) > 8192 {
+		clear(d.learnedSizes)
 	}
 	memory := units.Bytes(k.Memory.Quantile(memoryPermille)) * units.KiB
 	least := units.Resources{Processors: max(1, units.Millicores(k.Processors.Quantile(processorsPermille))),
-		Memory: max(leastMemory, memory+memory/memoryMargin)}
+		Memory: max(minLearnedMemory, memory+memory/memoryMarginDivisor)}
 	n := float64(max(1, k.Memory.Samples))
-	l = learnedSize{updated: k.UpdatedOffset, samples: k.Memory.Samples, least: least, most: scale(least, 1+uncertainty/(n*n))}
-	d.learned[kind] = l
+	l = learnedSize{updated: k.UpdatedOffset, samples: k.Memory.Samples, lower: least, upper: scaleResources(least, 1+learnedBandFactor/(n*n))}
+	d.learnedSizes[kind] = l
 	return l
 }
 
 // cap keeps a learned size within some worker, or at the declared size when
 // that is larger: a quantile rounded up must not make a task unplaceable.
-func (d *Dispatcher) cap(learned, declared units.Resources) units.Resources {
+func (d *Dispatcher) capLearnedSize(learned, declared units.Resources) units.Resources {
 	var most units.Resources
-	for _, s := range d.sizes {
-		most = larger(most, s)
+	for _, s := range d.capacities {
+		most = maxResources(most, s)
 	}
-	most = larger(most, declared)
+	most = maxResources(most, declared)
 	return units.Resources{Processors: min(learned.Processors, most.Processors), Memory: min(learned.Memory, most.Memory)}
 }
 
-func larger(a, b units.Resources) units.Resources {
+func maxResources(a, b units.Resources) units.Resources {
 	return units.Resources{Processors: max(a.Processors, b.Processors), Memory: max(a.Memory, b.Memory), Accelerators: max(a.Accelerators, b.Accelerators)}
 }
 
-func smaller(a, b units.Resources) units.Resources {
+func minResources(a, b units.Resources) units.Resources {
 	return units.Resources{Processors: min(a.Processors, b.Processors), Memory: min(a.Memory, b.Memory), Accelerators: min(a.Accelerators, b.Accelerators)}
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -7,10 +7,10 @@
 
 // maxSpread bounds the tasks of a job that are spread deliberately; larger
 // jobs spread by themselves, because workers are sampled at random.
-const maxSpread = 64
+const maxSpreadTasks = 64
 
 // placed counts where the other tasks of a job, or the other watchers, are.
-type placed struct {
+type spreadCount struct {
 	total   int
 	domains map[units.DomainName]int
 	racks   map[rackKey]int
@@ -23,7 +23,7 @@
 
 // cost grows with the share of the other tasks that the rack and the domain
 // hold already: losing either must lose as few as possible.
-func (p *placed) cost(r *row) float64 {
+func (p *spreadCount) cost(r *workerRow) float64 {
 	if p == nil || p.total == 0 {
 		return 0
 	}
@@ -31,7 +31,7 @@
 	return costRack*float64(p.racks[rackKey{r.Domain, r.Rack}])/n + costDomain*float64(p.domains[r.Domain])/n
 }
 
-func (p *placed) add(r *row) {
+func (p *spreadCount) add(r *workerRow) {
 	if p.domains == nil {
 		p.domains, p.racks = map[units.DomainName]int{}, map[rackKey]int{}
 	}
@@ -42,31 +42,31 @@
 
 // placedTasks counts the open tasks of a job; nil for one that has too many to
 // spread or only one.
-func (d *Dispatcher) placedTasks(j *ledger.Job) *placed {
-	if len(j.Tasks) < 2 || len(j.Tasks) > maxSpread {
+func (d *Dispatcher) countJobTasks(j *ledger.Job) *spreadCount {
+	if len(j.Tasks) < 2 || len(j.Tasks) > maxSpreadTasks {
 		return nil
 	}
-	if d.spreadJob == j {
-		return d.spread
+	if d.spreadCountsJob == j {
+		return d.spreadCounts
 	}
-	p := &placed{}
-	d.spreadJob, d.spread = j, p
+	p := &spreadCount{}
+	d.spreadCountsJob, d.spreadCounts = j, p
 	for i := range j.Tasks {
-		d.count(p, units.Task{Job: j.ID, Index: uint32(i)}, &j.Tasks[i])
+		d.countTask(p, units.Task{Job: j.ID, Index: uint32(i)}, &j.Tasks[i])
 	}
 	return p
 }
 
 // placedWatchers counts where the watchers are.
-func (d *Dispatcher) placedWatchers(watching []*ledger.Job) *placed {
-	p := &placed{}
+func (d *Dispatcher) countWatchers(watching []*ledger.Job) *spreadCount {
+	p := &spreadCount{}
 	for _, j := range watching {
-		d.count(p, units.Task{Job: j.ID}, &j.Tasks[0])
+		d.countTask(p, units.Task{Job: j.ID}, &j.Tasks[0])
 	}
 	return p
 }
 
-func (d *Dispatcher) count(p *placed, task units.Task, t *ledger.Task) {
+func (d *Dispatcher) countTask(p *spreadCount, task units.Task, t *ledger.Task) {
 	id := t.Worker
 	if !t.State.Open() {
 		f, proposed := d.inFlight[task]
@@ -80,7 +80,7 @@
 	}
 }
 
-func (d *Dispatcher) addPlaced(q *request, r *row) {
+func (d *Dispatcher) addToSpread(q *placementRequest, r *workerRow) {
 	if q.spread != nil {
 		q.spread.add(r)
 	}
--- a/internal/dispatch/impossible.go
+++ b/internal/dispatch/unplaceable.go
@@ -9,14 +9,14 @@
 // impossible returns why the job's tasks can never run, or "". A size that
 // the document's largest worker could hold waits, because such a worker may
 // return; one that exceeds it and every worker known does not.
-func (d *Dispatcher) impossible(j *ledger.Job) string {
-	if t, ok := d.policy.teams[j.Team]; ok && neverWithin(j.Size, t) {
+func (d *Dispatcher) unplaceableReason(j *ledger.Job) string {
+	if t, ok := d.policy.teams[j.Team]; ok && alwaysOverQuota(j.Size, t) {
 		return fmt.Sprintf("a task of %v exceeds the quota of team %q, which may not borrow", j.Size, j.Team)
 	}
-	if len(d.sizes) == 0 || j.Size.Fits(d.in.Document.LargestWorker) {
+	if len(d.capacities) == 0 || j.Size.Fits(d.input.Document.LargestWorker) {
 		return ""
 	}
-	for _, capacity := range d.sizes {
+	for _, capacity := range d.capacities {
 		if j.Size.Fits(capacity) {
 			return ""
 		}
