--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -10,9 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// BenchmarkTick measures one tick at 150 teams and 10 waiting tasks per
-// worker: full is a cluster without room, where every visit is a miss; busy
-// frees 49 tasks before each tick, the target of 980 starts/s.
+// BenchmarkTick measures one tick with 150 teams and 10 waiting tasks per worker.
+// With freed=0 the cluster is full and every visited task stays unplaced. With
+// freed=49 that many tasks end before each tick, which is the target of
+// 980 starts/s.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{100, 300, 1000} {
 		for _, freed := range []int{0, 49} {
@@ -24,7 +25,7 @@
 func benchmarkTick(b *testing.B, workers, freed int) {
 	f := newFixture(b, workers)
 	for i := range 150 {
-		f.doc.Teams = append(f.doc.Teams, environment.Team{Name: units.TeamName(fmt.Sprint("t", i)), Quota: cores(1e5)})
+		f.document.Teams = append(f.document.Teams, environment.Team{Name: units.TeamName(fmt.Sprint("t", i)), Quota: cores(1e5)})
 	}
 	for i := range workers * 18 {
 		f.submit(fmt.Sprint("j", i), fmt.Sprint("t", i%150), normal, 1, cores(4))
@@ -42,15 +43,15 @@
 	for b.Loop() {
 		b.StopTimer()
 		for range freed {
-			f.finish(running[next:next+1], func(p Proposal) []byte { return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{}) })
+			f.end(running[next:next+1], func(p Proposal) []byte { return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{}) })
 			next = (next + 1) % len(running)
 		}
 		f.now = f.now.Add(50 * time.Millisecond)
-		f.in.Now = f.now
+		f.input.Now = f.now
 		b.StartTimer()
-		proposals := f.d.Tick(f.in)
+		proposals := f.dispatcher.Tick(f.input)
 		b.StopTimer()
-		rows, jobs, assigned = rows+float64(f.d.Stats.WorkersScanned), jobs+float64(f.d.Stats.JobsVisited), assigned+float64(f.d.Stats.Assigned)
+		rows, jobs, assigned = rows+float64(f.dispatcher.Stats.WorkersScanned), jobs+float64(f.dispatcher.Stats.JobsVisited), assigned+float64(f.dispatcher.Stats.Assigned)
 		for _, p := range proposals {
 			f.apply(p.Encode())
 			f.apply(ledger.EncodeStarted(p.Task, p.Attempt))
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -6,20 +6,20 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Costs of placing a task on a worker. The load after placement is at most 1;
-// the others are set against it.
+// Costs of placing a task on a worker. They are relative to the worker's load
+// after placement, which is at most 1.
 const (
-	costAvoidThreshold  = 10.0 // at or above: taken only when nothing else has room
+	costAvoidThreshold  = 10.0 // workers at or above it are used only when no other has capacity
 	costPreviousFailure = 20.0
 	costExcessSlowdown  = 12.0
-	costAccelerator     = 10.0 // a worker with accelerators, for a task that asks for none
-	costPerSlowdown     = 4.0  // per unit of latency ratio added
-	costRack            = 1.0  // per other task of the job (or watcher) on the rack, as a share
-	costDomain          = 0.5
+	costAccelerator     = 10.0 // worker with accelerators for a task that requests none
+	costPerSlowdown     = 4.0  // per unit of added latency ratio
+	costRack            = 1.0  // times the share of the job's other tasks (or of the watchers) on the rack
+	costDomain          = 0.5  // times the same share for the failure domain
 )
 
-// cost rates a worker that has room; lower is better. It reports false for one
-// that must not be used.
+// cost returns the cost of the placement on a worker with free capacity; lower
+// is better. It returns false if the worker must not be used.
 func (d *Dispatcher) cost(r *workerRow, q *placementRequest) (float64, bool) {
 	after := r.Capacity.Sub(r.free).Add(q.size)
 	cost := dominantShare(after, r.Capacity)
@@ -30,7 +30,7 @@
 		cost += costPreviousFailure
 	}
 	if r.probe && (q.job.IsWatcher() || q.job.Priority >= units.PriorityHigh || q.taskRow().Failures > 0) {
-		return 0, false // a probe is a task that can afford to fail
+		return 0, false // a probe must be a task whose failure is tolerable
 	}
 	if !q.spreadLoaded {
 		if q.spreadLoaded = true; q.spread == nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch decides which task goes to which worker. Its systems are
-// functions over tables: every tick reads the ledger, the document and one row
-// per worker, and returns proposals. Nothing takes effect before the fold of
-// the jobs stream accepts it, so a proposal that loses does no harm.
+// Package dispatch assigns tasks to workers. Each tick reads the ledger, the
+// configuration document and one row per worker, and returns proposals to
+// append to the jobs stream. A proposal takes effect only when the ledger
+// accepts its entry, so a proposal that conflicts with another one is harmless.
 package dispatch
 
 import (
@@ -13,28 +13,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Worker is one row of the table of workers, made from its newest heartbeat.
+// Worker is the state of one worker according to its newest heartbeat.
 type Worker struct {
 	ID           units.WorkerID
-	Epoch        units.Epoch // 0 before the agent holds the worker
+	Epoch        units.Epoch // 0 until the agent has registered the worker
 	Domain       units.DomainName
 	Rack         units.RackName
 	Region       units.RegionName
 	Capacity     units.Resources
-	Committed    units.Resources // endpoints' reservations included
-	Evictable    units.Resources // committed by batch below urgent
+	Committed    units.Resources // includes the reservations of endpoints
+	Evictable    units.Resources // committed by batch tasks below urgent priority
 	Services     []units.ServiceName
-	EndpointLoad float64       // of the busiest endpoint beside it: busy and queued requests over slots
-	HeartbeatAge time.Duration // of the heartbeat
+	EndpointLoad float64 // of the busiest endpoint on the worker: running and queued requests divided by slots
+	HeartbeatAge time.Duration
 	Draining     bool
-	HasSession   bool // a launch can be delivered
+	HasSession   bool // launches can be delivered
 }
 
-// Interference holds how much a job kind slows a service beside it: the ratio
-// of latency with the kind running to latency without.
+// Interference is the slowdown that a job kind causes to a service on the same
+// worker: the ratio of latency with the kind running to latency without it.
 type Interference map[units.JobKind]map[units.ServiceName]float64
 
-// Input is what a tick reads.
+// Input is the data that a tick reads.
 type Input struct {
 	Now          time.Time
 	Ledger       *ledger.Ledger
@@ -42,46 +42,48 @@
 	Workers      []Worker // one row per worker, in any order
 	Interference Interference
 	LogReachable bool
-	// Mine reports whether this process dispatches the job; nil means all.
+	// OwnsJob reports whether this process dispatches the job; nil means all jobs.
 	OwnsJob func(units.JobID) bool
-	// Ended reports whether the worker epoch is recorded as ended; nil means none.
+	// EpochEnded reports whether the worker epoch is recorded as ended; nil means
+	// that none has ended.
 	EpochEnded func(ledger.WorkerEpoch) bool
-	// Dispatchers is how many processes share the limit of starts, 0 for one.
+	// DispatcherCount is the number of processes that share StartsPerTick; 0
+	// means one.
 	DispatcherCount int
 }
 
-// Action is what a proposal asks for.
+// Action is the kind of a proposal.
 type Action uint8
 
 // The actions.
 const (
 	Assign  Action = iota + 1
-	Release        // the attempt's worker epoch has ended
-	Fail           // the task is given up for good
+	Release        // the worker epoch of the attempt has ended
+	Fail           // the task fails permanently
 )
 
 // Proposal is one entry to append to the jobs stream.
 type Proposal struct {
 	Action      Action
 	Task        units.Task
-	Attempt     units.Attempt // the new one when assigning
+	Attempt     units.Attempt // for Assign, the new attempt
 	WorkerEpoch ledger.WorkerEpoch
 	Committed   units.Resources
-	Borrowed    bool // the team is over its quota
-	// MayEvict allows the agent to evict lower priorities for this launch;
-	// Victims are those that dispatch would choose, first to last.
+	Borrowed    bool // the attempt exceeds the team's quota
+	// MayEvict allows the agent to evict lower-priority tasks for this launch.
+	// Victims lists the preferred ones in order.
 	MayEvict bool
 	Victims  []TaskAttempt
 	Reason   string
 }
 
-// Victim is an attempt that may be evicted.
+// TaskAttempt identifies an attempt of a task.
 type TaskAttempt struct {
 	Task    units.Task
 	Attempt units.Attempt
 }
 
-// Encode returns the ledger entry of the proposal.
+// Encode returns the ledger entry for the proposal.
 func (p Proposal) Encode() []byte {
 	switch p.Action {
 	case Assign:
@@ -93,22 +95,23 @@
 	}
 }
 
-// Stats counts the work of one tick.
+// Stats counts the work done in one tick.
 type Stats struct {
 	JobsVisited    int
 	WorkersScanned int
 	Assigned       int
-	Unplaced       int // tasks that were visited and found no worker
+	Unplaced       int // visited tasks for which no worker was found
 	Preemptions    int
 }
 
-// Dispatcher holds what the systems remember between ticks. One goroutine
-// calls Tick.
+// Dispatcher holds the state kept between ticks. It is not safe for concurrent
+// use.
 type Dispatcher struct {
-	// Random decides samples and jitter; a fixed seed makes ticks repeatable.
+	// Random is the source for sampling and jitter; a fixed seed makes ticks
+	// reproducible.
 	Random *rand.Rand
-	// StartsPerTick bounds the starts of all dispatchers in one tick of 50 ms;
-	// 0 means DefaultStartsPerTick.
+	// StartsPerTick limits the starts of all dispatchers together in one tick of
+	// 50 ms; 0 means DefaultStartsPerTick.
 	StartsPerTick int
 	// Stats describes the last tick.
 	Stats Stats
@@ -117,8 +120,8 @@
 	rows          []workerRow
 	byWorker      map[units.WorkerID]int32
 	eligible      []int32
-	available     []int32           // of eligible, those that are not full
-	capacities    []units.Resources // distinct capacities
+	available     []int32           // eligible workers with free resources
+	capacities    []units.Resources // distinct capacities of the workers
 	noCapacityFor []unplaceableSize
 	proposals     []Proposal
 	startsLeft    int
@@ -130,14 +133,14 @@
 	unplacedSince    map[units.Task]time.Time
 	proposedReleases map[TaskAttempt]time.Time
 	spreadCountsJob  *ledger.Job
-	spreadCounts     *spreadCount // of spreadJob
-	scans            int
-	jobVisitLimit    int                // of jobs, that a walk may make
-	teamMissLimit    int                // tasks of a team that may find no worker
-	assignedLastTick bool               // the last tick assigned something
-	smallestAssigned [2]units.Resources // smallest batch assigned, this window and the last
+	spreadCounts     *spreadCount // of spreadCountsJob
+	scans            int          // searches over the workers in this tick
+	jobVisitLimit    int          // per walk
+	teamMissLimit    int          // unplaced tasks of a team after which a walk leaves its queue
+	assignedLastTick bool
+	smallestAssigned [2]units.Resources // smallest batch size assigned in the current and the previous window
 	windowStart      time.Time
-	highestUnplaced  units.Priority // highest that found no worker in the tick
+	highestUnplaced  units.Priority // highest priority of a task without a worker in this tick
 	reservations     map[units.WorkerID]reservation
 	usableHistories  map[units.WorkerID]*usableHistory
 	suspects         map[units.WorkerID]*suspect
@@ -148,10 +151,10 @@
 	reclaims         int
 }
 
-// DefaultStartsPerTick is 980 starts/s at 20 ticks/s with a fifth to spare.
+// DefaultStartsPerTick allows 980 starts/s at 20 ticks/s plus a fifth.
 const DefaultStartsPerTick = 60
 
-// New returns a dispatcher that draws from random.
+// New returns a dispatcher that uses random for sampling and jitter.
 func New(random *rand.Rand) *Dispatcher {
 	return &Dispatcher{
 		Random:           random,
@@ -167,9 +170,9 @@
 	}
 }
 
-// Tick runs every system once and returns the proposals. The slice is valid
-// until the next Tick. While the log is unreachable there are none, because
-// nothing could be recorded.
+// Tick returns the proposals for the input. The slice is valid until the next
+// call. While the log is unreachable Tick proposes nothing, because no proposal
+// could be recorded.
 func (d *Dispatcher) Tick(in Input) []Proposal {
 	d.input, d.Stats, d.proposals = in, Stats{}, d.proposals[:0]
 	d.tickCount++
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -12,33 +12,34 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// fixture is a ledger, a table of workers and a clock. Accepted assignments
+// fixture is a dispatcher with a ledger, workers and a clock. Assigned tasks
 // start at once.
 type fixture struct {
-	t      testing.TB
-	d      *Dispatcher
-	l      *ledger.Ledger
-	doc    *environment.Document
-	in     Input
-	offset units.Offset
-	now    time.Time
+	t          testing.TB
+	dispatcher *Dispatcher
+	ledger     *ledger.Ledger
+	document   *environment.Document
+	input      Input
+	offset     units.Offset
+	now        time.Time
 }
 
+// cores returns n cores with 2 GiB of memory each.
 func cores(n int64) units.Resources {
 	return units.Resources{Processors: units.Millicores(n * 1000), Memory: units.Bytes(n) * 2 * units.GiB}
 }
 
 func newFixture(t testing.TB, workers int) *fixture {
-	f := &fixture{t: t, d: New(rand.New(rand.NewPCG(1, 2))), l: ledger.New(), now: time.Unix(1000, 0), doc: &environment.Document{
+	f := &fixture{t: t, dispatcher: New(rand.New(rand.NewPCG(1, 2))), ledger: ledger.New(), now: time.Unix(1000, 0), document: &environment.Document{
 		Teams:    []environment.Team{{Name: "a", Quota: cores(1e5), MayBorrow: true}, {Name: "b", Quota: cores(1e5)}},
 		Services: []environment.Service{{Name: "desk", PerEndpoint: cores(8)}},
 		Guards:   environment.Guards{LatencyRatio: 1.2}, LargestWorker: cores(32)}}
 	for i := range 4 {
-		f.doc.FailureDomains = append(f.doc.FailureDomains, environment.FailureDomain{Name: units.DomainName(fmt.Sprint("d", i)), State: environment.DomainIn})
+		f.document.FailureDomains = append(f.document.FailureDomains, environment.FailureDomain{Name: units.DomainName(fmt.Sprint("d", i)), State: environment.DomainIn})
 	}
-	f.in = Input{Ledger: f.l, Document: f.doc, LogReachable: true}
+	f.input = Input{Ledger: f.ledger, Document: f.document, LogReachable: true}
 	for i := range workers {
-		f.in.Workers = append(f.in.Workers, Worker{ID: units.WorkerID(fmt.Sprint("w", i)), Epoch: 1, Domain: units.DomainName(fmt.Sprint("d", i%4)),
+		f.input.Workers = append(f.input.Workers, Worker{ID: units.WorkerID(fmt.Sprint("w", i)), Epoch: 1, Domain: units.DomainName(fmt.Sprint("d", i%4)),
 			Rack: units.RackName(fmt.Sprint("r", i/4%3)), Capacity: cores(32), HasSession: true})
 	}
 	return f
@@ -47,7 +48,7 @@
 func (f *fixture) apply(entry []byte) {
 	f.t.Helper()
 	f.offset++
-	if err := f.l.Apply(f.offset, entry); err != nil {
+	if err := f.ledger.Apply(f.offset, entry); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -62,13 +63,13 @@
 		Spec: &wire.TaskSpec{Kind: kind, Priority: p, JobKind: "kind-" + team, Size: wire.FromResources(size)}}))
 }
 
-// tick advances the clock by 50 ms and applies the proposals: assigned tasks
-// start and are committed at once.
+// tick advances the clock by 50 ms, runs the dispatcher and applies its
+// proposals. Assigned tasks start at once and are committed on their worker.
 func (f *fixture) tick() []Proposal {
 	f.t.Helper()
 	f.now = f.now.Add(50 * time.Millisecond)
-	f.in.Now = f.now
-	proposals := f.d.Tick(f.in)
+	f.input.Now = f.now
+	proposals := f.dispatcher.Tick(f.input)
 	for _, p := range proposals {
 		f.apply(p.Encode())
 		if p.Action == Assign {
@@ -81,16 +82,16 @@
 }
 
 func (f *fixture) worker(id units.WorkerID) *Worker {
-	for i := range f.in.Workers {
-		if f.in.Workers[i].ID == id {
-			return &f.in.Workers[i]
+	for i := range f.input.Workers {
+		if f.input.Workers[i].ID == id {
+			return &f.input.Workers[i]
 		}
 	}
 	f.t.Fatalf("no worker %q", id)
 	return nil
 }
 
-// run ticks until the duration is over and returns all proposals.
+// run ticks for the duration and returns all proposals.
 func (f *fixture) run(d time.Duration) []Proposal {
 	var all []Proposal
 	for range d / (50 * time.Millisecond) {
@@ -99,8 +100,8 @@
 	return all
 }
 
-// finish ends the attempt of every assignment.
-func (f *fixture) finish(proposals []Proposal, entry func(Proposal) []byte) {
+// end ends the attempt of every assignment with the entry and frees its resources.
+func (f *fixture) end(proposals []Proposal, entry func(Proposal) []byte) {
 	for _, p := range proposals {
 		if p.Action == Assign {
 			f.apply(entry(p))
@@ -110,11 +111,11 @@
 	}
 }
 
-func fails(p Proposal) []byte {
+func encodeFailure(p Proposal) []byte {
 	return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{Reason: "exit 1", CountsAsFailure: true})
 }
 
-func completes(used units.Resources) func(Proposal) []byte {
+func encodeCompletion(used units.Resources) func(Proposal) []byte {
 	return func(p Proposal) []byte {
 		return ledger.EncodeEnded(p.Task, p.Attempt, wire.Outcome_OUTCOME_COMPLETED, time.Second, used)
 	}
@@ -137,8 +138,9 @@
 	return n
 }
 
-// TestNeverOvercommits guards against a view that forgets its own proposals:
-// no worker may be given more than it has, with or without heartbeats between.
+// TestNeverOvercommits guards against overcommitted workers. They come about when
+// the dispatcher does not subtract its own proposals that heartbeats do not show
+// yet.
 func TestNeverOvercommits(t *testing.T) {
 	f := newFixture(t, 9)
 	f.submit("j", "a", normal, 500, cores(5))
@@ -146,18 +148,19 @@
 	if got := len(all); got != 9*6 {
 		t.Errorf("got %d assignments, want 54: six of 5 cores on each worker", got)
 	}
-	for _, w := range f.in.Workers {
+	for _, w := range f.input.Workers {
 		if !w.Committed.Fits(w.Capacity) {
 			t.Errorf("worker %s has %v committed of %v", w.ID, w.Committed, w.Capacity)
 		}
 	}
 }
 
-// TestQuota guards the shares of teams: borrowers come last, a team that may
-// not borrow stops at its quota, and borrowed attempts are marked.
+// TestQuota guards against teams that exceed their quota: tasks within quota are
+// placed before borrowed ones, a team that may not borrow stops at its quota, and
+// borrowed attempts are marked.
 func TestQuota(t *testing.T) {
 	f := newFixture(t, 2)
-	f.doc.Teams[0].Quota, f.doc.Teams[1].Quota = cores(8), cores(16)
+	f.document.Teams[0].Quota, f.document.Teams[1].Quota = cores(8), cores(16)
 	f.submit("a1", "a", urgent, 100, cores(4))
 	f.submit("b1", "b", low, 100, cores(4))
 	all := f.run(10 * time.Second)
@@ -168,23 +171,24 @@
 	}
 }
 
-// TestReclaim guards work within its quota against borrowers that never leave.
+// TestReclaim guards against tasks within quota that wait forever while borrowed
+// tasks hold the capacity.
 func TestReclaim(t *testing.T) {
 	f := newFixture(t, 1)
-	f.doc.Teams[0].Quota = cores(4)
+	f.document.Teams[0].Quota = cores(4)
 	f.submit("a1", "a", high, 8, cores(4))
 	f.run(5 * time.Second)
-	f.in.Workers[0].Evictable = cores(28)
+	f.input.Workers[0].Evictable = cores(28)
 	f.submit("b1", "b", low, 1, cores(4))
 	all := f.run(5 * time.Second)
 	if len(all) == 0 || all[0].Task.Job != "b1" || len(all[0].Victims) != 1 || !all[0].MayEvict {
-		t.Errorf("got %v, want b1 in place of one borrowed task", all)
+		t.Errorf("got proposals %v, want b1 assigned with one borrowed task as the victim", all)
 	}
 }
 
-// TestOrder guards priority before share before age, and low priorities
-// against starvation.
-func TestOrder(t *testing.T) {
+// TestPriorityOrder guards against tasks placed in the wrong order: priority comes
+// first, then the team's share, then age. Low priorities must not starve.
+func TestPriorityOrder(t *testing.T) {
 	f := newFixture(t, 1)
 	for i, p := range []wire.Priority{low, normal, high} {
 		f.submit(fmt.Sprint("j", i), "a", p, 50, cores(16))
@@ -197,24 +201,24 @@
 			first = append(first, got...)
 		}
 		lows += count(got, func(p Proposal) bool { return p.Task.Job == "j0" })
-		f.finish(got, func(p Proposal) []byte { return ledger.EncodeEvicted(p.Task, p.Attempt, "", "") })
+		f.end(got, func(p Proposal) []byte { return ledger.EncodeEvicted(p.Task, p.Attempt, "", "") })
 	}
 	if first[0].Task != (units.Task{Job: "j2", Index: 0}) || first[1].Task.Index != 1 {
-		t.Errorf("got first %v, want the oldest of high", first[:2])
+		t.Errorf("got first proposals %v, want the oldest high-priority tasks", first[:2])
 	}
 	if lows < 200 || lows > 800 {
-		t.Errorf("got %d of low in 8,000 ticks, want about one tick in 20", lows)
+		t.Errorf("got %d starts of low-priority tasks in 8,000 ticks, want about one in 20 ticks", lows)
 	}
 }
 
-// TestLearnedSize guards both directions: declared sizes that waste room, and
-// ones that are too small.
+// TestLearnedSize guards against committing the declared size of a job kind whose
+// tasks use far less, which wastes capacity.
 func TestLearnedSize(t *testing.T) {
 	f := newFixture(t, 4)
 	f.submit("j1", "a", normal, 40, cores(4))
 	used := units.Resources{Processors: 400, Memory: units.GiB}
 	for range 20 {
-		f.finish(f.run(time.Second), completes(used))
+		f.end(f.run(time.Second), encodeCompletion(used))
 	}
 	f.submit("j2", "a", normal, 1, cores(4))
 	got := f.run(time.Second)[0].Committed
@@ -223,12 +227,13 @@
 	}
 }
 
-// TestBadWorker guards against a worker that fails everything and so is always
-// the emptiest: it must back off for longer each time and return by one probe.
-func TestBadWorker(t *testing.T) {
+// TestFailingWorker guards against a worker on which every task fails: it is always
+// the emptiest and would attract all tasks. Its backoff must grow with each failure,
+// and it must return with a single probe.
+func TestFailingWorker(t *testing.T) {
 	f := newFixture(t, 8)
 	f.submit("long", "a", low, 7, cores(20))
-	sent, longest, last := 0, time.Duration(0), f.now
+	assigned, longestPause, last := 0, time.Duration(0), f.now
 	broken := true
 	for i := range 20 * 240 {
 		f.submit(fmt.Sprint("j", i), "a", low, 1, cores(1))
@@ -236,32 +241,33 @@
 			switch {
 			case p.Action != Assign || p.Task.Job == "long":
 			case p.WorkerEpoch.Worker == "w0" && broken:
-				f.finish([]Proposal{p}, fails)
-				sent, longest, last = sent+1, max(longest, f.now.Sub(last)), f.now
+				f.end([]Proposal{p}, encodeFailure)
+				assigned, longestPause, last = assigned+1, max(longestPause, f.now.Sub(last)), f.now
 			default:
-				f.finish([]Proposal{p}, completes(cores(1)))
+				f.end([]Proposal{p}, encodeCompletion(cores(1)))
 			}
 		}
 	}
-	if sent > 25 || longest < 40*time.Second {
-		t.Errorf("got %d tasks sent to the failing worker, longest pause %v", sent, longest)
+	if assigned > 25 || longestPause < 40*time.Second {
+		t.Errorf("got %d tasks on the failing worker with a longest pause of %v, want at most 25 and at least 40s", assigned, longestPause)
 	}
 	broken = false
 	f.now = f.now.Add(10 * time.Minute)
 	f.submit("x", "a", low, 400, cores(1))
 	if got := count(f.run(10*time.Second), func(p Proposal) bool { return p.WorkerEpoch.Worker == "w0" }); got != 1 {
-		t.Errorf("got %d tasks on the suspect while its probe runs, want 1", got)
+		t.Errorf("got %d tasks on the suspect worker while its probe runs, want 1", got)
 	}
 }
 
-// TestGiveUp guards against tasks that are retried for ever, and against
-// blaming a task for one worker.
-func TestGiveUp(t *testing.T) {
+// TestPermanentFailure guards against tasks that are retried forever because they
+// always fail, fit no worker or exceed a quota, and against failing a task
+// permanently because of one worker.
+func TestPermanentFailure(t *testing.T) {
 	f := newFixture(t, 4)
 	f.submit("bad", "a", normal, 1, cores(1))
 	f.submit("huge", "a", normal, 1, cores(64))
 	f.submit("over", "b", normal, 1, cores(20))
-	f.doc.Teams[1].Quota = cores(10)
+	f.document.Teams[1].Quota = cores(10)
 	attempts := map[units.JobID]int{}
 	for range 1200 {
 		got := f.tick()
@@ -270,104 +276,105 @@
 				attempts[p.Task.Job]++
 			}
 		}
-		f.finish(got, fails)
+		f.end(got, encodeFailure)
 	}
 	for _, id := range []units.JobID{"bad", "huge", "over"} {
-		if j := f.l.Job(id); !j.Failed || j.Reason == "" {
-			t.Errorf("job %s has not failed", id)
+		if j := f.ledger.Job(id); !j.Failed || j.Reason == "" {
+			t.Errorf("job %s has not failed or has no reason", id)
 		}
 	}
 	if attempts["bad"] != 4 || attempts["huge"] != 0 || attempts["over"] != 0 {
-		t.Errorf("got attempts %v, want 4 of bad only", attempts)
+		t.Errorf("got attempts %v, want 4 of job bad and no others", attempts)
 	}
 }
 
-// TestRamps guards against a stampede after a log outage and to a domain that
-// returns.
+// TestRamps guards against too many starts at once after a log outage, and on the
+// workers of a failure domain that returns to service.
 func TestRamps(t *testing.T) {
 	f := newFixture(t, 40)
 	f.submit("j", "a", normal, 10_000, units.Resources{Processors: 100, Memory: units.MiB})
 	f.tick()
-	f.in.LogReachable = false
+	f.input.LogReachable = false
 	if got := f.run(time.Minute); len(got) != 0 {
-		t.Errorf("got %d proposals without a log, want none", len(got))
+		t.Errorf("got %d proposals while the log is unreachable, want none", len(got))
 	}
-	f.in.LogReachable = true
+	f.input.LogReachable = true
 	if got := len(f.run(time.Second)); got > 20*DefaultStartsPerTick/4 {
 		t.Errorf("got %d starts in the first second after the outage", got)
 	}
 	f.run(15 * time.Second)
-	f.doc = &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "d0", State: environment.DomainOut}, {Name: "d1", State: environment.DomainIn}},
-		Teams: f.doc.Teams, LargestWorker: cores(32)}
-	f.in.Document = f.doc
+	f.document = &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "d0", State: environment.DomainOut}, {Name: "d1", State: environment.DomainIn}},
+		Teams: f.document.Teams, LargestWorker: cores(32)}
+	f.input.Document = f.document
 	in := func(p Proposal) bool { return f.worker(p.WorkerEpoch.Worker).Domain == "d0" }
 	f.submit("k", "a", normal, 10_000, cores(1))
 	if got := count(f.run(10*time.Second), in); got != 0 {
-		t.Errorf("got %d starts in a domain that is out", got)
+		t.Errorf("got %d starts in a failure domain that is out of service, want none", got)
 	}
-	back := *f.doc
+	back := *f.document
 	back.FailureDomains = []environment.FailureDomain{{Name: "d0", State: environment.DomainIn}}
-	f.in.Document = &back
+	f.input.Document = &back
 	if got := f.tick(); count(got, in) == 0 || count(got, in) > 10*2 {
 		t.Errorf("got %d starts in the first tick of the returning domain", count(got, in))
 	}
 	f.run(20 * time.Second)
-	if free := f.in.Workers[0].Capacity.Sub(f.in.Workers[0].Committed); free.Processors > 2000 {
-		t.Errorf("got %v free 20 s after the return", free)
+	if free := f.input.Workers[0].Capacity.Sub(f.input.Workers[0].Committed); free.Processors > 2000 {
+		t.Errorf("got %v free on a worker 20 s after its failure domain returned, want at most 2 cores", free)
 	}
 }
 
-// TestUrgent guards urgent work behind a full cluster and a burst of starts:
-// it must be proposed in the tick after it arrives, with victims named.
+// TestUrgent guards against urgent tasks that wait in a full cluster: they must be
+// proposed in the tick after they arrive, with victims.
 func TestUrgent(t *testing.T) {
 	f := newFixture(t, 4)
 	f.submit("j", "a", normal, 1000, cores(4))
 	f.run(10 * time.Second)
-	for i := range f.in.Workers {
-		f.in.Workers[i].Evictable = cores(32)
+	for i := range f.input.Workers {
+		f.input.Workers[i].Evictable = cores(32)
 	}
 	f.submit("u", "b", urgent, 3, cores(8))
 	got := f.tick()
 	if len(got) != 3 || got[0].Task.Job != "u" || len(got[0].Victims) != 2 || !got[0].MayEvict {
-		t.Errorf("got %+v, want three urgent starts with two victims each", got)
+		t.Errorf("got proposals %+v, want three urgent assignments with two victims each", got)
 	}
-	for i := range f.in.Workers { // restarted agents adopt what runs under the earlier epoch
-		f.in.Workers[i].Epoch = 2
+	for i := range f.input.Workers { // restarted agents adopt the tasks of their earlier epoch
+		f.input.Workers[i].Epoch = 2
 	}
 	f.submit("v", "b", urgent, 1, cores(8))
 	if got := f.tick(); len(got) != 1 || got[0].Task.Job != "v" || !got[0].MayEvict {
-		t.Errorf("got %+v, want an urgent start on a worker whose tasks were adopted", got)
+		t.Errorf("got proposals %+v, want an urgent assignment to a worker with adopted tasks", got)
 	}
 }
 
-// TestInterference guards an endpoint against kinds that slow it.
+// TestInterference guards against several tasks of job kinds that slow an endpoint
+// on the same worker as that endpoint.
 func TestInterference(t *testing.T) {
 	f := newFixture(t, 4)
 	for i := range 2 {
-		f.in.Workers[i].Services = []units.ServiceName{"desk"}
+		f.input.Workers[i].Services = []units.ServiceName{"desk"}
 	}
-	f.in.Interference = Interference{"kind-a": {"desk": 1.15}, "kind-b": {"desk": 1.6}}
+	f.input.Interference = Interference{"kind-a": {"desk": 1.15}, "kind-b": {"desk": 1.6}}
 	f.submit("mild", "a", normal, 4, cores(1))
 	f.submit("noisy", "b", normal, 12, cores(10))
 	all := f.run(5 * time.Second)
-	beside := map[string]int{}
+	perEndpointWorker := map[string]int{}
 	for _, p := range all {
 		if len(f.worker(p.WorkerEpoch.Worker).Services) > 0 {
-			beside[string(p.Task.Job)+"@"+string(p.WorkerEpoch.Worker)]++
+			perEndpointWorker[string(p.Task.Job)+"@"+string(p.WorkerEpoch.Worker)]++
 		}
 	}
-	for key, n := range beside {
+	for key, n := range perEndpointWorker {
 		if n > 1 {
-			t.Errorf("got %d of %s beside an endpoint, want at most 1", n, key)
+			t.Errorf("got %d tasks %s on a worker with an endpoint, want at most 1", n, key)
 		}
 	}
 	if len(all) < 4+6 {
-		t.Errorf("got %d starts, want the free workers used", len(all))
+		t.Errorf("got %d starts, want at least 10: workers without endpoints are free", len(all))
 	}
 }
 
-// TestSpread guards watchers and the tasks of a job against the loss of one
-// rack or domain.
+// TestSpread guards against watchers concentrated on a rack or failure domain,
+// whose loss would then stop many of them.
 func TestSpread(t *testing.T) {
 	f := newFixture(t, 12)
 	for i := range 12 {
@@ -389,7 +396,8 @@
 	}
 }
 
-// TestReservation guards a large task against a stream of small ones.
+// TestReservation guards against the starvation of a large task by a stream of
+// small ones.
 func TestReservation(t *testing.T) {
 	f := newFixture(t, 2)
 	f.submit("small", "a", normal, 5000, cores(4))
@@ -397,7 +405,7 @@
 	f.submit("large", "b", normal, 1, cores(30))
 	for range 120 * 20 {
 		if len(running) > 0 {
-			f.finish(running[:1], completes(cores(4)))
+			f.end(running[:1], encodeCompletion(cores(4)))
 			running = running[1:]
 		}
 		got := f.tick()
@@ -411,14 +419,14 @@
 	t.Error("the large task has not started within two minutes")
 }
 
-// TestReleaseAndCancel guards tasks on an ended epoch, and starts against a
-// burst of cancellations.
+// TestReleaseAndCancel guards against tasks that stay assigned to an ended worker
+// epoch, and against starts delayed by a burst of cancelled jobs.
 func TestReleaseAndCancel(t *testing.T) {
 	f := newFixture(t, 3)
 	f.submit("j", "a", normal, 6, cores(1))
 	f.run(time.Second)
-	f.in.EpochEnded = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
-	held := len(f.l.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
+	f.input.EpochEnded = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
+	held := len(f.ledger.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
 	all := f.run(2 * time.Second)
 	if got := count(all, func(p Proposal) bool { return p.Action == Release }); got != held || held == 0 {
 		t.Errorf("got %d releases, want %d", got, held)
@@ -429,6 +437,6 @@
 	}
 	f.submit("after", "a", low, 20, cores(1))
 	if got := f.tick(); len(got) < 3 || got[0].Task.Job != "after" {
-		t.Errorf("got %v, want the low job served at once", got)
+		t.Errorf("got proposals %v, want the low-priority job assigned in the first tick", got)
 	}
 }
--- a/internal/dispatch/interference.go
+++ b/internal/dispatch/interference.go
@@ -2,12 +2,12 @@
 
 import "wasabihill.example/wasabihill/pkg/units"
 
-// significant is the slowdown below which a pair is taken for noise: the
-// latency of an endpoint varies by a few percent with its own load.
+// minSlowdown is the slowdown below which a measured pair is treated as noise:
+// the latency of an endpoint varies by a few percent with its own load.
 const minSlowdown = 0.03
 
-// excess is the slowdown that one task of the kind adds to the endpoint beside
-// it that suffers most.
+// addedSlowdown returns the slowdown that one task of the kind adds to the most
+// affected endpoint on the worker.
 func (d *Dispatcher) addedSlowdown(kind units.JobKind, r *workerRow) float64 {
 	most := 0.0
 	if services := d.input.Interference[kind]; len(services) > 0 {
@@ -20,10 +20,11 @@
 	return most
 }
 
-// interferes returns the cost of the slowdown that the task adds. Beyond what
-// the guards tolerate a worker takes one such task at a time and only when no
-// other has room: the agent can throttle one, several make it evict. Urgent
-// work does not wait for that.
+// interferenceCost returns the cost of the slowdown that the task adds, and
+// false if the worker must not be used. Above the tolerated slowdown a worker
+// runs one such batch task at a time, and only if no other worker has capacity:
+// the agent can throttle a single task, but several force it to evict. Urgent
+// tasks are exempt from the limit of one.
 func (d *Dispatcher) interferenceCost(r *workerRow, q *placementRequest) (float64, bool) {
 	x := d.addedSlowdown(q.job.JobKind, r)
 	if x == 0 {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// Workers are sampled until candidates of them have room: the better of a
-	// few avoids both the herd towards the emptiest worker and a full scan.
+	// Workers are sampled at random until candidateCount of them can run the task
+	// or maxSamples were drawn. Choosing the best of a few avoids a full scan and
+	// keeps dispatchers from all choosing the emptiest worker.
 	candidateCount = 3
 	maxSamples     = 16
 )
 
-// request is one task to place.
+// placementRequest is one task to place.
 type placementRequest struct {
 	job          *ledger.Job
 	index        uint32
@@ -20,9 +21,9 @@
 	size         units.Resources
 	overQuota    bool
 	mayPreempt   bool
-	spread       *spreadCount // read when a worker with room is first rated
+	spread       *spreadCount // computed when the first worker with free capacity is rated
 	spreadLoaded bool
-	noCapacity   bool // no worker had room, whatever else spoke against it
+	noCapacity   bool // no worker had enough free capacity, apart from all other reasons
 }
 
 func (q *placementRequest) task() units.Task      { return units.Task{Job: q.job.ID, Index: q.index} }
@@ -34,14 +35,16 @@
 	return s.isBatch == q.isBatch() && s.size.Fits(q.size)
 }
 
-// shortage is a size for which no worker had room earlier in the tick. Room
-// only shrinks during a tick, so anything as large need not be tried again.
+// unplaceableSize is a size for which no worker had free capacity earlier in the
+// tick. Free capacity only shrinks during a tick, so tasks that are at least as
+// large need not be tried again.
 type unplaceableSize struct {
 	size    units.Resources
 	isBatch bool
 }
 
-// place proposes the best worker for the task and reports whether there is one.
+// place proposes a worker for the task and reports whether it found one. If no
+// worker has free capacity it may preempt or reclaim borrowed capacity.
 func (d *Dispatcher) place(q placementRequest) bool {
 	if best := d.pickWorker(&q); best != nil {
 		d.assign(&q, best, false, nil)
@@ -54,8 +57,8 @@
 	return !q.overQuota && d.reclaim(&q)
 }
 
-// sample returns the best of a few workers with room, or nil. Only when random
-// probes find none are all rows read.
+// pickWorker returns the best of a few random workers that can run the task, or
+// nil. It reads all rows only if the random samples include no good worker.
 func (d *Dispatcher) pickWorker(q *placementRequest) *workerRow {
 	for _, s := range d.noCapacityFor {
 		if q.needsAtLeast(s) {
@@ -96,23 +99,24 @@
 			return best
 		}
 	}
-	start, roomy := d.Random.IntN(n), false
+	start, anyFits := d.Random.IntN(n), false
 	for i := range n {
 		r := &d.rows[d.available[(start+i)%n]]
-		roomy = roomy || d.fits(r, q)
+		anyFits = anyFits || d.fits(r, q)
 		consider(r)
 		if n > 2*maxSamples && found >= candidateCount && least < costAvoidThreshold {
 			return best
 		}
 	}
-	if q.noCapacity = !roomy; q.noCapacity {
+	if q.noCapacity = !anyFits; q.noCapacity {
 		d.noCapacityFor = append(d.noCapacityFor, unplaceableSize{q.size, q.isBatch()})
 	}
 	return best
 }
 
-// fits reports whether the worker has room for the task now. Batch leaves the
-// headroom of the endpoints beside it and stays below the ramp's ceiling.
+// fits reports whether the worker has free capacity for the task now. Batch
+// tasks leave the headroom of endpoints free and stay below the worker's commit
+// limit.
 func (d *Dispatcher) fits(r *workerRow, q *placementRequest) bool {
 	if r.launching >= r.launchLimit || !q.size.Fits(r.free) || !d.reservationAllows(r, q) {
 		return false
@@ -126,7 +130,8 @@
 	return r.Capacity.Sub(r.free).Add(q.size).Fits(r.commitLimit)
 }
 
-// assign proposes the task for the worker and takes it out of the room.
+// assign proposes the task for the worker and subtracts its size from the free
+// resources.
 func (d *Dispatcher) assign(q *placementRequest, r *workerRow, mayEvict bool, victims []TaskAttempt) {
 	task, attempt := q.task(), q.taskRow().Attempt+1
 	d.proposals = append(d.proposals, Proposal{Action: Assign, Task: task, Attempt: attempt, WorkerEpoch: r.epoch,
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -5,7 +5,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// policy holds lookup tables of the document, rebuilt when it is replaced.
+// policy holds lookup tables built from the configuration document. They are
+// rebuilt when the document is replaced.
 type policy struct {
 	document      *environment.Document
 	outOfService  map[units.DomainName]bool // false for a domain in service, absent for an unknown one
@@ -36,8 +37,8 @@
 	p.slowdownLimit = max(0, doc.Guards.LatencyRatio-1)
 }
 
-// inService reports whether tasks may start in the domain; one that the
-// document does not name counts as out.
+// inService reports whether tasks may start in the failure domain. A domain that
+// the document does not list is out of service.
 func (p *policy) inService(name units.DomainName) bool {
 	out, known := p.outOfService[name]
 	return known && !out
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	maxPreemptionsPerTick = 32 // of one tick; each costs the victims the work since their checkpoint
+	maxPreemptionsPerTick = 32 // victims lose their work since the last checkpoint
 	maxReclaimsPerTick    = 4
 	maxScansPerTick       = 256 // of all rows, in one tick
-	// reclaimAfter is how long work within its quota waits for room before
-	// borrowed work is evicted for it.
+	// reclaimAfter is how long a task within its team's quota waits for capacity
+	// before borrowed attempts are evicted for it.
 	reclaimAfter = 2 * time.Second
 )
 
-// preempt places urgent work on the worker where the least must be evicted.
-// It proposes at once: waiting for the evictions would cost another tick and
-// another append, and urgent work must start within 1.4 s.
+// preempt proposes the task for the worker where it must evict the smallest
+// share of the capacity, and reports whether it found one. It does not wait for
+// the evictions: that would cost another tick and another append, and urgent
+// tasks must start within 1.4 s.
 func (d *Dispatcher) preempt(q *placementRequest) bool {
 	if d.preemptions >= maxPreemptionsPerTick || d.scans >= maxScansPerTick {
 		return false
@@ -45,8 +46,8 @@
 	victims := d.selectVictims(best, shortfall(q.size, best.free), func(j *ledger.Job, t *ledger.Task) bool {
 		return t.Borrowed || j.Priority < q.job.Priority
 	})
-	// Tasks that a restarted agent adopted are listed under its earlier epoch,
-	// so the agent may know of victims that are not found here.
+	// Tasks that a restarted agent adopted are listed under its earlier epoch, so
+	// for urgent tasks the agent may choose victims that are not found here.
 	if victims == nil && q.job.Priority < units.PriorityUrgent {
 		return false
 	}
@@ -54,16 +55,16 @@
 	return true
 }
 
-// reclaim takes back room from borrowed work for a task within its team's
-// quota that has waited.
+// reclaim evicts borrowed attempts for a task within its team's quota that has
+// waited for reclaimAfter, and reports whether it proposed the task.
 func (d *Dispatcher) reclaim(q *placementRequest) bool {
 	if !q.noCapacity || d.reclaims >= maxReclaimsPerTick || d.input.Now.Sub(d.unplacedSince[q.task()]) < reclaimAfter {
 		return false
 	}
 	d.reclaims++
-	const tries = 32
+	const maxSampledWorkers = 32
 	n := len(d.eligible)
-	for range min(n, tries) {
+	for range min(n, maxSampledWorkers) {
 		r := &d.rows[d.eligible[d.Random.IntN(n)]]
 		d.Stats.WorkersScanned++
 		need := shortfall(q.size, r.free)
@@ -97,10 +98,10 @@
 	}
 }
 
-// victims returns the batch tasks on the worker to evict for the need, or nil
-// when they do not suffice: borrowed work first, then the lowest priority, then
-// what started last and has the least to lose.
-func (d *Dispatcher) selectVictims(r *workerRow, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
+// selectVictims returns the batch attempts to evict from the worker to free the
+// needed resources, or nil if they do not suffice. Borrowed attempts come first,
+// then the lowest priority, then the newest, which lose the least work.
+func (d *Dispatcher) selectVictims(r *workerRow, need units.Resources, evictable func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
 	type candidate struct {
 		job  *ledger.Job
 		row  *ledger.Task
@@ -109,7 +110,7 @@
 	var all []candidate
 	for _, task := range d.input.Ledger.TasksOn(r.epoch) {
 		j, t := d.input.Ledger.Job(task.Job), d.input.Ledger.Task(task)
-		if t.State == ledger.Running && !j.IsWatcher() && may(j, t) {
+		if t.State == ledger.Running && !j.IsWatcher() && evictable(j, t) {
 			all = append(all, candidate{j, t, task})
 		}
 	}
@@ -134,8 +135,9 @@
 	return victims
 }
 
-// missing is what the room lacks for the size, in each dimension.
-func shortfall(size, room units.Resources) units.Resources {
-	n := size.Sub(room)
+// shortfall returns by how much the size exceeds the free resources, in each
+// dimension.
+func shortfall(size, free units.Resources) units.Resources {
+	n := size.Sub(free)
 	return units.Resources{Processors: max(0, n.Processors), Memory: max(0, n.Memory), Accelerators: max(0, n.Accelerators)}
 }
--- a/internal/dispatch/queues.go
+++ b/internal/dispatch/queues.go
@@ -8,52 +8,58 @@
 )
 
 const (
-	// maxVisits bounds the waiting jobs read in one walk. It is divided among
-	// the teams, so that each of 150 is reached in every tick: a team whose
-	// tasks find no worker must not hide the others. The last of a team's
-	// visits is drawn from the rest of its queue, so that small tasks behind
-	// many large ones get their turn.
+	// maxJobVisits limits the waiting jobs that one walk reads. It is divided
+	// among the teams, so that each of 150 teams is reached in every tick even if
+	// other teams have many tasks that cannot be placed. The last attempt for a
+	// team uses a random job from the rest of its queue, so that small tasks
+	// behind many large ones are tried as well.
 	maxJobVisits        = 512
 	minMissesPerTeam    = 3
-	foreignJobsPerVisit = 8  // jobs of other dispatchers that cost one visit
-	tasksPerVisit       = 64 // tasks of one job that cost another visit
-	// After a tick without a start a quarter is read, but the whole every
-	// fourth tick: a full cluster costs little while it stays full.
+	foreignJobsPerVisit = 8  // jobs of other dispatchers that count as one visit
+	tasksPerVisit       = 64 // tasks of one job that count as one more visit
+	// After a tick without assignments a walk reads only 1/idleWalkDivisor of the
+	// jobs, except in every idleWalkDivisor-th tick. This keeps ticks cheap while
+	// the cluster is full.
 	idleWalkDivisor = 4
-	// maxMisses bounds the scans of one pass that find no worker. A size that
-	// is no smaller than one missed before needs no scan.
+	// maxFailedScans limits the scans of one walk that find no worker. A size at
+	// least as large as one that failed before is not scanned again.
 	maxFailedScans = 96
-	// lowFirstChance is how often, one tick in so many, the lowest waiting
-	// priority goes first, so that a stream of higher ones cannot starve it.
+	// lowestFirstTicks is the mean number of ticks between two that start with
+	// the lower priorities, so that a stream of higher-priority tasks cannot
+	// starve them.
 	lowestFirstTicks = 20
-	// Delays before an attempt is repeated, by why the last one ended. A
-	// failure doubles the delay up to maxRetryDelay.
-	rejectionRetryDelay   = 200 * time.Millisecond
-	failureRetryDelay     = 500 * time.Millisecond
-	maxFailureRetryDelay  = 30 * time.Second
-	maxFailures           = 4 // attempts
-	minFailedWorkers      = 2 // that those failed on
-	maxFailuresSameWorker = 8 // when there is only one worker to fail on
+	// Delays before a task is retried, by the reason why the last attempt ended.
+	// Each further failure doubles the delay up to maxFailureRetryDelay.
+	rejectionRetryDelay  = 200 * time.Millisecond
+	failureRetryDelay    = 500 * time.Millisecond
+	maxFailureRetryDelay = 30 * time.Second
+	// A task fails permanently after maxFailures failed attempts on at least
+	// minFailedWorkers workers, or after maxFailuresSameWorker attempts if there
+	// is only one worker to run on.
+	maxFailures           = 4
+	minFailedWorkers      = 2
+	maxFailuresSameWorker = 8
 )
 
-// retry is when the next attempt of a task may be proposed.
+// retryState is the time at which the next attempt of a task may be proposed.
 type retryState struct {
-	attempt   units.Attempt // the one that ended
+	attempt   units.Attempt // the attempt that ended
 	notBefore time.Time
 }
 
-// pass selects what one walk over the queues may start.
+// walk holds the options and remaining limits of one walk over the queues of a
+// priority.
 type walk struct {
-	borrowing       bool
+	borrowing       bool // places only tasks that exceed their team's quota
 	mayPreempt      bool
-	startsLeft      int // left
-	failedScansLeft int // left, of scans
-	jobVisitsLeft   int // left, of jobs
+	startsLeft      int
+	failedScansLeft int
+	jobVisitsLeft   int
 }
 
-// order walks the queues: watchers first, because a monitor is small and must
-// not wait, then each priority within quota by the teams' shares, then, over
-// quota, what others leave unused.
+// placeWaitingTasks proposes assignments in this order: watchers, which are
+// small and must not wait; then tasks within quota by priority and by the teams'
+// shares; then tasks that borrow capacity which other teams leave unused.
 func (d *Dispatcher) placeWaitingTasks() {
 	d.jobVisitLimit = maxJobVisits
 	if !d.assignedLastTick && d.tickCount%idleWalkDivisor != 0 {
@@ -64,7 +70,7 @@
 	d.placeReserved()
 	if d.Random.IntN(lowestFirstTicks) == 0 {
 		for p := units.PriorityLow; p < units.PriorityUrgent; p++ {
-			d.highestUnplaced = units.PriorityUrgent // reserves nothing
+			d.highestUnplaced = units.PriorityUrgent // prevents reservations
 			d.walkPriority(p, &walk{startsLeft: 1, failedScansLeft: 4})
 		}
 		d.highestUnplaced = 0
@@ -78,27 +84,27 @@
 	d.pruneTaskState()
 }
 
-// watchers proposes every waiting watcher. The document's validation has
-// checked them against the quotas, so they are not held back here.
+// placeWatchers places every waiting watcher. Quotas are not checked again,
+// because the validation of the configuration document has checked them.
 func (d *Dispatcher) placeWatchers() {
 	if !d.input.Ledger.HasWaitingWatcher() {
 		return
 	}
-	watching := d.input.Ledger.Watchers()
+	watchers := d.input.Ledger.Watchers()
 	var spread *spreadCount
-	for _, j := range watching {
+	for _, j := range watchers {
 		if len(j.Waiting()) == 0 || !d.ownsJob(j.ID) || !d.mayPropose(j, 0) {
 			continue
 		}
 		if spread == nil {
-			spread = d.countWatchers(watching)
+			spread = d.countWatchers(watchers)
 		}
 		d.place(placementRequest{job: j, size: j.Size, spread: spread, mayPreempt: j.Priority >= units.PriorityHigh})
 	}
 }
 
-// walk serves one priority: repeatedly the oldest task of the team with the
-// least share.
+// walkPriority places tasks of one priority: repeatedly the oldest task of the
+// team with the least share.
 func (d *Dispatcher) walkPriority(p units.Priority, pass *walk) {
 	pass.jobVisitsLeft = d.jobVisitLimit
 	d.teamMissLimit = max(minMissesPerTeam, maxJobVisits/max(1, len(d.teams)))
@@ -110,15 +116,16 @@
 		if t == nil {
 			return
 		}
-		// Without a start no share has changed, so the team is still first.
-		starts := pass.startsLeft
-		for starts == pass.startsLeft && !d.queueDone(t, p) && pass.failedScansLeft > 0 && pass.jobVisitsLeft > 0 {
+		// Shares change only with a start, so the team stays first until then.
+		startsBefore := pass.startsLeft
+		for startsBefore == pass.startsLeft && !d.queueDone(t, p) && pass.failedScansLeft > 0 && pass.jobVisitsLeft > 0 {
 			d.placeNext(t, p, pass)
 		}
 	}
 }
 
-// leastShare picks the team with the least share among those with work left.
+// teamWithLeastShare returns the team with the least share among those with
+// tasks left in this walk, or nil.
 func (d *Dispatcher) teamWithLeastShare(p units.Priority, pass *walk) *teamRow {
 	var best *teamRow
 	for i := range d.teams {
@@ -135,16 +142,18 @@
 	return best
 }
 
-// atEnd reports whether the walk is through with the team's queue.
+// queueDone reports whether the walk has reached the end of the team's queue or
+// its limit of unplaced tasks.
 func (d *Dispatcher) queueDone(t *teamRow, p units.Priority) bool {
 	c := &t.cursors[p]
 	return c.misses >= d.teamMissLimit || c.job >= len(d.input.Ledger.WaitingJobs(t.name, p))
 }
 
-// skip moves to the next job of the queue.
+// nextJob advances the cursor to the next job of the queue.
 func (c *cursor) nextJob() { c.job, c.task = c.job+1, 0 }
 
-// serve tries the next task in the team's queue and moves its cursor on.
+// placeNext tries to place the next task of the team's queue and advances its
+// cursor.
 func (d *Dispatcher) placeNext(t *teamRow, p units.Priority, pass *walk) {
 	c := &t.cursors[p]
 	j := d.input.Ledger.WaitingJobs(t.name, p)[c.job]
@@ -164,24 +173,25 @@
 	}
 	index := j.Waiting()[c.task]
 	if c.task++; c.task%tasksPerVisit == 0 {
-		pass.jobVisitsLeft-- // most of a large job may be proposed or delayed already
+		pass.jobVisitsLeft-- // reading many proposed or delayed tasks of a large job is not free
 	}
 	if !d.mayPropose(j, index) || d.proposeFailure(j, index) {
 		return
 	}
 	size := d.commitSize(j, &j.Tasks[index])
-	over := !t.withinQuota(size, p)
-	if over != pass.borrowing {
-		// The rest of the job is as large; a smaller one may fit the quota.
+	overQuota := !t.withinQuota(size, p)
+	if overQuota != pass.borrowing {
+		// The other tasks of the job have the same size; a smaller job may fit
+		// the quota.
 		c.nextJob()
 		return
 	}
-	scans := d.scans
-	if d.place(placementRequest{job: j, index: index, team: t, size: size, overQuota: over, mayPreempt: pass.mayPreempt}) {
+	scansBefore := d.scans
+	if d.place(placementRequest{job: j, index: index, team: t, size: size, overQuota: overQuota, mayPreempt: pass.mayPreempt}) {
 		pass.startsLeft--
 		return
 	}
-	pass.failedScansLeft -= d.scans - scans
+	pass.failedScansLeft -= d.scans - scansBefore
 	d.Stats.Unplaced++
 	c.nextJob()
 	if c.misses++; c.misses == d.teamMissLimit-1 {
@@ -191,8 +201,8 @@
 	}
 }
 
-// ready reports whether a waiting task may be proposed now: it is not already
-// proposed, and the delay after its last attempt is over.
+// mayPropose reports whether a waiting task can be proposed now: it has no
+// proposal in flight and the delay after its last attempt is over.
 func (d *Dispatcher) mayPropose(j *ledger.Job, index uint32) bool {
 	task := units.Task{Job: j.ID, Index: index}
 	if _, proposed := d.inFlight[task]; proposed {
@@ -215,11 +225,11 @@
 		return rejectionRetryDelay
 	}
 	delay := min(maxFailureRetryDelay, failureRetryDelay<<min(t.Failures-1, 10))
-	return delay/2 + time.Duration(d.Random.Int64N(int64(delay))) // jitter, so that repeats do not arrive together
+	return delay/2 + time.Duration(d.Random.Int64N(int64(delay))) // jitter spreads retries over time
 }
 
-// giveUp proposes the failure of a task that failed often enough on different
-// workers, or that can never run, and reports whether it did.
+// proposeFailure proposes the permanent failure of a task that has failed too
+// often or can never run, and reports whether it did.
 func (d *Dispatcher) proposeFailure(j *ledger.Job, index uint32) bool {
 	t := &j.Tasks[index]
 	reason := ""
@@ -238,7 +248,8 @@
 	return true
 }
 
-// pruneMemory forgets tasks that no longer wait, every hundred ticks.
+// pruneTaskState drops the state of tasks that no longer wait. It runs every
+// hundred ticks.
 func (d *Dispatcher) pruneTaskState() {
 	if d.tickCount%100 != 0 {
 		return
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -5,28 +5,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// teamRow is a team with work during one tick.
+// teamRow is the working copy of a team with jobs during one tick.
 type teamRow struct {
 	name      units.TeamName
 	quota     units.Resources
 	mayBorrow bool
-	used      [units.PriorityUrgent + 1]units.Resources // open attempts and proposals in flight, by priority
+	used      [units.PriorityUrgent + 1]units.Resources // by open attempts and in-flight proposals of each priority
 	share     float64                                   // dominant share of the quota
 	cursors   [units.PriorityUrgent + 1]cursor
 }
 
-// cursor is the place in a team's queue of one priority.
+// cursor is the position of a walk in a team's queue of one priority.
 type cursor struct {
 	job, task int
-	misses    int
+	misses    int // tasks for which no worker was found
 	done      bool
 }
 
-// buildTeams makes a row for every team that has jobs, sorted by name.
+// buildTeamRows creates a row for every team that has jobs, sorted by name.
 func (d *Dispatcher) buildTeamRows() {
 	d.teams = d.teams[:0]
 	for _, name := range d.input.Ledger.Teams() {
-		t := d.policy.teams[name] // unknown: no quota, so its work waits
+		t := d.policy.teams[name] // an unknown team has no quota, so its tasks wait
 		row := teamRow{name: name, quota: t.Quota, mayBorrow: t.MayBorrow, used: d.input.Ledger.TeamUsage(name)}
 		d.teams = append(d.teams, row)
 	}
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// charge adds a proposed attempt to the team's use.
+// addUsage adds a proposed attempt to the team's usage.
 func (t *teamRow) addUsage(size units.Resources, p units.Priority) {
 	t.used[p] = t.used[p].Add(size)
 	t.share = dominantShare(t.usageFrom(units.PriorityLow), t.quota)
 }
 
-// total is what the team's work of a priority and above uses.
+// usageFrom returns the usage of the team's tasks of the given priority and above.
 func (t *teamRow) usageFrom(least units.Priority) units.Resources {
 	var sum units.Resources
 	for p := least; p <= units.PriorityUrgent; p++ {
@@ -64,15 +64,15 @@
 	return sum
 }
 
-// within reports whether the size fits the quota beside the team's other work
-// of that priority and above. Lower work does not count, so that a team's
-// borrowed work cannot push its own urgent work over the quota.
+// withinQuota reports whether the size fits the quota together with the team's
+// other tasks of that priority and above. Lower priorities do not count, so that
+// a team's borrowed tasks cannot push its urgent tasks over the quota.
 func (t *teamRow) withinQuota(size units.Resources, p units.Priority) bool {
 	return t.usageFrom(p).Add(size).Fits(t.quota)
 }
 
-// dominantShare is the largest used fraction of the quota in any dimension. A
-// dimension that is used without any quota counts as far over.
+// dominantShare returns the largest used fraction of the quota in any dimension.
+// Usage of a dimension without quota counts as far above it.
 func dominantShare(used, quota units.Resources) float64 {
 	share := 0.0
 	for _, d := range [...][2]float64{
@@ -91,8 +91,8 @@
 	return share
 }
 
-// neverWithin reports whether a single task exceeds the quota of a team that
-// may not borrow, so that it could never run.
+// alwaysOverQuota reports whether a single task exceeds the quota of a team that
+// may not borrow, so that it can never run.
 func alwaysOverQuota(size units.Resources, t environment.Team) bool {
 	return !t.MayBorrow && !size.Fits(t.Quota)
 }
--- a/internal/dispatch/rampup.go
+++ b/internal/dispatch/rampup.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// A gap this long means that the worker lost what it ran and its caches,
-	// or that its domain was out of service.
+	// A worker that was unusable for longer has lost its tasks and caches, or its
+	// failure domain was out of service.
 	maxUsableGap = 3 * time.Second
-	// A returning worker fills to a quarter at once and to the whole within
-	// workerRamp, so that a returning domain is full well within 30 s without
-	// taking every pending start in one tick.
+	// A returning worker may be filled to 1/workerRampStartDivisor at once and
+	// completely after workerRampDuration. A returning failure domain is then full
+	// well within 30 s without receiving all pending starts in one tick.
 	workerRampDuration     = 8 * time.Second
-	workerRampStartDivisor = 4 // one part in
-	// After a log outage starts rise from a tenth to the whole within logRamp:
-	// all entry processes come back at once, and so does every agent's backlog
-	// of reports.
+	workerRampStartDivisor = 4
+	// After a log outage of at least minLogOutage the starts per tick rise from
+	// logRampStartShare to the full budget within logRampDuration, because all
+	// entry processes resume at once and every agent sends its backlog of
+	// reports.
 	logRampDuration   = 10 * time.Second
 	logRampStartShare = 0.1
 	minLogOutage      = 2 * time.Second
 )
 
-// history is when a worker was last usable, and since when without a gap.
+// usableHistory records when a worker was last usable, and since when without a
+// gap.
 type usableHistory struct {
-	lastUsable, usableSince time.Time       // since is zero when the worker was there at the first tick
-	committedBefore         units.Resources // committed when it came
+	lastUsable, usableSince time.Time       // usableSince is zero for workers present at the first tick
+	committedBefore         units.Resources // committed when the worker became usable
 }
 
-// ramp limits a worker that has just come (back). It reports false while the
-// worker may start nothing more.
+// applyRamp limits the launches and commitments of a worker that has recently
+// joined or returned. It always returns true, so such a worker stays eligible.
 func (d *Dispatcher) applyRamp(r *workerRow) bool {
 	h := d.usableHistories[r.ID]
 	switch {
@@ -59,8 +61,8 @@
 		Memory: units.Bytes(float64(r.Memory) * share), Accelerators: r.Accelerators}
 }
 
-// pruneHistory forgets workers that have been gone for ten minutes; it runs
-// every thousand ticks because the table is small.
+// pruneUsableHistories drops workers that have been unusable for ten minutes. It
+// runs only every thousand ticks because the table is small.
 func (d *Dispatcher) pruneUsableHistories() {
 	if d.tickCount%1000 != 0 {
 		return
@@ -72,7 +74,7 @@
 	}
 }
 
-// outage tracks the log, for the ramp of starts after it returns.
+// logOutageState tracks outages of the log for the ramp of starts afterwards.
 type logOutageState struct {
 	downSince, reachableSince time.Time
 }
@@ -89,7 +91,7 @@
 	}
 }
 
-// startBudget is how many starts this process may propose in the tick.
+// startBudget returns how many starts this process may propose in the tick.
 func (d *Dispatcher) startBudget() int {
 	budget := d.StartsPerTick
 	if budget == 0 {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -7,12 +7,12 @@
 	"wasabihill.example/wasabihill/internal/ledger"
 )
 
-// maxReleases bounds the releases of one tick: a failure domain of the target
-// size runs some 2,600 tasks, which this releases within a second.
+// maxReleasesPerTick limits the releases of one tick. A failure domain of the
+// target size runs about 2,600 tasks, which are released within a second.
 const maxReleasesPerTick = 200
 
-// releasing reports whether the release of the task's attempt has just been
-// proposed, and notes it otherwise.
+// markReleaseProposed reports whether a release of the attempt was proposed
+// within proposalTimeout. If not, it records one for now.
 func (d *Dispatcher) markReleaseProposed(v TaskAttempt) bool {
 	if at, ok := d.proposedReleases[v]; ok && d.input.Now.Sub(at) <= proposalTimeout {
 		return true
@@ -21,8 +21,9 @@
 	return false
 }
 
-// releaseEnded proposes the release of every attempt whose worker epoch has
-// ended, so that the tasks run elsewhere. It is not a failure of the task.
+// releaseEndedEpochs proposes the release of every attempt whose worker epoch
+// has ended, so that the tasks run elsewhere. The releases do not count as
+// failures.
 func (d *Dispatcher) releaseEndedEpochs() {
 	if d.input.EpochEnded == nil {
 		return
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -7,24 +7,27 @@
 )
 
 const (
-	// A task that has found no room for reserveAfter gets the next room on one
-	// worker, so that a stream of small tasks cannot starve a large one.
+	// A task for which no worker had capacity for reserveAfter gets a
+	// reservation on one worker, so that a stream of small tasks cannot starve a
+	// large one.
 	reserveAfter       = time.Minute
 	reservationTimeout = 2 * time.Minute
 	maxReservations    = 8
 	maxUnplacedTasks   = 20_000
 )
 
-// reservation keeps a worker free of other batch until the task fits.
+// reservation keeps other batch tasks off a worker until the task fits.
 type reservation struct {
 	task      units.Task
 	expiresAt time.Time
 }
 
-// miss notes that the task found no worker, and reserves one if it has waited
-// long enough for room. Interference may last; a reservation would not end it.
+// recordUnplaced records that no worker was found for the task, and reserves a
+// worker if the task has waited for capacity for reserveAfter. A task that is
+// kept out by interference gets none, because a reservation would not end it.
 func (d *Dispatcher) recordUnplaced(q *placementRequest) {
-	// A task that higher priorities keep out does not wait for want of size.
+	// While a task of higher priority is unplaced, the size of this one is not
+	// the reason why it waits.
 	d.highestUnplaced = max(d.highestUnplaced, q.job.Priority)
 	task := q.task()
 	first, known := d.unplacedSince[task]
@@ -62,8 +65,8 @@
 	}
 }
 
-// noteSmallest keeps the smallest batch size assigned in this window of
-// reserveAfter and the one before.
+// recordSmallestAssigned updates the smallest batch size assigned in the current
+// window, which lasts reserveAfter. The previous window is kept as well.
 func (d *Dispatcher) recordSmallestAssigned(q *placementRequest) {
 	if !q.isBatch() {
 		return
@@ -79,7 +82,8 @@
 	}
 }
 
-// overtaken reports whether smaller tasks have found room lately.
+// smallerTasksPlaced reports whether tasks that are smaller in some dimension
+// were placed in the current or previous window.
 func (d *Dispatcher) smallerTasksPlaced(size units.Resources) bool {
 	for _, w := range d.smallestAssigned {
 		if !w.IsZero() && !size.Fits(w) {
@@ -89,8 +93,8 @@
 	return false
 }
 
-// settleReservations drops those that are served, stale or on a worker that
-// may not be used.
+// pruneReservations drops reservations whose task no longer waits, that have
+// expired, or whose worker is no longer eligible.
 func (d *Dispatcher) pruneReservations() {
 	for id, r := range d.reservations {
 		i, ok := d.byWorker[id]
@@ -101,8 +105,8 @@
 	}
 }
 
-// serveReservations starts the tasks whose reserved worker has room now. They
-// may be far back in their queues, where a walk would not reach them.
+// placeReserved places the tasks that fit on their reserved worker now. They may
+// be far back in their queues, where a walk would not reach them.
 func (d *Dispatcher) placeReserved() {
 	for _, i := range d.eligible {
 		r := &d.rows[i]
@@ -119,15 +123,15 @@
 		q.overQuota = !t.withinQuota(q.size, j.Priority)
 		switch _, ok := d.cost(r, &q); {
 		case !ok || (q.overQuota && !t.mayBorrow):
-			delete(d.reservations, r.ID) // room is no longer all that it lacks
+			delete(d.reservations, r.ID) // more than capacity is missing now
 		case d.fits(r, &q):
 			d.assign(&q, r, false, nil)
 		}
 	}
 }
 
-// mayUseReserved reports whether the worker is free of another task's
-// reservation. Urgent work and watchers do not wait for one.
+// reservationAllows reports whether the worker is not reserved for another task.
+// Reservations do not apply to urgent tasks and watchers.
 func (d *Dispatcher) reservationAllows(r *workerRow, q *placementRequest) bool {
 	if len(d.reservations) == 0 || !q.isBatch() {
 		return true
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -12,9 +12,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// TestUrgentAtScale guards urgent work against 10,000 waiting tasks and the
-// limit of starts: with 49 starts in every tick, 980 a second, an urgent task
-// must be proposed within five ticks, a sixth of the 1.4 s it has.
+// TestUrgentAtScale guards against urgent tasks delayed by 10,000 waiting tasks or
+// the limit of starts. With 49 starts in every tick, 980 a second, they must be
+// proposed within five ticks, a sixth of the 1.4 s allowed for an urgent start.
 func TestUrgentAtScale(t *testing.T) {
 	f := newFixture(t, 1000)
 	for i := range 18_000 {
@@ -24,13 +24,13 @@
 	for range 200 {
 		running = append(running, f.tick()...)
 	}
-	for i := range f.in.Workers {
-		f.in.Workers[i].Evictable = f.in.Workers[i].Committed
+	for i := range f.input.Workers {
+		f.input.Workers[i].Evictable = f.input.Workers[i].Committed
 	}
 	started, worst := 0, 0
 	submitted := map[units.JobID]int{}
 	for n := range 100 {
-		f.finish(running[:49], func(p Proposal) []byte { return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{}) })
+		f.end(running[:49], func(p Proposal) []byte { return ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{}) })
 		running = running[49:]
 		if n%5 == 0 && n < 90 {
 			id := fmt.Sprint("u", n)
@@ -47,17 +47,18 @@
 		}
 	}
 	if started != 2*len(submitted) || worst > 5 {
-		t.Errorf("got %d of %d urgent starts, the slowest after %d ticks", started, 2*len(submitted), worst)
+		t.Errorf("got %d of %d urgent starts, the slowest after %d ticks; want all within 5", started, 2*len(submitted), worst)
 	}
 }
 
-// TestTwoDispatchers guards the fold against two processes that both dispatch
-// everything: proposals of each other's tasks lose, and nothing runs twice.
+// TestTwoDispatchers guards against tasks that run twice when two processes both
+// dispatch every job: the ledger must reject the later of two conflicting
+// proposals.
 func TestTwoDispatchers(t *testing.T) {
 	f := newFixture(t, 12)
 	other := New(rand.New(rand.NewPCG(7, 7)))
 	open := map[units.Task]units.Attempt{}
-	f.l.Observe = func(c ledger.Change) {
+	f.ledger.Observe = func(c ledger.Change) {
 		switch {
 		case c.Reason != "":
 		case c.Kind == "assigned":
@@ -73,30 +74,31 @@
 	f.submit("k", "b", high, 100, cores(2))
 	for range 400 {
 		f.now = f.now.Add(50 * time.Millisecond)
-		f.in.Now = f.now
-		proposals := append(append([]Proposal(nil), f.d.Tick(f.in)...), other.Tick(f.in)...)
+		f.input.Now = f.now
+		proposals := append(append([]Proposal(nil), f.dispatcher.Tick(f.input)...), other.Tick(f.input)...)
 		for _, p := range proposals {
 			f.apply(p.Encode())
-			if row := f.l.Task(p.Task); row != nil && row.State == ledger.Assigned && row.Worker == p.WorkerEpoch.Worker && row.Attempt == p.Attempt {
+			if row := f.ledger.Task(p.Task); row != nil && row.State == ledger.Assigned && row.Worker == p.WorkerEpoch.Worker && row.Attempt == p.Attempt {
 				f.apply(ledger.EncodeEnded(p.Task, p.Attempt, wire.Outcome_OUTCOME_COMPLETED, time.Second, cores(4)))
 			}
 		}
 	}
-	if f.l.Job("j").EndSequence == 0 || f.l.Job("k").EndSequence == 0 {
-		t.Error("the jobs have not ended")
+	if f.ledger.Job("j").EndSequence == 0 || f.ledger.Job("k").EndSequence == 0 {
+		t.Error("job j or k has not ended")
 	}
-	if f.l.Rejections()[ledger.ReasonAttempt]+f.l.Rejections()[ledger.ReasonNotWaiting]+f.l.Rejections()[ledger.ReasonNotOpen]+f.l.Rejections()[ledger.ReasonJobEnded] == 0 {
-		t.Error("the dispatchers never collided, so the test shows nothing")
+	if f.ledger.Rejections()[ledger.ReasonAttempt]+f.ledger.Rejections()[ledger.ReasonNotWaiting]+f.ledger.Rejections()[ledger.ReasonNotOpen]+f.ledger.Rejections()[ledger.ReasonJobEnded] == 0 {
+		t.Error("the ledger rejected no proposal, so the test did not exercise conflicts")
 	}
 }
 
-// TestAccelerators guards accelerators against tasks that do not ask for them.
+// TestAccelerators guards against tasks that request no accelerators on the workers
+// that have them.
 func TestAccelerators(t *testing.T) {
 	f := newFixture(t, 40)
 	for i := range 4 {
-		f.in.Workers[i].Capacity.Accelerators = 8
+		f.input.Workers[i].Capacity.Accelerators = 8
 	}
-	f.doc.Teams[0].Quota.Accelerators, f.doc.LargestWorker.Accelerators = 32, 8
+	f.document.Teams[0].Quota.Accelerators, f.document.LargestWorker.Accelerators = 32, 8
 	f.submit("plain", "a", normal, 200, cores(4))
 	want := cores(1)
 	want.Accelerators = 2
@@ -112,19 +114,19 @@
 		}
 	}
 	if learning != 16 || plain != 0 {
-		t.Errorf("got %d of 16 tasks with accelerators, %d plain tasks on their workers", learning, plain)
+		t.Errorf("got %d of 16 accelerator tasks started and %d plain tasks on accelerator workers, want 16 and 0", learning, plain)
 	}
 }
 
-// TestHeadroom guards an endpoint whose slots fill up against batch that takes
-// the last processors of its worker, but not against urgent work.
+// TestHeadroom guards against batch tasks that take the last processors of a worker
+// whose endpoint slots fill up. Urgent tasks may use the headroom.
 func TestHeadroom(t *testing.T) {
 	f := newFixture(t, 1)
-	w := &f.in.Workers[0]
+	w := &f.input.Workers[0]
 	w.Services, w.Committed, w.EndpointLoad = []units.ServiceName{"desk"}, cores(8), 1.25
 	f.submit("batch", "a", normal, 40, cores(1))
 	if got := len(f.run(5 * time.Second)); got != 24-5 {
-		t.Errorf("got %d tasks beside a busy endpoint, want 19: an extra half of 8 reserved cores and one stay free", got)
+		t.Errorf("got %d tasks on the worker of a busy endpoint, want 19: half of its 8 reserved cores and one more stay free", got)
 	}
 	f.submit("urgent", "a", urgent, 2, cores(1))
 	if got := len(f.run(time.Second)); got != 2 {
@@ -132,16 +134,16 @@
 	}
 }
 
-// TestTeamsBehindMisses guards a team with a large share against many teams
-// whose tasks find no worker: it must still be reached in every tick.
-func TestTeamsBehindMisses(t *testing.T) {
+// TestTeamsBehindUnplacedTasks guards against a team with a large share that is not
+// reached in every tick because many other teams have tasks that cannot be placed.
+func TestTeamsBehindUnplacedTasks(t *testing.T) {
 	f := newFixture(t, 40)
-	f.in.Workers[0].Capacity.Accelerators, f.in.Workers[0].Committed = 1, units.Resources{Accelerators: 1}
+	f.input.Workers[0].Capacity.Accelerators, f.input.Workers[0].Committed = 1, units.Resources{Accelerators: 1}
 	for i := range 149 {
 		name := fmt.Sprint("t", i)
 		quota := cores(1e5)
 		quota.Accelerators = 8
-		f.doc.Teams = append(f.doc.Teams, environment.Team{Name: units.TeamName(name), Quota: quota})
+		f.document.Teams = append(f.document.Teams, environment.Team{Name: units.TeamName(name), Quota: quota})
 		for n := range 20 {
 			size := cores(1 + int64(n))
 			size.Accelerators = 1
@@ -155,7 +157,7 @@
 	for range 8 {
 		got += count(f.tick(), func(p Proposal) bool { return p.Task.Job == "small" })
 	}
-	if got != 1 || f.l.Job("first").Tasks[0].State != ledger.Running {
+	if got != 1 || f.ledger.Job("first").Tasks[0].State != ledger.Running {
 		t.Errorf("got %d starts of the small task in eight ticks, want 1", got)
 	}
 }
--- a/internal/dispatch/size.go
+++ b/internal/dispatch/size.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// The declared size counts within a band around the learned one and is cut
-	// to it outside. The band is 2/n^2 wide for n samples: three times the
-	// learned size after one, half as much again after two, a fiftieth after ten.
-	// A declared size that is ten times too large would otherwise keep a kind
-	// from running often enough to be learned.
+	// The declared size is limited to a band that begins at the learned size. The
+	// band is learnedBandFactor/n^2 of the learned size wide for n samples: up to
+	// three times the learned size after one sample, 1.5 times after two, 1.02
+	// times after ten. Without it, a declared size that is ten times too large
+	// would keep a kind from running often enough to be learned.
 	learnedBandFactor = 2
-	// Processors can be shared for a moment and the tasks of a worker peak at
-	// different times, so the typical use is enough; memory cannot be shared,
-	// hence nearly the top plus one part in 16.
+	// Processors can be shared briefly and the tasks of a worker peak at different
+	// times, so a typical usage suffices. Memory cannot be shared, so a high
+	// quantile plus 1/memoryMarginDivisor is used.
 	processorsPermille  = 600
 	memoryPermille      = 970
 	memoryMarginDivisor = 16
-	// Learned memory is never below this, for runs that are measured too early.
+	// minLearnedMemory is the minimum learned memory; runs that are measured too
+	// early report too little.
 	minLearnedMemory = 64 * units.MiB
-	// headroomShare of a worker's processors stays free of batch beside an
-	// endpoint, one part in so many: a request that arrives in a burst must not
-	// wait for a throttle to act. Above busySlots more is left, because the
-	// endpoint is about to exceed what it reserved.
+	// Batch tasks leave 1/headroomDivisor of the processors free on workers with
+	// endpoints, because requests that arrive in a burst must not wait until a
+	// throttle takes effect. Above highEndpointLoad they leave more, because the
+	// endpoint is about to exceed its reservation.
 	headroomDivisor  = 32
 	highEndpointLoad = 0.75
 )
 
-// learnedSize caches the quantiles of a kind until it learns more.
+// learnedSize caches the size limits of a job kind until its usage statistics
+// change.
 type learnedSize struct {
 	updated units.Offset
 	samples uint32
@@ -36,7 +38,7 @@
 	upper   units.Resources
 }
 
-// size is what an attempt of the task commits.
+// commitSize returns the resources that an attempt of the task commits.
 func (d *Dispatcher) commitSize(j *ledger.Job, t *ledger.Task) units.Resources {
 	if j.IsWatcher() || j.JobKind == "" {
 		return j.Size
@@ -46,11 +48,11 @@
 		return j.Size
 	}
 	s := maxResources(l.lower, minResources(j.Size, l.upper))
-	if t.Failures > 0 { // it may have failed for want of memory
+	if t.Failures > 0 { // it may have run out of memory
 		s = maxResources(s, j.Size)
 	}
 	s = d.capLearnedSize(s, j.Size)
-	s.Accelerators = j.Size.Accelerators // not learned: a task uses all or none
+	s.Accelerators = j.Size.Accelerators // not learned: a task uses all of them or none
 	return s
 }
 
@@ -75,8 +77,9 @@
 	return l
 }
 
-// cap keeps a learned size within some worker, or at the declared size when
-// that is larger: a quantile rounded up must not make a task unplaceable.
+// capLearnedSize limits a learned size to the largest capacity of the workers or
+// the declared size, whichever is larger. Otherwise a quantile that is rounded up
+// could make a task unplaceable.
 func (d *Dispatcher) capLearnedSize(learned, declared units.Resources) units.Resources {
 	var most units.Resources
 	for _, s := range d.capacities {
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -5,11 +5,12 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxSpread bounds the tasks of a job that are spread deliberately; larger
-// jobs spread by themselves, because workers are sampled at random.
+// maxSpreadTasks is the largest number of tasks of a job that are spread by cost.
+// Larger jobs spread anyway, because workers are sampled at random.
 const maxSpreadTasks = 64
 
-// placed counts where the other tasks of a job, or the other watchers, are.
+// spreadCount counts the open tasks of a job, or the watchers, by failure domain
+// and rack.
 type spreadCount struct {
 	total   int
 	domains map[units.DomainName]int
@@ -21,8 +22,8 @@
 	rack   units.RackName
 }
 
-// cost grows with the share of the other tasks that the rack and the domain
-// hold already: losing either must lose as few as possible.
+// cost grows with the share of the counted tasks on the worker's rack and in its
+// failure domain, so that the loss of either affects as few tasks as possible.
 func (p *spreadCount) cost(r *workerRow) float64 {
 	if p == nil || p.total == 0 {
 		return 0
@@ -40,8 +41,8 @@
 	p.racks[rackKey{r.Domain, r.Rack}]++
 }
 
-// placedTasks counts the open tasks of a job; nil for one that has too many to
-// spread or only one.
+// countJobTasks counts the open tasks of a job. It returns nil for a job with a
+// single task or more than maxSpreadTasks.
 func (d *Dispatcher) countJobTasks(j *ledger.Job) *spreadCount {
 	if len(j.Tasks) < 2 || len(j.Tasks) > maxSpreadTasks {
 		return nil
@@ -57,10 +58,9 @@
 	return p
 }
 
-// placedWatchers counts where the watchers are.
-func (d *Dispatcher) countWatchers(watching []*ledger.Job) *spreadCount {
+func (d *Dispatcher) countWatchers(watchers []*ledger.Job) *spreadCount {
 	p := &spreadCount{}
-	for _, j := range watching {
+	for _, j := range watchers {
 		d.countTask(p, units.Task{Job: j.ID}, &j.Tasks[0])
 	}
 	return p
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// suspectAfter failures of different jobs in a row blame the worker: with
-	// jobs that fail one time in ten by themselves, a healthy worker reaches it
-	// once in 100,000 runs.
+	// A worker is suspect after suspectFailures consecutive failures of different
+	// jobs. If one job in ten fails by itself, a healthy worker reaches this once
+	// in 100,000 runs.
 	suspectFailures   = 5
 	suspectBackoff    = 10 * time.Second
 	maxSuspectBackoff = 10 * time.Minute
-	minProbeRunTime   = time.Minute // a worker that fails everything fails sooner
-	maxSuspectDivisor = 2           // at most one worker in so many is left out
+	minProbeRunTime   = time.Minute // a broken worker fails its tasks sooner
+	maxSuspectDivisor = 2           // suspects are excluded while they are at most 1/2 of the workers
 )
 
-// suspect is the record of a worker on which everything fails.
+// suspect is the state of a worker on which every task has failed recently.
 type suspect struct {
-	failures     int // consecutive failures that the level accounts for
-	backoffLevel int // grows with each failed probe
+	failures     int // consecutive failures included in backoffLevel
+	backoffLevel int // rises with each failed probe
 	backoffUntil time.Time
-	probe        units.Task // open probe, zero for none
+	probe        units.Task // zero while no probe is open
 	probeAttempt units.Attempt
-	probeSince   time.Time // of the probe
-	cleared      bool      // a probe survived; only further failures count
+	probeSince   time.Time
+	cleared      bool // a probe ran for minProbeRunTime; only further failures count
 }
 
-// updateSuspects moves every suspect one step: backoff, probe, return.
+// updateSuspects updates the suspects from the failure counts of the ledger. A
+// suspect backs off, runs a single task as a probe, and returns if that survives.
 func (d *Dispatcher) updateSuspects() {
 	for i := range d.rows {
 		r := &d.rows[i]
@@ -51,8 +52,8 @@
 func (d *Dispatcher) updateSuspect(s *suspect, failures int) {
 	now := d.input.Now
 	if failures > s.failures {
-		// Tasks that were running when the worker was first blamed fail during
-		// the backoff; they say nothing new.
+		// Failures during the backoff come from tasks that were already running
+		// and do not raise the level.
 		if s.backoffUntil.Before(now) || s.backoffUntil.IsZero() {
 			s.backoffLevel++
 			s.backoffUntil = now.Add(min(maxSuspectBackoff, suspectBackoff<<min(s.backoffLevel-1, 10)))
@@ -69,14 +70,15 @@
 	switch {
 	case open && now.Sub(s.probeSince) > minProbeRunTime:
 		s.cleared, s.probe = true, units.Task{}
-	case !open: // rejected or lost: neither good nor bad
+	case !open: // the probe was rejected or lost, which shows neither success nor failure
 		s.probe = units.Task{}
 		s.backoffUntil = now.Add(suspectBackoff / 10)
 	}
 }
 
-// trusted reports whether the worker may get tasks; a suspect past its backoff
-// may get one. When most workers are suspect, the jobs are to blame.
+// allowSuspect reports whether the worker may get tasks; a suspect after its
+// backoff may get one. If most workers are suspect, the jobs are the cause and
+// none is excluded.
 func (d *Dispatcher) allowSuspect(r *workerRow) bool {
 	s := d.suspects[r.ID]
 	if s == nil || s.cleared || len(d.suspects)*maxSuspectDivisor > len(d.rows) {
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -8,34 +8,36 @@
 )
 
 const (
-	// maxHeartbeatAge is four heartbeats; an older view is not worth a start.
+	// maxHeartbeatAge is four heartbeat intervals. Workers with an older
+	// heartbeat get no tasks, because their state is too stale.
 	maxHeartbeatAge = 2 * time.Second
-	// maxLaunching bounds the starts in progress on one worker, so that stale
-	// views do not send a whole burst to the same one.
+	// maxLaunching limits the starts in progress on one worker, so that stale
+	// heartbeats do not direct a whole burst to the same worker.
 	maxLaunching = 6
-	// proposalTimeout is when a proposal that the fold has not shown is taken
-	// for lost: an append under group commit takes well under a second.
+	// proposalTimeout is the time after which a proposal that has not appeared in
+	// the ledger is considered lost. An append with group commit takes well under
+	// a second.
 	proposalTimeout = 3 * time.Second
 )
 
-// row is the working copy of a worker during one tick.
+// workerRow is the working copy of a worker during one tick.
 type workerRow struct {
 	*Worker
 	epoch          ledger.WorkerEpoch
 	free           units.Resources
 	evictable      units.Resources
-	reserved       units.Resources // by the endpoints beside it
+	reserved       units.Resources // by endpoints on the worker
 	headroom       units.Millicores
 	launching      int
-	launchLimit    int             // starts allowed now
-	commitLimit    units.Resources // ramp: batch may commit up to this
+	launchLimit    int             // limit of launching
+	commitLimit    units.Resources // limit for batch tasks, lower during a ramp
 	eligible       bool
-	probe          bool // a suspect that may run one task
-	slowdown       float64
+	probe          bool    // the worker is a suspect that may run one task
+	slowdown       float64 // added by its tasks, valid if slowdownLoaded
 	slowdownLoaded bool
 }
 
-// flight is a proposed assignment that the fold has not shown yet.
+// inFlightProposal is a proposal that has not appeared in the ledger yet.
 type inFlightProposal struct {
 	attempt    units.Attempt
 	epoch      ledger.WorkerEpoch
@@ -46,7 +48,8 @@
 	proposedAt time.Time
 }
 
-// buildRows copies the table of workers and decides who may get tasks.
+// buildWorkerRows copies the workers of the input and selects those that may
+// get tasks.
 func (d *Dispatcher) buildWorkerRows() {
 	d.rows, d.eligible, d.capacities = d.rows[:0], d.eligible[:0], d.capacities[:0]
 	clear(d.byWorker)
@@ -78,14 +81,16 @@
 	d.pruneUsableHistories()
 }
 
-// headroom is what batch leaves free beside an endpoint on top of the
-// endpoint's reservation: a little always, more when its slots fill up.
+// headroom returns the processors that batch tasks leave free on a worker with
+// endpoints, in addition to the endpoints' reservations: a fixed share, and more
+// when the slots of an endpoint fill up.
 func headroom(w *Worker, reserved units.Resources) units.Millicores {
 	extra := float64(reserved.Processors) * max(0, w.EndpointLoad-highEndpointLoad)
 	return min(w.Capacity.Processors/headroomDivisor+units.Millicores(extra), w.Capacity.Processors/2)
 }
 
-// usable reports whether a launch could be delivered and would be admitted.
+// usable reports whether a launch can be delivered to the worker and would be
+// admitted.
 func (d *Dispatcher) usable(r *workerRow) bool {
 	return r.Epoch != 0 && r.HasSession && !r.Draining && r.HeartbeatAge <= maxHeartbeatAge && d.policy.inService(r.Domain) &&
 		!d.policy.drained[r.ID] && (d.input.EpochEnded == nil || !d.input.EpochEnded(r.epoch))
@@ -100,8 +105,8 @@
 	d.capacities = append(d.capacities, c)
 }
 
-// findRoom lists the workers that are not full, so that a full cluster costs
-// no scans.
+// listAvailable lists the eligible workers that are not full, so that no scans
+// are needed while the cluster is full.
 func (d *Dispatcher) listAvailable() {
 	d.available = d.available[:0]
 	for _, i := range d.eligible {
@@ -111,8 +116,8 @@
 	}
 }
 
-// settleInFlight drops the proposals that the fold has decided or that were
-// lost, and takes the rest out of the room.
+// pruneInFlight drops the proposals that the ledger has accepted or rejected and
+// those that were lost, and subtracts the remaining ones from the free resources.
 func (d *Dispatcher) pruneInFlight() {
 	for task, f := range d.inFlight {
 		t := d.input.Ledger.Task(task)
