--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -20,7 +20,7 @@
 
 // cost returns the cost of the placement on a worker with free capacity; lower
 // is better. It returns false if the worker must not be used.
-func (d *Dispatcher) cost(r *workerRow, q *placementRequest) (float64, bool) {
+func (d *Dispatcher) cost(r *workerRow, q *request) (float64, bool) {
 	after := r.Capacity.Sub(r.free).Add(q.size)
 	cost := dominantShare(after, r.Capacity)
 	if q.size.Accelerators == 0 && r.Capacity.Accelerators > 0 {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -116,13 +116,13 @@
 	// Stats describes the last tick.
 	Stats Stats
 
-	input         Input
+	in            Input
 	rows          []workerRow
 	byWorker      map[units.WorkerID]int32
 	eligible      []int32
 	available     []int32           // eligible workers with free resources
 	capacities    []units.Resources // distinct capacities of the workers
-	noCapacityFor []unplaceableSize
+	noCapacityFor []sizeClass
 	proposals     []Proposal
 	startsLeft    int
 
@@ -174,7 +174,7 @@
 // call. While the log is unreachable Tick proposes nothing, because no proposal
 // could be recorded.
 func (d *Dispatcher) Tick(in Input) []Proposal {
-	d.input, d.Stats, d.proposals = in, Stats{}, d.proposals[:0]
+	d.in, d.Stats, d.proposals = in, Stats{}, d.proposals[:0]
 	d.tickCount++
 	d.logOutage.update(in.LogReachable, in.Now)
 	if !in.LogReachable {
@@ -198,10 +198,8 @@
 }
 
 func (d *Dispatcher) hasWaitingTasks() bool {
-	_, waiting, _ := d.input.Ledger.Counts()
+	_, waiting, _ := d.in.Ledger.Counts()
 	return waiting > 0
 }
 
-func (d *Dispatcher) ownsJob(job units.JobID) bool {
-	return d.input.OwnsJob == nil || d.input.OwnsJob(job)
-}
+func (d *Dispatcher) ownsJob(id units.JobID) bool { return d.in.OwnsJob == nil || d.in.OwnsJob(id) }
--- a/internal/dispatch/interference.go
+++ b/internal/dispatch/interference.go
@@ -10,7 +10,7 @@
 // affected endpoint on the worker.
 func (d *Dispatcher) addedSlowdown(kind units.JobKind, r *workerRow) float64 {
 	most := 0.0
-	if services := d.input.Interference[kind]; len(services) > 0 {
+	if services := d.in.Interference[kind]; len(services) > 0 {
 		for _, s := range r.Services {
 			if x := services[s] - 1; x > minSlowdown {
 				most = max(most, x)
@@ -25,15 +25,15 @@
 // runs one such batch task at a time, and only if no other worker has capacity:
 // the agent can throttle a single task, but several force it to evict. Urgent
 // tasks are exempt from the limit of one.
-func (d *Dispatcher) interferenceCost(r *workerRow, q *placementRequest) (float64, bool) {
+func (d *Dispatcher) interferenceCost(r *workerRow, q *request) (float64, bool) {
 	x := d.addedSlowdown(q.job.JobKind, r)
 	if x == 0 {
 		return 0, true
 	}
 	if !r.slowdownLoaded {
 		r.slowdownLoaded = true
-		for _, task := range d.input.Ledger.TasksOn(r.epoch) {
-			if j := d.input.Ledger.Job(task.Job); j != nil {
+		for _, task := range d.in.Ledger.TasksOn(r.epoch) {
+			if j := d.in.Ledger.Job(task.Job); j != nil {
 				r.slowdown += d.addedSlowdown(j.JobKind, r)
 			}
 		}
@@ -41,7 +41,7 @@
 	if r.slowdown+x <= d.policy.slowdownLimit {
 		return costPerSlowdown * x, true
 	}
-	if r.slowdown > 0 && q.isBatch() {
+	if r.slowdown > 0 && q.batch() {
 		return 0, false
 	}
 	return costExcessSlowdown + costPerSlowdown*x, true
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -13,8 +13,8 @@
 	maxSamples     = 16
 )
 
-// placementRequest is one task to place.
-type placementRequest struct {
+// request is one task to place.
+type request struct {
 	job          *ledger.Job
 	index        uint32
 	team         *teamRow // nil for a watcher
@@ -23,29 +23,25 @@
 	mayPreempt   bool
 	spread       *spreadCount // computed when the first worker with free capacity is rated
 	spreadLoaded bool
-	noCapacity   bool // no worker had enough free capacity, apart from all other reasons
+	noCapacity   bool // no worker had enough free capacity, cost and interference aside
 }
 
-func (q *placementRequest) task() units.Task      { return units.Task{Job: q.job.ID, Index: q.index} }
-func (q *placementRequest) taskRow() *ledger.Task { return &q.job.Tasks[q.index] }
-func (q *placementRequest) isBatch() bool {
-	return !q.job.IsWatcher() && q.job.Priority < units.PriorityUrgent
-}
-func (q *placementRequest) needsAtLeast(s unplaceableSize) bool {
-	return s.isBatch == q.isBatch() && s.size.Fits(q.size)
-}
+func (q *request) task() units.Task         { return units.Task{Job: q.job.ID, Index: q.index} }
+func (q *request) taskRow() *ledger.Task    { return &q.job.Tasks[q.index] }
+func (q *request) batch() bool              { return !q.job.IsWatcher() && q.job.Priority < units.PriorityUrgent }
+func (q *request) atLeast(s sizeClass) bool { return s.batch == q.batch() && s.size.Fits(q.size) }
 
-// unplaceableSize is a size for which no worker had free capacity earlier in the
+// sizeClass is a task size for which no worker had free capacity earlier in the
 // tick. Free capacity only shrinks during a tick, so tasks that are at least as
 // large need not be tried again.
-type unplaceableSize struct {
-	size    units.Resources
-	isBatch bool
+type sizeClass struct {
+	size  units.Resources
+	batch bool
 }
 
 // place proposes a worker for the task and reports whether it found one. If no
 // worker has free capacity it may preempt or reclaim borrowed capacity.
-func (d *Dispatcher) place(q placementRequest) bool {
+func (d *Dispatcher) place(q request) bool {
 	if best := d.pickWorker(&q); best != nil {
 		d.assign(&q, best, false, nil)
 		return true
@@ -59,9 +55,9 @@
 
 // pickWorker returns the best of a few random workers that can run the task, or
 // nil. It reads all rows only if the random samples include no good worker.
-func (d *Dispatcher) pickWorker(q *placementRequest) *workerRow {
+func (d *Dispatcher) pickWorker(q *request) *workerRow {
 	for _, s := range d.noCapacityFor {
-		if q.needsAtLeast(s) {
+		if q.atLeast(s) {
 			q.noCapacity = true
 			return nil
 		}
@@ -109,7 +105,7 @@
 		}
 	}
 	if q.noCapacity = !anyFits; q.noCapacity {
-		d.noCapacityFor = append(d.noCapacityFor, unplaceableSize{q.size, q.isBatch()})
+		d.noCapacityFor = append(d.noCapacityFor, sizeClass{q.size, q.batch()})
 	}
 	return best
 }
@@ -117,11 +113,11 @@
 // fits reports whether the worker has free capacity for the task now. Batch
 // tasks leave the headroom of endpoints free and stay below the worker's commit
 // limit.
-func (d *Dispatcher) fits(r *workerRow, q *placementRequest) bool {
+func (d *Dispatcher) fits(r *workerRow, q *request) bool {
 	if r.launching >= r.launchLimit || !q.size.Fits(r.free) || !d.reservationAllows(r, q) {
 		return false
 	}
-	if !q.isBatch() {
+	if !q.batch() {
 		return true
 	}
 	if q.size.Processors > r.free.Processors-r.headroom {
@@ -132,11 +128,11 @@
 
 // assign proposes the task for the worker and subtracts its size from the free
 // resources.
-func (d *Dispatcher) assign(q *placementRequest, r *workerRow, mayEvict bool, victims []TaskAttempt) {
+func (d *Dispatcher) assign(q *request, r *workerRow, mayEvict bool, victims []TaskAttempt) {
 	task, attempt := q.task(), q.taskRow().Attempt+1
 	d.proposals = append(d.proposals, Proposal{Action: Assign, Task: task, Attempt: attempt, WorkerEpoch: r.epoch,
 		Committed: q.size, Borrowed: q.overQuota, MayEvict: mayEvict, Victims: victims})
-	f := inFlightProposal{attempt: attempt, epoch: r.epoch, size: q.size, proposedAt: d.input.Now, team: q.job.Team, priority: q.job.Priority, kind: q.job.JobKind}
+	f := inFlightProposal{attempt: attempt, epoch: r.epoch, size: q.size, proposedAt: d.in.Now, team: q.job.Team, priority: q.job.Priority, kind: q.job.JobKind}
 	if q.team != nil {
 		q.team.addUsage(q.size, q.job.Priority)
 		d.startsLeft--
@@ -147,7 +143,7 @@
 	r.slowdown += d.addedSlowdown(q.job.JobKind, r)
 	if r.probe {
 		s := d.suspects[r.ID]
-		s.probe, s.probeAttempt, s.probeSince = task, attempt, d.input.Now
+		s.probe, s.probeAttempt, s.probeSince = task, attempt, d.in.Now
 	}
 	d.addToSpread(q, r)
 	d.recordSmallestAssigned(q)
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -22,7 +22,7 @@
 // share of the capacity, and reports whether it found one. It does not wait for
 // the evictions: that would cost another tick and another append, and urgent
 // tasks must start within 1.4 s.
-func (d *Dispatcher) preempt(q *placementRequest) bool {
+func (d *Dispatcher) preempt(q *request) bool {
 	if d.preemptions >= maxPreemptionsPerTick || d.scans >= maxScansPerTick {
 		return false
 	}
@@ -57,8 +57,8 @@
 
 // reclaim evicts borrowed attempts for a task within its team's quota that has
 // waited for reclaimAfter, and reports whether it proposed the task.
-func (d *Dispatcher) reclaim(q *placementRequest) bool {
-	if !q.noCapacity || d.reclaims >= maxReclaimsPerTick || d.input.Now.Sub(d.unplacedSince[q.task()]) < reclaimAfter {
+func (d *Dispatcher) reclaim(q *request) bool {
+	if !q.noCapacity || d.reclaims >= maxReclaimsPerTick || d.in.Now.Sub(d.unplacedSince[q.task()]) < reclaimAfter {
 		return false
 	}
 	d.reclaims++
@@ -82,7 +82,7 @@
 	return false
 }
 
-func (d *Dispatcher) assignWithEviction(q *placementRequest, r *workerRow, victims []TaskAttempt) {
+func (d *Dispatcher) assignWithEviction(q *request, r *workerRow, victims []TaskAttempt) {
 	d.preemptions++
 	d.Stats.Preemptions++
 	need := shortfall(q.size, r.free)
@@ -92,7 +92,7 @@
 		r.free = r.free.Add(need)
 	}
 	for _, v := range victims {
-		if t := d.input.Ledger.Task(v.Task); t != nil {
+		if t := d.in.Ledger.Task(v.Task); t != nil {
 			r.free = r.free.Add(t.Committed)
 		}
 	}
@@ -108,8 +108,8 @@
 		task units.Task
 	}
 	var all []candidate
-	for _, task := range d.input.Ledger.TasksOn(r.epoch) {
-		j, t := d.input.Ledger.Job(task.Job), d.input.Ledger.Task(task)
+	for _, task := range d.in.Ledger.TasksOn(r.epoch) {
+		j, t := d.in.Ledger.Job(task.Job), d.in.Ledger.Task(task)
 		if t.State == ledger.Running && !j.IsWatcher() && evictable(j, t) {
 			all = append(all, candidate{j, t, task})
 		}
--- a/internal/dispatch/queues.go
+++ b/internal/dispatch/queues.go
@@ -87,10 +87,10 @@
 // placeWatchers places every waiting watcher. Quotas are not checked again,
 // because the validation of the configuration document has checked them.
 func (d *Dispatcher) placeWatchers() {
-	if !d.input.Ledger.HasWaitingWatcher() {
+	if !d.in.Ledger.HasWaitingWatcher() {
 		return
 	}
-	watchers := d.input.Ledger.Watchers()
+	watchers := d.in.Ledger.Watchers()
 	var spread *spreadCount
 	for _, j := range watchers {
 		if len(j.Waiting()) == 0 || !d.ownsJob(j.ID) || !d.mayPropose(j, 0) {
@@ -99,7 +99,7 @@
 		if spread == nil {
 			spread = d.countWatchers(watchers)
 		}
-		d.place(placementRequest{job: j, size: j.Size, spread: spread, mayPreempt: j.Priority >= units.PriorityHigh})
+		d.place(request{job: j, size: j.Size, spread: spread, mayPreempt: j.Priority >= units.PriorityHigh})
 	}
 }
 
@@ -146,7 +146,7 @@
 // its limit of unplaced tasks.
 func (d *Dispatcher) queueDone(t *teamRow, p units.Priority) bool {
 	c := &t.cursors[p]
-	return c.misses >= d.teamMissLimit || c.job >= len(d.input.Ledger.WaitingJobs(t.name, p))
+	return c.misses >= d.teamMissLimit || c.job >= len(d.in.Ledger.WaitingJobs(t.name, p))
 }
 
 // nextJob advances the cursor to the next job of the queue.
@@ -156,7 +156,7 @@
 // cursor.
 func (d *Dispatcher) placeNext(t *teamRow, p units.Priority, pass *walk) {
 	c := &t.cursors[p]
-	j := d.input.Ledger.WaitingJobs(t.name, p)[c.job]
+	j := d.in.Ledger.WaitingJobs(t.name, p)[c.job]
 	if c.task == 0 {
 		d.Stats.JobsVisited++
 		if !d.ownsJob(j.ID) {
@@ -187,7 +187,7 @@
 		return
 	}
 	scansBefore := d.scans
-	if d.place(placementRequest{job: j, index: index, team: t, size: size, overQuota: overQuota, mayPreempt: pass.mayPreempt}) {
+	if d.place(request{job: j, index: index, team: t, size: size, overQuota: overQuota, mayPreempt: pass.mayPreempt}) {
 		pass.startsLeft--
 		return
 	}
@@ -195,7 +195,7 @@
 	d.Stats.Unplaced++
 	c.nextJob()
 	if c.misses++; c.misses == d.teamMissLimit-1 {
-		if left := len(d.input.Ledger.WaitingJobs(t.name, p)) - c.job; left > 0 {
+		if left := len(d.in.Ledger.WaitingJobs(t.name, p)) - c.job; left > 0 {
 			c.job += d.Random.IntN(left)
 		}
 	}
@@ -214,10 +214,10 @@
 	}
 	r, ok := d.retries[task]
 	if !ok || r.attempt != t.Attempt {
-		r = retryState{t.Attempt, d.input.Now.Add(d.retryDelay(t))}
+		r = retryState{t.Attempt, d.in.Now.Add(d.retryDelay(t))}
 		d.retries[task] = r
 	}
-	return !d.input.Now.Before(r.notBefore)
+	return !d.in.Now.Before(r.notBefore)
 }
 
 func (d *Dispatcher) retryDelay(t *ledger.Task) time.Duration {
@@ -244,7 +244,7 @@
 	}
 	task := units.Task{Job: j.ID, Index: index}
 	d.proposals = append(d.proposals, Proposal{Action: Fail, Task: task, Reason: reason})
-	d.inFlight[task] = inFlightProposal{attempt: t.Attempt + 1, proposedAt: d.input.Now}
+	d.inFlight[task] = inFlightProposal{attempt: t.Attempt + 1, proposedAt: d.in.Now}
 	return true
 }
 
@@ -255,12 +255,12 @@
 		return
 	}
 	for task, r := range d.retries {
-		if t := d.input.Ledger.Task(task); t == nil || t.Attempt != r.attempt {
+		if t := d.in.Ledger.Task(task); t == nil || t.Attempt != r.attempt {
 			delete(d.retries, task)
 		}
 	}
 	for task := range d.unplacedSince {
-		if t := d.input.Ledger.Task(task); t == nil || !t.State.Waiting() {
+		if t := d.in.Ledger.Task(task); t == nil || !t.State.Waiting() {
 			delete(d.unplacedSince, task)
 		}
 	}
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -25,9 +25,9 @@
 // buildTeamRows creates a row for every team that has jobs, sorted by name.
 func (d *Dispatcher) buildTeamRows() {
 	d.teams = d.teams[:0]
-	for _, name := range d.input.Ledger.Teams() {
+	for _, name := range d.in.Ledger.Teams() {
 		t := d.policy.teams[name] // an unknown team has no quota, so its tasks wait
-		row := teamRow{name: name, quota: t.Quota, mayBorrow: t.MayBorrow, used: d.input.Ledger.TeamUsage(name)}
+		row := teamRow{name: name, quota: t.Quota, mayBorrow: t.MayBorrow, used: d.in.Ledger.TeamUsage(name)}
 		d.teams = append(d.teams, row)
 	}
 	for _, f := range d.inFlight {
--- a/internal/dispatch/rampup.go
+++ b/internal/dispatch/rampup.go
@@ -39,14 +39,14 @@
 	case h == nil:
 		h = &usableHistory{committedBefore: r.Committed}
 		if d.tickCount > 1 {
-			h.usableSince = d.input.Now
+			h.usableSince = d.in.Now
 		}
 		d.usableHistories[r.ID] = h
-	case d.input.Now.Sub(h.lastUsable) > maxUsableGap:
-		h.usableSince, h.committedBefore = d.input.Now, r.Committed
+	case d.in.Now.Sub(h.lastUsable) > maxUsableGap:
+		h.usableSince, h.committedBefore = d.in.Now, r.Committed
 	}
-	h.lastUsable = d.input.Now
-	age := d.input.Now.Sub(h.usableSince)
+	h.lastUsable = d.in.Now
+	age := d.in.Now.Sub(h.usableSince)
 	if h.usableSince.IsZero() || age >= workerRampDuration {
 		return true
 	}
@@ -68,7 +68,7 @@
 		return
 	}
 	for id, h := range d.usableHistories {
-		if d.input.Now.Sub(h.lastUsable) > 10*time.Minute {
+		if d.in.Now.Sub(h.lastUsable) > 10*time.Minute {
 			delete(d.usableHistories, id)
 		}
 	}
@@ -97,10 +97,10 @@
 	if budget == 0 {
 		budget = DefaultStartsPerTick
 	}
-	if n := d.input.DispatcherCount; n > 1 {
+	if n := d.in.DispatcherCount; n > 1 {
 		budget = (budget + n - 1) / n
 	}
-	if age := d.input.Now.Sub(d.logOutage.reachableSince); !d.logOutage.reachableSince.IsZero() && age < logRampDuration {
+	if age := d.in.Now.Sub(d.logOutage.reachableSince); !d.logOutage.reachableSince.IsZero() && age < logRampDuration {
 		budget = max(1, int(float64(budget)*(logRampStartShare+(1-logRampStartShare)*float64(age)/float64(logRampDuration))))
 	}
 	return budget
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -14,10 +14,10 @@
 // markReleaseProposed reports whether a release of the attempt was proposed
 // within proposalTimeout. If not, it records one for now.
 func (d *Dispatcher) markReleaseProposed(v TaskAttempt) bool {
-	if at, ok := d.proposedReleases[v]; ok && d.input.Now.Sub(at) <= proposalTimeout {
+	if at, ok := d.proposedReleases[v]; ok && d.in.Now.Sub(at) <= proposalTimeout {
 		return true
 	}
-	d.proposedReleases[v] = d.input.Now
+	d.proposedReleases[v] = d.in.Now
 	return false
 }
 
@@ -25,17 +25,17 @@
 // has ended, so that the tasks run elsewhere. The releases do not count as
 // failures.
 func (d *Dispatcher) releaseEndedEpochs() {
-	if d.input.EpochEnded == nil {
+	if d.in.EpochEnded == nil {
 		return
 	}
 	for v, at := range d.proposedReleases {
-		if d.input.Now.Sub(at) > proposalTimeout {
+		if d.in.Now.Sub(at) > proposalTimeout {
 			delete(d.proposedReleases, v)
 		}
 	}
 	var ended []ledger.WorkerEpoch
-	for h := range d.input.Ledger.WorkerEpochs() {
-		if d.input.EpochEnded(h) {
+	for h := range d.in.Ledger.WorkerEpochs() {
+		if d.in.EpochEnded(h) {
 			ended = append(ended, h)
 		}
 	}
@@ -44,11 +44,11 @@
 	})
 	left := maxReleasesPerTick
 	for _, h := range ended {
-		for _, task := range d.input.Ledger.TasksOn(h) {
+		for _, task := range d.in.Ledger.TasksOn(h) {
 			if left == 0 {
 				return
 			}
-			attempt := d.input.Ledger.Task(task).Attempt
+			attempt := d.in.Ledger.Task(task).Attempt
 			if !d.ownsJob(task.Job) || d.markReleaseProposed(TaskAttempt{task, attempt}) {
 				continue
 			}
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -25,7 +25,7 @@
 // recordUnplaced records that no worker was found for the task, and reserves a
 // worker if the task has waited for capacity for reserveAfter. A task that is
 // kept out by interference gets none, because a reservation would not end it.
-func (d *Dispatcher) recordUnplaced(q *placementRequest) {
+func (d *Dispatcher) recordUnplaced(q *request) {
 	// While a task of higher priority is unplaced, the size of this one is not
 	// the reason why it waits.
 	d.highestUnplaced = max(d.highestUnplaced, q.job.Priority)
@@ -33,11 +33,11 @@
 	first, known := d.unplacedSince[task]
 	if !known {
 		if len(d.unplacedSince) < maxUnplacedTasks {
-			d.unplacedSince[task] = d.input.Now
+			d.unplacedSince[task] = d.in.Now
 		}
 		return
 	}
-	if !q.noCapacity || !d.smallerTasksPlaced(q.size) || q.overQuota || q.job.Priority < d.highestUnplaced || d.input.Now.Sub(first) < reserveAfter || len(d.reservations) >= min(maxReservations, len(d.eligible)/16+1) {
+	if !q.noCapacity || !d.smallerTasksPlaced(q.size) || q.overQuota || q.job.Priority < d.highestUnplaced || d.in.Now.Sub(first) < reserveAfter || len(d.reservations) >= min(maxReservations, len(d.eligible)/16+1) {
 		return
 	}
 	for _, r := range d.reservations {
@@ -61,18 +61,18 @@
 		}
 	}
 	if best != nil {
-		d.reservations[best.ID] = reservation{task, d.input.Now.Add(reservationTimeout)}
+		d.reservations[best.ID] = reservation{task, d.in.Now.Add(reservationTimeout)}
 	}
 }
 
 // recordSmallestAssigned updates the smallest batch size assigned in the current
 // window, which lasts reserveAfter. The previous window is kept as well.
-func (d *Dispatcher) recordSmallestAssigned(q *placementRequest) {
-	if !q.isBatch() {
+func (d *Dispatcher) recordSmallestAssigned(q *request) {
+	if !q.batch() {
 		return
 	}
-	if d.input.Now.Sub(d.windowStart) >= reserveAfter {
-		d.windowStart, d.smallestAssigned[1], d.smallestAssigned[0] = d.input.Now, d.smallestAssigned[0], units.Resources{}
+	if d.in.Now.Sub(d.windowStart) >= reserveAfter {
+		d.windowStart, d.smallestAssigned[1], d.smallestAssigned[0] = d.in.Now, d.smallestAssigned[0], units.Resources{}
 	}
 	if w := &d.smallestAssigned[0]; w.IsZero() {
 		*w = q.size
@@ -98,8 +98,8 @@
 func (d *Dispatcher) pruneReservations() {
 	for id, r := range d.reservations {
 		i, ok := d.byWorker[id]
-		t := d.input.Ledger.Task(r.task)
-		if !ok || !d.rows[i].eligible || t == nil || !t.State.Waiting() || !d.input.Now.Before(r.expiresAt) {
+		t := d.in.Ledger.Task(r.task)
+		if !ok || !d.rows[i].eligible || t == nil || !t.State.Waiting() || !d.in.Now.Before(r.expiresAt) {
 			delete(d.reservations, id)
 		}
 	}
@@ -114,12 +114,12 @@
 		if !taken {
 			continue
 		}
-		j := d.input.Ledger.Job(s.task.Job)
+		j := d.in.Ledger.Job(s.task.Job)
 		t := d.findTeam(j.Team)
 		if t == nil || !d.mayPropose(j, s.task.Index) {
 			continue
 		}
-		q := placementRequest{job: j, index: s.task.Index, team: t, size: d.commitSize(j, &j.Tasks[s.task.Index])}
+		q := request{job: j, index: s.task.Index, team: t, size: d.commitSize(j, &j.Tasks[s.task.Index])}
 		q.overQuota = !t.withinQuota(q.size, j.Priority)
 		switch _, ok := d.cost(r, &q); {
 		case !ok || (q.overQuota && !t.mayBorrow):
@@ -132,8 +132,8 @@
 
 // reservationAllows reports whether the worker is not reserved for another task.
 // Reservations do not apply to urgent tasks and watchers.
-func (d *Dispatcher) reservationAllows(r *workerRow, q *placementRequest) bool {
-	if len(d.reservations) == 0 || !q.isBatch() {
+func (d *Dispatcher) reservationAllows(r *workerRow, q *request) bool {
+	if len(d.reservations) == 0 || !q.batch() {
 		return true
 	}
 	s, taken := d.reservations[r.ID]
--- a/internal/dispatch/size.go
+++ b/internal/dispatch/size.go
@@ -57,7 +57,7 @@
 }
 
 func (d *Dispatcher) sizeOfKind(kind units.JobKind) learnedSize {
-	k := d.input.Ledger.KindUsage(kind)
+	k := d.in.Ledger.KindUsage(kind)
 	if k == nil {
 		return learnedSize{}
 	}
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func (d *Dispatcher) addToSpread(q *placementRequest, r *workerRow) {
+func (d *Dispatcher) addToSpread(q *request, r *workerRow) {
 	if q.spread != nil {
 		q.spread.add(r)
 	}
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -33,7 +33,7 @@
 func (d *Dispatcher) updateSuspects() {
 	for i := range d.rows {
 		r := &d.rows[i]
-		failures := d.input.Ledger.ConsecutiveFailures(r.ID)
+		failures := d.in.Ledger.ConsecutiveFailures(r.ID)
 		s := d.suspects[r.ID]
 		if failures < suspectFailures {
 			if s != nil {
@@ -50,7 +50,7 @@
 }
 
 func (d *Dispatcher) updateSuspect(s *suspect, failures int) {
-	now := d.input.Now
+	now := d.in.Now
 	if failures > s.failures {
 		// Failures during the backoff come from tasks that were already running
 		// and do not raise the level.
@@ -64,7 +64,7 @@
 	if s.probe == (units.Task{}) {
 		return
 	}
-	t := d.input.Ledger.Task(s.probe)
+	t := d.in.Ledger.Task(s.probe)
 	_, proposed := d.inFlight[s.probe]
 	open := proposed || (t != nil && t.Attempt == s.probeAttempt && t.State.Open())
 	switch {
@@ -84,7 +84,7 @@
 	if s == nil || s.cleared || len(d.suspects)*maxSuspectDivisor > len(d.rows) {
 		return true
 	}
-	if d.input.Now.Before(s.backoffUntil) || s.probe != (units.Task{}) {
+	if d.in.Now.Before(s.backoffUntil) || s.probe != (units.Task{}) {
 		return false
 	}
 	r.probe, r.launchLimit = true, r.launching+1
--- a/internal/dispatch/unplaceable.go
+++ b/internal/dispatch/unplaceable.go
@@ -14,7 +14,7 @@
 	if t, ok := d.policy.teams[j.Team]; ok && alwaysOverQuota(j.Size, t) {
 		return fmt.Sprintf("a task of %v exceeds the quota of team %q, which may not borrow", j.Size, j.Team)
 	}
-	if len(d.capacities) == 0 || j.Size.Fits(d.input.Document.LargestWorker) {
+	if len(d.capacities) == 0 || j.Size.Fits(d.in.Document.LargestWorker) {
 		return ""
 	}
 	for _, capacity := range d.capacities {
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -53,10 +53,10 @@
 func (d *Dispatcher) buildWorkerRows() {
 	d.rows, d.eligible, d.capacities = d.rows[:0], d.eligible[:0], d.capacities[:0]
 	clear(d.byWorker)
-	for i := range d.input.Workers {
-		w := &d.input.Workers[i]
+	for i := range d.in.Workers {
+		w := &d.in.Workers[i]
 		h := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
-		launching := d.input.Ledger.LaunchingOn(h)
+		launching := d.in.Ledger.LaunchingOn(h)
 		r := workerRow{Worker: w, epoch: h, launching: launching.Count, launchLimit: maxLaunching, commitLimit: w.Capacity,
 			free: w.Capacity.Sub(w.Committed).Sub(launching.Committed), evictable: w.Evictable}
 		for _, s := range w.Services {
@@ -93,7 +93,7 @@
 // admitted.
 func (d *Dispatcher) usable(r *workerRow) bool {
 	return r.Epoch != 0 && r.HasSession && !r.Draining && r.HeartbeatAge <= maxHeartbeatAge && d.policy.inService(r.Domain) &&
-		!d.policy.drained[r.ID] && (d.input.EpochEnded == nil || !d.input.EpochEnded(r.epoch))
+		!d.policy.drained[r.ID] && (d.in.EpochEnded == nil || !d.in.EpochEnded(r.epoch))
 }
 
 func (d *Dispatcher) addCapacity(c units.Resources) {
@@ -120,8 +120,8 @@
 // those that were lost, and subtracts the remaining ones from the free resources.
 func (d *Dispatcher) pruneInFlight() {
 	for task, f := range d.inFlight {
-		t := d.input.Ledger.Task(task)
-		if t == nil || t.Attempt >= f.attempt || !t.State.Waiting() || d.input.Now.Sub(f.proposedAt) > proposalTimeout {
+		t := d.in.Ledger.Task(task)
+		if t == nil || t.Attempt >= f.attempt || !t.State.Waiting() || d.in.Now.Sub(f.proposedAt) > proposalTimeout {
 			delete(d.inFlight, task)
 			continue
 		}
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -55,9 +55,7 @@
 	contention = 2.0
 )
 
-func (m *machine) holder() ledger.WorkerEpoch {
-	return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch}
-}
+func (m *machine) key() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
 
 // committed is what the agent has admitted.
 func (m *machine) committed(f Firm) units.Resources {
@@ -250,7 +248,7 @@
 
 // crash loses the instance with what ran; its lessor records the expiry.
 func (m *machine) crash(x *fixture) {
-	h := m.holder()
+	h := m.key()
 	m.alive, m.running, m.reports = false, nil, nil
 	sinceGrant := time.Duration(x.noise.Int64N(int64(lease/4/step))) * step
 	at := x.elapsed + lease + leaseMargin - sinceGrant
