--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -86,7 +86,7 @@
 	if f.ledger.Job("j").EndSequence == 0 || f.ledger.Job("k").EndSequence == 0 {
 		t.Error("job j or k has not ended")
 	}
-	if f.ledger.Rejections()[ledger.ReasonAttempt]+f.ledger.Rejections()[ledger.ReasonNotWaiting]+f.ledger.Rejections()[ledger.ReasonNotOpen]+f.ledger.Rejections()[ledger.ReasonJobEnded] == 0 {
+	if f.ledger.Rejections()[ledger.ReasonWrongAttempt]+f.ledger.Rejections()[ledger.ReasonNotWaiting]+f.ledger.Rejections()[ledger.ReasonNotOpen]+f.ledger.Rejections()[ledger.ReasonJobEnded] == 0 {
 		t.Error("the ledger rejected no proposal, so the test did not exercise conflicts")
 	}
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -13,7 +13,7 @@
 // day returns the entries of a day with that many jobs of 150 teams: ten tasks
 // a job, which are assigned, started and ended, and the running tasks that are
 // open at its end. An eighth of the attempts is evicted or released first.
-func day(jobs, running int) [][]byte {
+func dayOfEntries(jobs, running int) [][]byte {
 	var entries [][]byte
 	sizes := units.Resources{Processors: 1900, Memory: 3 * units.GiB}
 	for i := range jobs {
@@ -41,7 +41,7 @@
 // and the memory that the state holds.
 func BenchmarkReplay(b *testing.B) {
 	for _, jobs := range []int{3250, 6500, 13_000, 26_000} {
-		entries := day(jobs, jobs*4/5)
+		entries := dayOfEntries(jobs, jobs*4/5)
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
 			for b.Loop() {
 				replay(b, entries)
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -16,15 +16,15 @@
 // maxProcessors and maxMemory bound the sizes of an entry, so that sums over
 // all tasks stay far from overflow.
 const (
-	maxProcessors = 1 << 24
-	maxMemory     = 1 << 44
-	maxAccel      = 1 << 10
+	maxProcessors   = 1 << 24
+	maxMemory       = 1 << 44
+	maxAccelerators = 1 << 10
 )
 
 // decodeEvent reads an entry about one task and checks every field that the
 // fold stores.
-func decodeEvent(offset units.Offset, m *wire.JobsEntry) (*event, error) {
-	e := &event{offset: offset}
+func decodeTaskEntry(offset units.Offset, m *wire.JobsEntry) (*taskEntry, error) {
+	e := &taskEntry{offset: offset}
 	var ref *wire.TaskRef
 	var committed, used *wire.Resources
 	var run int64
@@ -34,39 +34,39 @@
 		e.kind, ref, committed = kindAssigned, a.GetTask(), a.GetCommitted()
 		e.worker, e.epoch, e.borrowed = units.WorkerID(a.GetWorker()), units.Epoch(a.GetEpoch()), a.GetBorrowed()
 		if !validText(a.GetWorker()) || a.GetEpoch() == 0 {
-			return nil, fmt.Errorf("assigned: worker %q epoch %d", cut(a.GetWorker()), a.GetEpoch())
+			return nil, fmt.Errorf("assigned: worker %q epoch %d", truncate(a.GetWorker()), a.GetEpoch())
 		}
 	case *wire.JobsEntry_Started:
 		e.kind, ref = kindStarted, k.Started.GetTask()
 	case *wire.JobsEntry_Released:
 		r := k.Released
-		e.kind, ref, e.reason, e.checkpoint, e.isFailure = kindReleased, r.GetTask(), cut(r.GetReason()), r.GetCheckpoint(), r.GetCountsAsFailure()
+		e.kind, ref, e.reason, e.checkpoint, e.countsAsFailure = kindReleased, r.GetTask(), truncate(r.GetReason()), r.GetCheckpoint(), r.GetCountsAsFailure()
 	case *wire.JobsEntry_Ended:
 		d := k.Ended
 		e.kind, ref, e.outcome, run, used = kindEnded, d.GetTask(), d.GetOutcome(), d.GetRunMilliseconds(), d.GetUsed()
 	case *wire.JobsEntry_Evicted:
 		v := k.Evicted
-		e.kind, ref, e.reason, e.checkpoint = kindEvicted, v.GetTask(), cut(v.GetReason()), v.GetCheckpoint()
+		e.kind, ref, e.reason, e.checkpoint = kindEvicted, v.GetTask(), truncate(v.GetReason()), v.GetCheckpoint()
 	case *wire.JobsEntry_Failed:
 		f := k.Failed
-		e.kind, e.reason = kindFailed, cut(f.GetReason())
+		e.kind, e.reason = kindFailed, truncate(f.GetReason())
 		ref = &wire.TaskRef{Job: f.GetJob(), Index: f.GetIndex(), Attempt: 1}
 	default:
 		return nil, fmt.Errorf("entry of no known kind")
 	}
 	if !validText(ref.GetJob()) || ref.GetAttempt() == 0 {
-		return nil, fmt.Errorf("%s: task %q attempt %d", kindNames[e.kind], cut(ref.GetJob()), ref.GetAttempt())
+		return nil, fmt.Errorf("%s: task %q attempt %d", kindNames[e.kind], truncate(ref.GetJob()), ref.GetAttempt())
 	}
-	if len(e.checkpoint) > MaxReason {
+	if len(e.checkpoint) > MaxReasonBytes {
 		return nil, fmt.Errorf("%s: checkpoint name of %d bytes", kindNames[e.kind], len(e.checkpoint))
 	}
 	e.task, e.attempt = ref.Task(), units.Attempt(ref.GetAttempt())
-	return e, e.decodeSizes(committed, used, run)
+	return e, e.decodeResources(committed, used, run)
 }
 
-func (e *event) decodeSizes(committed, used *wire.Resources, run int64) error {
+func (e *taskEntry) decodeResources(committed, used *wire.Resources, run int64) error {
 	e.committed, e.used = committed.Units(), used.Units()
-	if !sane(e.committed) || !sane(e.used) {
+	if !inRange(e.committed) || !inRange(e.used) {
 		return fmt.Errorf("%s: size out of range", kindNames[e.kind])
 	}
 	if run < 0 || run > maxRunTime.Milliseconds() {
@@ -76,9 +76,9 @@
 	return nil
 }
 
-func sane(r units.Resources) bool {
+func inRange(r units.Resources) bool {
 	return r.Processors >= 0 && r.Memory >= 0 && r.Accelerators >= 0 &&
-		r.Processors <= maxProcessors && r.Memory <= maxMemory && r.Accelerators <= maxAccel
+		r.Processors <= maxProcessors && r.Memory <= maxMemory && r.Accelerators <= maxAccelerators
 }
 
 // checkSubmitted reports the first thing wrong with a submission.
@@ -87,10 +87,10 @@
 	watcher := s.GetKind() == wire.TaskKind_TASK_KIND_WATCHER
 	switch {
 	case !validText(m.GetJob()) || !validText(m.GetTeam()):
-		return fmt.Errorf("submitted: job %q of team %q", cut(m.GetJob()), cut(m.GetTeam()))
-	case len(m.GetKey()) > MaxText || len(m.GetName()) > MaxText || len(s.GetJobKind()) > MaxText || len(s.GetCheckpoint()) > MaxReason:
+		return fmt.Errorf("submitted: job %q of team %q", truncate(m.GetJob()), truncate(m.GetTeam()))
+	case len(m.GetKey()) > MaxTextBytes || len(m.GetName()) > MaxTextBytes || len(s.GetJobKind()) > MaxTextBytes || len(s.GetCheckpoint()) > MaxReasonBytes:
 		return fmt.Errorf("submitted: job %q has a text that is too long", m.GetJob())
-	case m.GetTasks() == 0 || m.GetTasks() > MaxTasks || (watcher && m.GetTasks() != 1):
+	case m.GetTasks() == 0 || m.GetTasks() > MaxTasksPerJob || (watcher && m.GetTasks() != 1):
 		return fmt.Errorf("submitted: job %q has %d tasks", m.GetJob(), m.GetTasks())
 	case !watcher && s.GetKind() != wire.TaskKind_TASK_KIND_BATCH:
 		return fmt.Errorf("submitted: job %q is of kind %d", m.GetJob(), s.GetKind())
@@ -98,7 +98,7 @@
 		return fmt.Errorf("submitted: job %q: the prefix %q is for watchers", m.GetJob(), WatcherPrefix)
 	case s.GetPriority() < wire.Priority_PRIORITY_LOW || s.GetPriority() > wire.Priority_PRIORITY_URGENT:
 		return fmt.Errorf("submitted: job %q has priority %d", m.GetJob(), s.GetPriority())
-	case !sane(s.GetSize().Units()) || s.GetSize().Units().IsZero():
+	case !inRange(s.GetSize().Units()) || s.GetSize().Units().IsZero():
 		return fmt.Errorf("submitted: job %q has size %v", m.GetJob(), s.GetSize().Units())
 	case s.GetRunMilliseconds() < 0 || s.GetRunMilliseconds() > maxRunTime.Milliseconds():
 		return fmt.Errorf("submitted: job %q declares %d ms", m.GetJob(), s.GetRunMilliseconds())
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -22,33 +22,33 @@
 
 // checker follows the entries that a fold accepted and knows nothing else of
 // it. It reports what would run or publish a task twice.
-type checker struct {
-	tasks      map[units.Task]*checked
-	violations []violation
-	kinds      map[string]int // accepted entries
+type exactlyOnceChecker struct {
+	tasks         map[units.Task]*taskHistory
+	violations    []violation
+	acceptedKinds map[string]int // accepted entries
 }
 
 // violation is a broken guarantee and where.
 type violation struct{ guarantee, text string }
 
-type checked struct {
+type taskHistory struct {
 	attempt         units.Attempt
 	open, cancelled bool
-	published       int
-	resumed         map[units.Attempt]int // assignments by attempt
+	ends            int
+	assignments     map[units.Attempt]int // assignments by attempt
 }
 
-func newChecker() *checker {
-	return &checker{tasks: map[units.Task]*checked{}, kinds: map[string]int{}}
+func newChecker() *exactlyOnceChecker {
+	return &exactlyOnceChecker{tasks: map[units.Task]*taskHistory{}, acceptedKinds: map[string]int{}}
 }
 
-func (c *checker) report(guarantee, format string, args ...any) {
+func (c *exactlyOnceChecker) report(guarantee, format string, args ...any) {
 	c.violations = append(c.violations, violation{guarantee, fmt.Sprintf(format, args...)})
 }
 
 // accepted notes an entry that took effect, with the number of tasks of its job.
-func (c *checker) accepted(kind string, task units.Task, a units.Attempt, tasks uint32) {
-	c.kinds[kind]++
+func (c *exactlyOnceChecker) recordAccepted(kind string, task units.Task, a units.Attempt, tasks uint32) {
+	c.acceptedKinds[kind]++
 	if kind == "cancelled" {
 		for i := range tasks {
 			c.task(units.Task{Job: task.Job, Index: i}).cancelled = true
@@ -64,11 +64,11 @@
 		if t.cancelled {
 			c.report("no start after cancellation", "%v: attempt %d assigned after the cancellation", task, a)
 		}
-		if t.published > 0 {
+		if t.ends > 0 {
 			c.report("ends once", "%v: attempt %d assigned after the end", task, a)
 		}
-		if t.resumed[a]++; t.resumed[a] > 1 || a != t.attempt+1 {
-			c.report("resumes once", "%v: attempt %d assigned %d times, after %d", task, a, t.resumed[a], t.attempt)
+		if t.assignments[a]++; t.assignments[a] > 1 || a != t.attempt+1 {
+			c.report("resumes once", "%v: attempt %d assigned %d times, after %d", task, a, t.assignments[a], t.attempt)
 		}
 		t.attempt, t.open = a, true
 	case "ended", "evicted", "released":
@@ -76,8 +76,8 @@
 			c.report("only the current attempt counts", "%v: attempt %d %s, but %d is current", task, a, kind, t.attempt)
 		}
 		if kind == "ended" && !t.cancelled {
-			if t.published++; t.published > 1 {
-				c.report("ends once", "%v: ended %d times", task, t.published)
+			if t.ends++; t.ends > 1 {
+				c.report("ends once", "%v: ended %d times", task, t.ends)
 			}
 		}
 		t.open = false
@@ -88,9 +88,9 @@
 	}
 }
 
-func (c *checker) task(t units.Task) *checked {
+func (c *exactlyOnceChecker) task(t units.Task) *taskHistory {
 	if c.tasks[t] == nil {
-		c.tasks[t] = &checked{resumed: map[units.Attempt]int{}}
+		c.tasks[t] = &taskHistory{assignments: map[units.Attempt]int{}}
 	}
 	return c.tasks[t]
 }
@@ -103,7 +103,7 @@
 // history draws entries as two dispatchers and several agents would send them
 // with views that are stale by up to the whole history: every kind of entry in
 // every order, with attempts around the newest one, repeated and late.
-func history(t *rapid.T) [][]byte {
+func drawEntries(t *rapid.T) [][]byte {
 	var entries [][]byte
 	shadow := New() // tells which attempt an up-to-date process would name
 	add := func(e []byte) {
@@ -160,12 +160,12 @@
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
-		entries := history(t)
+		entries := drawEntries(t)
 		full, second, restored := New(), New(), New()
 		c := newChecker()
 		full.Observe = func(ch Change) {
 			if ch.Reason == "" {
-				c.accepted(ch.Kind, ch.Task, ch.Attempt, historyTasks)
+				c.recordAccepted(ch.Kind, ch.Task, ch.Attempt, historyTasks)
 			}
 		}
 		cut := rapid.IntRange(0, len(entries)).Draw(t, "snapshot")
@@ -187,7 +187,7 @@
 		for _, v := range c.violations {
 			t.Errorf("%s: %s", v.guarantee, v.text)
 		}
-		for k, n := range c.kinds {
+		for k, n := range c.acceptedKinds {
 			total[k] += n
 		}
 		checkIndexes(t, full)
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	for _, n := range l.launching {
+	for _, n := range l.launchingByEpoch {
 		launching -= n.Count
 	}
 	queued := 0
@@ -241,30 +241,30 @@
 }
 
 // lastWins is a naive fold: the newest entry about a task decides its state.
-type lastWins struct {
-	accepted func(kind string, task units.Task, a units.Attempt, tasks uint32)
+type lastEntryWins struct {
+	recordAccepted func(kind string, task units.Task, a units.Attempt, tasks uint32)
 }
 
-func (n lastWins) apply(entry []byte) {
+func (n lastEntryWins) apply(entry []byte) {
 	var m wire.JobsEntry
 	if proto.Unmarshal(entry, &m) != nil {
 		return
 	}
 	if c := m.GetCancelled(); c != nil {
-		n.accepted("cancelled", units.Task{Job: units.JobID(c.GetJob())}, 0, historyTasks)
-	} else if e, err := decodeEvent(0, &m); err == nil {
-		n.accepted(kindNames[e.kind], e.task, e.attempt, historyTasks)
+		n.recordAccepted("cancelled", units.Task{Job: units.JobID(c.GetJob())}, 0, historyTasks)
+	} else if e, err := decodeTaskEntry(0, &m); err == nil {
+		n.recordAccepted(kindNames[e.kind], e.task, e.attempt, historyTasks)
 	}
 }
 
 // TestNaiveFold guards the checker itself: a fold in which the last record wins
 // must be caught.
-func TestNaiveFold(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	caught, histories := map[string]int{}, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChecker()
-		n := lastWins{c.accepted}
-		for _, e := range history(rt) {
+		n := lastEntryWins{c.recordAccepted}
+		for _, e := range drawEntries(rt) {
 			n.apply(e)
 		}
 		histories++
@@ -287,15 +287,15 @@
 // FuzzApply guards against input that panics the fold, changes it although it
 // is malformed, or leaves a state that cannot be restored.
 func FuzzApply(f *testing.F) {
-	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), assigned(one, 1),
-		EncodeStarted(one, 1), EncodeReleased(one, 1, Release{Reason: "x", CountsAsFailure: true}), EncodeEvicted(one, 1, "c", "r"),
-		EncodeEnded(one, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{Processors: 1, Memory: 1}),
-		EncodeCancelled("a", ""), EncodeFailed(one, "x")} {
+	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), encodeAssigned(task0, 1),
+		EncodeStarted(task0, 1), EncodeReleased(task0, 1, Release{Reason: "x", CountsAsFailure: true}), EncodeEvicted(task0, 1, "c", "r"),
+		EncodeEnded(task0, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{Processors: 1, Memory: 1}),
+		EncodeCancelled("a", ""), EncodeFailed(task0, "x")} {
 		f.Add(e)
 	}
 	f.Fuzz(func(t *testing.T, entry []byte) {
 		l := New()
-		for i, e := range [][]byte{EncodeSubmitted(submission("a", 2)), assigned(one, 1)} {
+		for i, e := range [][]byte{EncodeSubmitted(submission("a", 2)), encodeAssigned(task0, 1)} {
 			_ = l.Apply(units.Offset(i), e)
 		}
 		before, _ := l.Snapshot()
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -10,16 +10,16 @@
 )
 
 // team holds the indexes of one team.
-type team struct {
-	jobs    []*Job                                    // by sequence, ended ones included
-	waiting [units.PriorityUrgent + 1][]*Job          // jobs with waiting tasks, by sequence
-	used    [units.PriorityUrgent + 1]units.Resources // committed by open attempts
+type teamIndexes struct {
+	jobs      []*Job                                    // by sequence, ended ones included
+	waiting   [units.PriorityUrgent + 1][]*Job          // jobs with waiting tasks, by sequence
+	committed [units.PriorityUrgent + 1]units.Resources // committed by open attempts
 }
 
-func (l *Ledger) team(name units.TeamName) *team {
+func (l *Ledger) teamIndexes(name units.TeamName) *teamIndexes {
 	t := l.teams[name]
 	if t == nil {
-		t = &team{}
+		t = &teamIndexes{}
 		l.teams[name] = t
 	}
 	return t
@@ -48,7 +48,7 @@
 }
 
 // link adds the task to the indexes of its state.
-func (l *Ledger) link(j *Job, index uint32) {
+func (l *Ledger) addToIndexes(j *Job, index uint32) {
 	t := &j.Tasks[index]
 	switch {
 	case t.State.Waiting():
@@ -59,15 +59,15 @@
 			j.waiting = slices.Insert(j.waiting, i, index)
 		}
 		if len(j.waiting) == 1 {
-			w := &l.team(j.Team).waiting[j.Priority]
+			w := &l.teamIndexes(j.Team).waiting[j.Priority]
 			*w = insertJob(*w, j)
 		}
 	case t.State.Open():
 		l.openTasks++
 		h := WorkerEpoch{t.Worker, t.Epoch}
 		l.openTasksByEpoch[h] = append(l.openTasksByEpoch[h], units.Task{Job: j.ID, Index: index})
-		tm := l.team(j.Team)
-		tm.used[j.Priority] = tm.used[j.Priority].Add(t.Committed)
+		tm := l.teamIndexes(j.Team)
+		tm.committed[j.Priority] = tm.committed[j.Priority].Add(t.Committed)
 		if t.State == Assigned {
 			l.addLaunching(h, t.Committed, 1)
 		}
@@ -75,7 +75,7 @@
 }
 
 // unlink removes the task from the indexes of its state.
-func (l *Ledger) unlink(j *Job, index uint32) {
+func (l *Ledger) removeFromIndexes(j *Job, index uint32) {
 	t := &j.Tasks[index]
 	switch {
 	case t.State.Waiting():
@@ -89,21 +89,21 @@
 		}
 		if len(j.waiting) == 0 {
 			j.waiting = nil
-			w := &l.team(j.Team).waiting[j.Priority]
+			w := &l.teamIndexes(j.Team).waiting[j.Priority]
 			*w = removeJob(*w, j)
 		}
 	case t.State.Open():
 		l.openTasks--
-		l.unhold(WorkerEpoch{t.Worker, t.Epoch}, units.Task{Job: j.ID, Index: index})
-		tm := l.team(j.Team)
-		tm.used[j.Priority] = tm.used[j.Priority].Sub(t.Committed)
+		l.removeOpenTask(WorkerEpoch{t.Worker, t.Epoch}, units.Task{Job: j.ID, Index: index})
+		tm := l.teamIndexes(j.Team)
+		tm.committed[j.Priority] = tm.committed[j.Priority].Sub(t.Committed)
 		if t.State == Assigned {
 			l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 		}
 	}
 }
 
-func (l *Ledger) unhold(h WorkerEpoch, task units.Task) {
+func (l *Ledger) removeOpenTask(h WorkerEpoch, task units.Task) {
 	held := l.openTasksByEpoch[h]
 	for i := range held {
 		if held[i] == task {
@@ -127,10 +127,10 @@
 }
 
 func (l *Ledger) addLaunching(h WorkerEpoch, size units.Resources, n int) {
-	s := l.launching[h]
+	s := l.launchingByEpoch[h]
 	s.Count += n
 	if s.Count <= 0 {
-		delete(l.launching, h)
+		delete(l.launchingByEpoch, h)
 		return
 	}
 	if n > 0 {
@@ -138,12 +138,12 @@
 	} else {
 		s.Committed = s.Committed.Sub(size)
 	}
-	l.launching[h] = s
+	l.launchingByEpoch[h] = s
 }
 
 // LaunchingOn returns the sum of the attempts that are assigned to the holder
 // and not known to have started.
-func (l *Ledger) LaunchingOn(h WorkerEpoch) Launching { return l.launching[h] }
+func (l *Ledger) LaunchingOn(h WorkerEpoch) Launching { return l.launchingByEpoch[h] }
 
 // Job returns the row of a job, or nil. It is valid until the next Apply.
 func (l *Ledger) Job(id units.JobID) *Job { return l.jobs[id] }
@@ -159,7 +159,7 @@
 
 // JobByKey returns the job that the team submitted under the idempotency key.
 func (l *Ledger) JobByKey(name units.TeamName, key string) *Job {
-	if id, ok := l.keys[teamKey{name, key}]; ok {
+	if id, ok := l.jobsByKey[teamKey{name, key}]; ok {
 		return l.jobs[id]
 	}
 	return nil
@@ -190,7 +190,7 @@
 // Used returns what the team's open attempts commit, by priority.
 func (l *Ledger) TeamUsage(name units.TeamName) [units.PriorityUrgent + 1]units.Resources {
 	if t := l.teams[name]; t != nil {
-		return t.used
+		return t.committed
 	}
 	return [units.PriorityUrgent + 1]units.Resources{}
 }
@@ -204,12 +204,12 @@
 
 // Watchers returns the watchers that have not ended, by name.
 func (l *Ledger) Watchers() []*Job {
-	return slices.SortedFunc(maps.Values(l.watchers), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
+	return slices.SortedFunc(maps.Values(l.activeWatchers), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // WatcherWaits reports whether a watcher waits to be assigned.
 func (l *Ledger) HasWaitingWatcher() bool {
-	for _, j := range l.watchers {
+	for _, j := range l.activeWatchers {
 		if len(j.waiting) > 0 {
 			return true
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -68,13 +68,13 @@
 const (
 	// RetainedJobs and RetainedTasks bound the ended jobs kept for lookup: a day
 	// and a half at 13,000 jobs a day.
-	RetainedJobs  = 20_000
-	RetainedTasks = 200_000
+	MaxEndedJobs  = 20_000
+	MaxEndedTasks = 200_000
 	// MaxTasks bounds the tasks of one job, MaxText every id, key and name, and
 	// MaxReason the texts that are cut instead of rejected.
-	MaxTasks  = 10_000
-	MaxText   = 256
-	MaxReason = 512
+	MaxTasksPerJob = 10_000
+	MaxTextBytes   = 256
+	MaxReasonBytes = 512
 )
 
 // Task is the row of one task.
@@ -154,18 +154,18 @@
 	Observe func(Change)
 
 	jobs             map[units.JobID]*Job
-	keys             map[teamKey]units.JobID
-	teams            map[units.TeamName]*team
+	jobsByKey        map[teamKey]units.JobID
+	teams            map[units.TeamName]*teamIndexes
 	openTasksByEpoch map[WorkerEpoch][]units.Task
-	launching        map[WorkerEpoch]Launching
-	watchers         map[units.JobID]*Job // not ended
-	ended            []*Job               // by order of ending
+	launchingByEpoch map[WorkerEpoch]Launching
+	activeWatchers   map[units.JobID]*Job // not ended
+	endedJobs        []*Job               // by order of ending
 	endedTasks       int
-	kinds            map[units.JobKind]*KindUsage
-	failing          map[units.WorkerID]*failing
+	usageByKind      map[units.JobKind]*KindUsage
+	failureStreaks   map[units.WorkerID]*failureStreak
 	rejections       map[Reason]uint64
 	nextSequence     uint64
-	nextEnded        uint64
+	nextEndSequence  uint64
 	waitingTasks     int
 	openTasks        int
 }
@@ -186,14 +186,14 @@
 	*l = Ledger{
 		Observe:          l.Observe,
 		jobs:             map[units.JobID]*Job{},
-		keys:             map[teamKey]units.JobID{},
-		teams:            map[units.TeamName]*team{},
+		jobsByKey:        map[teamKey]units.JobID{},
+		teams:            map[units.TeamName]*teamIndexes{},
 		openTasksByEpoch: map[WorkerEpoch][]units.Task{},
-		launching:        map[WorkerEpoch]Launching{},
-		watchers:         map[units.JobID]*Job{},
-		kinds:            map[units.JobKind]*KindUsage{},
-		failing:          map[units.WorkerID]*failing{},
+		launchingByEpoch: map[WorkerEpoch]Launching{},
+		activeWatchers:   map[units.JobID]*Job{},
+		usageByKind:      map[units.JobKind]*KindUsage{},
+		failureStreaks:   map[units.WorkerID]*failureStreak{},
 		rejections:       map[Reason]uint64{},
 	}
-	l.nextSequence, l.nextEnded = 1, 1
+	l.nextSequence, l.nextEndSequence = 1, 1
 }
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -13,18 +13,18 @@
 
 // Snapshot encodes the state. Equal histories encode to equal bytes.
 func (l *Ledger) Snapshot() ([]byte, error) {
-	s := &wire.LedgerState{NextSequence: l.nextSequence, NextEnded: l.nextEnded}
+	s := &wire.LedgerState{NextSequence: l.nextSequence, NextEnded: l.nextEndSequence}
 	jobs := slices.SortedFunc(maps.Values(l.jobs), func(a, b *Job) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for _, j := range jobs {
 		s.Jobs = append(s.Jobs, encodeJob(j))
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.kinds)) {
-		k := l.kinds[name]
+	for _, name := range slices.Sorted(maps.Keys(l.usageByKind)) {
+		k := l.usageByKind[name]
 		s.Kinds = append(s.Kinds, &wire.LearnedKind{JobKind: string(name), Updated: uint64(k.UpdatedOffset),
 			Processors: k.Processors.encode(), Memory: k.Memory.encode(), RunTime: k.RunTime.encode()})
 	}
-	for _, w := range slices.Sorted(maps.Keys(l.failing)) {
-		f := l.failing[w]
+	for _, w := range slices.Sorted(maps.Keys(l.failureStreaks)) {
+		f := l.failureStreaks[w]
 		s.Failing = append(s.Failing, &wire.WorkerFailures{Worker: string(w), Consecutive: f.consecutive,
 			LastJob: string(f.lastJob), Updated: uint64(f.updated)})
 	}
@@ -75,16 +75,16 @@
 	if err := n.restoreJobs(s.GetJobs()); err != nil {
 		return err
 	}
-	n.nextSequence, n.nextEnded = max(1, s.GetNextSequence()), max(1, s.GetNextEnded())
+	n.nextSequence, n.nextEndSequence = max(1, s.GetNextSequence()), max(1, s.GetNextEnded())
 	for _, m := range s.GetKinds() {
 		k := &KindUsage{UpdatedOffset: units.Offset(m.GetUpdated())}
 		k.Processors.decode(m.GetProcessors())
 		k.Memory.decode(m.GetMemory())
 		k.RunTime.decode(m.GetRunTime())
-		n.kinds[units.JobKind(m.GetJobKind())] = k
+		n.usageByKind[units.JobKind(m.GetJobKind())] = k
 	}
 	for _, f := range s.GetFailing() {
-		n.failing[units.WorkerID(f.GetWorker())] = &failing{f.GetConsecutive(), units.JobID(f.GetLastJob()), units.Offset(f.GetUpdated())}
+		n.failureStreaks[units.WorkerID(f.GetWorker())] = &failureStreak{f.GetConsecutive(), units.JobID(f.GetLastJob()), units.Offset(f.GetUpdated())}
 	}
 	for _, r := range s.GetRejections() {
 		n.rejections[Reason(r.GetReason())] = r.GetCount()
@@ -103,13 +103,13 @@
 		if err != nil {
 			return err
 		}
-		l.add(j)
+		l.addJob(j)
 		if j.EndSequence != 0 {
-			l.ended = append(l.ended, j)
+			l.endedJobs = append(l.endedJobs, j)
 			l.endedTasks += len(j.Outcomes)
 		}
 	}
-	slices.SortFunc(l.ended, func(a, b *Job) int { return cmp.Compare(a.EndSequence, b.EndSequence) })
+	slices.SortFunc(l.endedJobs, func(a, b *Job) int { return cmp.Compare(a.EndSequence, b.EndSequence) })
 	return nil
 }
 
@@ -120,7 +120,7 @@
 		return nil, fault.New("restore", BadSnapshot, "job %q: rows of its %d tasks are missing", m.GetSubmitted().GetJob(), n)
 	}
 	j := newJob(m.GetSubmitted())
-	j.Team, j.JobKind = units.TeamName(share(shared, string(j.Team))), units.JobKind(share(shared, string(j.JobKind)))
+	j.Team, j.JobKind = units.TeamName(intern(shared, string(j.Team))), units.JobKind(intern(shared, string(j.JobKind)))
 	j.Cancelled, j.Failed, j.Reason = m.GetCancelled(), m.GetFailed(), m.GetCancelReason()
 	j.Sequence, j.SubmitOffset = m.GetSequence(), units.Offset(m.GetSubmittedOffset())
 	j.EndSequence, j.EndOffset = m.GetEnded(), units.Offset(m.GetEndedOffset())
@@ -141,16 +141,16 @@
 }
 
 func decodeTask(m *wire.LedgerTask, shared map[string]string) Task {
-	t := Task{Attempt: units.Attempt(m.GetAttempt()), State: State(m.GetState()), Worker: units.WorkerID(share(shared, m.GetWorker())),
+	t := Task{Attempt: units.Attempt(m.GetAttempt()), State: State(m.GetState()), Worker: units.WorkerID(intern(shared, m.GetWorker())),
 		Epoch: units.Epoch(m.GetEpoch()), Failures: m.GetFailures(), Checkpoint: m.GetCheckpoint(), Reason: m.GetReason(),
 		StateOffset: units.Offset(m.GetSince()), Committed: m.GetCommitted().Units(), Borrowed: m.GetBorrowed()}
 	for _, w := range m.GetFailedWorkers() {
-		t.FailedWorkers = append(t.FailedWorkers, units.WorkerID(share(shared, w)))
+		t.FailedWorkers = append(t.FailedWorkers, units.WorkerID(intern(shared, w)))
 	}
 	return t
 }
 
-func share(shared map[string]string, s string) string {
+func intern(shared map[string]string, s string) string {
 	if old, ok := shared[s]; ok {
 		return old
 	}
@@ -171,11 +171,11 @@
 	h.Samples = m.GetSamples()
 	last := -1
 	for i, b := range m.GetBuckets() {
-		if i >= len(m.GetWeights()) || int(b) <= last || b > bucketOf(1<<63) || m.GetWeights()[i] > halveAt {
+		if i >= len(m.GetWeights()) || int(b) <= last || b > bucketOf(1<<63) || m.GetWeights()[i] > halvingWeight {
 			continue
 		}
 		last = int(b)
-		h.buckets = append(h.buckets, weighted{b, m.GetWeights()[i]})
-		h.total += m.GetWeights()[i]
+		h.buckets = append(h.buckets, bucketWeight{b, m.GetWeights()[i]})
+		h.totalWeight += m.GetWeights()[i]
 	}
 }
--- a/internal/ledger/rules.go
+++ b/internal/ledger/transitions.go
@@ -16,25 +16,25 @@
 
 // The reasons.
 const (
-	ReasonMalformed    Reason = "malformed"
-	ReasonDuplicateJob Reason = "duplicateJob"
-	ReasonDuplicateKey Reason = "duplicateKey"
-	ReasonUnknownJob   Reason = "unknownJob"
-	ReasonUnknownTask  Reason = "unknownTask"
-	ReasonJobEnded     Reason = "jobEnded"
-	ReasonAttempt      Reason = "attempt" // not the attempt that the state allows
-	ReasonNotWaiting   Reason = "notWaiting"
-	ReasonNotOpen      Reason = "notOpen"
-	ReasonStarted      Reason = "alreadyStarted"
-	ReasonCancelled    Reason = "cancelled"
-	ReasonOutcome      Reason = "outcome"
+	ReasonMalformed      Reason = "malformed"
+	ReasonDuplicateJob   Reason = "duplicateJob"
+	ReasonDuplicateKey   Reason = "duplicateKey"
+	ReasonUnknownJob     Reason = "unknownJob"
+	ReasonUnknownTask    Reason = "unknownTask"
+	ReasonJobEnded       Reason = "jobEnded"
+	ReasonWrongAttempt   Reason = "attempt" // not the attempt that the state allows
+	ReasonNotWaiting     Reason = "notWaiting"
+	ReasonNotOpen        Reason = "notOpen"
+	ReasonAlreadyStarted Reason = "alreadyStarted"
+	ReasonCancelled      Reason = "cancelled"
+	ReasonWrongOutcome   Reason = "outcome"
 )
 
 // entryKind indexes the rule table.
-type entryKind uint8
+type taskEntryKind uint8
 
 const (
-	kindAssigned entryKind = iota
+	kindAssigned taskEntryKind = iota
 	kindStarted
 	kindReleased
 	kindEnded
@@ -46,33 +46,33 @@
 var kindNames = [kindCount]string{"assigned", "started", "released", "ended", "evicted", "failed"}
 
 // event is a decoded entry about one task.
-type event struct {
-	offset     units.Offset
-	kind       entryKind
-	task       units.Task
-	attempt    units.Attempt
-	worker     units.WorkerID
-	epoch      units.Epoch
-	committed  units.Resources
-	borrowed   bool
-	reason     string
-	checkpoint string
-	isFailure  bool
-	outcome    wire.Outcome
-	runTime    time.Duration
-	used       units.Resources
+type taskEntry struct {
+	offset          units.Offset
+	kind            taskEntryKind
+	task            units.Task
+	attempt         units.Attempt
+	worker          units.WorkerID
+	epoch           units.Epoch
+	committed       units.Resources
+	borrowed        bool
+	reason          string
+	checkpoint      string
+	countsAsFailure bool
+	outcome         wire.Outcome
+	runTime         time.Duration
+	used            units.Resources
 }
 
 // rule is what an entry does in a state: either why it has no effect, or the
 // function that applies it.
-type rule struct {
+type transitionRule struct {
 	reason Reason
-	apply  func(*Ledger, *Job, *Task, *event) Reason
+	apply  func(*Ledger, *Job, *Task, *taskEntry) Reason
 }
 
 // rules is the whole state machine: entry kind by task state. Terminal states
 // share a row because nothing changes them.
-var rules = [kindCount][stateCount]rule{
+var transitionRules = [kindCount][stateCount]transitionRule{
 	kindAssigned: {
 		Pending: {apply: (*Ledger).assign}, EvictedPending: {apply: (*Ledger).assign},
 		Assigned: {reason: ReasonNotWaiting}, Running: {reason: ReasonNotWaiting}, Stopping: {reason: ReasonCancelled},
@@ -80,22 +80,22 @@
 	},
 	kindStarted: {
 		Pending: {reason: ReasonNotOpen}, EvictedPending: {reason: ReasonNotOpen},
-		Assigned: {apply: (*Ledger).start}, Running: {reason: ReasonStarted}, Stopping: {reason: ReasonCancelled},
+		Assigned: {apply: (*Ledger).start}, Running: {reason: ReasonAlreadyStarted}, Stopping: {reason: ReasonCancelled},
 		Ended: {reason: ReasonNotOpen}, Failed: {reason: ReasonNotOpen}, Cancelled: {reason: ReasonCancelled},
 	},
 	kindReleased: {
 		Pending: {reason: ReasonNotOpen}, EvictedPending: {reason: ReasonNotOpen},
-		Assigned: {apply: (*Ledger).release}, Running: {apply: (*Ledger).release}, Stopping: {apply: (*Ledger).stop},
+		Assigned: {apply: (*Ledger).release}, Running: {apply: (*Ledger).release}, Stopping: {apply: (*Ledger).finishCancelled},
 		Ended: {reason: ReasonNotOpen}, Failed: {reason: ReasonNotOpen}, Cancelled: {reason: ReasonNotOpen},
 	},
 	kindEnded: {
 		Pending: {reason: ReasonNotOpen}, EvictedPending: {reason: ReasonNotOpen},
-		Assigned: {apply: (*Ledger).end}, Running: {apply: (*Ledger).end}, Stopping: {apply: (*Ledger).stop},
+		Assigned: {apply: (*Ledger).end}, Running: {apply: (*Ledger).end}, Stopping: {apply: (*Ledger).finishCancelled},
 		Ended: {reason: ReasonNotOpen}, Failed: {reason: ReasonNotOpen}, Cancelled: {reason: ReasonNotOpen},
 	},
 	kindEvicted: {
 		Pending: {reason: ReasonNotOpen}, EvictedPending: {reason: ReasonNotOpen},
-		Assigned: {apply: (*Ledger).evict}, Running: {apply: (*Ledger).evict}, Stopping: {apply: (*Ledger).stop},
+		Assigned: {apply: (*Ledger).evict}, Running: {apply: (*Ledger).evict}, Stopping: {apply: (*Ledger).finishCancelled},
 		Ended: {reason: ReasonNotOpen}, Failed: {reason: ReasonNotOpen}, Cancelled: {reason: ReasonNotOpen},
 	},
 	// A task with an open attempt cannot fail: the dispatcher that proposes it
@@ -112,7 +112,7 @@
 func (l *Ledger) Apply(offset units.Offset, entry []byte) error {
 	var m wire.JobsEntry
 	if err := proto.Unmarshal(entry, &m); err != nil {
-		return l.malformed(offset, "%w", err)
+		return l.rejectMalformed(offset, "%w", err)
 	}
 	switch k := m.GetKind().(type) {
 	case *wire.JobsEntry_Submitted:
@@ -120,15 +120,15 @@
 	case *wire.JobsEntry_Cancelled:
 		return l.cancel(offset, k.Cancelled)
 	}
-	e, err := decodeEvent(offset, &m)
+	e, err := decodeTaskEntry(offset, &m)
 	if err != nil {
-		return l.malformed(offset, "%w", err)
+		return l.rejectMalformed(offset, "%w", err)
 	}
-	l.noteResult(Change{Offset: offset, Kind: kindNames[e.kind], Task: e.task, Attempt: e.attempt}, l.applyEvent(e))
+	l.recordResult(Change{Offset: offset, Kind: kindNames[e.kind], Task: e.task, Attempt: e.attempt}, l.applyTaskEntry(e))
 	return nil
 }
 
-func (l *Ledger) applyEvent(e *event) Reason {
+func (l *Ledger) applyTaskEntry(e *taskEntry) Reason {
 	j := l.jobs[e.task.Job]
 	switch {
 	case j == nil:
@@ -139,7 +139,7 @@
 		return ReasonUnknownTask
 	}
 	t := &j.Tasks[e.task.Index]
-	r := rules[e.kind][t.State]
+	r := transitionRules[e.kind][t.State]
 	if r.apply == nil {
 		return r.reason
 	}
@@ -148,17 +148,17 @@
 		want++
 	}
 	if e.kind != kindFailed && e.attempt != want {
-		return ReasonAttempt
+		return ReasonWrongAttempt
 	}
 	return r.apply(l, j, t, e)
 }
 
-func (l *Ledger) malformed(offset units.Offset, format string, args ...any) error {
-	l.noteResult(Change{Offset: offset}, ReasonMalformed)
+func (l *Ledger) rejectMalformed(offset units.Offset, format string, args ...any) error {
+	l.recordResult(Change{Offset: offset}, ReasonMalformed)
 	return fault.New("apply", Malformed, format, args...)
 }
 
-func (l *Ledger) noteResult(c Change, r Reason) {
+func (l *Ledger) recordResult(c Change, r Reason) {
 	if r != "" {
 		l.rejections[r]++
 	}
@@ -169,9 +169,9 @@
 }
 
 // move changes the state of a task and keeps the indexes and the job's end.
-func (l *Ledger) move(j *Job, index uint32, to State, offset units.Offset, change func(*Task)) {
+func (l *Ledger) transition(j *Job, index uint32, to State, offset units.Offset, change func(*Task)) {
 	t := &j.Tasks[index]
-	l.unlink(j, index)
+	l.removeFromIndexes(j, index)
 	if change != nil {
 		change(t)
 	}
@@ -182,17 +182,17 @@
 	if !t.State.Open() {
 		t.Committed, t.Borrowed = units.Resources{}, false
 	}
-	l.link(j, index)
+	l.addToIndexes(j, index)
 	if t.State.Terminal() {
 		j.unfinished--
 		if j.unfinished == 0 {
-			l.finish(j, offset)
+			l.finishJob(j, offset)
 		}
 	}
 }
 
-func (l *Ledger) assign(j *Job, t *Task, e *event) Reason {
-	l.move(j, e.task.Index, Assigned, e.offset, func(t *Task) {
+func (l *Ledger) assign(j *Job, t *Task, e *taskEntry) Reason {
+	l.transition(j, e.task.Index, Assigned, e.offset, func(t *Task) {
 		t.Attempt, t.Worker, t.Epoch = e.attempt, e.worker, e.epoch
 		t.Committed, t.Borrowed = e.committed, e.borrowed
 		if e.committed.IsZero() {
@@ -202,30 +202,30 @@
 	return ""
 }
 
-func (l *Ledger) start(j *Job, t *Task, e *event) Reason {
-	l.leaveAssigned(t, Running, e.offset)
+func (l *Ledger) start(j *Job, t *Task, e *taskEntry) Reason {
+	l.setOpenState(t, Running, e.offset)
 	return ""
 }
 
 // leaveAssigned changes between open states: the attempt keeps its holder and
 // what it commits.
-func (l *Ledger) leaveAssigned(t *Task, to State, offset units.Offset) {
+func (l *Ledger) setOpenState(t *Task, to State, offset units.Offset) {
 	if t.State == Assigned {
 		l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 	}
 	t.State, t.StateOffset = to, offset
 }
 
-func (l *Ledger) release(j *Job, t *Task, e *event) Reason {
-	if e.isFailure {
-		l.noteFailure(t.Worker, j.ID, e.offset)
+func (l *Ledger) release(j *Job, t *Task, e *taskEntry) Reason {
+	if e.countsAsFailure {
+		l.recordFailure(t.Worker, j.ID, e.offset)
 	}
-	l.move(j, e.task.Index, Pending, e.offset, func(t *Task) {
+	l.transition(j, e.task.Index, Pending, e.offset, func(t *Task) {
 		t.Reason = e.reason
 		if e.checkpoint != "" {
 			t.Checkpoint = e.checkpoint
 		}
-		if e.isFailure {
+		if e.countsAsFailure {
 			t.Failures++
 			if len(t.FailedWorkers) < 8 && !slices.Contains(t.FailedWorkers, t.Worker) {
 				t.FailedWorkers = append(t.FailedWorkers, t.Worker)
@@ -235,22 +235,22 @@
 	return ""
 }
 
-func (l *Ledger) end(j *Job, t *Task, e *event) Reason {
+func (l *Ledger) end(j *Job, t *Task, e *taskEntry) Reason {
 	if e.outcome != wire.Outcome_OUTCOME_COMPLETED {
-		return ReasonOutcome // "stopped" needs a cancellation first
+		return ReasonWrongOutcome // "stopped" needs a cancellation first
 	}
-	l.noteSuccess(t.Worker)
+	l.recordSuccess(t.Worker)
 	if j.IsWatcher() { // a watcher runs until it is cancelled
-		l.move(j, e.task.Index, Pending, e.offset, func(t *Task) { t.Reason = "watcher exited" })
+		l.transition(j, e.task.Index, Pending, e.offset, func(t *Task) { t.Reason = "watcher exited" })
 		return ""
 	}
-	l.learn(j.JobKind, e.offset, e.used, e.runTime)
-	l.move(j, e.task.Index, Ended, e.offset, func(t *Task) { t.Reason = "" })
+	l.recordUsage(j.JobKind, e.offset, e.used, e.runTime)
+	l.transition(j, e.task.Index, Ended, e.offset, func(t *Task) { t.Reason = "" })
 	return ""
 }
 
-func (l *Ledger) evict(j *Job, t *Task, e *event) Reason {
-	l.move(j, e.task.Index, EvictedPending, e.offset, func(t *Task) {
+func (l *Ledger) evict(j *Job, t *Task, e *taskEntry) Reason {
+	l.transition(j, e.task.Index, EvictedPending, e.offset, func(t *Task) {
 		t.Reason = e.reason
 		if e.checkpoint != "" {
 			t.Checkpoint = e.checkpoint
@@ -261,23 +261,23 @@
 
 // stop closes the attempt of a cancelled task, whatever its outcome was: the
 // cancellation came first in the log, so no output is published.
-func (l *Ledger) stop(j *Job, t *Task, e *event) Reason {
-	l.move(j, e.task.Index, Cancelled, e.offset, nil)
+func (l *Ledger) finishCancelled(j *Job, t *Task, e *taskEntry) Reason {
+	l.transition(j, e.task.Index, Cancelled, e.offset, nil)
 	return ""
 }
 
-func (l *Ledger) fail(j *Job, t *Task, e *event) Reason {
+func (l *Ledger) fail(j *Job, t *Task, e *taskEntry) Reason {
 	j.Failed, j.Reason = true, e.reason
-	l.move(j, e.task.Index, Failed, e.offset, func(t *Task) { t.Reason = e.reason })
+	l.transition(j, e.task.Index, Failed, e.offset, func(t *Task) { t.Reason = e.reason })
 	for len(j.waiting) > 0 { // siblings that have not started cannot complete the job
-		l.move(j, j.waiting[0], Failed, e.offset, func(t *Task) { t.Reason = "another task of the job failed" })
+		l.transition(j, j.waiting[0], Failed, e.offset, func(t *Task) { t.Reason = "another task of the job failed" })
 	}
 	return ""
 }
 
 func (l *Ledger) submit(offset units.Offset, m *wire.JobSubmitted) error {
 	if err := checkSubmitted(m); err != nil {
-		return l.malformed(offset, "%w", err)
+		return l.rejectMalformed(offset, "%w", err)
 	}
 	id, tm := units.JobID(m.GetJob()), units.TeamName(m.GetTeam())
 	c := Change{Offset: offset, Kind: "submitted", Task: units.Task{Job: id}}
@@ -286,18 +286,18 @@
 		// A watcher that was removed from the document may be added again. Its
 		// attempts go on counting, so that none is named twice.
 		if !old.IsWatcher() || old.EndSequence == 0 || m.GetSpec().GetKind() != wire.TaskKind_TASK_KIND_WATCHER {
-			l.noteResult(c, ReasonDuplicateJob)
+			l.recordResult(c, ReasonDuplicateJob)
 			return nil
 		}
 		first = old.Outcomes[0].Attempt
 	}
-	if _, taken := l.keys[teamKey{tm, m.GetKey()}]; taken && m.GetKey() != "" {
-		l.noteResult(c, ReasonDuplicateKey)
+	if _, taken := l.jobsByKey[teamKey{tm, m.GetKey()}]; taken && m.GetKey() != "" {
+		l.recordResult(c, ReasonDuplicateKey)
 		return nil
 	}
 	if old != nil {
-		l.forget(old)
-		l.ended = slices.DeleteFunc(l.ended, func(j *Job) bool { return j == old })
+		l.removeEndedJob(old)
+		l.endedJobs = slices.DeleteFunc(l.endedJobs, func(j *Job) bool { return j == old })
 	}
 	j := newJob(m)
 	j.Sequence, j.SubmitOffset = l.nextSequence, offset
@@ -305,108 +305,108 @@
 	for i := range j.Tasks {
 		j.Tasks[i] = Task{State: Pending, StateOffset: offset, Attempt: first, Checkpoint: j.Checkpoint}
 	}
-	l.add(j)
-	l.noteResult(c, "")
+	l.addJob(j)
+	l.recordResult(c, "")
 	return nil
 }
 
 func (l *Ledger) cancel(offset units.Offset, m *wire.JobCancelled) error {
 	if !validText(m.GetJob()) {
-		return l.malformed(offset, "cancelled: job id of %d bytes", len(m.GetJob()))
+		return l.rejectMalformed(offset, "cancelled: job id of %d bytes", len(m.GetJob()))
 	}
 	j := l.jobs[units.JobID(m.GetJob())]
 	c := Change{Offset: offset, Kind: "cancelled", Task: units.Task{Job: units.JobID(m.GetJob())}}
 	switch {
 	case j == nil:
-		l.noteResult(c, ReasonUnknownJob)
+		l.recordResult(c, ReasonUnknownJob)
 		return nil
 	case j.EndSequence != 0:
-		l.noteResult(c, ReasonJobEnded)
+		l.recordResult(c, ReasonJobEnded)
 		return nil
 	case j.Cancelled:
-		l.noteResult(c, ReasonCancelled)
+		l.recordResult(c, ReasonCancelled)
 		return nil
 	}
-	j.Cancelled, j.Reason = true, cut(m.GetReason())
+	j.Cancelled, j.Reason = true, truncate(m.GetReason())
 	for i := range j.Tasks {
 		if len(j.Tasks) == 0 { // the move of the last task ended the job
 			break
 		}
 		switch s := j.Tasks[i].State; {
 		case s.Waiting():
-			l.move(j, uint32(i), Cancelled, offset, nil)
+			l.transition(j, uint32(i), Cancelled, offset, nil)
 		case s == Assigned || s == Running:
-			l.leaveAssigned(&j.Tasks[i], Stopping, offset)
+			l.setOpenState(&j.Tasks[i], Stopping, offset)
 		}
 	}
-	l.noteResult(c, "")
+	l.recordResult(c, "")
 	return nil
 }
 
 // add enters the job and its tasks into every index.
-func (l *Ledger) add(j *Job) {
+func (l *Ledger) addJob(j *Job) {
 	l.jobs[j.ID] = j
 	if j.Key != "" {
-		l.keys[teamKey{j.Team, j.Key}] = j.ID
+		l.jobsByKey[teamKey{j.Team, j.Key}] = j.ID
 	}
-	tm := l.team(j.Team)
+	tm := l.teamIndexes(j.Team)
 	tm.jobs = insertJob(tm.jobs, j)
 	if j.EndSequence != 0 {
 		return
 	}
 	if j.IsWatcher() {
-		l.watchers[j.ID] = j
+		l.activeWatchers[j.ID] = j
 	}
 	j.unfinished = 0
 	for i := range j.Tasks {
 		if !j.Tasks[i].State.Terminal() {
 			j.unfinished++
 		}
-		l.link(j, uint32(i))
+		l.addToIndexes(j, uint32(i))
 	}
 }
 
 // finish compacts a job whose tasks are all terminal and forgets the oldest
 // ended jobs beyond the limits.
-func (l *Ledger) finish(j *Job, offset units.Offset) {
+func (l *Ledger) finishJob(j *Job, offset units.Offset) {
 	j.Outcomes = make([]Outcome, len(j.Tasks))
 	for i := range j.Tasks {
 		j.Outcomes[i] = Outcome{j.Tasks[i].State, j.Tasks[i].Attempt}
 	}
 	j.Tasks, j.waiting = nil, nil
-	j.EndSequence, j.EndOffset = l.nextEnded, offset
-	l.nextEnded++
-	delete(l.watchers, j.ID)
-	l.ended = append(l.ended, j)
+	j.EndSequence, j.EndOffset = l.nextEndSequence, offset
+	l.nextEndSequence++
+	delete(l.activeWatchers, j.ID)
+	l.endedJobs = append(l.endedJobs, j)
 	l.endedTasks += len(j.Outcomes)
-	for len(l.ended) > RetainedJobs || (l.endedTasks > RetainedTasks && len(l.ended) > 1) {
-		oldest := l.ended[0]
-		l.ended[0] = nil
-		l.ended = l.ended[1:]
-		l.forget(oldest)
+	for len(l.endedJobs) > MaxEndedJobs || (l.endedTasks > MaxEndedTasks && len(l.endedJobs) > 1) {
+		oldest := l.endedJobs[0]
+		l.endedJobs[0] = nil
+		l.endedJobs = l.endedJobs[1:]
+		l.removeEndedJob(oldest)
 	}
 }
 
 // forget drops an ended job from every table but l.ended.
-func (l *Ledger) forget(j *Job) {
+func (l *Ledger) removeEndedJob(j *Job) {
 	l.endedTasks -= len(j.Outcomes)
 	delete(l.jobs, j.ID)
 	if j.Key != "" {
-		delete(l.keys, teamKey{j.Team, j.Key})
+		delete(l.jobsByKey, teamKey{j.Team, j.Key})
 	}
-	tm := l.team(j.Team)
+	tm := l.teamIndexes(j.Team)
 	tm.jobs = removeJob(tm.jobs, j)
 	if len(tm.jobs) == 0 {
 		delete(l.teams, j.Team)
 	}
 }
 
-func validText(s string) bool { return s != "" && len(s) <= MaxText }
+func validText(s string) bool { return s != "" && len(s) <= MaxTextBytes }
 
 // cut bounds a text for display without splitting a rune.
-func cut(s string) string {
-	if len(s) <= MaxReason {
+func truncate(s string) string {
+	if len(s) <= MaxReasonBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:MaxReason], "")
+	return strings.ToValidUTF8(s[:MaxReasonBytes], "")
 }
--- a/internal/ledger/learned.go
+++ b/internal/ledger/usage.go
@@ -15,7 +15,7 @@
 	sampleWeight = 64
 	// halveAt keeps about the last 128 samples in force, so that a kind whose
 	// size changes is learned anew within that many runs.
-	halveAt = 128 * sampleWeight
+	halvingWeight = 128 * sampleWeight
 	// bucketsPerOctave bounds the error of a quantile to one part in 32: sizes
 	// are rounded up, and what is rounded is lost to other tasks.
 	octaveBits       = 5
@@ -25,12 +25,12 @@
 
 // Histogram is a decaying histogram over log-linear buckets.
 type Histogram struct {
-	Samples uint32 // seen in all, saturating
-	total   uint32
-	buckets []weighted // ascending
+	Samples     uint32 // seen in all, saturating
+	totalWeight uint32
+	buckets     []bucketWeight // ascending
 }
 
-type weighted struct{ bucket, weight uint32 }
+type bucketWeight struct{ bucket, weight uint32 }
 
 // Learned is what the ended tasks of one job kind have used.
 type KindUsage struct {
@@ -49,7 +49,7 @@
 }
 
 // upperBound is the largest value of a bucket.
-func upperBound(b uint32) uint64 {
+func bucketUpperBound(b uint32) uint64 {
 	if b < bucketsPerOctave {
 		return uint64(b)
 	}
@@ -60,52 +60,52 @@
 // Add records one value.
 func (h *Histogram) Add(v uint64) {
 	b := bucketOf(v)
-	i, found := slices.BinarySearchFunc(h.buckets, b, func(w weighted, b uint32) int { return cmp.Compare(w.bucket, b) })
+	i, found := slices.BinarySearchFunc(h.buckets, b, func(w bucketWeight, b uint32) int { return cmp.Compare(w.bucket, b) })
 	if !found {
-		h.buckets = slices.Insert(h.buckets, i, weighted{bucket: b})
+		h.buckets = slices.Insert(h.buckets, i, bucketWeight{bucket: b})
 	}
 	h.buckets[i].weight += sampleWeight
-	h.total += sampleWeight
+	h.totalWeight += sampleWeight
 	if h.Samples < 1<<31 {
 		h.Samples++
 	}
-	if h.total < halveAt {
+	if h.totalWeight < halvingWeight {
 		return
 	}
-	h.total = 0
+	h.totalWeight = 0
 	for i := range h.buckets {
 		h.buckets[i].weight /= 2
-		h.total += h.buckets[i].weight
+		h.totalWeight += h.buckets[i].weight
 	}
-	h.buckets = slices.DeleteFunc(h.buckets, func(w weighted) bool { return w.weight == 0 })
+	h.buckets = slices.DeleteFunc(h.buckets, func(w bucketWeight) bool { return w.weight == 0 })
 }
 
 // Quantile returns a value that at least permille/1000 of the weight does not
 // exceed, rounded up to its bucket; 0 without samples.
 func (h *Histogram) Quantile(permille uint32) uint64 {
-	need := (uint64(h.total)*uint64(permille) + 999) / 1000
+	need := (uint64(h.totalWeight)*uint64(permille) + 999) / 1000
 	var sum uint64
 	for _, w := range h.buckets {
 		sum += uint64(w.weight)
 		if sum >= need && sum > 0 {
-			return upperBound(w.bucket)
+			return bucketUpperBound(w.bucket)
 		}
 	}
 	return 0
 }
 
 // learn adds a completed run to the statistics of its kind.
-func (l *Ledger) learn(kind units.JobKind, offset units.Offset, used units.Resources, ran time.Duration) {
+func (l *Ledger) recordUsage(kind units.JobKind, offset units.Offset, used units.Resources, ran time.Duration) {
 	if kind == "" {
 		return
 	}
-	k := l.kinds[kind]
+	k := l.usageByKind[kind]
 	if k == nil {
-		if len(l.kinds) >= maxKinds {
-			l.forgetOldestKind()
+		if len(l.usageByKind) >= maxKinds {
+			l.removeOldestKind()
 		}
 		k = &KindUsage{}
-		l.kinds[kind] = k
+		l.usageByKind[kind] = k
 	}
 	k.UpdatedOffset = offset
 	if ran > 0 {
@@ -117,22 +117,22 @@
 	}
 }
 
-func (l *Ledger) forgetOldestKind() {
+func (l *Ledger) removeOldestKind() {
 	var oldest units.JobKind
 	var at *KindUsage
-	for name, k := range l.kinds {
+	for name, k := range l.usageByKind {
 		if at == nil || k.UpdatedOffset < at.UpdatedOffset || (k.UpdatedOffset == at.UpdatedOffset && name < oldest) {
 			oldest, at = name, k
 		}
 	}
-	delete(l.kinds, oldest)
+	delete(l.usageByKind, oldest)
 }
 
 // Learned returns the statistics of a job kind, or nil.
-func (l *Ledger) KindUsage(kind units.JobKind) *KindUsage { return l.kinds[kind] }
+func (l *Ledger) KindUsage(kind units.JobKind) *KindUsage { return l.usageByKind[kind] }
 
 // failing is the run of failures of a worker since its last success.
-type failing struct {
+type failureStreak struct {
 	consecutive uint32 // of different jobs
 	lastJob     units.JobID
 	updated     units.Offset
@@ -140,18 +140,18 @@
 
 // maxFailing bounds the table of failing workers; the entry whose last failure
 // is oldest goes first.
-const maxFailing = 4096
+const maxFailureStreaks = 4096
 
 // noteFailure counts a failed attempt against the worker. A job that fails
 // again on the same worker says nothing new about the worker.
-func (l *Ledger) noteFailure(w units.WorkerID, job units.JobID, offset units.Offset) {
-	f := l.failing[w]
+func (l *Ledger) recordFailure(w units.WorkerID, job units.JobID, offset units.Offset) {
+	f := l.failureStreaks[w]
 	if f == nil {
-		if len(l.failing) >= maxFailing {
-			l.forgetOldestFailing()
+		if len(l.failureStreaks) >= maxFailureStreaks {
+			l.removeOldestStreak()
 		}
-		f = &failing{}
-		l.failing[w] = f
+		f = &failureStreak{}
+		l.failureStreaks[w] = f
 	}
 	if f.lastJob != job {
 		f.consecutive++
@@ -159,23 +159,23 @@
 	f.lastJob, f.updated = job, offset
 }
 
-func (l *Ledger) forgetOldestFailing() {
+func (l *Ledger) removeOldestStreak() {
 	var oldest units.WorkerID
-	var at *failing
-	for w, f := range l.failing {
+	var at *failureStreak
+	for w, f := range l.failureStreaks {
 		if at == nil || f.updated < at.updated || (f.updated == at.updated && w < oldest) {
 			oldest, at = w, f
 		}
 	}
-	delete(l.failing, oldest)
+	delete(l.failureStreaks, oldest)
 }
 
-func (l *Ledger) noteSuccess(w units.WorkerID) { delete(l.failing, w) }
+func (l *Ledger) recordSuccess(w units.WorkerID) { delete(l.failureStreaks, w) }
 
 // ConsecutiveFailures returns how many attempts of different jobs have failed
 // on the worker since one last completed there.
 func (l *Ledger) ConsecutiveFailures(w units.WorkerID) int {
-	if f := l.failing[w]; f != nil {
+	if f := l.failureStreaks[w]; f != nil {
 		return int(f.consecutive)
 	}
 	return 0
