--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -10,9 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// day returns the entries of a day with that many jobs of 150 teams: ten tasks
-// a job, which are assigned, started and ended, and the running tasks that are
-// open at its end. An eighth of the attempts is evicted or released first.
+// dayOfEntries returns the entries of a day with the given number of jobs from 150
+// teams. Each job has ten tasks, which are assigned, started and ended; the first
+// task is evicted once, so one attempt in eleven is. The last tasks, as many as
+// running says, do not end.
 func dayOfEntries(jobs, running int) [][]byte {
 	var entries [][]byte
 	sizes := units.Resources{Processors: 1900, Memory: 3 * units.GiB}
@@ -37,8 +38,8 @@
 	return entries
 }
 
-// BenchmarkReplay measures replaying a day's entries and restoring a snapshot,
-// and the memory that the state holds.
+// BenchmarkReplay measures the replay of a day's entries, the restore of a
+// snapshot, and the memory used by the state.
 func BenchmarkReplay(b *testing.B) {
 	for _, jobs := range []int{3250, 6500, 13_000, 26_000} {
 		entries := dayOfEntries(jobs, jobs*4/5)
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -20,22 +20,22 @@
 	os.Exit(m.Run())
 }
 
-// checker follows the entries that a fold accepted and knows nothing else of
-// it. It reports what would run or publish a task twice.
+// exactlyOnceChecker reads the accepted entries only, independently of the ledger,
+// and reports sequences in which a task would run or publish its output twice.
 type exactlyOnceChecker struct {
 	tasks         map[units.Task]*taskHistory
 	violations    []violation
-	acceptedKinds map[string]int // accepted entries
+	acceptedKinds map[string]int // number of accepted entries by kind
 }
 
-// violation is a broken guarantee and where.
+// violation is a violated guarantee and its details.
 type violation struct{ guarantee, text string }
 
 type taskHistory struct {
 	attempt         units.Attempt
 	open, cancelled bool
 	ends            int
-	assignments     map[units.Attempt]int // assignments by attempt
+	assignments     map[units.Attempt]int // number of assignments by attempt
 }
 
 func newChecker() *exactlyOnceChecker {
@@ -46,7 +46,7 @@
 	c.violations = append(c.violations, violation{guarantee, fmt.Sprintf(format, args...)})
 }
 
-// accepted notes an entry that took effect, with the number of tasks of its job.
+// recordAccepted checks an accepted entry; tasks is the number of tasks of its job.
 func (c *exactlyOnceChecker) recordAccepted(kind string, task units.Task, a units.Attempt, tasks uint32) {
 	c.acceptedKinds[kind]++
 	if kind == "cancelled" {
@@ -100,27 +100,27 @@
 	historyTasks = 2
 )
 
-// history draws entries as two dispatchers and several agents would send them
-// with views that are stale by up to the whole history: every kind of entry in
-// every order, with attempts around the newest one, repeated and late.
+// drawEntries generates entries as two dispatchers and several agents with stale
+// state would append them: all kinds of entries in any order, for attempts close to
+// the current one, with repetitions of any earlier entry.
 func drawEntries(t *rapid.T) [][]byte {
 	var entries [][]byte
-	shadow := New() // tells which attempt an up-to-date process would name
+	upToDate := New() // provides the current attempt of a task
 	add := func(e []byte) {
 		entries = append(entries, e)
-		_ = shadow.Apply(units.Offset(len(entries)), e)
+		_ = upToDate.Apply(units.Offset(len(entries)), e)
 	}
 	for i := range historyJobs {
 		add(EncodeSubmitted(submission(fmt.Sprint("j", i), historyTasks)))
 	}
-	// The index is the kind below; cancellations and failures are rare, because
-	// they end a history early.
+	// Indexes into choices below. Cancellations and failures are rare, because they
+	// end the jobs early.
 	kinds := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 8, 8, 8, 6, 7})
 	for range rapid.IntRange(20, 150).Draw(t, "length") {
 		task := units.Task{Job: units.JobID(fmt.Sprint("j", rapid.IntRange(0, historyJobs-1).Draw(t, "job"))),
 			Index: uint32(rapid.IntRange(0, historyTasks-1).Draw(t, "index"))}
 		current := 0
-		if row := shadow.Task(task); row != nil {
+		if row := upToDate.Task(task); row != nil {
 			current = int(row.Attempt)
 		}
 		a := units.Attempt(max(1, current+rapid.SampledFrom([]int{0, 0, 0, 0, -1, -2, 1}).Draw(t, "late")))
@@ -145,11 +145,11 @@
 	return entries
 }
 
-// TestHistories guards the outcome "every job takes effect exactly once":
-// whatever order entries arrive in, a task has one open attempt, ends once,
-// resumes once after an eviction and never starts after a cancellation. It
-// also compares the indexes with the rows, two folds of one log, and a
-// snapshot with its tail.
+// TestHistories guards against jobs that take effect twice or not at all when
+// entries are stale, repeated or reordered: a task has one open attempt, ends once,
+// resumes once after an eviction and never starts after a cancellation. It also
+// guards against indexes that differ from the tasks, and against states that differ
+// between two replays or after a restored snapshot.
 func TestHistories(t *testing.T) {
 	total := map[string]int{}
 	defer func() {
@@ -192,15 +192,15 @@
 		}
 		checkIndexes(t, full)
 		want, _ := full.Snapshot()
-		for name, l := range map[string]*Ledger{"second fold": second, "snapshot and tail": restored} {
+		for name, l := range map[string]*Ledger{"second replay": second, "restored snapshot": restored} {
 			if got, _ := l.Snapshot(); cut < len(entries) && !bytes.Equal(got, want) {
-				t.Errorf("%s differs from the full replay", name)
+				t.Errorf("state of the %s differs from the full replay", name)
 			}
 		}
 	})
 }
 
-// checkIndexes compares every index with what the rows say.
+// checkIndexes compares the indexes with the tasks.
 func checkIndexes(t *rapid.T, l *Ledger) {
 	waiting, open, held, launching := 0, 0, 0, 0
 	var used units.Resources
@@ -222,7 +222,7 @@
 		held += len(tasks)
 		for _, task := range tasks {
 			if row := l.Task(task); row == nil || row.Worker != h.Worker || row.Epoch != h.Epoch {
-				t.Errorf("%v is listed on %v", task, h)
+				t.Errorf("index lists %v on %v, where it has no open attempt", task, h)
 			}
 		}
 	}
@@ -235,12 +235,12 @@
 	}
 	_, gotWaiting, gotOpen := l.Counts()
 	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.TeamUsage("moulds")[units.PriorityNormal] != used {
-		t.Errorf("rows have %d waiting, %d open; indexes have %d and %d waiting, %d and %d open, %d launching too few",
+		t.Errorf("jobs have %d waiting and %d open tasks; indexes have %d and %d waiting, %d and %d open, and lack %d launching",
 			waiting, open, gotWaiting, queued, gotOpen, held, launching)
 	}
 }
 
-// lastWins is a naive fold: the newest entry about a task decides its state.
+// lastEntryWins is a naive state machine that accepts every entry.
 type lastEntryWins struct {
 	recordAccepted func(kind string, task units.Task, a units.Attempt, tasks uint32)
 }
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestNaiveFold guards the checker itself: a fold in which the last record wins
-// must be caught.
+// TestCheckerFindsViolations guards against a checker that finds nothing: it must
+// find the violations of a state machine in which the last entry wins.
 func TestCheckerFindsViolations(t *testing.T) {
 	caught, histories := map[string]int{}, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -277,15 +277,15 @@
 		}
 	})
 	for _, guarantee := range []string{"one open attempt", "ends once", "resumes once", "no start after cancellation", "only the current attempt counts"} {
-		t.Logf("%q is violated in %d of %d histories under the naive fold", guarantee, caught[guarantee], histories)
+		t.Logf("%q is violated in %d of %d histories if the last entry wins", guarantee, caught[guarantee], histories)
 		if caught[guarantee] < histories/10 {
-			t.Errorf("%q is caught in only %d of %d histories", guarantee, caught[guarantee], histories)
+				t.Errorf("%q is found violated in only %d of %d histories, want at least a tenth", guarantee, caught[guarantee], histories)
 		}
 	}
 }
 
-// FuzzApply guards against input that panics the fold, changes it although it
-// is malformed, or leaves a state that cannot be restored.
+// FuzzApply guards against entries that cause a panic, change the state although
+// they are malformed, or lead to a state that cannot be restored.
 func FuzzApply(f *testing.F) {
 	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), encodeAssigned(task0, 1),
 		EncodeStarted(task0, 1), EncodeReleased(task0, 1, Release{Reason: "x", CountsAsFailure: true}), EncodeEvicted(task0, 1, "c", "r"),
@@ -312,7 +312,7 @@
 			t.Fatalf("Restore: %v", err)
 		}
 		if again, _ := restored.Snapshot(); !bytes.Equal(after, again) {
-			t.Fatal("a restored state encodes differently")
+			t.Fatal("the restored state encodes to other bytes than the original")
 		}
 	})
 }
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -9,11 +9,11 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// team holds the indexes of one team.
+// teamIndexes holds the jobs and usage of one team.
 type teamIndexes struct {
-	jobs      []*Job                                    // by sequence, ended ones included
+	jobs      []*Job                                    // by sequence, including ended jobs
 	waiting   [units.PriorityUrgent + 1][]*Job          // jobs with waiting tasks, by sequence
-	committed [units.PriorityUrgent + 1]units.Resources // committed by open attempts
+	committed [units.PriorityUrgent + 1]units.Resources // by open attempts of each priority
 }
 
 func (l *Ledger) teamIndexes(name units.TeamName) *teamIndexes {
@@ -25,8 +25,8 @@
 	return t
 }
 
-// insertJob keeps jobs sorted by sequence. New jobs are appended, so the copy
-// is paid only for the rare task that returns to a queue.
+// insertJob inserts a job by sequence. New jobs go to the end, so elements are
+// moved only in the rare case that a task returns to a queue.
 func insertJob(jobs []*Job, j *Job) []*Job {
 	i, found := slices.BinarySearchFunc(jobs, j.Sequence, func(o *Job, s uint64) int { return cmp.Compare(o.Sequence, s) })
 	if found {
@@ -47,7 +47,7 @@
 	return slices.Delete(jobs, i, i+1)
 }
 
-// link adds the task to the indexes of its state.
+// addToIndexes adds the task to the indexes of its state.
 func (l *Ledger) addToIndexes(j *Job, index uint32) {
 	t := &j.Tasks[index]
 	switch {
@@ -64,17 +64,17 @@
 		}
 	case t.State.Open():
 		l.openTasks++
-		h := WorkerEpoch{t.Worker, t.Epoch}
-		l.openTasksByEpoch[h] = append(l.openTasksByEpoch[h], units.Task{Job: j.ID, Index: index})
-		tm := l.teamIndexes(j.Team)
-		tm.committed[j.Priority] = tm.committed[j.Priority].Add(t.Committed)
+		epoch := WorkerEpoch{t.Worker, t.Epoch}
+		l.openTasksByEpoch[epoch] = append(l.openTasksByEpoch[epoch], units.Task{Job: j.ID, Index: index})
+		indexes := l.teamIndexes(j.Team)
+		indexes.committed[j.Priority] = indexes.committed[j.Priority].Add(t.Committed)
 		if t.State == Assigned {
-			l.addLaunching(h, t.Committed, 1)
+			l.addLaunching(epoch, t.Committed, 1)
 		}
 	}
 }
 
-// unlink removes the task from the indexes of its state.
+// removeFromIndexes removes the task from the indexes of its state.
 func (l *Ledger) removeFromIndexes(j *Job, index uint32) {
 	t := &j.Tasks[index]
 	switch {
@@ -95,42 +95,43 @@
 	case t.State.Open():
 		l.openTasks--
 		l.removeOpenTask(WorkerEpoch{t.Worker, t.Epoch}, units.Task{Job: j.ID, Index: index})
-		tm := l.teamIndexes(j.Team)
-		tm.committed[j.Priority] = tm.committed[j.Priority].Sub(t.Committed)
+		indexes := l.teamIndexes(j.Team)
+		indexes.committed[j.Priority] = indexes.committed[j.Priority].Sub(t.Committed)
 		if t.State == Assigned {
 			l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
 		}
 	}
 }
 
-func (l *Ledger) removeOpenTask(h WorkerEpoch, task units.Task) {
-	held := l.openTasksByEpoch[h]
-	for i := range held {
-		if held[i] == task {
-			held[i] = held[len(held)-1]
-			held = held[:len(held)-1]
+func (l *Ledger) removeOpenTask(w WorkerEpoch, task units.Task) {
+	open := l.openTasksByEpoch[w]
+	for i := range open {
+		if open[i] == task {
+			open[i] = open[len(open)-1]
+			open = open[:len(open)-1]
 			break
 		}
 	}
-	if len(held) == 0 {
-		delete(l.openTasksByEpoch, h)
+	if len(open) == 0 {
+		delete(l.openTasksByEpoch, w)
 		return
 	}
-	l.openTasksByEpoch[h] = held
+	l.openTasksByEpoch[w] = open
 }
 
-// Launching is what the assigned attempts on a holder commit that no report
-// says have started, so a heartbeat may not show them yet.
+// Launching is the number and committed resources of the attempts on a worker
+// epoch that are assigned but not reported as started. Heartbeats may not include
+// them yet.
 type Launching struct {
 	Committed units.Resources
 	Count     int
 }
 
-func (l *Ledger) addLaunching(h WorkerEpoch, size units.Resources, n int) {
-	s := l.launchingByEpoch[h]
+func (l *Ledger) addLaunching(w WorkerEpoch, size units.Resources, n int) {
+	s := l.launchingByEpoch[w]
 	s.Count += n
 	if s.Count <= 0 {
-		delete(l.launchingByEpoch, h)
+		delete(l.launchingByEpoch, w)
 		return
 	}
 	if n > 0 {
@@ -138,17 +139,18 @@
 	} else {
 		s.Committed = s.Committed.Sub(size)
 	}
-	l.launchingByEpoch[h] = s
+	l.launchingByEpoch[w] = s
 }
 
-// LaunchingOn returns the sum of the attempts that are assigned to the holder
-// and not known to have started.
-func (l *Ledger) LaunchingOn(h WorkerEpoch) Launching { return l.launchingByEpoch[h] }
+// LaunchingOn returns the attempts on the worker epoch that are assigned but not
+// reported as started.
+func (l *Ledger) LaunchingOn(w WorkerEpoch) Launching { return l.launchingByEpoch[w] }
 
-// Job returns the row of a job, or nil. It is valid until the next Apply.
+// Job returns the job with the id, or nil. It is valid until the next Apply.
 func (l *Ledger) Job(id units.JobID) *Job { return l.jobs[id] }
 
-// Task returns the row of a task of a job that has not ended, or nil.
+// Task returns the task, or nil if its job is unknown or has ended. It is valid
+// until the next Apply.
 func (l *Ledger) Task(t units.Task) *Task {
 	j := l.jobs[t.Job]
 	if j == nil || int64(t.Index) >= int64(len(j.Tasks)) {
@@ -157,7 +159,8 @@
 	return &j.Tasks[t.Index]
 }
 
-// JobByKey returns the job that the team submitted under the idempotency key.
+// JobByKey returns the job that the team submitted with the idempotency key, or
+// nil.
 func (l *Ledger) JobByKey(name units.TeamName, key string) *Job {
 	if id, ok := l.jobsByKey[teamKey{name, key}]; ok {
 		return l.jobs[id]
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// JobsOf returns the retained jobs of a team by order of submission. The slice
+// TeamJobs returns the retained jobs of a team in order of submission. The slice
 // is valid until the next Apply.
 func (l *Ledger) TeamJobs(name units.TeamName) []*Job {
 	if t := l.teams[name]; t != nil {
@@ -177,8 +180,8 @@
 // Teams returns the names of the teams that have jobs, sorted.
 func (l *Ledger) Teams() []units.TeamName { return slices.Sorted(maps.Keys(l.teams)) }
 
-// WaitingJobs returns the team's jobs of a priority that have tasks to assign,
-// by order of submission. The slice is valid until the next Apply.
+// WaitingJobs returns the team's jobs of a priority that have waiting tasks, in
+// order of submission. The slice is valid until the next Apply.
 func (l *Ledger) WaitingJobs(name units.TeamName, p units.Priority) []*Job {
 	t := l.teams[name]
 	if t == nil || p < units.PriorityLow || p > units.PriorityUrgent {
@@ -187,7 +190,8 @@
 	return t.waiting[p]
 }
 
-// Used returns what the team's open attempts commit, by priority.
+// TeamUsage returns the resources committed by the team's open attempts, by
+// priority.
 func (l *Ledger) TeamUsage(name units.TeamName) [units.PriorityUrgent + 1]units.Resources {
 	if t := l.teams[name]; t != nil {
 		return t.committed
@@ -195,19 +199,19 @@
 	return [units.PriorityUrgent + 1]units.Resources{}
 }
 
-// TasksOn returns the tasks whose open attempt is on the holder, unordered. The
-// slice is valid until the next Apply.
-func (l *Ledger) TasksOn(h WorkerEpoch) []units.Task { return l.openTasksByEpoch[h] }
+// TasksOn returns the tasks whose open attempt is on the worker epoch, in no
+// particular order. The slice is valid until the next Apply.
+func (l *Ledger) TasksOn(w WorkerEpoch) []units.Task { return l.openTasksByEpoch[w] }
 
-// Holders iterates over the worker epochs that have open attempts.
+// WorkerEpochs iterates over the worker epochs that have open attempts.
 func (l *Ledger) WorkerEpochs() iter.Seq[WorkerEpoch] { return maps.Keys(l.openTasksByEpoch) }
 
-// Watchers returns the watchers that have not ended, by name.
+// Watchers returns the jobs of watchers that have not ended, sorted by id.
 func (l *Ledger) Watchers() []*Job {
 	return slices.SortedFunc(maps.Values(l.activeWatchers), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// WatcherWaits reports whether a watcher waits to be assigned.
+// HasWaitingWatcher reports whether a watcher waits to be assigned.
 func (l *Ledger) HasWaitingWatcher() bool {
 	for _, j := range l.activeWatchers {
 		if len(j.waiting) > 0 {
@@ -217,11 +221,11 @@
 	return false
 }
 
-// Counts returns how many jobs are retained, and how many tasks wait and hold
-// resources.
+// Counts returns the number of retained jobs, of waiting tasks and of tasks with
+// an open attempt.
 func (l *Ledger) Counts() (jobs, waiting, open int) {
 	return len(l.jobs), l.waitingTasks, l.openTasks
 }
 
-// Rejections returns how many entries had no effect, by reason.
+// Rejections returns the number of rejected entries by reason.
 func (l *Ledger) Rejections() map[Reason]uint64 { return maps.Clone(l.rejections) }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger folds the stream of jobs into tables of jobs and tasks. Every
-// entry process applies the same entries in the same order and so agrees on
-// which attempt of a task holds; an entry that the rules do not allow in the
-// task's state has no effect and is counted.
+// Package ledger is the replicated state machine of jobs and tasks. Every entry
+// process applies the entries of the jobs stream in the same order, so all agree
+// on the current attempt of each task. An entry that is not allowed in the state
+// of its task has no effect and is counted as a rejection.
 package ledger
 
 import (
@@ -12,10 +12,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind says which failure an Error is.
+// Kind classifies an Error.
 type Kind string
 
-// Error is a failed operation of this package.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // The kinds of errors.
@@ -27,8 +27,8 @@
 // State is the state of a task.
 type State uint8
 
-// The states of a task. Stopping is a cancelled task whose last attempt is not
-// yet known to have stopped: it never starts anew but still holds resources.
+// The states of a task. A task in Stopping is cancelled but its last attempt has
+// not been reported as stopped: it never starts again but still holds resources.
 const (
 	Pending State = iota + 1
 	EvictedPending
@@ -57,48 +57,50 @@
 // Open reports whether a task in s has an attempt that may hold resources.
 func (s State) Open() bool { return s == Assigned || s == Running || s == Stopping }
 
-// Terminal reports whether a task in s never changes again.
+// Terminal reports whether s is final.
 func (s State) Terminal() bool { return s >= Ended && s < stateCount }
 
-// WatcherPrefix begins the id of the single-task job of a watcher.
+// WatcherPrefix is the prefix of the id of a watcher's job, which has a single
+// task.
 const WatcherPrefix = "watcher/"
 
-// Limits of the fold. Each is part of the deterministic function: every entry
-// process must use the same value.
+// Limits of the state machine. Every entry process must use the same values,
+// because the state must be a deterministic function of the entries.
 const (
-	// RetainedJobs and RetainedTasks bound the ended jobs kept for lookup: a day
-	// and a half at 13,000 jobs a day.
+	// MaxEndedJobs and MaxEndedTasks limit the ended jobs that are kept for
+	// queries: a day and a half at 13,000 jobs a day.
 	MaxEndedJobs  = 20_000
 	MaxEndedTasks = 200_000
-	// MaxTasks bounds the tasks of one job, MaxText every id, key and name, and
-	// MaxReason the texts that are cut instead of rejected.
+	// Entries that exceed MaxTasksPerJob, or MaxTextBytes in an id, key or name,
+	// are rejected. Reasons are truncated to MaxReasonBytes.
 	MaxTasksPerJob = 10_000
 	MaxTextBytes   = 256
 	MaxReasonBytes = 512
 )
 
-// Task is the row of one task.
+// Task is the state of one task.
 type Task struct {
 	Attempt       units.Attempt // current attempt, 0 before the first
 	State         State
 	Worker        units.WorkerID // of the current attempt
 	Epoch         units.Epoch
-	Failures      uint32           // attempts that counted as failures
+	Failures      uint32           // attempts that count as failures
 	FailedWorkers []units.WorkerID // distinct, in order of first failure
-	Checkpoint    string           // to resume from
+	Checkpoint    string           // from which the next attempt resumes
 	Reason        string           // of the last release, eviction or failure
-	StateOffset   units.Offset     // where State began
+	StateOffset   units.Offset     // of the entry that set State
 	Committed     units.Resources  // of the current attempt
 	Borrowed      bool             // the current attempt exceeds the team's quota
 }
 
-// Outcome is what remains of a task of an ended job.
+// Outcome is the final state of a task, kept after its job has ended.
 type Outcome struct {
 	State   State
-	Attempt units.Attempt // names the published output when State is Ended
+	Attempt units.Attempt // identifies the published output if State is Ended
 }
 
-// Job is the row of one job. Callers read it on the goroutine that applies.
+// Job is the state of one job. It may be read only by the goroutine that calls
+// Apply.
 type Job struct {
 	ID           units.JobID
 	Key          string // idempotency key within the team, empty for none
@@ -109,36 +111,36 @@
 	JobKind      units.JobKind
 	Size         units.Resources // declared
 	RunTime      time.Duration   // declared, 0 for a watcher
-	Checkpoint   string          // of the submission
-	Sequence     uint64          // order of submission
+	Checkpoint   string          // from which first attempts resume
+	Sequence     uint64          // orders jobs by submission
 	SubmitOffset units.Offset
-	SubmittedAt  time.Time // wall clock, display only
+	SubmittedAt  time.Time // wall clock, for display only
 	Cancelled    bool
-	Failed       bool   // a task failed for good; waiting tasks do not start
+	Failed       bool   // a task failed permanently; waiting tasks do not start
 	Reason       string // of the cancellation or failure
-	Tasks        []Task // nil once the job has ended
+	Tasks        []Task // nil after the job has ended
 	Outcomes     []Outcome
-	EndSequence  uint64       // order of ending, 0 before
-	EndOffset    units.Offset // where the last task ended
+	EndSequence  uint64       // orders jobs by their end, 0 before
+	EndOffset    units.Offset // of the entry that ended the last task
 
 	waiting    []uint32 // ascending indexes of tasks that may be assigned
-	unfinished int      // tasks that are not terminal
+	unfinished int      // number of tasks that are not terminal
 }
 
-// Waiting returns the indexes of the tasks that may be assigned, ascending. The
-// slice is valid until the next Apply.
+// Waiting returns the indexes of the tasks that may be assigned, in ascending
+// order. The slice is valid until the next Apply.
 func (j *Job) Waiting() []uint32 { return j.waiting }
 
 // IsWatcher reports whether the job is a watcher.
 func (j *Job) IsWatcher() bool { return j.Kind == wire.TaskKind_TASK_KIND_WATCHER }
 
-// Holder is one epoch of a worker.
+// WorkerEpoch identifies one epoch of a worker.
 type WorkerEpoch struct {
 	Worker units.WorkerID
 	Epoch  units.Epoch
 }
 
-// Change describes an entry that took effect, or why it did not.
+// Change describes an applied entry and its result.
 type Change struct {
 	Offset  units.Offset
 	Kind    string     // entry kind, such as "assigned"
@@ -147,10 +149,10 @@
 	Reason  Reason // empty when the entry took effect
 }
 
-// Ledger is the folded state. One goroutine owns it.
+// Ledger is the state of all jobs and tasks. It is not safe for concurrent use.
 type Ledger struct {
-	// Observe, when set before the first Apply, is told of each entry applied or
-	// rejected. It must not call back into the Ledger's Apply or Restore.
+	// Observe, if set before the first Apply, is called for each accepted or
+	// rejected entry. It must not call Apply or Restore.
 	Observe func(Change)
 
 	jobs             map[units.JobID]*Job
@@ -158,8 +160,8 @@
 	teams            map[units.TeamName]*teamIndexes
 	openTasksByEpoch map[WorkerEpoch][]units.Task
 	launchingByEpoch map[WorkerEpoch]Launching
-	activeWatchers   map[units.JobID]*Job // not ended
-	endedJobs        []*Job               // by order of ending
+	activeWatchers   map[units.JobID]*Job // watchers that have not ended
+	endedJobs        []*Job               // by EndSequence
 	endedTasks       int
 	usageByKind      map[units.JobKind]*KindUsage
 	failureStreaks   map[units.WorkerID]*failureStreak
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// log applies entries at rising offsets.
+// testLog applies entries at increasing offsets.
 type testLog struct {
 	t          *testing.T
 	ledger     *Ledger
@@ -51,13 +51,13 @@
 	return EncodeAssigned(t, a, workerEpoch, units.Resources{}, false)
 }
 
-// TestRules guards every cell of the rule table: an entry that is allowed in a
-// state where it must not be would run a task twice or lose it.
+// TestTransitionRules guards against a wrong cell in transitionRules: an entry that
+// is accepted in a wrong state makes a task run twice or never.
 func TestTransitionRules(t *testing.T) {
 	done := EncodeEnded(task0, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{})
 	evicted := EncodeEvicted(task0, 1, "c1", "noisy")
 	cancelled := EncodeCancelled("a", "team")
-	reach := map[State][][]byte{
+	setup := map[State][][]byte{
 		Pending:        {},
 		Assigned:       {encodeAssigned(task0, 1)},
 		Running:        {encodeAssigned(task0, 1), EncodeStarted(task0, 1)},
@@ -79,15 +79,15 @@
 		kindEvicted:  {Assigned: EvictedPending, Running: EvictedPending, Stopping: Cancelled},
 		kindFailed:   {Pending: Failed, EvictedPending: Failed},
 	}
-	for from, history := range reach {
+	for from, history := range setup {
 		for kind, entry := range entries {
 			g := newLog(t)
-			// The open second task keeps the job's rows when the first one ends.
+			// The open second task keeps the job's tasks when the first one ends.
 			g.apply(EncodeSubmitted(submission("a", 2)), encodeAssigned(units.Task{Job: "a", Index: 1}, 1))
 			g.apply(history...)
 			row := g.ledger.Task(task0)
 			if row == nil || row.State != from {
-				t.Fatalf("setup of %v: row %+v", from, row)
+				t.Fatalf("setup of state %v: got task %+v", from, row)
 			}
 			if kind == kindAssigned {
 				entry = encodeAssigned(task0, row.Attempt+1)
@@ -101,14 +101,14 @@
 			}
 			rejected := len(g.ledger.Rejections()) > len(before)
 			if got != expect || rejected == allowed {
-				t.Errorf("%s in %v: got state %v, rejected %v; want %v, %v", kindNames[kind], from, got, rejected, expect, !allowed)
+				t.Errorf("%s entry in state %v: got state %v, rejected %v; want %v, %v", kindNames[kind], from, got, rejected, expect, !allowed)
 			}
 		}
 	}
 }
 
-// TestOldAttempt guards against a late report of an earlier attempt that ends
-// or releases the current one.
+// TestOldAttempt guards against a late report about an earlier attempt that ends or
+// releases the current one.
 func TestOldAttempt(t *testing.T) {
 	g := newLog(t)
 	g.apply(EncodeSubmitted(submission("a", 1)), encodeAssigned(task0, 1), EncodeReleased(task0, 1, Release{}), encodeAssigned(task0, 2))
@@ -122,17 +122,17 @@
 	}
 }
 
-// TestMalformed guards against an entry that breaks a limit and still changes
-// the state.
+// TestMalformed guards against malformed entries, or entries above a limit, that
+// change the state.
 func TestMalformed(t *testing.T) {
 	g := newLog(t)
 	g.apply(EncodeSubmitted(submission("a", 1)))
 	before, _ := g.ledger.Snapshot()
-	huge := submission("b", MaxTasksPerJob+1)
-	negative := submission("b", 1)
-	negative.Spec.Size.MemoryBytes = -1
-	impostor := submission(WatcherPrefix+"b", 1)
-	cases := [][]byte{nil, {0xff}, EncodeSubmitted(huge), EncodeSubmitted(negative), EncodeSubmitted(impostor),
+	tooManyTasks := submission("b", MaxTasksPerJob+1)
+	negativeMemory := submission("b", 1)
+	negativeMemory.Spec.Size.MemoryBytes = -1
+	batchWithWatcherID := submission(WatcherPrefix+"b", 1)
+	cases := [][]byte{nil, {0xff}, EncodeSubmitted(tooManyTasks), EncodeSubmitted(negativeMemory), EncodeSubmitted(batchWithWatcherID),
 		EncodeAssigned(task0, 0, workerEpoch, units.Resources{}, false), EncodeAssigned(task0, 1, WorkerEpoch{}, units.Resources{}, false),
 		EncodeAssigned(task0, 1, workerEpoch, units.Resources{Memory: -5}, false), EncodeCancelled("", "")}
 	for i, c := range cases {
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestIndexes guards dispatch against tasks that are missing from a queue, or
-// counted on a worker or team that no longer holds them.
+// TestIndexes guards against tasks that are missing from a waiting queue, or that
+// are still counted on a worker or team after their attempt has ended.
 func TestIndexes(t *testing.T) {
 	g := newLog(t)
 	g.apply(EncodeSubmitted(submission("b", 3)), EncodeSubmitted(submission("a", 1)), EncodeSubmitted(submission("b", 1)))
@@ -158,25 +158,25 @@
 	g.apply(encodeAssigned(b1, 1))
 	queue := g.ledger.WaitingJobs("moulds", units.PriorityNormal)
 	if len(queue) != 2 || queue[0].ID != "b" || fmt.Sprint(queue[0].Waiting()) != "[0 2]" {
-		t.Errorf("got queue %v", queue)
+		t.Errorf("got waiting jobs %v, want b with tasks 0 and 2, then a", queue)
 	}
 	if got := g.ledger.TeamUsage("moulds")[units.PriorityNormal].Processors; got != 2000 {
 		t.Errorf("got %d millicores used, want 2000", got)
 	}
 	if got := g.ledger.TasksOn(workerEpoch); len(got) != 1 || got[0] != b1 {
-		t.Errorf("got tasks %v on the holder, want %v", got, b1)
+		t.Errorf("got tasks %v on the worker epoch, want %v", got, b1)
 	}
 	g.apply(EncodeEvicted(b1, 1, "c1", "noisy"))
 	if got := queue[0].Waiting(); fmt.Sprint(got) != "[0 1 2]" {
 		t.Errorf("got waiting %v after eviction, want all three in order", got)
 	}
 	if _, waiting, open := g.ledger.Counts(); waiting != 4 || open != 0 || !g.ledger.TeamUsage("moulds")[units.PriorityNormal].IsZero() || g.ledger.JobByKey("moulds", "key-a").ID != "a" {
-		t.Errorf("got %d waiting, %d open, %v used", waiting, open, g.ledger.TeamUsage("moulds"))
+		t.Errorf("got %d waiting, %d open, %v used; want 4, 0 and zero", waiting, open, g.ledger.TeamUsage("moulds"))
 	}
 }
 
-// TestWatcher guards against a watcher that stops for good when it exits, and
-// against attempt numbers that repeat when it is added again.
+// TestWatcher guards against a watcher that is not restarted after it exits, and
+// against attempt numbers that are reused when it is added again.
 func TestWatcher(t *testing.T) {
 	g := newLog(t)
 	w := units.Task{Job: "watcher/freeze", Index: 0}
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestRetention guards against a table of ended jobs that grows without bound.
+// TestRetention guards against unbounded growth of the ended jobs.
 func TestRetention(t *testing.T) {
 	g := newLog(t)
 	for i := range MaxEndedJobs + 50 {
@@ -200,20 +200,20 @@
 	}
 	jobs, waiting, open := g.ledger.Counts()
 	if jobs != MaxEndedJobs || waiting != 0 || open != 0 || len(g.ledger.jobsByKey) != MaxEndedJobs || len(g.ledger.TeamJobs("moulds")) != MaxEndedJobs {
-		t.Errorf("got %d jobs, %d keys, want %d", jobs, len(g.ledger.jobsByKey), MaxEndedJobs)
+		t.Errorf("got %d jobs and %d keys, want %d of each", jobs, len(g.ledger.jobsByKey), MaxEndedJobs)
 	}
 	if g.ledger.Job("job-49") != nil || g.ledger.Job("job-50") == nil {
-		t.Error("the oldest ended jobs are not the ones forgotten")
+		t.Error("the removed jobs are not the oldest ended ones")
 	}
 }
 
-// TestLearned guards against quantiles that understate sizes, do not follow a
-// change or depend on more than the log.
+// TestLearned guards against quantiles that are below the samples or do not follow
+// a change of the samples.
 func TestLearned(t *testing.T) {
 	var h Histogram
 	for v := range uint64(1 << 12) {
 		if up := bucketUpperBound(bucketOf(v)); up < v || up > v+v/bucketsPerOctave {
-			t.Fatalf("value %d: bucket ends at %d", v, up)
+			t.Fatalf("value %d: upper bound of its bucket is %d", v, up)
 		}
 	}
 	for range 300 {
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -11,7 +11,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Snapshot encodes the state. Equal histories encode to equal bytes.
+// Snapshot returns the encoded state. Ledgers that applied the same entries encode
+// to equal bytes.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	s := &wire.LedgerState{NextSequence: l.nextSequence, NextEnded: l.nextEndSequence}
 	jobs := slices.SortedFunc(maps.Values(l.jobs), func(a, b *Job) int { return cmp.Compare(a.Sequence, b.Sequence) })
@@ -63,8 +64,7 @@
 	return m
 }
 
-// Restore replaces the state by an encoded one. On an error the state is
-// unchanged.
+// Restore replaces the state with a snapshot. On an error the state is unchanged.
 func (l *Ledger) Restore(state []byte) error {
 	var s wire.LedgerState
 	if err := proto.Unmarshal(state, &s); err != nil {
@@ -94,12 +94,12 @@
 }
 
 func (l *Ledger) restoreJobs(jobs []*wire.LedgerJob) error {
-	shared := map[string]string{} // one copy of each team, kind and worker name
+	interned := map[string]string{} // team, kind and worker names, one copy each
 	for _, m := range jobs {
 		if err := checkSubmitted(m.GetSubmitted()); err != nil {
 			return fault.Wrap("restore", BadSnapshot, err)
 		}
-		j, err := decodeJob(m, shared)
+		j, err := decodeJob(m, interned)
 		if err != nil {
 			return err
 		}
@@ -113,14 +113,14 @@
 	return nil
 }
 
-func decodeJob(m *wire.LedgerJob, shared map[string]string) (*Job, error) {
+func decodeJob(m *wire.LedgerJob, interned map[string]string) (*Job, error) {
 	n := m.GetSubmitted().GetTasks()
 	ended := m.GetEnded() != 0
 	if ended && (uint32(len(m.GetOutcomeStates())) != n || uint32(len(m.GetOutcomeAttempts())) != n) || !ended && uint32(len(m.GetTasks())) != n {
-		return nil, fault.New("restore", BadSnapshot, "job %q: rows of its %d tasks are missing", m.GetSubmitted().GetJob(), n)
+		return nil, fault.New("restore", BadSnapshot, "job %q: number of encoded tasks or outcomes does not match its %d tasks", m.GetSubmitted().GetJob(), n)
 	}
 	j := newJob(m.GetSubmitted())
-	j.Team, j.JobKind = units.TeamName(intern(shared, string(j.Team))), units.JobKind(intern(shared, string(j.JobKind)))
+	j.Team, j.JobKind = units.TeamName(intern(interned, string(j.Team))), units.JobKind(intern(interned, string(j.JobKind)))
 	j.Cancelled, j.Failed, j.Reason = m.GetCancelled(), m.GetFailed(), m.GetCancelReason()
 	j.Sequence, j.SubmitOffset = m.GetSequence(), units.Offset(m.GetSubmittedOffset())
 	j.EndSequence, j.EndOffset = m.GetEnded(), units.Offset(m.GetEndedOffset())
@@ -133,28 +133,28 @@
 	}
 	for i, t := range m.GetTasks() {
 		if s := State(t.GetState()); t.GetState() >= uint32(stateCount) || s < Pending {
-			return nil, fault.New("restore", BadSnapshot, "task %s/%d is in state %d", j.ID, i, t.GetState())
+			return nil, fault.New("restore", BadSnapshot, "task %s/%d has unknown state %d", j.ID, i, t.GetState())
 		}
-		j.Tasks[i] = decodeTask(t, shared)
+		j.Tasks[i] = decodeTask(t, interned)
 	}
 	return j, nil
 }
 
-func decodeTask(m *wire.LedgerTask, shared map[string]string) Task {
-	t := Task{Attempt: units.Attempt(m.GetAttempt()), State: State(m.GetState()), Worker: units.WorkerID(intern(shared, m.GetWorker())),
+func decodeTask(m *wire.LedgerTask, interned map[string]string) Task {
+	t := Task{Attempt: units.Attempt(m.GetAttempt()), State: State(m.GetState()), Worker: units.WorkerID(intern(interned, m.GetWorker())),
 		Epoch: units.Epoch(m.GetEpoch()), Failures: m.GetFailures(), Checkpoint: m.GetCheckpoint(), Reason: m.GetReason(),
 		StateOffset: units.Offset(m.GetSince()), Committed: m.GetCommitted().Units(), Borrowed: m.GetBorrowed()}
 	for _, w := range m.GetFailedWorkers() {
-		t.FailedWorkers = append(t.FailedWorkers, units.WorkerID(intern(shared, w)))
+		t.FailedWorkers = append(t.FailedWorkers, units.WorkerID(intern(interned, w)))
 	}
 	return t
 }
 
-func intern(shared map[string]string, s string) string {
-	if old, ok := shared[s]; ok {
+func intern(interned map[string]string, s string) string {
+	if old, ok := interned[s]; ok {
 		return old
 	}
-	shared[s] = s
+	interned[s] = s
 	return s
 }
 
@@ -166,7 +166,7 @@
 	return m
 }
 
-// decode reads what encode wrote; buckets that are damaged are left out.
+// decode restores an encoded histogram and skips corrupt buckets.
 func (h *Histogram) decode(m *wire.Histogram) {
 	h.Samples = m.GetSamples()
 	last := -1
--- a/internal/ledger/transitions.go
+++ b/internal/ledger/transitions.go
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Reason says why an entry had no effect.
+// Reason is why an entry had no effect.
 type Reason string
 
 // The reasons.
@@ -22,7 +22,7 @@
 	ReasonUnknownJob     Reason = "unknownJob"
 	ReasonUnknownTask    Reason = "unknownTask"
 	ReasonJobEnded       Reason = "jobEnded"
-	ReasonWrongAttempt   Reason = "attempt" // not the attempt that the state allows
+	ReasonWrongAttempt   Reason = "attempt" // not the attempt that the task's state allows
 	ReasonNotWaiting     Reason = "notWaiting"
 	ReasonNotOpen        Reason = "notOpen"
 	ReasonAlreadyStarted Reason = "alreadyStarted"
@@ -30,7 +30,7 @@
 	ReasonWrongOutcome   Reason = "outcome"
 )
 
-// entryKind indexes the rule table.
+// taskEntryKind is the kind of an entry about a task. It indexes transitionRules.
 type taskEntryKind uint8
 
 const (
@@ -45,7 +45,7 @@
 
 var kindNames = [kindCount]string{"assigned", "started", "released", "ended", "evicted", "failed"}
 
-// event is a decoded entry about one task.
+// taskEntry is a decoded entry about one task.
 type taskEntry struct {
 	offset          units.Offset
 	kind            taskEntryKind
@@ -63,15 +63,15 @@
 	used            units.Resources
 }
 
-// rule is what an entry does in a state: either why it has no effect, or the
-// function that applies it.
+// transitionRule is the effect of an entry kind in a state: either the reason why
+// it is rejected, or the function that applies it.
 type transitionRule struct {
 	reason Reason
 	apply  func(*Ledger, *Job, *Task, *taskEntry) Reason
 }
 
-// rules is the whole state machine: entry kind by task state. Terminal states
-// share a row because nothing changes them.
+// transitionRules is the complete state machine, by entry kind and task state. No
+// entry changes a terminal state.
 var transitionRules = [kindCount][stateCount]transitionRule{
 	kindAssigned: {
 		Pending: {apply: (*Ledger).assign}, EvictedPending: {apply: (*Ledger).assign},
@@ -98,8 +98,8 @@
 		Assigned: {apply: (*Ledger).evict}, Running: {apply: (*Ledger).evict}, Stopping: {apply: (*Ledger).finishCancelled},
 		Ended: {reason: ReasonNotOpen}, Failed: {reason: ReasonNotOpen}, Cancelled: {reason: ReasonNotOpen},
 	},
-	// A task with an open attempt cannot fail: the dispatcher that proposes it
-	// lost to one that assigned the task, and the attempt may yet succeed.
+	// A task with an open attempt cannot fail: another dispatcher assigned the
+	// task before the failure was recorded, and the attempt may still succeed.
 	kindFailed: {
 		Pending: {apply: (*Ledger).fail}, EvictedPending: {apply: (*Ledger).fail},
 		Assigned: {reason: ReasonNotWaiting}, Running: {reason: ReasonNotWaiting}, Stopping: {reason: ReasonCancelled},
@@ -107,8 +107,9 @@
 	},
 }
 
-// Apply folds one entry. It returns an error only for an entry that cannot be
-// decoded or breaks a limit; an entry that lost a race is counted and ignored.
+// Apply applies one entry. It returns an error only if the entry cannot be decoded
+// or exceeds a limit. An entry that is not allowed in the current state is counted
+// and ignored.
 func (l *Ledger) Apply(offset units.Offset, entry []byte) error {
 	var m wire.JobsEntry
 	if err := proto.Unmarshal(entry, &m); err != nil {
@@ -168,7 +169,8 @@
 	}
 }
 
-// move changes the state of a task and keeps the indexes and the job's end.
+// transition changes the state of a task, updates the indexes and finishes the job
+// when its last task becomes terminal.
 func (l *Ledger) transition(j *Job, index uint32, to State, offset units.Offset, change func(*Task)) {
 	t := &j.Tasks[index]
 	l.removeFromIndexes(j, index)
@@ -207,8 +209,8 @@
 	return ""
 }
 
-// leaveAssigned changes between open states: the attempt keeps its holder and
-// what it commits.
+// setOpenState changes a task from one open state to another. The attempt keeps
+// its worker epoch and committed resources.
 func (l *Ledger) setOpenState(t *Task, to State, offset units.Offset) {
 	if t.State == Assigned {
 		l.addLaunching(WorkerEpoch{t.Worker, t.Epoch}, t.Committed, -1)
@@ -237,10 +239,10 @@
 
 func (l *Ledger) end(j *Job, t *Task, e *taskEntry) Reason {
 	if e.outcome != wire.Outcome_OUTCOME_COMPLETED {
-		return ReasonWrongOutcome // "stopped" needs a cancellation first
+		return ReasonWrongOutcome // OUTCOME_STOPPED is valid only after a cancellation
 	}
 	l.recordSuccess(t.Worker)
-	if j.IsWatcher() { // a watcher runs until it is cancelled
+	if j.IsWatcher() { // watchers are restarted until they are cancelled
 		l.transition(j, e.task.Index, Pending, e.offset, func(t *Task) { t.Reason = "watcher exited" })
 		return ""
 	}
@@ -259,8 +261,8 @@
 	return ""
 }
 
-// stop closes the attempt of a cancelled task, whatever its outcome was: the
-// cancellation came first in the log, so no output is published.
+// finishCancelled ends the attempt of a cancelled task, whatever its outcome. The
+// cancellation precedes the outcome in the log, so no output is published.
 func (l *Ledger) finishCancelled(j *Job, t *Task, e *taskEntry) Reason {
 	l.transition(j, e.task.Index, Cancelled, e.offset, nil)
 	return ""
@@ -269,7 +271,7 @@
 func (l *Ledger) fail(j *Job, t *Task, e *taskEntry) Reason {
 	j.Failed, j.Reason = true, e.reason
 	l.transition(j, e.task.Index, Failed, e.offset, func(t *Task) { t.Reason = e.reason })
-	for len(j.waiting) > 0 { // siblings that have not started cannot complete the job
+	for len(j.waiting) > 0 { // the job cannot complete any more, so waiting tasks fail as well
 		l.transition(j, j.waiting[0], Failed, e.offset, func(t *Task) { t.Reason = "another task of the job failed" })
 	}
 	return ""
@@ -279,19 +281,19 @@
 	if err := checkSubmitted(m); err != nil {
 		return l.rejectMalformed(offset, "%w", err)
 	}
-	id, tm := units.JobID(m.GetJob()), units.TeamName(m.GetTeam())
+	id, team := units.JobID(m.GetJob()), units.TeamName(m.GetTeam())
 	c := Change{Offset: offset, Kind: "submitted", Task: units.Task{Job: id}}
 	old, first := l.jobs[id], units.Attempt(0)
 	if old != nil {
-		// A watcher that was removed from the document may be added again. Its
-		// attempts go on counting, so that none is named twice.
+		// A watcher that was removed from the configuration document may be added
+		// again. Its attempt numbers continue, so that none is used twice.
 		if !old.IsWatcher() || old.EndSequence == 0 || m.GetSpec().GetKind() != wire.TaskKind_TASK_KIND_WATCHER {
 			l.recordResult(c, ReasonDuplicateJob)
 			return nil
 		}
 		first = old.Outcomes[0].Attempt
 	}
-	if _, taken := l.jobsByKey[teamKey{tm, m.GetKey()}]; taken && m.GetKey() != "" {
+	if _, taken := l.jobsByKey[teamKey{team, m.GetKey()}]; taken && m.GetKey() != "" {
 		l.recordResult(c, ReasonDuplicateKey)
 		return nil
 	}
@@ -312,7 +314,7 @@
 
 func (l *Ledger) cancel(offset units.Offset, m *wire.JobCancelled) error {
 	if !validText(m.GetJob()) {
-		return l.rejectMalformed(offset, "cancelled: job id of %d bytes", len(m.GetJob()))
+		return l.rejectMalformed(offset, "cancelled entry: job id has %d bytes, want 1 to %d", len(m.GetJob()), MaxTextBytes)
 	}
 	j := l.jobs[units.JobID(m.GetJob())]
 	c := Change{Offset: offset, Kind: "cancelled", Task: units.Task{Job: units.JobID(m.GetJob())}}
@@ -329,7 +331,7 @@
 	}
 	j.Cancelled, j.Reason = true, truncate(m.GetReason())
 	for i := range j.Tasks {
-		if len(j.Tasks) == 0 { // the move of the last task ended the job
+		if len(j.Tasks) == 0 { // the transition of the last task ended the job
 			break
 		}
 		switch s := j.Tasks[i].State; {
@@ -343,14 +345,14 @@
 	return nil
 }
 
-// add enters the job and its tasks into every index.
+// addJob adds the job and its tasks to all indexes.
 func (l *Ledger) addJob(j *Job) {
 	l.jobs[j.ID] = j
 	if j.Key != "" {
 		l.jobsByKey[teamKey{j.Team, j.Key}] = j.ID
 	}
-	tm := l.teamIndexes(j.Team)
-	tm.jobs = insertJob(tm.jobs, j)
+	indexes := l.teamIndexes(j.Team)
+	indexes.jobs = insertJob(indexes.jobs, j)
 	if j.EndSequence != 0 {
 		return
 	}
@@ -366,8 +368,8 @@
 	}
 }
 
-// finish compacts a job whose tasks are all terminal and forgets the oldest
-// ended jobs beyond the limits.
+// finishJob reduces a job whose tasks are all terminal to their outcomes, and
+// removes the oldest ended jobs above the limits.
 func (l *Ledger) finishJob(j *Job, offset units.Offset) {
 	j.Outcomes = make([]Outcome, len(j.Tasks))
 	for i := range j.Tasks {
@@ -387,23 +389,23 @@
 	}
 }
 
-// forget drops an ended job from every table but l.ended.
+// removeEndedJob removes an ended job from all indexes except l.endedJobs.
 func (l *Ledger) removeEndedJob(j *Job) {
 	l.endedTasks -= len(j.Outcomes)
 	delete(l.jobs, j.ID)
 	if j.Key != "" {
 		delete(l.jobsByKey, teamKey{j.Team, j.Key})
 	}
-	tm := l.teamIndexes(j.Team)
-	tm.jobs = removeJob(tm.jobs, j)
-	if len(tm.jobs) == 0 {
+	indexes := l.teamIndexes(j.Team)
+	indexes.jobs = removeJob(indexes.jobs, j)
+	if len(indexes.jobs) == 0 {
 		delete(l.teams, j.Team)
 	}
 }
 
 func validText(s string) bool { return s != "" && len(s) <= MaxTextBytes }
 
-// cut bounds a text for display without splitting a rune.
+// truncate limits a text to MaxReasonBytes without splitting a rune.
 func truncate(s string) string {
 	if len(s) <= MaxReasonBytes {
 		return s
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -9,15 +9,17 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Histogram weights. Integers only: floating point may be fused differently on
-// another architecture, and two folds of one log must encode to equal bytes.
+// Histogram parameters. Weights are integers, because floating-point operations
+// may be fused differently on another architecture, and the state must encode to
+// equal bytes in all processes.
 const (
 	sampleWeight = 64
-	// halveAt keeps about the last 128 samples in force, so that a kind whose
-	// size changes is learned anew within that many runs.
+	// Weights are halved when they sum to halvingWeight. The histogram then
+	// represents about the last 128 samples, so that it follows a kind whose size
+	// changes within that many runs.
 	halvingWeight = 128 * sampleWeight
-	// bucketsPerOctave bounds the error of a quantile to one part in 32: sizes
-	// are rounded up, and what is rounded is lost to other tasks.
+	// bucketsPerOctave limits the error of a quantile to 1/32. Sizes are rounded
+	// up, and the excess is not available to other tasks.
 	octaveBits       = 5
 	bucketsPerOctave = 1 << octaveBits
 	maxKinds         = 4096
@@ -25,14 +27,14 @@
 
 // Histogram is a decaying histogram over log-linear buckets.
 type Histogram struct {
-	Samples     uint32 // seen in all, saturating
+	Samples     uint32 // number of values added, saturating
 	totalWeight uint32
-	buckets     []bucketWeight // ascending
+	buckets     []bucketWeight // by ascending bucket
 }
 
 type bucketWeight struct{ bucket, weight uint32 }
 
-// Learned is what the ended tasks of one job kind have used.
+// KindUsage holds usage statistics of the completed tasks of one job kind.
 type KindUsage struct {
 	UpdatedOffset units.Offset
 	Processors    Histogram // millicores
@@ -44,11 +46,11 @@
 	if v < bucketsPerOctave {
 		return uint32(v)
 	}
-	shift := uint32(bits.Len64(v)) - octaveBits - 1 // keeps the leading one and five more bits
+	shift := uint32(bits.Len64(v)) - octaveBits - 1 // the leading bit and octaveBits more remain
 	return (shift+1)*bucketsPerOctave + uint32(v>>shift) - bucketsPerOctave
 }
 
-// upperBound is the largest value of a bucket.
+// bucketUpperBound returns the largest value of a bucket.
 func bucketUpperBound(b uint32) uint64 {
 	if b < bucketsPerOctave {
 		return uint64(b)
@@ -57,7 +59,7 @@
 	return uint64(b%bucketsPerOctave+bucketsPerOctave+1)<<shift - 1
 }
 
-// Add records one value.
+// Add adds a sample.
 func (h *Histogram) Add(v uint64) {
 	b := bucketOf(v)
 	i, found := slices.BinarySearchFunc(h.buckets, b, func(w bucketWeight, b uint32) int { return cmp.Compare(w.bucket, b) })
@@ -80,8 +82,8 @@
 	h.buckets = slices.DeleteFunc(h.buckets, func(w bucketWeight) bool { return w.weight == 0 })
 }
 
-// Quantile returns a value that at least permille/1000 of the weight does not
-// exceed, rounded up to its bucket; 0 without samples.
+// Quantile returns the value below or at which permille/1000 of the weight lies,
+// rounded up to the end of its bucket. It returns 0 without samples.
 func (h *Histogram) Quantile(permille uint32) uint64 {
 	need := (uint64(h.totalWeight)*uint64(permille) + 999) / 1000
 	var sum uint64
@@ -94,7 +96,7 @@
 	return 0
 }
 
-// learn adds a completed run to the statistics of its kind.
+// recordUsage adds a completed run to the statistics of its kind.
 func (l *Ledger) recordUsage(kind units.JobKind, offset units.Offset, used units.Resources, ran time.Duration) {
 	if kind == "" {
 		return
@@ -111,7 +113,7 @@
 	if ran > 0 {
 		k.RunTime.Add(uint64(ran.Milliseconds()))
 	}
-	if used.Processors > 0 && used.Memory > 0 { // a run too short to be measured says nothing about size
+	if used.Processors > 0 && used.Memory > 0 { // zero for runs that were too short to be measured
 		k.Processors.Add(uint64(used.Processors))
 		k.Memory.Add(uint64(used.Memory+units.KiB-1) / uint64(units.KiB))
 	}
@@ -128,22 +130,22 @@
 	delete(l.usageByKind, oldest)
 }
 
-// Learned returns the statistics of a job kind, or nil.
+// KindUsage returns the usage statistics of a job kind, or nil.
 func (l *Ledger) KindUsage(kind units.JobKind) *KindUsage { return l.usageByKind[kind] }
 
-// failing is the run of failures of a worker since its last success.
+// failureStreak counts the failures on a worker since its last success.
 type failureStreak struct {
 	consecutive uint32 // of different jobs
 	lastJob     units.JobID
 	updated     units.Offset
 }
 
-// maxFailing bounds the table of failing workers; the entry whose last failure
-// is oldest goes first.
+// maxFailureStreaks limits the number of failure streaks; the one whose last
+// failure is oldest is removed first.
 const maxFailureStreaks = 4096
 
-// noteFailure counts a failed attempt against the worker. A job that fails
-// again on the same worker says nothing new about the worker.
+// recordFailure counts a failed attempt on the worker. Consecutive failures of the
+// same job count once, because the job may be their cause.
 func (l *Ledger) recordFailure(w units.WorkerID, job units.JobID, offset units.Offset) {
 	f := l.failureStreaks[w]
 	if f == nil {
@@ -172,8 +174,8 @@
 
 func (l *Ledger) recordSuccess(w units.WorkerID) { delete(l.failureStreaks, w) }
 
-// ConsecutiveFailures returns how many attempts of different jobs have failed
-// on the worker since one last completed there.
+// ConsecutiveFailures returns how many attempts of different jobs have failed on
+// the worker since an attempt last completed there.
 func (l *Ledger) ConsecutiveFailures(w units.WorkerID) int {
 	if f := l.failureStreaks[w]; f != nil {
 		return int(f.consecutive)
