--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -279,7 +279,7 @@
 	for _, guarantee := range []string{"one open attempt", "ends once", "resumes once", "no start after cancellation", "only the current attempt counts"} {
 		t.Logf("%q is violated in %d of %d histories if the last entry wins", guarantee, caught[guarantee], histories)
 		if caught[guarantee] < histories/10 {
-				t.Errorf("%q is found violated in only %d of %d histories, want at least a tenth", guarantee, caught[guarantee], histories)
+			t.Errorf("%q is found violated in only %d of %d histories, want at least a tenth", guarantee, caught[guarantee], histories)
 		}
 	}
 }
--- a/internal/ledger/transitions.go
+++ b/internal/ledger/transitions.go
@@ -314,7 +314,7 @@
 
 func (l *Ledger) cancel(offset units.Offset, m *wire.JobCancelled) error {
 	if !validText(m.GetJob()) {
-		return l.rejectMalformed(offset, "cancelled entry: job id has %d bytes, want 1 to %d", len(m.GetJob()), MaxTextBytes)
+		return l.rejectMalformed(offset, "cancelled entry: job id is empty or too long: %d bytes", len(m.GetJob()))
 	}
 	j := l.jobs[units.JobID(m.GetJob())]
 	c := Change{Offset: offset, Kind: "cancelled", Task: units.Task{Job: units.JobID(m.GetJob())}}
