--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -57,7 +57,7 @@
 type control struct {
 	*Entry
 	workers      map[units.WorkerID]*workerRow
-	liveness     roster.Liveness
+	liveness     roster.EntryLiveness
 	live         []roster.Entry
 	membersOut   outbox
 	jobsOut      outbox
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -38,7 +38,7 @@
 	if len(o.cache) >= maxOwnersCache {
 		clear(o.cache)
 	}
-	mine := roster.Owner(key, o.live) == o.self
+	mine := roster.RendezvousOwner(key, o.live) == o.self
 	o.cache[key] = mine
 	return mine
 }
--- a/internal/roster/rules.go
+++ b/internal/roster/apply.go
@@ -20,25 +20,25 @@
 		switch k := m.GetKind().(type) {
 		case *wire.MembersEntry_EntryAnnounced:
 			c.Kind, c.Entry = "entryAnnounced", units.EntryID(k.EntryAnnounced.GetEntry())
-			err = r.announce(offset, k.EntryAnnounced)
+			err = r.announceEntry(offset, k.EntryAnnounced)
 		case *wire.MembersEntry_EntryLeft:
 			c.Kind, c.Entry = "entryLeft", units.EntryID(k.EntryLeft.GetEntry())
-			reason = r.entryLeft(c.Entry)
+			reason = r.removeEntry(c.Entry)
 		case *wire.MembersEntry_WorkerRegistered:
 			m := k.WorkerRegistered
-			c.Kind, c.Worker = "registered", holder(m.GetWorker(), m.GetEpoch())
-			reason, err = r.register(offset, m)
+			c.Kind, c.Worker = "registered", workerEpoch(m.GetWorker(), m.GetEpoch())
+			reason, err = r.registerWorker(offset, m)
 		case *wire.MembersEntry_LessorChanged:
 			m := k.LessorChanged
-			c.Kind, c.Worker = "lessorChanged", holder(m.GetWorker(), m.GetEpoch())
-			reason = r.changeLessor(offset, c.Worker, units.Term(m.GetTerm()), holder(m.GetLessor(), m.GetLessorEpoch()))
+			c.Kind, c.Worker = "lessorChanged", workerEpoch(m.GetWorker(), m.GetEpoch())
+			reason = r.changeLessor(offset, c.Worker, units.Term(m.GetTerm()), workerEpoch(m.GetLessor(), m.GetLessorEpoch()))
 		case *wire.MembersEntry_LeaseExpired:
 			m := k.LeaseExpired
-			c.Kind, c.Worker = "leaseExpired", holder(m.GetWorker(), m.GetEpoch())
-			reason = r.expire(offset, c.Worker, units.Term(m.GetTerm()))
+			c.Kind, c.Worker = "leaseExpired", workerEpoch(m.GetWorker(), m.GetEpoch())
+			reason = r.expireLease(offset, c.Worker, units.Term(m.GetTerm()))
 		case *wire.MembersEntry_WorkerLeft:
-			c.Kind, c.Worker = "left", holder(k.WorkerLeft.GetWorker(), k.WorkerLeft.GetEpoch())
-			reason = r.leave(offset, c.Worker)
+			c.Kind, c.Worker = "left", workerEpoch(k.WorkerLeft.GetWorker(), k.WorkerLeft.GetEpoch())
+			reason = r.leaveWorker(offset, c.Worker)
 		default:
 			err = fmt.Errorf("entry of no known kind")
 		}
@@ -58,12 +58,12 @@
 	return nil
 }
 
-func holder(worker string, epoch uint64) WorkerEpoch {
+func workerEpoch(worker string, epoch uint64) WorkerEpoch {
 	return WorkerEpoch{units.WorkerID(worker), units.Epoch(epoch)}
 }
 
-func (r *Roster) announce(offset units.Offset, m *wire.EntryAnnounced) error {
-	if m.GetEntry() == "" || tooLong(m.GetEntry(), m.GetLinkAddress(), m.GetFailureDomain(), m.GetRegion()) {
+func (r *Roster) announceEntry(offset units.Offset, m *wire.EntryAnnounced) error {
+	if m.GetEntry() == "" || anyTooLong(m.GetEntry(), m.GetLinkAddress(), m.GetFailureDomain(), m.GetRegion()) {
 		return fmt.Errorf("entryAnnounced: an id is empty or a text too long")
 	}
 	id := units.EntryID(m.GetEntry())
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (r *Roster) entryLeft(id units.EntryID) Reason {
+func (r *Roster) removeEntry(id units.EntryID) Reason {
 	if r.entries[id] == nil {
 		return ReasonUnknownEntry
 	}
@@ -89,12 +89,12 @@
 	return ""
 }
 
-func (r *Roster) register(offset units.Offset, m *wire.WorkerRegistered) (Reason, error) {
+func (r *Roster) registerWorker(offset units.Offset, m *wire.WorkerRegistered) (Reason, error) {
 	capacity := m.GetCapacity().Units()
 	switch {
 	case m.GetWorker() == "" || m.GetEpoch() == 0 || m.GetFailureDomain() == "":
 		return "", fmt.Errorf("registered: worker %.40q epoch %d in domain %.40q", m.GetWorker(), m.GetEpoch(), m.GetFailureDomain())
-	case tooLong(m.GetWorker(), m.GetFailureDomain(), m.GetRack(), m.GetRegion(), m.GetLinkAddress(), m.GetLessor()):
+	case anyTooLong(m.GetWorker(), m.GetFailureDomain(), m.GetRack(), m.GetRegion(), m.GetLinkAddress(), m.GetLessor()):
 		return "", fmt.Errorf("registered: a text is too long")
 	case capacity.Processors < 0 || capacity.Memory < 0 || capacity.Accelerators < 0:
 		return "", fmt.Errorf("registered: capacity %v", capacity)
@@ -104,11 +104,11 @@
 	if old != nil && epoch <= max(old.Epoch, old.EpochFloor) {
 		return ReasonOldEpoch, nil
 	}
-	if old == nil && len(r.workers)-r.ended >= MaxActiveWorkers {
+	if old == nil && len(r.workers)-r.endedCount >= MaxActiveWorkers {
 		return "", fmt.Errorf("registered: more than %d workers", MaxActiveWorkers)
 	}
-	lessor := holder(m.GetLessor(), m.GetLessorEpoch())
-	if lessor != (WorkerEpoch{}) && !r.mayLease(lessor, id) {
+	lessor := workerEpoch(m.GetLessor(), m.GetLessorEpoch())
+	if lessor != (WorkerEpoch{}) && !r.validLessor(lessor, id) {
 		return ReasonInvalidLessor, nil
 	}
 	w := &Worker{ID: id, Epoch: epoch, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()),
@@ -117,25 +117,25 @@
 		EpochFloor: epoch - 1} // ends every lower epoch, also those that never registered
 	if old != nil {
 		if old.Active() {
-			r.unlease(old)
+			r.removeLessee(old)
 		} else {
-			r.ended--
+			r.endedCount--
 		}
 	}
 	r.workers[id] = w
-	r.lease(w)
+	r.addLessee(w)
 	return "", nil
 }
 
 // mayLease reports whether the lessor is in force and another worker. A lessor
 // that has ended would grant nothing and could record no expiry.
-func (r *Roster) mayLease(lessor WorkerEpoch, lessee units.WorkerID) bool {
+func (r *Roster) validLessor(lessor WorkerEpoch, lessee units.WorkerID) bool {
 	w := r.workers[lessor.Worker]
 	return lessor.Worker != lessee && w != nil && w.Epoch == lessor.Epoch && w.Active()
 }
 
 // current returns the row if h is its epoch in force.
-func (r *Roster) current(h WorkerEpoch) (*Worker, Reason) {
+func (r *Roster) activeWorker(h WorkerEpoch) (*Worker, Reason) {
 	w := r.workers[h.Worker]
 	switch {
 	case w == nil || h.Epoch > w.Epoch:
@@ -149,23 +149,23 @@
 }
 
 func (r *Roster) changeLessor(offset units.Offset, h WorkerEpoch, term units.Term, lessor WorkerEpoch) Reason {
-	w, reason := r.current(h)
+	w, reason := r.activeWorker(h)
 	switch {
 	case reason != "":
 		return reason
 	case term != w.Term+1:
 		return ReasonTerm
-	case !r.mayLease(lessor, w.ID):
+	case !r.validLessor(lessor, w.ID):
 		return ReasonInvalidLessor
 	}
-	r.unlease(w)
+	r.removeLessee(w)
 	w.Lessor, w.Term, w.LessorOffset = lessor, term, offset
-	r.lease(w)
+	r.addLessee(w)
 	return ""
 }
 
-func (r *Roster) expire(offset units.Offset, h WorkerEpoch, term units.Term) Reason {
-	w, reason := r.current(h)
+func (r *Roster) expireLease(offset units.Offset, h WorkerEpoch, term units.Term) Reason {
+	w, reason := r.activeWorker(h)
 	if reason != "" {
 		return reason
 	}
@@ -173,24 +173,24 @@
 		return ReasonTerm
 	}
 	w.Expired = true
-	r.end(w, offset)
+	r.endEpoch(w, offset)
 	return ""
 }
 
-func (r *Roster) leave(offset units.Offset, h WorkerEpoch) Reason {
-	w, reason := r.current(h)
+func (r *Roster) leaveWorker(offset units.Offset, h WorkerEpoch) Reason {
+	w, reason := r.activeWorker(h)
 	if reason != "" {
 		return reason
 	}
 	w.Left = true
-	r.end(w, offset)
+	r.endEpoch(w, offset)
 	return ""
 }
 
-func (r *Roster) end(w *Worker, offset units.Offset) {
-	r.unlease(w)
+func (r *Roster) endEpoch(w *Worker, offset units.Offset) {
+	r.removeLessee(w)
 	w.EpochFloor, w.EndOffset = w.Epoch, offset
-	if r.ended++; r.ended <= MaxEndedWorkers {
+	if r.endedCount++; r.endedCount <= MaxEndedWorkers {
 		return
 	}
 	var oldest *Worker
@@ -200,10 +200,10 @@
 		}
 	}
 	delete(r.workers, oldest.ID)
-	r.ended--
+	r.endedCount--
 }
 
-func (r *Roster) lease(w *Worker) {
+func (r *Roster) addLessee(w *Worker) {
 	if w.Lessor == (WorkerEpoch{}) {
 		return
 	}
@@ -213,16 +213,16 @@
 	r.lessees[w.Lessor][w.ID] = true
 }
 
-func (r *Roster) unlease(w *Worker) {
+func (r *Roster) removeLessee(w *Worker) {
 	delete(r.lessees[w.Lessor], w.ID)
 	if len(r.lessees[w.Lessor]) == 0 {
 		delete(r.lessees, w.Lessor)
 	}
 }
 
-func tooLong(texts ...string) bool {
+func anyTooLong(texts ...string) bool {
 	for _, s := range texts {
-		if len(s) > maxText {
+		if len(s) > maxTextBytes {
 			return true
 		}
 	}
--- a/internal/roster/history_test.go
+++ b/internal/roster/history_test.go
@@ -19,7 +19,7 @@
 
 // history draws entries of restarted agents, lessors of earlier terms, and
 // instances that come and go.
-func history(t *rapid.T) [][]byte {
+func drawEntries(t *rapid.T) [][]byte {
 	var entries [][]byte
 	holders := rapid.Custom(func(t *rapid.T) WorkerEpoch {
 		return WorkerEpoch{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 4).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 4).Draw(t, "epoch"))}
@@ -43,7 +43,7 @@
 // rise within an epoch, and a restored roster goes on like the folded one.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := history(t)
+		entries := drawEntries(t)
 		r, restored := New(), New()
 		ended, terms := map[WorkerEpoch]bool{}, map[WorkerEpoch]units.Term{}
 		cut := rapid.IntRange(0, len(entries)-1).Draw(t, "snapshot")
--- a/internal/roster/lessor.go
+++ b/internal/roster/lessor.go
@@ -30,7 +30,7 @@
 }
 
 // ring orders ids by hash, so that ties fall on different lessors.
-func ring(a, b units.WorkerID) uint64 {
+func pairHash(a, b units.WorkerID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(a))
@@ -40,7 +40,7 @@
 }
 
 // candidate is a possible lessor with the order of preference.
-type candidate struct {
+type lessorCandidate struct {
 	holder   WorkerEpoch
 	mutual   int // 1 when it is a lessee of the worker: neither could expire the other
 	distance int
@@ -48,7 +48,7 @@
 	hash     uint64
 }
 
-func (c candidate) compare(o candidate) int {
+func (c lessorCandidate) compare(o lessorCandidate) int {
 	return cmp.Or(cmp.Compare(c.mutual, o.mutual), cmp.Compare(c.distance, o.distance), cmp.Compare(c.lessees, o.lessees),
 		cmp.Compare(c.hash, o.hash), cmp.Compare(c.holder.Worker, o.holder.Worker))
 }
@@ -59,14 +59,14 @@
 // with the fewest lessees. Two workers become each other's lessor only when
 // there is no other choice. The worker need not be registered.
 func (r *Roster) ChooseLessor(id units.WorkerID, at Location, usable func(WorkerEpoch) bool) (WorkerEpoch, bool) {
-	var best candidate
+	var best lessorCandidate
 	found := false
 	for _, w := range r.workers {
 		if w.ID == id || !w.Active() || (usable != nil && !usable(w.WorkerEpoch())) {
 			continue
 		}
-		c := candidate{holder: w.WorkerEpoch(), distance: at.lessorRank(Location{w.Domain, w.Rack, w.Region}),
-			lessees: len(r.lessees[w.WorkerEpoch()]), hash: ring(id, w.ID)}
+		c := lessorCandidate{holder: w.WorkerEpoch(), distance: at.lessorRank(Location{w.Domain, w.Rack, w.Region}),
+			lessees: len(r.lessees[w.WorkerEpoch()]), hash: pairHash(id, w.ID)}
 		if w.Lessor.Worker == id {
 			c.mutual = 1
 		}
@@ -79,12 +79,12 @@
 
 // Owner returns the entry that owns the key by rendezvous hashing, or "" when
 // there is none. When an entry joins or leaves, only its own keys move.
-func Owner(key string, entries []units.EntryID) units.EntryID {
+func RendezvousOwner(key string, entries []units.EntryID) units.EntryID {
 	var best units.EntryID
 	var top uint64
 	k := xxhash.Sum64String(key)
 	for _, e := range entries {
-		h := mix(k ^ xxhash.Sum64String(string(e)))
+		h := mixBits(k ^ xxhash.Sum64String(string(e)))
 		if best == "" || h > top || (h == top && e < best) {
 			best, top = e, h
 		}
@@ -93,7 +93,7 @@
 }
 
 // mix spreads the bits of two combined hashes (finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -47,7 +47,7 @@
 	// those whose registration holds.
 	MaxEndedWorkers  = 4096
 	MaxActiveWorkers = 16384
-	maxText          = 256
+	maxTextBytes     = 256
 )
 
 // Entry is the row of one entry process.
@@ -108,7 +108,7 @@
 	entries    map[units.EntryID]*Entry
 	workers    map[units.WorkerID]*Worker
 	lessees    map[WorkerEpoch]map[units.WorkerID]bool // of registrations in force
-	ended      int
+	endedCount int
 	rejections map[Reason]uint64
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -67,7 +67,7 @@
 
 // TestChain guards the lessee of a lessor that has itself expired: nobody
 // would ever record its expiry.
-func TestChain(t *testing.T) {
+func TestChainedExpiry(t *testing.T) {
 	r := New()
 	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})), EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})))
 	if _, ok := r.ExpirableSince("b"); ok {
@@ -119,7 +119,7 @@
 // the work, and against a table that grows with every replacement.
 func TestEntries(t *testing.T) {
 	r := New()
-	var l Liveness
+	var l EntryLiveness
 	start := time.Unix(100, 0)
 	apply(t, r, EncodeEntryAnnounced(Entry{ID: "e1"}), EncodeEntryAnnounced(Entry{ID: "e2"}))
 	l.Update(r, start)
@@ -137,9 +137,9 @@
 	counts, moved, ids := map[units.EntryID]int{}, 0, []units.EntryID{"e1", "e2", "e3", "e4"}
 	for i := range 4000 {
 		key := fmt.Sprint("job-", i)
-		owner := Owner(key, ids)
+		owner := RendezvousOwner(key, ids)
 		counts[owner]++
-		if after := Owner(key, ids[:3]); owner != "e4" && after != owner {
+		if after := RendezvousOwner(key, ids[:3]); owner != "e4" && after != owner {
 			moved++
 		}
 	}
--- a/internal/roster/snapshot.go
+++ b/internal/roster/snapshot.go
@@ -53,7 +53,7 @@
 	n := New()
 	n.Observe = r.Observe
 	for i, e := range s.GetEntries() {
-		if err := n.announce(units.Offset(s.GetAnnouncedOffsets()[i]), e); err != nil {
+		if err := n.announceEntry(units.Offset(s.GetAnnouncedOffsets()[i]), e); err != nil {
 			return fault.Wrap("restore", BadSnapshot, err)
 		}
 	}
@@ -64,14 +64,14 @@
 		}
 		w := &Worker{ID: units.WorkerID(g.GetWorker()), Epoch: units.Epoch(g.GetEpoch()), Domain: units.DomainName(g.GetFailureDomain()),
 			Rack: units.RackName(g.GetRack()), Region: units.RegionName(g.GetRegion()), LinkAddress: g.GetLinkAddress(),
-			Capacity: g.GetCapacity().Units(), Lessor: holder(g.GetLessor(), g.GetLessorEpoch()), Term: units.Term(m.GetTerm()),
+			Capacity: g.GetCapacity().Units(), Lessor: workerEpoch(g.GetLessor(), g.GetLessorEpoch()), Term: units.Term(m.GetTerm()),
 			Expired: m.GetExpired(), Left: m.GetLeft(), EpochFloor: units.Epoch(m.GetEpochFloor()),
 			RegisteredOffset: units.Offset(m.GetRegisteredOffset()), LessorOffset: units.Offset(m.GetLessorOffset()), EndOffset: units.Offset(m.GetEndedOffset())}
 		n.workers[w.ID] = w
 		if w.Active() {
-			n.lease(w)
+			n.addLessee(w)
 		} else {
-			n.ended++
+			n.endedCount++
 		}
 	}
 	for _, m := range s.GetRejections() {
