--- a/internal/roster/apply.go
+++ b/internal/roster/apply.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Apply folds one entry. It returns an error only for an entry that cannot be
-// decoded or breaks a limit; one that the rules do not allow is counted and
-// ignored.
+// Apply applies one entry. It returns an error only if the entry cannot be decoded
+// or exceeds a limit. An entry that is not allowed in the current state is counted
+// and ignored.
 func (r *Roster) Apply(offset units.Offset, entry []byte) error {
 	var m wire.MembersEntry
 	err := proto.Unmarshal(entry, &m)
@@ -40,7 +40,7 @@
 			c.Kind, c.Worker = "left", workerEpoch(k.WorkerLeft.GetWorker(), k.WorkerLeft.GetEpoch())
 			reason = r.leaveWorker(offset, c.Worker)
 		default:
-			err = fmt.Errorf("entry of no known kind")
+			err = fmt.Errorf("unknown entry kind")
 		}
 	}
 	if err != nil {
@@ -64,7 +64,7 @@
 
 func (r *Roster) announceEntry(offset units.Offset, m *wire.EntryAnnounced) error {
 	if m.GetEntry() == "" || anyTooLong(m.GetEntry(), m.GetLinkAddress(), m.GetFailureDomain(), m.GetRegion()) {
-		return fmt.Errorf("entryAnnounced: an id is empty or a text too long")
+		return fmt.Errorf("entryAnnounced entry: the id is empty or a text is too long")
 	}
 	id := units.EntryID(m.GetEntry())
 	r.entries[id] = &Entry{id, m.GetLinkAddress(), units.DomainName(m.GetFailureDomain()), units.RegionName(m.GetRegion()), offset}
@@ -93,11 +93,11 @@
 	capacity := m.GetCapacity().Units()
 	switch {
 	case m.GetWorker() == "" || m.GetEpoch() == 0 || m.GetFailureDomain() == "":
-		return "", fmt.Errorf("registered: worker %.40q epoch %d in domain %.40q", m.GetWorker(), m.GetEpoch(), m.GetFailureDomain())
+		return "", fmt.Errorf("registered entry: worker %.40q, epoch %d or failure domain %.40q is empty or zero", m.GetWorker(), m.GetEpoch(), m.GetFailureDomain())
 	case anyTooLong(m.GetWorker(), m.GetFailureDomain(), m.GetRack(), m.GetRegion(), m.GetLinkAddress(), m.GetLessor()):
-		return "", fmt.Errorf("registered: a text is too long")
+		return "", fmt.Errorf("registered entry: a text is too long")
 	case capacity.Processors < 0 || capacity.Memory < 0 || capacity.Accelerators < 0:
-		return "", fmt.Errorf("registered: capacity %v", capacity)
+		return "", fmt.Errorf("registered entry: capacity %v is negative", capacity)
 	}
 	id, epoch := units.WorkerID(m.GetWorker()), units.Epoch(m.GetEpoch())
 	old := r.workers[id]
@@ -105,7 +105,7 @@
 		return ReasonOldEpoch, nil
 	}
 	if old == nil && len(r.workers)-r.endedCount >= MaxActiveWorkers {
-		return "", fmt.Errorf("registered: more than %d workers", MaxActiveWorkers)
+		return "", fmt.Errorf("registered entry: there are already %d active workers", MaxActiveWorkers)
 	}
 	lessor := workerEpoch(m.GetLessor(), m.GetLessorEpoch())
 	if lessor != (WorkerEpoch{}) && !r.validLessor(lessor, id) {
@@ -114,7 +114,7 @@
 	w := &Worker{ID: id, Epoch: epoch, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()),
 		Region: units.RegionName(m.GetRegion()), LinkAddress: m.GetLinkAddress(), Capacity: capacity,
 		Lessor: lessor, Term: 1, RegisteredOffset: offset, LessorOffset: offset,
-		EpochFloor: epoch - 1} // ends every lower epoch, also those that never registered
+		EpochFloor: epoch - 1} // ends all lower epochs, including any that never registered
 	if old != nil {
 		if old.Active() {
 			r.removeLessee(old)
@@ -127,14 +127,14 @@
 	return "", nil
 }
 
-// mayLease reports whether the lessor is in force and another worker. A lessor
-// that has ended would grant nothing and could record no expiry.
+// validLessor reports whether the lessor is active and not the lessee itself. An
+// epoch that has ended grants no leases and cannot record an expiry.
 func (r *Roster) validLessor(lessor WorkerEpoch, lessee units.WorkerID) bool {
 	w := r.workers[lessor.Worker]
 	return lessor.Worker != lessee && w != nil && w.Epoch == lessor.Epoch && w.Active()
 }
 
-// current returns the row if h is its epoch in force.
+// activeWorker returns the worker of the epoch, or why the epoch is not active.
 func (r *Roster) activeWorker(h WorkerEpoch) (*Worker, Reason) {
 	w := r.workers[h.Worker]
 	switch {
--- a/internal/roster/history_test.go
+++ b/internal/roster/history_test.go
@@ -17,8 +17,8 @@
 	os.Exit(m.Run())
 }
 
-// history draws entries of restarted agents, lessors of earlier terms, and
-// instances that come and go.
+// drawEntries generates entries of restarted agents, of lessors with stale terms,
+// and of entry processes and workers that join and leave.
 func drawEntries(t *rapid.T) [][]byte {
 	var entries [][]byte
 	holders := rapid.Custom(func(t *rapid.T) WorkerEpoch {
@@ -38,9 +38,10 @@
 	return entries
 }
 
-// TestHistories guards the release of tasks: an ended epoch stays ended, an
-// epoch in force is the newest one and its lessor another worker, terms only
-// rise within an epoch, and a restored roster goes on like the folded one.
+// TestHistories guards against tasks that are released while they run, when entries
+// are stale or reordered: an ended epoch stays ended, an active epoch is the newest
+// one with another worker as its lessor, and terms only rise within an epoch. It
+// also guards against a restored roster that differs from a full replay.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawEntries(t)
@@ -73,7 +74,7 @@
 					}
 				}
 				if w.Active() == r.EpochEnded(w.ID, w.Epoch) || w.Lessor.Worker == w.ID || w.Term < terms[w.WorkerEpoch()] {
-					t.Errorf("entry %d: row %+v after term %d", i, w, terms[w.WorkerEpoch()])
+					t.Errorf("entry %d: invalid worker %+v after term %d", i, w, terms[w.WorkerEpoch()])
 				}
 				terms[w.WorkerEpoch()] = w.Term
 				if w.Active() && w.Lessor != (WorkerEpoch{}) {
@@ -84,17 +85,17 @@
 				lessees -= len(of)
 			}
 			if lessees != 0 {
-				t.Errorf("entry %d: the index of lessees misses %d", i, lessees)
+				t.Errorf("entry %d: the index of lessees lacks %d workers", i, lessees)
 			}
 		}
 		want, _ := r.Snapshot()
 		if got, _ := restored.Snapshot(); !bytes.Equal(got, want) {
-			t.Error("snapshot and tail differ from the full replay")
+			t.Error("state after a restored snapshot differs from the full replay")
 		}
 	})
 }
 
-// FuzzApply guards against input that panics the fold or leaves a state that
+// FuzzApply guards against entries that cause a panic or lead to a state that
 // cannot be restored.
 func FuzzApply(f *testing.F) {
 	for _, e := range [][]byte{nil, {0x1a, 0xff}, EncodeEntryAnnounced(Entry{ID: "e"}), EncodeEntryLeft("e"), EncodeLeft(WorkerEpoch{"a", 1}),
@@ -114,7 +115,7 @@
 			t.Fatal(err)
 		}
 		if again, _ := restored.Snapshot(); !bytes.Equal(state, again) {
-			t.Fatal("a restored state encodes differently")
+			t.Fatal("the restored state encodes to other bytes than the original")
 		}
 	})
 }
--- a/internal/roster/lessor.go
+++ b/internal/roster/lessor.go
@@ -7,29 +7,30 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Place is where a worker is.
+// Location is the location of a worker.
 type Location struct {
 	Domain units.DomainName
 	Rack   units.RackName
 	Region units.RegionName
 }
 
-// distance ranks how likely a lessor at p shares the fate of a lessee at o:
-// lower is better. Another region comes late, because a partition between
-// regions would end the lease of a healthy worker.
-func (p Location) lessorRank(o Location) int {
+// lessorRank ranks o as the location of a lessor for a lessee at l by the risk that
+// both fail together; lower is better. Another region ranks after another rack,
+// because a partition between regions would expire the lease of a healthy worker.
+func (l Location) lessorRank(o Location) int {
 	switch {
-	case p.Region == o.Region && p.Domain != o.Domain:
+	case l.Region == o.Region && l.Domain != o.Domain:
 		return 0
-	case p.Domain == o.Domain && p.Region == o.Region && p.Rack != o.Rack:
+	case l.Domain == o.Domain && l.Region == o.Region && l.Rack != o.Rack:
 		return 1
-	case p.Region != o.Region:
+	case l.Region != o.Region:
 		return 2
 	}
 	return 3 // same rack
 }
 
-// ring orders ids by hash, so that ties fall on different lessors.
+// pairHash hashes a pair of ids. It breaks ties between lessors differently for
+// each lessee.
 func pairHash(a, b units.WorkerID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -39,25 +40,26 @@
 	return d.Sum64()
 }
 
-// candidate is a possible lessor with the order of preference.
+// lessorCandidate is a possible lessor. Its fields after epoch are compared in
+// order.
 type lessorCandidate struct {
-	holder   WorkerEpoch
-	mutual   int // 1 when it is a lessee of the worker: neither could expire the other
-	distance int
-	lessees  int
-	hash     uint64
+	epoch        WorkerEpoch
+	mutual       int // 1 if it is a lessee of the worker: neither could record the other's expiry
+	locationRank int
+	lessees      int
+	hash         uint64
 }
 
 func (c lessorCandidate) compare(o lessorCandidate) int {
-	return cmp.Or(cmp.Compare(c.mutual, o.mutual), cmp.Compare(c.distance, o.distance), cmp.Compare(c.lessees, o.lessees),
-		cmp.Compare(c.hash, o.hash), cmp.Compare(c.holder.Worker, o.holder.Worker))
+	return cmp.Or(cmp.Compare(c.mutual, o.mutual), cmp.Compare(c.locationRank, o.locationRank), cmp.Compare(c.lessees, o.lessees),
+		cmp.Compare(c.hash, o.hash), cmp.Compare(c.epoch.Worker, o.epoch.Worker))
 }
 
-// ChooseLessor returns the lessor for a worker at a place: in force, not the
-// worker itself, not rejected by usable (nil accepts all), in another failure
-// domain of the region first, then in another rack, then in another region,
-// with the fewest lessees. Two workers become each other's lessor only when
-// there is no other choice. The worker need not be registered.
+// ChooseLessor returns the lessor for a worker at a location: an active worker
+// other than itself that usable accepts (nil accepts all). It prefers another
+// failure domain of the region, then another rack, then another region, and among
+// these the worker with the fewest lessees. Two workers become each other's lessor
+// only if there is no other choice. The worker need not be registered.
 func (r *Roster) ChooseLessor(id units.WorkerID, at Location, usable func(WorkerEpoch) bool) (WorkerEpoch, bool) {
 	var best lessorCandidate
 	found := false
@@ -65,7 +67,7 @@
 		if w.ID == id || !w.Active() || (usable != nil && !usable(w.WorkerEpoch())) {
 			continue
 		}
-		c := lessorCandidate{holder: w.WorkerEpoch(), distance: at.lessorRank(Location{w.Domain, w.Rack, w.Region}),
+		c := lessorCandidate{epoch: w.WorkerEpoch(), locationRank: at.lessorRank(Location{w.Domain, w.Rack, w.Region}),
 			lessees: len(r.lessees[w.WorkerEpoch()]), hash: pairHash(id, w.ID)}
 		if w.Lessor.Worker == id {
 			c.mutual = 1
@@ -74,11 +76,12 @@
 			best, found = c, true
 		}
 	}
-	return best.holder, found
+	return best.epoch, found
 }
 
-// Owner returns the entry that owns the key by rendezvous hashing, or "" when
-// there is none. When an entry joins or leaves, only its own keys move.
+// RendezvousOwner returns the entry process that owns the key by rendezvous
+// hashing, or "" if there are none. When an entry process joins or leaves, only the
+// keys that it owns move.
 func RendezvousOwner(key string, entries []units.EntryID) units.EntryID {
 	var best units.EntryID
 	var top uint64
@@ -92,7 +95,7 @@
 	return best
 }
 
-// mix spreads the bits of two combined hashes (finalizer of SplitMix64).
+// mixBits spreads the bits of two combined hashes with the finalizer of SplitMix64.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/roster/liveness.go
+++ b/internal/roster/liveness.go
@@ -6,13 +6,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// DeadAfter is how long an entry process counts as alive after its last
-// announcement: three announcements of 5 s.
+// EntryTimeout is how long an entry process is considered alive after its last
+// announcement: three intervals of 5 s.
 const EntryTimeout = 15 * time.Second
 
-// Liveness tracks, on the local monotonic clock, when announcements of entry
-// processes were applied. The fold itself holds no times, because entry
-// processes apply the same entry at different moments.
+// EntryLiveness tracks when announcements of entry processes were applied, on the
+// local monotonic clock. The roster itself contains no times, because each entry
+// process applies an entry at a different time.
 type EntryLiveness struct {
 	announcements map[units.EntryID]announcement
 }
@@ -22,8 +22,9 @@
 	appliedAt time.Time
 }
 
-// Update records the announcements that are new in the roster since the last
-// call. An entry first met, for example in a snapshot, counts from now.
+// Update records the announcements that were added to the roster since the last
+// call. An entry process that is new here, for example after a snapshot was
+// restored, is considered alive from now.
 func (l *EntryLiveness) Update(r *Roster, now time.Time) {
 	if l.announcements == nil {
 		l.announcements = map[units.EntryID]announcement{}
@@ -40,13 +41,14 @@
 	}
 }
 
-// Alive reports whether the entry announced itself recently.
+// Alive reports whether the last announcement of the entry process is at most
+// EntryTimeout old.
 func (l *EntryLiveness) Alive(id units.EntryID, now time.Time) bool {
 	a, ok := l.announcements[id]
 	return ok && now.Sub(a.appliedAt) <= EntryTimeout
 }
 
-// Live returns the rows of the entries that are alive, by id.
+// LiveEntries returns the entry processes that are alive, sorted by id.
 func (l *EntryLiveness) LiveEntries(r *Roster, now time.Time) []Entry {
 	var live []Entry
 	for _, e := range r.Entries() {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,7 @@
-// Package roster folds the stream of members into tables of entry processes
-// and workers: which epoch of a worker is in force, who is its lessor, and
-// which epochs have ended, so that their tasks may run elsewhere.
+// Package roster is the replicated state machine of the members: entry processes
+// and workers. It applies the members stream and tells which epoch of a worker is
+// active, which worker is its lessor, and which epochs have ended, so that their
+// tasks can run elsewhere.
 package roster
 
 import (
@@ -12,10 +13,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind says which failure an Error is.
+// Kind classifies an Error.
 type Kind string
 
-// Error is a failed operation of this package.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // The kinds of errors.
@@ -24,7 +25,7 @@
 	BadSnapshot Kind = "bad snapshot"
 )
 
-// Reason says why an entry had no effect.
+// Reason is why an entry had no effect.
 type Reason string
 
 // The reasons.
@@ -35,37 +36,37 @@
 	ReasonUnknownEntry  Reason = "unknownEntry"
 	ReasonEnded         Reason = "ended"
 	ReasonTerm          Reason = "term"
-	ReasonInvalidLessor Reason = "lessor" // not in force, or the worker itself
+	ReasonInvalidLessor Reason = "lessor" // the lessor is not active, or is the worker itself
 )
 
-// Limits of the fold; every entry process must use the same values.
+// Limits of the state machine. Every entry process must use the same values.
 const (
-	// MaxEntries bounds the entry processes. They take new names when they are
-	// replaced, so the one that was announced longest ago is dropped.
+	// MaxEntries limits the entry processes. Replacements have new ids, so above
+	// the limit the entry process with the oldest announcement is removed.
 	MaxEntries = 128
-	// MaxEnded bounds the workers kept after their epoch ended, and MaxWorkers
-	// those whose registration holds.
+	// MaxEndedWorkers limits the workers that are kept after their epoch ended,
+	// and MaxActiveWorkers those with an active epoch.
 	MaxEndedWorkers  = 4096
 	MaxActiveWorkers = 16384
 	maxTextBytes     = 256
 )
 
-// Entry is the row of one entry process.
+// Entry is the state of one entry process.
 type Entry struct {
 	ID              units.EntryID
 	LinkAddress     string
 	Domain          units.DomainName
 	Region          units.RegionName
-	AnnouncedOffset units.Offset // last announcement
+	AnnouncedOffset units.Offset // of the last announcement
 }
 
-// Holder is one epoch of a worker.
+// WorkerEpoch identifies one epoch of a worker.
 type WorkerEpoch struct {
 	Worker units.WorkerID
 	Epoch  units.Epoch
 }
 
-// Worker is the row of one worker: its newest registration.
+// Worker is the state of one worker, as of its newest registration.
 type Worker struct {
 	ID               units.WorkerID
 	Epoch            units.Epoch
@@ -74,23 +75,23 @@
 	Region           units.RegionName
 	LinkAddress      string
 	Capacity         units.Resources
-	Lessor           WorkerEpoch // zero when there was no other worker
+	Lessor           WorkerEpoch // zero if there was no other worker
 	Term             units.Term
 	Expired          bool
 	Left             bool
-	EpochFloor       units.Epoch  // epochs at or below have ended
-	RegisteredOffset units.Offset // of the newest epoch
-	LessorOffset     units.Offset // where the current lessor was recorded
-	EndOffset        units.Offset // 0 while the registration holds
+	EpochFloor       units.Epoch  // this epoch and all lower ones have ended
+	RegisteredOffset units.Offset // of the registration of Epoch
+	LessorOffset     units.Offset // of the entry that set Lessor
+	EndOffset        units.Offset // 0 while the epoch is active
 }
 
-// Holds reports whether the newest epoch of the worker is in force.
+// Active reports whether the newest epoch of the worker has not ended.
 func (w *Worker) Active() bool { return !w.Expired && !w.Left }
 
-// Holder returns the newest epoch of the worker.
+// WorkerEpoch returns the newest epoch of the worker.
 func (w *Worker) WorkerEpoch() WorkerEpoch { return WorkerEpoch{w.ID, w.Epoch} }
 
-// Change describes an entry that took effect, or why it did not.
+// Change describes an applied entry and its result.
 type Change struct {
 	Offset units.Offset
 	Kind   string // entry kind, such as "leaseExpired"
@@ -99,15 +100,15 @@
 	Reason Reason // empty when the entry took effect
 }
 
-// Roster is the folded state. One goroutine owns it.
+// Roster is the state of all members. It is not safe for concurrent use.
 type Roster struct {
-	// Observe, when set before the first Apply, is told of each entry applied or
-	// rejected.
+	// Observe, if set before the first Apply, is called for each accepted or
+	// rejected entry.
 	Observe func(Change)
 
 	entries    map[units.EntryID]*Entry
 	workers    map[units.WorkerID]*Worker
-	lessees    map[WorkerEpoch]map[units.WorkerID]bool // of registrations in force
+	lessees    map[WorkerEpoch]map[units.WorkerID]bool // active workers by lessor
 	endedCount int
 	rejections map[Reason]uint64
 }
@@ -122,7 +123,7 @@
 	}
 }
 
-// Entries returns the rows of all announced entry processes, by id.
+// Entries returns all announced entry processes, sorted by id.
 func (r *Roster) Entries() []Entry {
 	var all []Entry
 	for _, e := range r.entries {
@@ -140,7 +141,7 @@
 	return Worker{}, false
 }
 
-// Workers returns the rows of all workers, by id, with those whose epoch ended.
+// Workers returns all workers, sorted by id, including those whose epoch ended.
 func (r *Roster) Workers() []Worker {
 	all := make([]Worker, 0, len(r.workers))
 	for _, w := range r.workers {
@@ -150,30 +151,32 @@
 	return all
 }
 
-// EndedEpoch reports whether the epoch of the worker is known to have ended, so
-// that its tasks may be released. It is false for an epoch that is not yet
-// registered here: the two streams are followed independently.
+// EpochEnded reports whether the epoch of the worker is recorded as ended, so that
+// its tasks may be released. It is false for an epoch that is not registered yet:
+// the jobs stream may refer to it first, because the two streams are applied
+// independently.
 func (r *Roster) EpochEnded(id units.WorkerID, epoch units.Epoch) bool {
 	w := r.workers[id]
 	return w != nil && epoch <= w.EpochFloor
 }
 
-// Lessees returns the workers in force whose lessor is the holder, sorted.
+// Lessees returns the active workers whose lessor is the worker epoch, sorted.
 func (r *Roster) Lessees(h WorkerEpoch) []units.WorkerID {
 	return slices.Sorted(maps.Keys(r.lessees[h]))
 }
 
-// ChainExpirable reports whether the worker's lessor has itself ended, and at
-// which offset both facts were recorded. After L plus the margin since a
-// process applied that offset, it may record the expiry with the current term,
-// unless the worker has changed its lessor or left.
+// ExpirableSince reports whether the worker's lessor has itself ended, and the
+// offset by which both the lessor and its end were recorded. An entry process may
+// record the expiry of the worker with its current term once the lease duration
+// plus the margin have passed since it applied that offset, unless the worker has
+// changed its lessor or left.
 func (r *Roster) ExpirableSince(id units.WorkerID) (units.Offset, bool) {
 	w := r.workers[id]
 	if w == nil || !w.Active() || w.Lessor == (WorkerEpoch{}) {
 		return 0, false
 	}
 	lessor := r.workers[w.Lessor.Worker]
-	if lessor == nil { // dropped long after it ended
+	if lessor == nil { // removed long after it ended
 		return w.LessorOffset, true
 	}
 	if w.Lessor.Epoch > lessor.EpochFloor {
@@ -181,10 +184,10 @@
 	}
 	at := lessor.EndOffset
 	if lessor.Active() {
-		at = lessor.RegisteredOffset // replaced by a higher epoch
+		at = lessor.RegisteredOffset // ended by the registration of a higher epoch
 	}
 	return max(at, w.LessorOffset), true
 }
 
-// Rejections returns how many entries had no effect, by reason.
+// Rejections returns the number of rejected entries by reason.
 func (r *Roster) Rejections() map[Reason]uint64 { return maps.Clone(r.rejections) }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestLeaseRules guards against an expiry or a change of lessor that is based
-// on an earlier epoch or term: it would release tasks that still run.
+// TestLeaseRules guards against accepting an expiry or a change of lessor that is
+// based on an earlier epoch or term, which would release tasks that still run.
 func TestLeaseRules(t *testing.T) {
 	r := New()
 	a, b, c := WorkerEpoch{"a", 1}, WorkerEpoch{"b", 1}, WorkerEpoch{"c", 1}
@@ -35,19 +35,19 @@
 		entry []byte
 		want  Reason
 	}{
-		{EncodeLeaseExpired(b, 1), ReasonTerm},                                          // recorded by the earlier lessor
-		{EncodeLessorChanged(b, 2, a), ReasonTerm},                                      // lost the race
-		{EncodeLessorChanged(b, 3, b), ReasonInvalidLessor},                             // itself
+		{EncodeLeaseExpired(b, 1), ReasonTerm},                                          // from the previous lessor
+		{EncodeLessorChanged(b, 2, a), ReasonTerm},                                      // term already used by another change
+		{EncodeLessorChanged(b, 3, b), ReasonInvalidLessor},                             // the worker itself
 		{EncodeLessorChanged(b, 3, WorkerEpoch{"a", 9}), ReasonInvalidLessor},           // not registered
 		{EncodeRegistered(worker("b", 1, "d2", "r2", a)), ReasonOldEpoch},               // repeated
 		{EncodeRegistered(worker("b", 2, "d2", "r2", a)), ""},                           // restarted agent
-		{EncodeLeaseExpired(b, 2), ReasonOldEpoch},                                      // of the earlier epoch
-		{EncodeLeaseExpired(WorkerEpoch{"b", 2}, 1), ""},                                // now valid
-		{EncodeLeft(WorkerEpoch{"b", 2}), ReasonEnded},                                  // ended once
-		{EncodeLessorChanged(WorkerEpoch{"b", 2}, 2, c), ReasonEnded},                   // cannot come back
-		{EncodeLessorChanged(c, 2, WorkerEpoch{"b", 2}), ReasonInvalidLessor},           // lessor has ended
+		{EncodeLeaseExpired(b, 2), ReasonOldEpoch},                                      // for the previous epoch
+		{EncodeLeaseExpired(WorkerEpoch{"b", 2}, 1), ""},                                // valid
+		{EncodeLeft(WorkerEpoch{"b", 2}), ReasonEnded},                                  // already ended
+		{EncodeLessorChanged(WorkerEpoch{"b", 2}, 2, c), ReasonEnded},                   // already ended
+		{EncodeLessorChanged(c, 2, WorkerEpoch{"b", 2}), ReasonInvalidLessor},           // the lessor has ended
 		{EncodeLeaseExpired(WorkerEpoch{"x", 1}, 1), ReasonUnknownWorker},               // never registered
-		{EncodeRegistered(worker("b", 3, "d2", "r2", WorkerEpoch{"c", 1})), Reason("")}, // the worker returns
+		{EncodeRegistered(worker("b", 3, "d2", "r2", WorkerEpoch{"c", 1})), Reason("")}, // a new epoch
 	}
 	for i, s := range steps {
 		var got Reason
@@ -58,34 +58,34 @@
 		}
 	}
 	if !r.EpochEnded("b", 2) || r.EpochEnded("b", 3) || r.EpochEnded("x", 1) {
-		t.Error("ended epochs are wrong")
+		t.Error("want epoch 2 of b ended, epoch 3 of b and unregistered x not")
 	}
 	if got := fmt.Sprint(r.Lessees(c), r.Lessees(a)); got != "[b] [c]" {
-		t.Errorf("got lessees %s, want [b] [c]", got)
+		t.Errorf("got lessees %s of c and a, want [b] [c]", got)
 	}
 }
 
-// TestChain guards the lessee of a lessor that has itself expired: nobody
-// would ever record its expiry.
+// TestChainedExpiry guards against a worker that never expires because its lessor,
+// which would record the expiry, has itself ended.
 func TestChainedExpiry(t *testing.T) {
 	r := New()
 	apply(t, r, EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})), EncodeRegistered(worker("b", 1, "d2", "r2", WorkerEpoch{"a", 1})))
 	if _, ok := r.ExpirableSince("b"); ok {
-		t.Error("expirable while the lessor holds")
+		t.Error("worker is expirable while its lessor is active")
 	}
 	_ = r.Apply(7, EncodeLeaseExpired(WorkerEpoch{"a", 1}, 1))
 	if at, ok := r.ExpirableSince("b"); !ok || at != 7 {
-		t.Errorf("got %d, %v, want expirable since 7", at, ok)
+		t.Errorf("got offset %d, expirable %v; want expirable since offset 7", at, ok)
 	}
 	_ = r.Apply(8, EncodeRegistered(worker("a", 2, "d1", "r1", WorkerEpoch{"b", 1})))
 	_ = r.Apply(9, EncodeLessorChanged(WorkerEpoch{"b", 1}, 2, WorkerEpoch{"a", 2}))
 	if _, ok := r.ExpirableSince("b"); ok {
-		t.Error("expirable after the lessor changed")
+		t.Error("worker is expirable after its lessor changed")
 	}
 }
 
-// TestChooseLessor guards against a lessor that fails together with its
-// lessee, against mutual lessors and against one lessor for all.
+// TestChooseLessor guards against a lessor in the failure domain of its lessee,
+// against mutual lessors, and against too many lessees of one lessor.
 func TestChooseLessor(t *testing.T) {
 	r := New()
 	offset := units.Offset(0)
@@ -111,12 +111,13 @@
 	}
 	got, ok := r.ChooseLessor("new", Location{"d1", "", "pwani"}, func(h WorkerEpoch) bool { return h.Worker == "w1" || h.Worker == "w4" })
 	if !ok || (got.Worker != "w1" && got.Worker != "w4") {
-		t.Errorf("got %v, want one of the two that are usable", got)
+		t.Errorf("got lessor %v, want w1 or w4, the usable ones", got)
 	}
 }
 
-// TestEntries guards against dead entry processes that keep their share of
-// the work, and against a table that grows with every replacement.
+// TestEntries guards against entry processes that are considered alive after they
+// stopped, against unbounded growth by replaced ones, and against keys that move
+// between the remaining owners.
 func TestEntries(t *testing.T) {
 	r := New()
 	var l EntryLiveness
@@ -144,12 +145,12 @@
 		}
 	}
 	if counts["e1"] < 900 || counts["e4"] < 900 || moved != 0 {
-		t.Errorf("got shares %v, %d keys moved between entries that stayed", counts, moved)
+		t.Errorf("got keys by owner %v, and %d keys moved between remaining owners; want at least 900 each, and 0", counts, moved)
 	}
 }
 
-// TestSnapshot guards against a restored state that differs from the folded
-// one, and against damaged input.
+// TestSnapshot guards against a restored state that differs from the original, and
+// against corrupt snapshots and entries that are accepted.
 func TestSnapshot(t *testing.T) {
 	r, restored := New(), New()
 	apply(t, r, EncodeEntryAnnounced(Entry{ID: "e1", LinkAddress: "127.0.0.1:1"}), EncodeRegistered(worker("a", 1, "d1", "r1", WorkerEpoch{})),
@@ -163,7 +164,7 @@
 	}
 	got, _ := restored.Snapshot()
 	if want, _ := r.Snapshot(); !bytes.Equal(got, want) {
-		t.Error("restored state and folded state encode differently")
+		t.Error("restored state encodes to other bytes than the original")
 	}
 	for _, bad := range [][]byte{{0xff}, got[:len(got)-1]} {
 		if err := restored.Restore(bad); !fault.Is(err, BadSnapshot) {
--- a/internal/roster/snapshot.go
+++ b/internal/roster/snapshot.go
@@ -10,7 +10,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Snapshot encodes the state. Equal histories encode to equal bytes.
+// Snapshot returns the encoded state. Rosters that applied the same entries encode
+// to equal bytes.
 func (r *Roster) Snapshot() ([]byte, error) {
 	s := &wire.RosterState{}
 	for _, e := range r.Entries() {
@@ -40,15 +41,14 @@
 		Lessor: string(w.Lessor.Worker), LessorEpoch: uint64(w.Lessor.Epoch)}
 }
 
-// Restore replaces the state by an encoded one. On an error the state is
-// unchanged.
+// Restore replaces the state with a snapshot. On an error the state is unchanged.
 func (r *Roster) Restore(state []byte) error {
 	var s wire.RosterState
 	if err := proto.Unmarshal(state, &s); err != nil {
 		return fault.Wrap("restore", BadSnapshot, err)
 	}
 	if len(s.GetAnnouncedOffsets()) != len(s.GetEntries()) {
-		return fault.New("restore", BadSnapshot, "%d entries, %d offsets", len(s.GetEntries()), len(s.GetAnnouncedOffsets()))
+		return fault.New("restore", BadSnapshot, "%d entry processes do not match %d announcement offsets", len(s.GetEntries()), len(s.GetAnnouncedOffsets()))
 	}
 	n := New()
 	n.Observe = r.Observe
@@ -60,7 +60,7 @@
 	for _, m := range s.GetWorkers() {
 		g := m.GetRegistration()
 		if g.GetWorker() == "" || g.GetEpoch() == 0 {
-			return fault.New("restore", BadSnapshot, "worker %q epoch %d", g.GetWorker(), g.GetEpoch())
+			return fault.New("restore", BadSnapshot, "worker id %q is empty or epoch %d is zero", g.GetWorker(), g.GetEpoch())
 		}
 		w := &Worker{ID: units.WorkerID(g.GetWorker()), Epoch: units.Epoch(g.GetEpoch()), Domain: units.DomainName(g.GetFailureDomain()),
 			Rack: units.RackName(g.GetRack()), Region: units.RegionName(g.GetRegion()), LinkAddress: g.GetLinkAddress(),
--- a/internal/timeline/collector.go
+++ b/internal/timeline/collector.go
@@ -1,5 +1,5 @@
-// The collector takes events in any order and repetition, because agents send them
-// again until an entry process acknowledges them.
+// The collector accepts events in any order and more than once, because agents
+// resend them until an entry process acknowledges them.
 
 package timeline
 
@@ -9,67 +9,67 @@
 	"sync"
 )
 
-// maxProcesses limits the processes that the collector remembers: 1,000 agents
-// with a restart each and the entry processes.
+// maxProcesses limits the processes in a collector. It suffices for 1,000 agents
+// that restart once each, and the entry processes.
 const maxProcesses = 4096
 
-// Collector keeps events of all processes. It is safe for concurrent use.
+// Collector keeps the events of all processes. It is safe for concurrent use.
 type Collector struct {
 	capacity int
 
-	mu        sync.Mutex
-	count     int
-	processes map[string]*history
+	mu         sync.Mutex
+	eventCount int
+	processes  map[string]*processEvents
 }
 
-// history holds the kept events of one process by ascending sequence.
-type history struct {
-	events []Event
-	floor  uint64 // events up to here were dropped and are not taken again
-	newest Clock
+// processEvents holds the events of one process by ascending sequence.
+type processEvents struct {
+	events      []Event
+	droppedUpTo uint64 // highest dropped sequence; events up to it are not added again
+	newestClock Clock
 }
 
-func (h *history) highest() uint64 {
+func (h *processEvents) highestSequence() uint64 {
 	if n := len(h.events); n > 0 {
 		return h.events[n-1].Sequence
 	}
-	return h.floor
+	return h.droppedUpTo
 }
 
 // NewCollector returns a collector that keeps at most capacity events.
 func NewCollector(capacity int) *Collector {
-	return &Collector{capacity: max(1, capacity), processes: map[string]*history{}}
+	return &Collector{capacity: max(1, capacity), processes: map[string]*processEvents{}}
 }
 
-// Add keeps events that it has not seen; a repeated event has no effect. Events
-// without a process or a sequence are ignored.
+// Add adds events. Events that were added before, and events without a process or
+// a sequence, are ignored.
 func (c *Collector) Add(events ...Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range events {
 		if e.Process != "" && e.Sequence != 0 {
-			c.add(e.cut())
+			c.addEvent(e.truncated())
 		}
 	}
-	if c.count > c.capacity {
-		c.trim()
+	if c.eventCount > c.capacity {
+		c.dropOldestEvents()
 	}
 	if len(c.processes) > maxProcesses {
-		c.forget()
+		c.dropOldestProcesses()
 	}
 }
 
-func (c *Collector) add(e Event) {
+func (c *Collector) addEvent(e Event) {
 	h := c.processes[e.Process]
 	if h == nil {
-		h = new(history)
+		h = new(processEvents)
 		c.processes[e.Process] = h
 	}
-	h.newest = max(h.newest, e.Clock)
-	if e.Sequence <= h.floor {
+	h.newestClock = max(h.newestClock, e.Clock)
+	if e.Sequence <= h.droppedUpTo {
 		return
 	}
-	at, seen := slices.BinarySearchFunc(h.events, e.Sequence, func(k Event, s uint64) int {
+	i, found := slices.BinarySearchFunc(h.events, e.Sequence, func(k Event, s uint64) int {
 		switch {
 		case k.Sequence < s:
 			return -1
@@ -78,59 +78,62 @@
 		}
 		return 0
 	})
-	if !seen {
-		h.events = slices.Insert(h.events, at, e)
-		c.count++
+	if !found {
+		h.events = slices.Insert(h.events, i, e)
+		c.eventCount++
 	}
 }
 
-// Acknowledged returns the highest sequence kept of a process.
+// LastSequence returns the highest sequence that was added for a process, up to
+// which its events are acknowledged; 0 if there is none.
 func (c *Collector) LastSequence(process string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.processes[process]; h != nil {
-		return h.highest()
+		return h.highestSequence()
 	}
 	return 0
 }
 
-// trim drops the events with the lowest clocks until a tenth of the capacity is
-// free, so that the sorting is paid for by many additions.
-func (c *Collector) trim() {
-	clocks := make([]Clock, 0, c.count)
+// dropOldestEvents drops the events with the lowest clocks until a tenth of the
+// capacity is free, so that the cost of sorting is spread over many additions.
+func (c *Collector) dropOldestEvents() {
+	clocks := make([]Clock, 0, c.eventCount)
 	for _, h := range c.processes {
 		for _, e := range h.events {
 			clocks = append(clocks, e.Clock)
 		}
 	}
 	slices.Sort(clocks)
-	excess := c.count - c.capacity + c.capacity/10
+	excess := c.eventCount - c.capacity + c.capacity/10
 	threshold := clocks[min(excess, len(clocks))-1]
 	for _, h := range c.processes {
 		n := sort.Search(len(h.events), func(i int) bool { return h.events[i].Clock > threshold })
 		if n > 0 {
-			h.floor = h.events[n-1].Sequence
+			h.droppedUpTo = h.events[n-1].Sequence
 			h.events = slices.Delete(h.events, 0, n)
-			c.count -= n
+			c.eventCount -= n
 		}
 	}
 }
 
-// forget drops the processes that have been silent for longest.
-func (c *Collector) forget() {
+// dropOldestProcesses drops the processes whose newest event is oldest, until a
+// tenth of maxProcesses is free.
+func (c *Collector) dropOldestProcesses() {
 	names := make([]string, 0, len(c.processes))
 	for name := range c.processes {
 		names = append(names, name)
 	}
-	sort.Slice(names, func(i, j int) bool { return c.processes[names[i]].newest < c.processes[names[j]].newest })
+	sort.Slice(names, func(i, j int) bool { return c.processes[names[i]].newestClock < c.processes[names[j]].newestClock })
 	for _, name := range names[:len(names)-maxProcesses*9/10] {
-		c.count -= len(c.processes[name].events)
+		c.eventCount -= len(c.processes[name].events)
 		delete(c.processes, name)
 	}
 }
 
-// Events returns the kept events that filter accepts, in the order of Merge,
-// and at most the newest limit of them. A nil filter accepts all.
+// Events returns the events that filter accepts, in the order of Merge. A nil
+// filter accepts all. If limit is positive, only the last limit events are
+// returned.
 func (c *Collector) Events(filter func(Event) bool, limit int) []Event {
 	var all []Event
 	c.mu.Lock()
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -1,6 +1,6 @@
-// Package timeline keeps what happened in all processes, so that operators can
-// see which event caused which: a recorder in each process, a collector in
-// entry processes, and renderings of the merged events.
+// Package timeline records the events of all processes, so that operators can see
+// which event caused which. Each process has a recorder; entry processes have a
+// collector; the merged events are rendered as text, JSON or HTML.
 package timeline
 
 import (
@@ -11,58 +11,58 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Event is one entry of the time line. (Process, Sequence) identifies it.
+// Event is one event of the timeline, identified by Process and Sequence.
 type Event struct {
-	Process  string `json:"process"`         // unique to one run of a process, so that a restart may count from 1
+	Process  string `json:"process"`         // unique to one incarnation of a process, because Sequence restarts from 1
 	Sequence uint64 `json:"sequence"`        // per process, from 1
-	Clock    Clock  `json:"clock,string"`    // orders events of different processes; a string since it exceeds 2^53
-	Lane     string `json:"lane"`            // row of the picture: worker, entry, log, job, service
+	Clock    Clock  `json:"clock,string"`    // orders events of different processes; a string because it exceeds 2^53
+	Lane     string `json:"lane"`            // row of the diagram: worker, entry, log, job, service
 	Kind     string `json:"kind"`            // what happened, such as launch
 	Subject  string `json:"subject"`         // what it happened to, such as worker-7
-	Text     string `json:"text"`            // details for people; holds no secret
+	Text     string `json:"text"`            // details for operators; contains no secrets
 	Cause    string `json:"cause,omitempty"` // ID of the event that caused this one
 }
 
-// ID returns "process/sequence".
+// ID returns the id of the event, "process/sequence".
 func (e Event) ID() string { return e.Process + "/" + strconv.FormatUint(e.Sequence, 10) }
 
-// Clock is a hybrid logical clock: wall milliseconds << 16 | counter.
+// Clock is a hybrid logical clock: wall clock in milliseconds << 16 | counter.
 type Clock int64
 
-// Time returns the wall part, for display only.
+// Time returns the wall clock part, for display only.
 func (c Clock) Time() time.Time { return time.UnixMilli(int64(c) >> 16).UTC() }
 
 func clockOf(t time.Time) Clock { return Clock(t.UnixMilli() << 16) }
 
-// The limits of one event. Longer strings are cut, so that a bounded number of
-// events takes bounded memory and an agent stays within 5 KB/s.
+// Limits of the strings of one event, in bytes. Longer strings are truncated, so
+// that the memory of a collector is bounded and an agent sends at most 5 KB/s.
 const (
-	maxName = 128
-	maxText = 400
+	maxNameBytes = 128
+	maxTextBytes = 400
 )
 
-func (e Event) cut() Event {
-	e.Process, e.Lane, e.Kind = cut(e.Process, maxName), cut(e.Lane, maxName), cut(e.Kind, maxName)
-	e.Subject, e.Cause, e.Text = cut(e.Subject, maxName), cut(e.Cause, maxName+21), cut(e.Text, maxText)
+func (e Event) truncated() Event {
+	e.Process, e.Lane, e.Kind = truncate(e.Process, maxNameBytes), truncate(e.Lane, maxNameBytes), truncate(e.Kind, maxNameBytes)
+	e.Subject, e.Cause, e.Text = truncate(e.Subject, maxNameBytes), truncate(e.Cause, maxNameBytes+21), truncate(e.Text, maxTextBytes)
 	return e
 }
 
-// cut makes s valid UTF-8 on one line, which protobuf, terminals and pages
-// require, and limits its length in bytes.
-func cut(s string, most int) string {
-	s = oneLine(s)
-	if len(s) <= most {
+// truncate returns s as valid UTF-8 on one line, which protobuf, terminals and HTML
+// pages require, with at most limit bytes.
+func truncate(s string, limit int) string {
+	s = sanitize(s)
+	if len(s) <= limit {
 		return s
 	}
-	for most > 0 && s[most]&0xc0 == 0x80 { // not within a UTF-8 sequence
-		most--
+	for limit > 0 && s[limit]&0xc0 == 0x80 { // do not split a UTF-8 sequence
+		limit--
 	}
-	return s[:most]
+	return s[:limit]
 }
 
-// oneLine replaces control characters, which could forge lines or send
-// sequences to a terminal, and bytes that are not UTF-8.
-func oneLine(s string) string {
+// sanitize replaces control characters, which could forge lines or send escape
+// sequences to a terminal, and bytes that are not valid UTF-8.
+func sanitize(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c >= 0x7f && c < 0xa0 {
 			return ' '
@@ -71,7 +71,7 @@
 	}, strings.ToValidUTF8(s, "?"))
 }
 
-// ToWire converts events for a heartbeat.
+// ToWire converts events to the messages of a heartbeat.
 func ToWire(events []Event) []*wire.Event {
 	out := make([]*wire.Event, len(events))
 	for i, e := range events {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// FromWire converts the events of a heartbeat.
+// FromWire converts the messages of a heartbeat to events.
 func FromWire(events []*wire.Event) []Event {
 	out := make([]Event, len(events))
 	for i, e := range events {
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -1,5 +1,5 @@
-// Wall clocks of processes differ by more than the events are apart, so causes come
-// first and clocks second.
+// The wall clocks of processes differ by more than the time between events, so the
+// order follows causes first and clocks second.
 
 package timeline
 
@@ -9,10 +9,10 @@
 	"slices"
 )
 
-// Merge orders events so that each comes after its cause and after the earlier
-// events of its process, and otherwise by clock. A repeated (process, sequence)
-// is dropped. Causes that form a cycle, which only a faulty process can send,
-// are ignored.
+// Merge sorts events so that each comes after its cause and after the earlier events
+// of its process, and otherwise by clock. Events with the same process and sequence
+// are merged into one. Causes that form a cycle, which only a faulty process can
+// send, are ignored.
 func Merge(events []Event) []Event {
 	sorted := slices.Clone(events)
 	slices.SortFunc(sorted, func(a, b Event) int {
@@ -23,30 +23,31 @@
 	for i, e := range sorted {
 		index[e.ID()] = i
 	}
-	followers := make([][]int, len(sorted))
-	waits := make([]int, len(sorted))
-	after := func(first, second int) {
-		followers[first] = append(followers[first], second)
-		waits[second]++
+	successors := make([][]int, len(sorted))
+	predecessorCounts := make([]int, len(sorted))
+	addEdge := func(before, after int) {
+		successors[before] = append(successors[before], after)
+		predecessorCounts[after]++
 	}
 	for i, e := range sorted {
 		if i > 0 && sorted[i-1].Process == e.Process {
-			after(i-1, i)
+			addEdge(i-1, i)
 		}
 		if cause, ok := index[e.Cause]; ok && cause != i {
-			after(cause, i)
+			addEdge(cause, i)
 		}
 	}
-	return release(sorted, followers, waits)
+	return topologicalOrder(sorted, successors, predecessorCounts)
 }
 
-// release takes the event with the lowest clock among those that wait for
-// nothing, again and again.
-func release(events []Event, followers [][]int, waits []int) []Event {
-	ready := &queue{events: events}
+// topologicalOrder repeatedly takes the event with the lowest clock among those
+// without unplaced predecessors. successors and predecessorCounts describe the graph;
+// topologicalOrder changes predecessorCounts.
+func topologicalOrder(events []Event, successors [][]int, predecessorCounts []int) []Event {
+	ready := &clockHeap{events: events}
 	for i := range events {
-		if waits[i] == 0 {
-			ready.order = append(ready.order, i)
+		if predecessorCounts[i] == 0 {
+			ready.positions = append(ready.positions, i)
 		}
 	}
 	heap.Init(ready)
@@ -54,44 +55,44 @@
 	for ready.Len() > 0 {
 		i := heap.Pop(ready).(int)
 		merged = append(merged, events[i])
-		for _, f := range followers[i] {
-			if waits[f]--; waits[f] == 0 {
+		for _, f := range successors[i] {
+			if predecessorCounts[f]--; predecessorCounts[f] == 0 {
 				heap.Push(ready, f)
 			}
 		}
 	}
-	if len(merged) < len(events) { // a cycle: keep its events, by clock
-		rest := &queue{events: events}
+	if len(merged) < len(events) { // there is a cycle: add the remaining events by clock
+		rest := &clockHeap{events: events}
 		for i := range events {
-			if waits[i] > 0 {
-				rest.order = append(rest.order, i)
+			if predecessorCounts[i] > 0 {
+				rest.positions = append(rest.positions, i)
 			}
 		}
-		slices.SortFunc(rest.order, rest.compare)
-		for _, i := range rest.order {
+		slices.SortFunc(rest.positions, rest.compare)
+		for _, i := range rest.positions {
 			merged = append(merged, events[i])
 		}
 	}
 	return merged
 }
 
-// queue is a heap of positions in events, lowest clock first.
-type queue struct {
-	events []Event
-	order  []int
+// clockHeap is a heap of positions in events, lowest clock first.
+type clockHeap struct {
+	events    []Event
+	positions []int
 }
 
-func (q *queue) compare(i, j int) int {
+func (q *clockHeap) compare(i, j int) int {
 	a, b := q.events[i], q.events[j]
 	return cmp.Or(cmp.Compare(a.Clock, b.Clock), cmp.Compare(a.Process, b.Process), cmp.Compare(a.Sequence, b.Sequence))
 }
 
-func (q *queue) Len() int           { return len(q.order) }
-func (q *queue) Less(i, j int) bool { return q.compare(q.order[i], q.order[j]) < 0 }
-func (q *queue) Swap(i, j int)      { q.order[i], q.order[j] = q.order[j], q.order[i] }
-func (q *queue) Push(x any)         { q.order = append(q.order, x.(int)) }
-func (q *queue) Pop() any {
-	last := q.order[len(q.order)-1]
-	q.order = q.order[:len(q.order)-1]
+func (q *clockHeap) Len() int           { return len(q.positions) }
+func (q *clockHeap) Less(i, j int) bool { return q.compare(q.positions[i], q.positions[j]) < 0 }
+func (q *clockHeap) Swap(i, j int)      { q.positions[i], q.positions[j] = q.positions[j], q.positions[i] }
+func (q *clockHeap) Push(x any)         { q.positions = append(q.positions, x.(int)) }
+func (q *clockHeap) Pop() any {
+	last := q.positions[len(q.positions)-1]
+	q.positions = q.positions[:len(q.positions)-1]
 	return last
 }
--- a/internal/timeline/render.go
+++ b/internal/timeline/render.go
@@ -1,4 +1,4 @@
-// Three renderings of the same events: for terminals, programs and browsers.
+// Renderings of events for terminals, programs and browsers.
 
 package timeline
 
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 )
 
-// WriteText renders events, one a line, with their lanes and causes.
+// WriteText renders events as text, one per line, with their lanes and causes.
 func WriteText(w io.Writer, events []Event) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TIME\tEVENT\tLANE\tKIND\tSUBJECT\tTEXT\tCAUSE")
@@ -23,7 +23,7 @@
 		}
 		cells := []string{e.Clock.Time().Format("15:04:05.000"), e.ID(), e.Lane, e.Kind, e.Subject, e.Text, cause}
 		for i := range cells {
-			cells[i] = oneLine(cells[i])
+			cells[i] = sanitize(cells[i])
 		}
 		fmt.Fprintln(table, strings.TrimRight(strings.Join(cells, "\t"), "\t"))
 	}
@@ -43,9 +43,9 @@
 //go:embed page.html
 var pageText string
 
-var page = template.Must(template.New("page").Parse(pageText))
+var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// The picture is laid out in pixels.
+// Dimensions of the diagram in pixels.
 const (
 	labelWidth = 140
 	eventWidth = 26
@@ -53,56 +53,56 @@
 	topMargin  = 24
 )
 
-type pictureLane struct {
+type diagramLane struct {
 	Name  string
 	Y     int
 	TextY int
 }
 
-type pictureEvent struct {
+type diagramEvent struct {
 	Event
 	Time   string
 	X, Y   int
 	Colour string
 }
 
-type pictureArrow struct{ X1, Y1, X2, Y2 int }
+type diagramArrow struct{ X1, Y1, X2, Y2 int }
 
-type picture struct {
+type diagram struct {
 	Width, Height int
 	LabelWidth    int
-	Lanes         []pictureLane
-	Events        []pictureEvent
-	Arrows        []pictureArrow
+	Lanes         []diagramLane
+	Events        []diagramEvent
+	Arrows        []diagramArrow
 }
 
 var laneColours = []string{"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b"}
 
-// WriteHTML renders events as one page without external resources: a picture
-// with a row for each lane and arrows from causes, and a table.
-func WriteHTML(w io.Writer, events []Event) error { return page.Execute(w, layOut(events)) }
+// WriteHTML renders events as an HTML page without external resources: a diagram
+// with a row for each lane and arrows from causes to effects, and a table.
+func WriteHTML(w io.Writer, events []Event) error { return pageTemplate.Execute(w, newDiagram(events)) }
 
-func layOut(events []Event) picture {
-	p := picture{Width: labelWidth + eventWidth*(len(events)+1), LabelWidth: labelWidth}
+func newDiagram(events []Event) diagram {
+	p := diagram{Width: labelWidth + eventWidth*(len(events)+1), LabelWidth: labelWidth}
 	lanes := map[string]int{}
-	places := map[string]int{}
+	positions := map[string]int{}
 	for i, e := range events {
-		e = e.cut()
+		e = e.truncated()
 		lane, ok := lanes[e.Lane]
 		if !ok {
 			lane = len(lanes)
 			lanes[e.Lane] = lane
 			y := topMargin + lane*laneHeight
-			p.Lanes = append(p.Lanes, pictureLane{e.Lane, y, y + 4})
+			p.Lanes = append(p.Lanes, diagramLane{e.Lane, y, y + 4})
 		}
-		places[e.ID()] = i
-		p.Events = append(p.Events, pictureEvent{e, e.Clock.Time().Format("15:04:05.000"),
+		positions[e.ID()] = i
+		p.Events = append(p.Events, diagramEvent{e, e.Clock.Time().Format("15:04:05.000"),
 			labelWidth + eventWidth*(i+1) - eventWidth/2, p.Lanes[lane].Y, laneColours[lane%len(laneColours)]})
 	}
 	for _, e := range p.Events {
-		if i, ok := places[e.Cause]; ok && e.Cause != e.ID() {
+		if i, ok := positions[e.Cause]; ok && e.Cause != e.ID() {
 			cause := p.Events[i]
-			p.Arrows = append(p.Arrows, pictureArrow{cause.X, cause.Y, e.X, e.Y})
+			p.Arrows = append(p.Arrows, diagramArrow{cause.X, cause.Y, e.X, e.Y})
 		}
 	}
 	p.Height = topMargin + max(1, len(p.Lanes))*laneHeight
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -15,8 +15,8 @@
 	"wasabihill.example/wasabihill/internal/generated"
 )
 
-// TestMain fixes the seed of generated cases, so that a run can be repeated.
-// -rapid.seed gives another one.
+// TestMain fixes the seed of generated cases, so that runs are reproducible. Use
+// -rapid.seed for another one.
 func TestMain(m *testing.M) {
 	generated.Configure(100)
 	os.Exit(m.Run())
@@ -24,8 +24,9 @@
 
 func fixedNow() time.Time { return time.UnixMilli(1_700_000_000_000) }
 
-// Guards against an effect that sorts before its cause when the wall clock of
-// the receiving process is behind.
+// TestReceivedClockOrdersEvents guards against an effect that is ordered before its
+// cause because the wall clock of the receiving process is behind, and against
+// following a received clock that is far ahead.
 func TestReceivedClockOrdersEvents(t *testing.T) {
 	entry := NewRecorder("entry-1", 10, fixedNow)
 	agent := NewRecorder("agent-1", 10, func() time.Time { return fixedNow().Add(-30 * time.Second) })
@@ -33,33 +34,35 @@
 	agent.UpdateClock(entry.AdvanceClock())
 	agent.Record("worker", "start", "job/0", "", cause)
 	if got, first := agent.EventsAfter(0, 1)[0].Clock, entry.EventsAfter(0, 1)[0].Clock; got <= first {
-		t.Errorf("got clock %d of the effect, want more than %d", got, first)
+		t.Errorf("got clock %d of the effect, want a higher one than %d of its cause", got, first)
 	}
 	agent.UpdateClock(int64(clockOf(fixedNow().Add(time.Hour))))
 	if got := Clock(agent.AdvanceClock()).Time(); got.After(fixedNow().Add(time.Minute)) {
-		t.Errorf("got clock %v after a wrong received clock, want it ignored", got)
+		t.Errorf("got clock %v after a received clock one hour ahead, want that one ignored", got)
 	}
 }
 
-// Guards against a ring that returns overwritten events or grows.
+// TestRecorderKeepsTheNewest guards against a ring buffer that returns overwritten
+// events or grows.
 func TestRecorderKeepsTheNewest(t *testing.T) {
 	r := NewRecorder("agent-1", 3, fixedNow)
 	for i := 1; i <= 5; i++ {
 		r.Record("worker", "tick", "w", fmt.Sprint(i), "")
 	}
-	if got := texts(r.EventsAfter(0, 10)); got != "3 4 5" {
-		t.Errorf("got %q, want the newest three", got)
+	if got := joinTexts(r.EventsAfter(0, 10)); got != "3 4 5" {
+		t.Errorf("got texts %q, want the newest three: 3 4 5", got)
 	}
-	if got := texts(r.EventsAfter(3, 1)); got != "4" {
-		t.Errorf("got %q, want 4", got)
+	if got := joinTexts(r.EventsAfter(3, 1)); got != "4" {
+		t.Errorf("got texts %q, want 4", got)
 	}
 	if got := r.EventsAfter(9, 10); got != nil {
-		t.Errorf("got %v after the newest, want none", got)
+		t.Errorf("got events %v after the newest sequence, want none", got)
 	}
 }
 
-// Guards against a repeated heartbeat that doubles events, and against a
-// collector that grows without bound or takes dropped events again.
+// TestCollectorIsIdempotentAndBounded guards against events that are duplicated by a
+// repeated heartbeat, and against a collector that grows without bound or adds
+// dropped events again.
 func TestCollectorIsIdempotentAndBounded(t *testing.T) {
 	c := NewCollector(20)
 	r := NewRecorder("agent-1", 100, fixedNow)
@@ -78,7 +81,7 @@
 		}
 	}
 	if got := c.LastSequence("agent-1"); got != 50 {
-		t.Errorf("got acknowledged %d, want 50", got)
+		t.Errorf("got last sequence %d, want 50", got)
 	}
 	for i := range maxProcesses + 100 {
 		c.Add(Event{Process: fmt.Sprint("p", i), Sequence: 1, Clock: Clock(i)})
@@ -88,8 +91,8 @@
 	}
 }
 
-// Guards against a merge that loses events, sorts one before its cause, or does
-// not end on causes that form a cycle.
+// TestMergeKeepsCauses guards against a merge that loses events, orders one before
+// its cause, or does not terminate for causes that form a cycle.
 func TestMergeKeepsCauses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "events")
@@ -121,8 +124,9 @@
 	})
 }
 
-// Guards against markup or terminal sequences from event texts that reach the
-// operator, and against a page that loads anything.
+// TestRenderingsEscape guards against markup or escape sequences of event texts that
+// reach the operator's browser or terminal, and against a page that loads external
+// resources.
 func TestRenderingsEscape(t *testing.T) {
 	events := []Event{
 		{Process: "a", Sequence: 1, Lane: "<script>alert(1)</script>", Kind: "k", Subject: `"><img src=x>`, Text: "bell\x1b[31m\nforged line"},
@@ -132,9 +136,9 @@
 	if err := errors.Join(WriteHTML(&page, events), WriteText(&text, events)); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{"<script", "<img", "src=\"http", "href"} {
-		if strings.Contains(page.String(), bad) {
-			t.Errorf("page contains %q", bad)
+	for _, forbidden := range []string{"<script", "<img", "src=\"http", "href"} {
+		if strings.Contains(page.String(), forbidden) {
+			t.Errorf("page contains %q", forbidden)
 		}
 	}
 	if got := strings.Count(page.String(), "marker-end"); got != 1 {
@@ -154,7 +158,7 @@
 	}
 }
 
-func texts(events []Event) string {
+func joinTexts(events []Event) string {
 	var all []string
 	for _, e := range events {
 		all = append(all, e.Text)
