--- a/internal/dispatch/interference.go
+++ b/internal/dispatch/interference.go
@@ -2,17 +2,17 @@
 
 import "wasabihill.example/wasabihill/pkg/units"
 
-// significant is the slowdown below which a pair is taken for noise: the
-// latency of an endpoint varies by a few percent with its own load.
-const significant = 0.03
+// minSlowdown is the slowdown below which a measured pair is treated as noise:
+// the latency of an endpoint varies by a few percent with its own load.
+const minSlowdown = 0.03
 
-// excess is the slowdown that one task of the kind adds to the endpoint beside
-// it that suffers most.
-func (d *Dispatcher) excess(kind units.JobKind, r *row) float64 {
+// addedSlowdown returns the slowdown that one task of the kind adds to the most
+// affected endpoint on the worker.
+func (d *Dispatcher) addedSlowdown(kind units.JobKind, r *workerRow) float64 {
 	most := 0.0
 	if services := d.in.Interference[kind]; len(services) > 0 {
 		for _, s := range r.Services {
-			if x := services[s] - 1; x > significant {
+			if x := services[s] - 1; x > minSlowdown {
 				most = max(most, x)
 			}
 		}
@@ -20,28 +20,29 @@
 	return most
 }
 
-// interferes returns the cost of the slowdown that the task adds. Beyond what
-// the guards tolerate a worker takes one such task at a time and only when no
-// other has room: the agent can throttle one, several make it evict. Urgent
-// work does not wait for that.
-func (d *Dispatcher) interferes(r *row, q *request) (float64, bool) {
-	x := d.excess(q.job.JobKind, r)
+// interferenceCost returns the cost of the slowdown that the task adds, and
+// false if the worker must not be used. Above the tolerated slowdown a worker
+// runs one such batch task at a time, and only if no other worker has capacity:
+// the agent can throttle a single task, but several force it to evict. Urgent
+// tasks are exempt from the limit of one.
+func (d *Dispatcher) interferenceCost(r *workerRow, q *request) (float64, bool) {
+	x := d.addedSlowdown(q.job.JobKind, r)
 	if x == 0 {
 		return 0, true
 	}
-	if !r.excessRead {
-		r.excessRead = true
-		for _, task := range d.in.Ledger.TasksOn(r.holder) {
+	if !r.slowdownLoaded {
+		r.slowdownLoaded = true
+		for _, task := range d.in.Ledger.TasksOn(r.epoch) {
 			if j := d.in.Ledger.Job(task.Job); j != nil {
-				r.excess += d.excess(j.JobKind, r)
+				r.slowdown += d.addedSlowdown(j.JobKind, r)
 			}
 		}
 	}
-	if r.excess+x <= d.policy.slowdown {
-		return costSlowdown * x, true
+	if r.slowdown+x <= d.policy.slowdownLimit {
+		return costPerSlowdown * x, true
 	}
-	if r.excess > 0 && q.batch() {
+	if r.slowdown > 0 && q.batch() {
 		return 0, false
 	}
-	return costInterferes + costSlowdown*x, true
+	return costExcessSlowdown + costPerSlowdown*x, true
 }
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	maxPreempts = 32 // of one tick; each costs the victims the work since their checkpoint
-	maxReclaims = 4
-	maxScans    = 256 // of all rows, in one tick
-	// reclaimAfter is how long work within its quota waits for room before
-	// borrowed work is evicted for it.
+	maxPreemptionsPerTick = 32 // victims lose their work since the last checkpoint
+	maxReclaimsPerTick    = 4
+	maxScansPerTick       = 256 // of all rows, in one tick
+	// reclaimAfter is how long a task within its team's quota waits for capacity
+	// before borrowed attempts are evicted for it.
 	reclaimAfter = 2 * time.Second
 )
 
-// preempt places urgent work on the worker where the least must be evicted.
-// It proposes at once: waiting for the evictions would cost another tick and
-// another append, and urgent work must start within 1.4 s.
+// preempt proposes the task for the worker where it must evict the smallest
+// share of the capacity, and reports whether it found one. It does not wait for
+// the evictions: that would cost another tick and another append, and urgent
+// tasks must start within 1.4 s.
 func (d *Dispatcher) preempt(q *request) bool {
-	if d.preempts >= maxPreempts || d.scans >= maxScans {
+	if d.preemptions >= maxPreemptionsPerTick || d.scans >= maxScansPerTick {
 		return false
 	}
 	d.scans++
-	var best *row
+	var best *workerRow
 	var least float64
 	for _, i := range d.eligible {
 		r := &d.rows[i]
-		d.Stats.RowsVisited++
-		need := missing(q.size, r.free)
+		d.Stats.WorkersScanned++
+		need := shortfall(q.size, r.free)
 		if r.probe || r.launching >= 2*maxLaunching || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
@@ -42,49 +43,49 @@
 	if best == nil {
 		return false
 	}
-	victims := d.victims(best, missing(q.size, best.free), func(j *ledger.Job, t *ledger.Task) bool {
+	victims := d.selectVictims(best, shortfall(q.size, best.free), func(j *ledger.Job, t *ledger.Task) bool {
 		return t.Borrowed || j.Priority < q.job.Priority
 	})
-	// Tasks that a restarted agent adopted are listed under its earlier epoch,
-	// so the agent may know of victims that are not found here.
+	// Tasks that a restarted agent adopted are listed under its earlier epoch, so
+	// for urgent tasks the agent may choose victims that are not found here.
 	if victims == nil && q.job.Priority < units.PriorityUrgent {
 		return false
 	}
-	d.evict(q, best, victims)
+	d.assignWithEviction(q, best, victims)
 	return true
 }
 
-// reclaim takes back room from borrowed work for a task within its team's
-// quota that has waited.
+// reclaim evicts borrowed attempts for a task within its team's quota that has
+// waited for reclaimAfter, and reports whether it proposed the task.
 func (d *Dispatcher) reclaim(q *request) bool {
-	if !q.noRoom || d.reclaims >= maxReclaims || d.in.Now.Sub(d.unplaced[q.task()]) < reclaimAfter {
+	if !q.noCapacity || d.reclaims >= maxReclaimsPerTick || d.in.Now.Sub(d.unplacedSince[q.task()]) < reclaimAfter {
 		return false
 	}
 	d.reclaims++
-	const tries = 32
+	const maxSampledWorkers = 32
 	n := len(d.eligible)
-	for range min(n, tries) {
+	for range min(n, maxSampledWorkers) {
 		r := &d.rows[d.eligible[d.Random.IntN(n)]]
-		d.Stats.RowsVisited++
-		need := missing(q.size, r.free)
-		if r.probe || r.launching >= r.mayLaunch || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
+		d.Stats.WorkersScanned++
+		need := shortfall(q.size, r.free)
+		if r.probe || r.launching >= r.launchLimit || !need.Fits(r.evictable) || !q.size.Fits(r.Capacity.Sub(r.reserved)) {
 			continue
 		}
 		if _, ok := d.cost(r, q); !ok {
 			continue
 		}
-		if v := d.victims(r, need, func(_ *ledger.Job, t *ledger.Task) bool { return t.Borrowed }); v != nil {
-			d.evict(q, r, v)
+		if v := d.selectVictims(r, need, func(_ *ledger.Job, t *ledger.Task) bool { return t.Borrowed }); v != nil {
+			d.assignWithEviction(q, r, v)
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Dispatcher) evict(q *request, r *row, victims []Victim) {
-	d.preempts++
-	d.Stats.Preempting++
-	need := missing(q.size, r.free)
+func (d *Dispatcher) assignWithEviction(q *request, r *workerRow, victims []TaskAttempt) {
+	d.preemptions++
+	d.Stats.Preemptions++
+	need := shortfall(q.size, r.free)
 	r.evictable = r.evictable.Sub(need)
 	d.assign(q, r, true, victims)
 	if victims == nil {
@@ -97,19 +98,19 @@
 	}
 }
 
-// victims returns the batch tasks on the worker to evict for the need, or nil
-// when they do not suffice: borrowed work first, then the lowest priority, then
-// what started last and has the least to lose.
-func (d *Dispatcher) victims(r *row, need units.Resources, may func(*ledger.Job, *ledger.Task) bool) []Victim {
+// selectVictims returns the batch attempts to evict from the worker to free the
+// needed resources, or nil if they do not suffice. Borrowed attempts come first,
+// then the lowest priority, then the newest, which lose the least work.
+func (d *Dispatcher) selectVictims(r *workerRow, need units.Resources, evictable func(*ledger.Job, *ledger.Task) bool) []TaskAttempt {
 	type candidate struct {
 		job  *ledger.Job
 		row  *ledger.Task
 		task units.Task
 	}
 	var all []candidate
-	for _, task := range d.in.Ledger.TasksOn(r.holder) {
+	for _, task := range d.in.Ledger.TasksOn(r.epoch) {
 		j, t := d.in.Ledger.Job(task.Job), d.in.Ledger.Task(task)
-		if t.State == ledger.Running && !j.IsWatcher() && may(j, t) {
+		if t.State == ledger.Running && !j.IsWatcher() && evictable(j, t) {
 			all = append(all, candidate{j, t, task})
 		}
 	}
@@ -117,15 +118,15 @@
 		if a.row.Borrowed != b.row.Borrowed {
 			return map[bool]int{true: -1, false: 1}[a.row.Borrowed]
 		}
-		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(b.row.Since, a.row.Since),
+		return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(b.row.StateOffset, a.row.StateOffset),
 			cmp.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index))
 	})
-	victims := make([]Victim, 0, 2)
+	victims := make([]TaskAttempt, 0, 2)
 	for _, c := range all {
 		if need.Fits(units.Resources{}) {
 			break
 		}
-		victims = append(victims, Victim{c.task, c.row.Attempt})
+		victims = append(victims, TaskAttempt{c.task, c.row.Attempt})
 		need = need.Sub(c.row.Committed)
 	}
 	if len(victims) == 0 || !need.Fits(units.Resources{}) {
@@ -134,8 +135,9 @@
 	return victims
 }
 
-// missing is what the room lacks for the size, in each dimension.
-func missing(size, room units.Resources) units.Resources {
-	n := size.Sub(room)
+// shortfall returns by how much the size exceeds the free resources, in each
+// dimension.
+func shortfall(size, free units.Resources) units.Resources {
+	n := size.Sub(free)
 	return units.Resources{Processors: max(0, n.Processors), Memory: max(0, n.Memory), Accelerators: max(0, n.Accelerators)}
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -5,12 +5,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxSpread bounds the tasks of a job that are spread deliberately; larger
-// jobs spread by themselves, because workers are sampled at random.
-const maxSpread = 64
+// maxSpreadTasks is the largest number of tasks of a job that are spread by cost.
+// Larger jobs spread anyway, because workers are sampled at random.
+const maxSpreadTasks = 64
 
-// placed counts where the other tasks of a job, or the other watchers, are.
-type placed struct {
+// spreadCount counts the open tasks of a job, or the watchers, by failure domain
+// and rack.
+type spreadCount struct {
 	total   int
 	domains map[units.DomainName]int
 	racks   map[rackKey]int
@@ -21,9 +22,9 @@
 	rack   units.RackName
 }
 
-// cost grows with the share of the other tasks that the rack and the domain
-// hold already: losing either must lose as few as possible.
-func (p *placed) cost(r *row) float64 {
+// cost grows with the share of the counted tasks on the worker's rack and in its
+// failure domain, so that the loss of either affects as few tasks as possible.
+func (p *spreadCount) cost(r *workerRow) float64 {
 	if p == nil || p.total == 0 {
 		return 0
 	}
@@ -31,7 +32,7 @@
 	return costRack*float64(p.racks[rackKey{r.Domain, r.Rack}])/n + costDomain*float64(p.domains[r.Domain])/n
 }
 
-func (p *placed) add(r *row) {
+func (p *spreadCount) add(r *workerRow) {
 	if p.domains == nil {
 		p.domains, p.racks = map[units.DomainName]int{}, map[rackKey]int{}
 	}
@@ -40,47 +41,46 @@
 	p.racks[rackKey{r.Domain, r.Rack}]++
 }
 
-// placedTasks counts the open tasks of a job; nil for one that has too many to
-// spread or only one.
-func (d *Dispatcher) placedTasks(j *ledger.Job) *placed {
-	if len(j.Tasks) < 2 || len(j.Tasks) > maxSpread {
+// countJobTasks counts the open tasks of a job. It returns nil for a job with a
+// single task or more than maxSpreadTasks.
+func (d *Dispatcher) countJobTasks(j *ledger.Job) *spreadCount {
+	if len(j.Tasks) < 2 || len(j.Tasks) > maxSpreadTasks {
 		return nil
 	}
-	if d.spreadJob == j {
-		return d.spread
+	if d.spreadCountsJob == j {
+		return d.spreadCounts
 	}
-	p := &placed{}
-	d.spreadJob, d.spread = j, p
+	p := &spreadCount{}
+	d.spreadCountsJob, d.spreadCounts = j, p
 	for i := range j.Tasks {
-		d.count(p, units.Task{Job: j.ID, Index: uint32(i)}, &j.Tasks[i])
+		d.countTask(p, units.Task{Job: j.ID, Index: uint32(i)}, &j.Tasks[i])
 	}
 	return p
 }
 
-// placedWatchers counts where the watchers are.
-func (d *Dispatcher) placedWatchers(watching []*ledger.Job) *placed {
-	p := &placed{}
-	for _, j := range watching {
-		d.count(p, units.Task{Job: j.ID}, &j.Tasks[0])
+func (d *Dispatcher) countWatchers(watchers []*ledger.Job) *spreadCount {
+	p := &spreadCount{}
+	for _, j := range watchers {
+		d.countTask(p, units.Task{Job: j.ID}, &j.Tasks[0])
 	}
 	return p
 }
 
-func (d *Dispatcher) count(p *placed, task units.Task, t *ledger.Task) {
+func (d *Dispatcher) countTask(p *spreadCount, task units.Task, t *ledger.Task) {
 	id := t.Worker
 	if !t.State.Open() {
 		f, proposed := d.inFlight[task]
 		if !proposed {
 			return
 		}
-		id = f.holder.Worker
+		id = f.epoch.Worker
 	}
 	if i, ok := d.byWorker[id]; ok {
 		p.add(&d.rows[i])
 	}
 }
 
-func (d *Dispatcher) addPlaced(q *request, r *row) {
+func (d *Dispatcher) addToSpread(q *request, r *workerRow) {
 	if q.spread != nil {
 		q.spread.add(r)
 	}
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// suspectAfter failures of different jobs in a row blame the worker: with
-	// jobs that fail one time in ten by themselves, a healthy worker reaches it
-	// once in 100,000 runs.
-	suspectAfter    = 5
-	suspectBackoff  = 10 * time.Second
-	maxBackoff      = 10 * time.Minute
-	probeSurvives   = time.Minute // a worker that fails everything fails sooner
-	maxSuspectShare = 2           // at most one worker in so many is left out
+	// A worker is suspect after suspectFailures consecutive failures of different
+	// jobs. If one job in ten fails by itself, a healthy worker reaches this once
+	// in 100,000 runs.
+	suspectFailures   = 5
+	suspectBackoff    = 10 * time.Second
+	maxSuspectBackoff = 10 * time.Minute
+	minProbeRunTime   = time.Minute // a broken worker fails its tasks sooner
+	maxSuspectDivisor = 2           // suspects are excluded while they are at most 1/2 of the workers
 )
 
-// suspect is the record of a worker on which everything fails.
+// suspect is the state of a worker on which every task has failed recently.
 type suspect struct {
-	seen    int // consecutive failures that the level accounts for
-	level   int // grows with each failed probe
-	until   time.Time
-	probe   units.Task // open probe, zero for none
-	attempt units.Attempt
-	since   time.Time // of the probe
-	cleared bool      // a probe survived; only further failures count
+	failures     int // consecutive failures included in backoffLevel
+	backoffLevel int // rises with each failed probe
+	backoffUntil time.Time
+	probe        units.Task // zero while no probe is open
+	probeAttempt units.Attempt
+	probeSince   time.Time
+	cleared      bool // a probe ran for minProbeRunTime; only further failures count
 }
 
-// updateSuspects moves every suspect one step: backoff, probe, return.
+// updateSuspects updates the suspects from the failure counts of the ledger. A
+// suspect backs off, runs a single task as a probe, and returns if that survives.
 func (d *Dispatcher) updateSuspects() {
 	for i := range d.rows {
 		r := &d.rows[i]
 		failures := d.in.Ledger.ConsecutiveFailures(r.ID)
 		s := d.suspects[r.ID]
-		if failures < suspectAfter {
+		if failures < suspectFailures {
 			if s != nil {
 				delete(d.suspects, r.ID)
 			}
@@ -44,20 +45,20 @@
 			s = &suspect{}
 			d.suspects[r.ID] = s
 		}
-		d.judge(s, failures)
+		d.updateSuspect(s, failures)
 	}
 }
 
-func (d *Dispatcher) judge(s *suspect, failures int) {
+func (d *Dispatcher) updateSuspect(s *suspect, failures int) {
 	now := d.in.Now
-	if failures > s.seen {
-		// Tasks that were running when the worker was first blamed fail during
-		// the backoff; they say nothing new.
-		if s.until.Before(now) || s.until.IsZero() {
-			s.level++
-			s.until = now.Add(min(maxBackoff, suspectBackoff<<min(s.level-1, 10)))
+	if failures > s.failures {
+		// Failures during the backoff come from tasks that were already running
+		// and do not raise the level.
+		if s.backoffUntil.Before(now) || s.backoffUntil.IsZero() {
+			s.backoffLevel++
+			s.backoffUntil = now.Add(min(maxSuspectBackoff, suspectBackoff<<min(s.backoffLevel-1, 10)))
 		}
-		s.seen, s.probe, s.cleared = failures, units.Task{}, false
+		s.failures, s.probe, s.cleared = failures, units.Task{}, false
 		return
 	}
 	if s.probe == (units.Task{}) {
@@ -65,26 +66,27 @@
 	}
 	t := d.in.Ledger.Task(s.probe)
 	_, proposed := d.inFlight[s.probe]
-	open := proposed || (t != nil && t.Attempt == s.attempt && t.State.Open())
+	open := proposed || (t != nil && t.Attempt == s.probeAttempt && t.State.Open())
 	switch {
-	case open && now.Sub(s.since) > probeSurvives:
+	case open && now.Sub(s.probeSince) > minProbeRunTime:
 		s.cleared, s.probe = true, units.Task{}
-	case !open: // rejected or lost: neither good nor bad
+	case !open: // the probe was rejected or lost, which shows neither success nor failure
 		s.probe = units.Task{}
-		s.until = now.Add(suspectBackoff / 10)
+		s.backoffUntil = now.Add(suspectBackoff / 10)
 	}
 }
 
-// trusted reports whether the worker may get tasks; a suspect past its backoff
-// may get one. When most workers are suspect, the jobs are to blame.
-func (d *Dispatcher) trusted(r *row) bool {
+// allowSuspect reports whether the worker may get tasks; a suspect after its
+// backoff may get one. If most workers are suspect, the jobs are the cause and
+// none is excluded.
+func (d *Dispatcher) allowSuspect(r *workerRow) bool {
 	s := d.suspects[r.ID]
-	if s == nil || s.cleared || len(d.suspects)*maxSuspectShare > len(d.rows) {
+	if s == nil || s.cleared || len(d.suspects)*maxSuspectDivisor > len(d.rows) {
 		return true
 	}
-	if d.in.Now.Before(s.until) || s.probe != (units.Task{}) {
+	if d.in.Now.Before(s.backoffUntil) || s.probe != (units.Task{}) {
 		return false
 	}
-	r.probe, r.mayLaunch = true, r.launching+1
+	r.probe, r.launchLimit = true, r.launching+1
 	return true
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -45,8 +45,8 @@
 	listedAt     time.Time
 }
 
-func (w *workerRow) holder() ledger.Holder {
-	return ledger.Holder{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
+func (w *workerRow) holder() ledger.WorkerEpoch {
+	return ledger.WorkerEpoch{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
 }
 
 func (w *workerRow) reachable(now time.Time) bool {
@@ -57,14 +57,14 @@
 type control struct {
 	*Entry
 	workers      map[units.WorkerID]*workerRow
-	liveness     roster.Liveness
+	liveness     roster.EntryLiveness
 	live         []roster.Entry
 	membersOut   outbox
 	jobsOut      outbox
 	announceAt   time.Time                        // next announcement
 	watchersAt   time.Time                        // next comparison of the document's watchers with the ledger
-	chain        map[roster.Holder]time.Time      // workers whose lessor has ended, since when that is known
-	asking       map[roster.Holder]time.Time      // epochs that wait for a registration or a lessor, since when
+	chain        map[roster.WorkerEpoch]time.Time // workers whose lessor has ended, since when that is known
+	asking       map[roster.WorkerEpoch]time.Time // epochs that wait for a registration or a lessor, since when
 	unknown      map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
 	missing      map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
 	reconcileAt  time.Time                        // next comparison of full lists with the ledger
@@ -88,8 +88,8 @@
 		workers:    make(map[units.WorkerID]*workerRow),
 		membersOut: newOutbox(e.writers.members),
 		jobsOut:    newOutbox(e.writers.jobs),
-		chain:      make(map[roster.Holder]time.Time),
-		asking:     make(map[roster.Holder]time.Time),
+		chain:      make(map[roster.WorkerEpoch]time.Time),
+		asking:     make(map[roster.WorkerEpoch]time.Time),
 		unknown:    make(map[units.JobID]time.Time),
 		planner:    newPlanner(),
 		logUp:      true,
@@ -167,7 +167,7 @@
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
-		c.live = c.liveness.Live(r, now)
+		c.live = c.liveness.LiveEntries(r, now)
 	})
 	ids := make([]units.EntryID, 0, len(c.live)+1)
 	for _, l := range c.live {
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -20,7 +20,7 @@
 		var rows []*ledger.Job
 		for _, name := range l.Teams() {
 			if f.Team == "" || f.Team == name {
-				rows = append(rows, l.JobsOf(name)...)
+				rows = append(rows, l.TeamJobs(name)...)
 			}
 		}
 		slices.SortFunc(rows, func(a, b *ledger.Job) int { return cmp.Compare(b.Sequence, a.Sequence) })
@@ -114,7 +114,7 @@
 	err := b.do(ctx, func(c *control) {
 		running := make(map[units.WorkerID]int)
 		c.jobs.View(func(l *ledger.Ledger) {
-			for h := range l.Holders() {
+			for h := range l.WorkerEpochs() {
 				running[h.Worker] += len(l.TasksOn(h))
 			}
 		})
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -10,10 +10,11 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// day returns the entries of a day with that many jobs of 150 teams: ten tasks
-// a job, which are assigned, started and ended, and the running tasks that are
-// open at its end. An eighth of the attempts is evicted or released first.
-func day(jobs, running int) [][]byte {
+// dayOfEntries returns the entries of a day with the given number of jobs from 150
+// teams. Each job has ten tasks, which are assigned, started and ended; the first
+// task is evicted once, so one attempt in eleven is. The last tasks, as many as
+// running says, do not end.
+func dayOfEntries(jobs, running int) [][]byte {
 	var entries [][]byte
 	sizes := units.Resources{Processors: 1900, Memory: 3 * units.GiB}
 	for i := range jobs {
@@ -22,7 +23,7 @@
 		entries = append(entries, EncodeSubmitted(m))
 		for n := range uint32(10) {
 			task := units.Task{Job: units.JobID(m.Job), Index: n}
-			a, h := units.Attempt(1), Holder{units.WorkerID(fmt.Sprint("worker-", (i*10+int(n))%1000)), 4}
+			a, h := units.Attempt(1), WorkerEpoch{units.WorkerID(fmt.Sprint("worker-", (i*10+int(n))%1000)), 4}
 			if n == 0 {
 				entries = append(entries, EncodeAssigned(task, a, h, sizes, false), EncodeStarted(task, a),
 					EncodeEvicted(task, a, "checkpoint-1", "latency"))
@@ -37,11 +38,11 @@
 	return entries
 }
 
-// BenchmarkReplay measures replaying a day's entries and restoring a snapshot,
-// and the memory that the state holds.
+// BenchmarkReplay measures the replay of a day's entries, the restore of a
+// snapshot, and the memory used by the state.
 func BenchmarkReplay(b *testing.B) {
 	for _, jobs := range []int{3250, 6500, 13_000, 26_000} {
-		entries := day(jobs, jobs*4/5)
+		entries := dayOfEntries(jobs, jobs*4/5)
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
 			for b.Loop() {
 				replay(b, entries)
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -20,35 +20,35 @@
 	os.Exit(m.Run())
 }
 
-// checker follows the entries that a fold accepted and knows nothing else of
-// it. It reports what would run or publish a task twice.
-type checker struct {
-	tasks      map[units.Task]*checked
-	violations []violation
-	kinds      map[string]int // accepted entries
+// exactlyOnceChecker reads the accepted entries only, independently of the ledger,
+// and reports sequences in which a task would run or publish its output twice.
+type exactlyOnceChecker struct {
+	tasks         map[units.Task]*taskHistory
+	violations    []violation
+	acceptedKinds map[string]int // number of accepted entries by kind
 }
 
-// violation is a broken guarantee and where.
+// violation is a violated guarantee and its details.
 type violation struct{ guarantee, text string }
 
-type checked struct {
+type taskHistory struct {
 	attempt         units.Attempt
 	open, cancelled bool
-	published       int
-	resumed         map[units.Attempt]int // assignments by attempt
+	ends            int
+	assignments     map[units.Attempt]int // number of assignments by attempt
 }
 
-func newChecker() *checker {
-	return &checker{tasks: map[units.Task]*checked{}, kinds: map[string]int{}}
+func newChecker() *exactlyOnceChecker {
+	return &exactlyOnceChecker{tasks: map[units.Task]*taskHistory{}, acceptedKinds: map[string]int{}}
 }
 
-func (c *checker) report(guarantee, format string, args ...any) {
+func (c *exactlyOnceChecker) report(guarantee, format string, args ...any) {
 	c.violations = append(c.violations, violation{guarantee, fmt.Sprintf(format, args...)})
 }
 
-// accepted notes an entry that took effect, with the number of tasks of its job.
-func (c *checker) accepted(kind string, task units.Task, a units.Attempt, tasks uint32) {
-	c.kinds[kind]++
+// recordAccepted checks an accepted entry; tasks is the number of tasks of its job.
+func (c *exactlyOnceChecker) recordAccepted(kind string, task units.Task, a units.Attempt, tasks uint32) {
+	c.acceptedKinds[kind]++
 	if kind == "cancelled" {
 		for i := range tasks {
 			c.task(units.Task{Job: task.Job, Index: i}).cancelled = true
@@ -64,11 +64,11 @@
 		if t.cancelled {
 			c.report("no start after cancellation", "%v: attempt %d assigned after the cancellation", task, a)
 		}
-		if t.published > 0 {
+		if t.ends > 0 {
 			c.report("ends once", "%v: attempt %d assigned after the end", task, a)
 		}
-		if t.resumed[a]++; t.resumed[a] > 1 || a != t.attempt+1 {
-			c.report("resumes once", "%v: attempt %d assigned %d times, after %d", task, a, t.resumed[a], t.attempt)
+		if t.assignments[a]++; t.assignments[a] > 1 || a != t.attempt+1 {
+			c.report("resumes once", "%v: attempt %d assigned %d times, after %d", task, a, t.assignments[a], t.attempt)
 		}
 		t.attempt, t.open = a, true
 	case "ended", "evicted", "released":
@@ -76,8 +76,8 @@
 			c.report("only the current attempt counts", "%v: attempt %d %s, but %d is current", task, a, kind, t.attempt)
 		}
 		if kind == "ended" && !t.cancelled {
-			if t.published++; t.published > 1 {
-				c.report("ends once", "%v: ended %d times", task, t.published)
+			if t.ends++; t.ends > 1 {
+				c.report("ends once", "%v: ended %d times", task, t.ends)
 			}
 		}
 		t.open = false
@@ -88,9 +88,9 @@
 	}
 }
 
-func (c *checker) task(t units.Task) *checked {
+func (c *exactlyOnceChecker) task(t units.Task) *taskHistory {
 	if c.tasks[t] == nil {
-		c.tasks[t] = &checked{resumed: map[units.Attempt]int{}}
+		c.tasks[t] = &taskHistory{assignments: map[units.Attempt]int{}}
 	}
 	return c.tasks[t]
 }
@@ -100,39 +100,39 @@
 	historyTasks = 2
 )
 
-// history draws entries as two dispatchers and several agents would send them
-// with views that are stale by up to the whole history: every kind of entry in
-// every order, with attempts around the newest one, repeated and late.
-func history(t *rapid.T) [][]byte {
+// drawEntries generates entries as two dispatchers and several agents with stale
+// state would append them: all kinds of entries in any order, for attempts close to
+// the current one, with repetitions of any earlier entry.
+func drawEntries(t *rapid.T) [][]byte {
 	var entries [][]byte
-	shadow := New() // tells which attempt an up-to-date process would name
+	upToDate := New() // provides the current attempt of a task
 	add := func(e []byte) {
 		entries = append(entries, e)
-		_ = shadow.Apply(units.Offset(len(entries)), e)
+		_ = upToDate.Apply(units.Offset(len(entries)), e)
 	}
 	for i := range historyJobs {
 		add(EncodeSubmitted(submission(fmt.Sprint("j", i), historyTasks)))
 	}
-	// The index is the kind below; cancellations and failures are rare, because
-	// they end a history early.
+	// Indexes into choices below. Cancellations and failures are rare, because they
+	// end the jobs early.
 	kinds := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 3, 3, 4, 4, 4, 5, 5, 8, 8, 8, 6, 7})
 	for range rapid.IntRange(20, 150).Draw(t, "length") {
 		task := units.Task{Job: units.JobID(fmt.Sprint("j", rapid.IntRange(0, historyJobs-1).Draw(t, "job"))),
 			Index: uint32(rapid.IntRange(0, historyTasks-1).Draw(t, "index"))}
 		current := 0
-		if row := shadow.Task(task); row != nil {
+		if row := upToDate.Task(task); row != nil {
 			current = int(row.Attempt)
 		}
 		a := units.Attempt(max(1, current+rapid.SampledFrom([]int{0, 0, 0, 0, -1, -2, 1}).Draw(t, "late")))
 		next := units.Attempt(max(1, current+rapid.SampledFrom([]int{1, 1, 1, 1, 0, 2}).Draw(t, "early")))
-		h := Holder{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 2).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch"))}
+		h := WorkerEpoch{units.WorkerID(fmt.Sprint("w", rapid.IntRange(0, 2).Draw(t, "worker"))), units.Epoch(rapid.IntRange(1, 3).Draw(t, "epoch"))}
 		outcome := rapid.SampledFrom([]wire.Outcome{wire.Outcome_OUTCOME_COMPLETED, wire.Outcome_OUTCOME_STOPPED}).Draw(t, "outcome")
 		choices := []func() []byte{
 			func() []byte { return EncodeAssigned(task, next, h, units.Resources{}, next%2 == 0) },
 			func() []byte { return EncodeStarted(task, a) },
-			func() []byte { return EncodeReleased(task, a, Release{Reason: "lost", IsFailure: a%3 == 0}) },
+			func() []byte { return EncodeReleased(task, a, Release{Reason: "lost", CountsAsFailure: a%3 == 0}) },
 			func() []byte { return EncodeEvicted(task, a, fmt.Sprint("c", a), "noisy") },
-			func() []byte { return EncodeAssigned(task, next, Holder{"w9", 1}, units.Resources{}, false) }, // the other dispatcher
+			func() []byte { return EncodeAssigned(task, next, WorkerEpoch{"w9", 1}, units.Resources{}, false) }, // the other dispatcher
 			func() []byte {
 				return EncodeEnded(task, a, outcome, time.Second, units.Resources{Processors: 500, Memory: units.GiB})
 			},
@@ -145,11 +145,11 @@
 	return entries
 }
 
-// TestHistories guards the outcome "every job takes effect exactly once":
-// whatever order entries arrive in, a task has one open attempt, ends once,
-// resumes once after an eviction and never starts after a cancellation. It
-// also compares the indexes with the rows, two folds of one log, and a
-// snapshot with its tail.
+// TestHistories guards against jobs that take effect twice or not at all when
+// entries are stale, repeated or reordered: a task has one open attempt, ends once,
+// resumes once after an eviction and never starts after a cancellation. It also
+// guards against indexes that differ from the tasks, and against states that differ
+// between two replays or after a restored snapshot.
 func TestHistories(t *testing.T) {
 	total := map[string]int{}
 	defer func() {
@@ -160,12 +160,12 @@
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
-		entries := history(t)
+		entries := drawEntries(t)
 		full, second, restored := New(), New(), New()
 		c := newChecker()
 		full.Observe = func(ch Change) {
 			if ch.Reason == "" {
-				c.accepted(ch.Kind, ch.Task, ch.Attempt, historyTasks)
+				c.recordAccepted(ch.Kind, ch.Task, ch.Attempt, historyTasks)
 			}
 		}
 		cut := rapid.IntRange(0, len(entries)).Draw(t, "snapshot")
@@ -187,20 +187,20 @@
 		for _, v := range c.violations {
 			t.Errorf("%s: %s", v.guarantee, v.text)
 		}
-		for k, n := range c.kinds {
+		for k, n := range c.acceptedKinds {
 			total[k] += n
 		}
 		checkIndexes(t, full)
 		want, _ := full.Snapshot()
-		for name, l := range map[string]*Ledger{"second fold": second, "snapshot and tail": restored} {
+		for name, l := range map[string]*Ledger{"second replay": second, "restored snapshot": restored} {
 			if got, _ := l.Snapshot(); cut < len(entries) && !bytes.Equal(got, want) {
-				t.Errorf("%s differs from the full replay", name)
+				t.Errorf("state of the %s differs from the full replay", name)
 			}
 		}
 	})
 }
 
-// checkIndexes compares every index with what the rows say.
+// checkIndexes compares the indexes with the tasks.
 func checkIndexes(t *rapid.T, l *Ledger) {
 	waiting, open, held, launching := 0, 0, 0, 0
 	var used units.Resources
@@ -218,15 +218,15 @@
 			}
 		}
 	}
-	for h, tasks := range l.holders {
+	for h, tasks := range l.openTasksByEpoch {
 		held += len(tasks)
 		for _, task := range tasks {
 			if row := l.Task(task); row == nil || row.Worker != h.Worker || row.Epoch != h.Epoch {
-				t.Errorf("%v is listed on %v", task, h)
+				t.Errorf("index lists %v on %v, where it has no open attempt", task, h)
 			}
 		}
 	}
-	for _, n := range l.launching {
+	for _, n := range l.launchingByEpoch {
 		launching -= n.Count
 	}
 	queued := 0
@@ -234,37 +234,37 @@
 		queued += len(j.Waiting())
 	}
 	_, gotWaiting, gotOpen := l.Counts()
-	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.Used("moulds")[units.PriorityNormal] != used {
-		t.Errorf("rows have %d waiting, %d open; indexes have %d and %d waiting, %d and %d open, %d launching too few",
+	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.TeamUsage("moulds")[units.PriorityNormal] != used {
+		t.Errorf("jobs have %d waiting and %d open tasks; indexes have %d and %d waiting, %d and %d open, and lack %d launching",
 			waiting, open, gotWaiting, queued, gotOpen, held, launching)
 	}
 }
 
-// lastWins is a naive fold: the newest entry about a task decides its state.
-type lastWins struct {
-	accepted func(kind string, task units.Task, a units.Attempt, tasks uint32)
+// lastEntryWins is a naive state machine that accepts every entry.
+type lastEntryWins struct {
+	recordAccepted func(kind string, task units.Task, a units.Attempt, tasks uint32)
 }
 
-func (n lastWins) apply(entry []byte) {
+func (n lastEntryWins) apply(entry []byte) {
 	var m wire.JobsEntry
 	if proto.Unmarshal(entry, &m) != nil {
 		return
 	}
 	if c := m.GetCancelled(); c != nil {
-		n.accepted("cancelled", units.Task{Job: units.JobID(c.GetJob())}, 0, historyTasks)
-	} else if e, err := decodeEvent(0, &m); err == nil {
-		n.accepted(kindNames[e.kind], e.task, e.attempt, historyTasks)
+		n.recordAccepted("cancelled", units.Task{Job: units.JobID(c.GetJob())}, 0, historyTasks)
+	} else if e, err := decodeTaskEntry(0, &m); err == nil {
+		n.recordAccepted(kindNames[e.kind], e.task, e.attempt, historyTasks)
 	}
 }
 
-// TestNaiveFold guards the checker itself: a fold in which the last record wins
-// must be caught.
-func TestNaiveFold(t *testing.T) {
+// TestCheckerFindsViolations guards against a checker that finds nothing: it must
+// find the violations of a state machine in which the last entry wins.
+func TestCheckerFindsViolations(t *testing.T) {
 	caught, histories := map[string]int{}, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChecker()
-		n := lastWins{c.accepted}
-		for _, e := range history(rt) {
+		n := lastEntryWins{c.recordAccepted}
+		for _, e := range drawEntries(rt) {
 			n.apply(e)
 		}
 		histories++
@@ -277,25 +277,25 @@
 		}
 	})
 	for _, guarantee := range []string{"one open attempt", "ends once", "resumes once", "no start after cancellation", "only the current attempt counts"} {
-		t.Logf("%q is violated in %d of %d histories under the naive fold", guarantee, caught[guarantee], histories)
+		t.Logf("%q is violated in %d of %d histories if the last entry wins", guarantee, caught[guarantee], histories)
 		if caught[guarantee] < histories/10 {
-			t.Errorf("%q is caught in only %d of %d histories", guarantee, caught[guarantee], histories)
+			t.Errorf("%q is found violated in only %d of %d histories, want at least a tenth", guarantee, caught[guarantee], histories)
 		}
 	}
 }
 
-// FuzzApply guards against input that panics the fold, changes it although it
-// is malformed, or leaves a state that cannot be restored.
+// FuzzApply guards against entries that cause a panic, change the state although
+// they are malformed, or lead to a state that cannot be restored.
 func FuzzApply(f *testing.F) {
-	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), assigned(one, 1),
-		EncodeStarted(one, 1), EncodeReleased(one, 1, Release{Reason: "x", IsFailure: true}), EncodeEvicted(one, 1, "c", "r"),
-		EncodeEnded(one, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{Processors: 1, Memory: 1}),
-		EncodeCancelled("a", ""), EncodeFailed(one, "x")} {
+	for _, e := range [][]byte{nil, {0x0a, 0xff}, EncodeSubmitted(submission("j0", 2)), EncodeSubmitted(watcher("w")), encodeAssigned(task0, 1),
+		EncodeStarted(task0, 1), EncodeReleased(task0, 1, Release{Reason: "x", CountsAsFailure: true}), EncodeEvicted(task0, 1, "c", "r"),
+		EncodeEnded(task0, 1, wire.Outcome_OUTCOME_COMPLETED, time.Second, units.Resources{Processors: 1, Memory: 1}),
+		EncodeCancelled("a", ""), EncodeFailed(task0, "x")} {
 		f.Add(e)
 	}
 	f.Fuzz(func(t *testing.T, entry []byte) {
 		l := New()
-		for i, e := range [][]byte{EncodeSubmitted(submission("a", 2)), assigned(one, 1)} {
+		for i, e := range [][]byte{EncodeSubmitted(submission("a", 2)), encodeAssigned(task0, 1)} {
 			_ = l.Apply(units.Offset(i), e)
 		}
 		before, _ := l.Snapshot()
@@ -312,7 +312,7 @@
 			t.Fatalf("Restore: %v", err)
 		}
 		if again, _ := restored.Snapshot(); !bytes.Equal(after, again) {
-			t.Fatal("a restored state encodes differently")
+			t.Fatal("the restored state encodes to other bytes than the original")
 		}
 	})
 }
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -55,7 +55,7 @@
 	contention = 2.0
 )
 
-func (m *machine) holder() ledger.Holder { return ledger.Holder{Worker: m.id, Epoch: m.epoch} }
+func (m *machine) key() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
 
 // committed is what the agent has admitted.
 func (m *machine) committed(f Firm) units.Resources {
@@ -68,11 +68,11 @@
 
 // launch admits the attempt or rejects it.
 func (m *machine) launch(x *fixture, p dispatch.Proposal) {
-	if !m.alive || m.epoch != p.Holder.Epoch {
+	if !m.alive || m.epoch != p.WorkerEpoch.Epoch {
 		return // unanswered; the end of the epoch releases it
 	}
 	j := x.l.Job(p.Task.Job)
-	if j == nil || j.Ended != 0 {
+	if j == nil || j.EndSequence != 0 {
 		return
 	}
 	if p.MayEvict {
@@ -89,7 +89,7 @@
 	}
 	s := x.jobs[p.Task.Job]
 	m.running = append(m.running, &attempt{task: p.Task, attempt: p.Attempt, spec: s, committed: p.Committed,
-		priority: j.Launch(p.Task.Index).GetPriority().Units(), done: x.saved[p.Task], throttle: 1})
+		priority: j.LaunchSpec(p.Task.Index).GetPriority().Units(), done: x.saved[p.Task], throttle: 1})
 	m.reports = append(m.reports, ledger.EncodeStarted(p.Task, p.Attempt))
 	if s.urgent {
 		x.m.urgent = max(x.m.urgent, x.elapsed-s.at)
@@ -164,7 +164,7 @@
 
 func (m *machine) fail(x *fixture, a *attempt, reason string) {
 	x.m.failures++
-	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, IsFailure: true}))
+	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, CountsAsFailure: true}))
 }
 
 // kill ends the attempt that exceeds its committed memory most.
@@ -230,7 +230,7 @@
 		}
 	}
 	m.seen = dispatch.Worker{ID: m.id, Epoch: m.epoch, Domain: m.domain, Rack: m.rack, Region: "region", Capacity: x.firm.Capacity,
-		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, Busy: x.requests(m), Session: true, Draining: m.leaving}
+		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, EndpointLoad: x.requests(m), HasSession: true, Draining: m.leaving}
 	m.seenAt = x.elapsed
 }
 
@@ -248,7 +248,7 @@
 
 // crash loses the instance with what ran; its lessor records the expiry.
 func (m *machine) crash(x *fixture) {
-	h := m.holder()
+	h := m.key()
 	m.alive, m.running, m.reports = false, nil, nil
 	sinceGrant := time.Duration(x.noise.Int64N(int64(lease/4/step))) * step
 	at := x.elapsed + lease + leaseMargin - sinceGrant
