--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -27,7 +27,7 @@
 type waiter struct {
 	priority units.Priority
 	deadline time.Time
-	verdict  chan headers.Cause
+	verdict  chan headers.Reason
 	index    int // position in the heap, -1 outside
 }
 
@@ -43,7 +43,7 @@
 
 // acquire waits for a slot. An empty cause means that the caller holds one and
 // must release it; any other cause means that the request must not be sent.
-func (a *admission) acquire(ctx context.Context, priority units.Priority, deadline time.Time) headers.Cause {
+func (a *admission) acquire(ctx context.Context, priority units.Priority, deadline time.Time) headers.Reason {
 	w, cause := a.enqueue(priority, deadline, time.Now())
 	if w == nil {
 		return cause
@@ -64,19 +64,19 @@
 }
 
 // enqueue decides at once where it can; else it returns the queued waiter.
-func (a *admission) enqueue(priority units.Priority, deadline, now time.Time) (*waiter, headers.Cause) {
+func (a *admission) enqueue(priority units.Priority, deadline, now time.Time) (*waiter, headers.Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.closed:
 		return nil, headers.Leaving
 	case !now.Before(deadline):
-		return nil, headers.TooLate
+		return nil, headers.DeadlineExceeded
 	case a.busy < a.slots && len(a.queue) == 0:
 		a.busy++
 		return nil, ""
 	}
-	w := &waiter{priority: priority, deadline: deadline, verdict: make(chan headers.Cause, 1)}
+	w := &waiter{priority: priority, deadline: deadline, verdict: make(chan headers.Reason, 1)}
 	if now.Add(a.wait(w) + a.service).After(deadline) {
 		return nil, headers.Overload
 	}
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -64,10 +64,10 @@
 	}
 	if unknown {
 		c.forwarder.counters[headers.Unknown].Inc(1)
-		headers.Lose(w, "no whole response from the endpoint")
+		headers.WriteUnknownOutcome(w, "no whole response from the endpoint")
 		return
 	}
-	c.forwarder.reject(w, http.StatusServiceUnavailable, headers.NoConnect)
+	c.forwarder.reject(w, http.StatusServiceUnavailable, headers.NoConnection)
 }
 
 // attempt sends the request once. After nil the response has been written.
@@ -132,9 +132,9 @@
 	if len(c.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(c.body)), int64(len(c.body))
 	}
-	headers.Copy(r.Header, c.in.Header)
-	r.Header.Set(headers.Deadline, max(time.Millisecond, time.Until(c.deadline)).Round(time.Microsecond).String())
-	r.Header.Set(headers.Idempotent, strconv.FormatBool(c.idempotent))
+	headers.CopyEndToEnd(r.Header, c.in.Header)
+	r.Header.Set(headers.DeadlineHeader, max(time.Millisecond, time.Until(c.deadline)).Round(time.Microsecond).String())
+	r.Header.Set(headers.IdempotentHeader, strconv.FormatBool(c.idempotent))
 	return r.WithContext(ctx)
 }
 
@@ -148,8 +148,8 @@
 		return fault.Wrap("response", link.Unknown, err)
 	}
 	h := w.Header()
-	headers.Copy(h, response.Header)
-	h.Set(headers.Outcome, string(headers.Done))
+	headers.CopyEndToEnd(h, response.Header)
+	h.Set(headers.OutcomeHeader, string(headers.Done))
 	switch {
 	case response.ContentLength >= 0:
 		h["Content-Length"] = response.Header["Content-Length"]
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -97,7 +97,7 @@
 		if cause := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); cause != headers.Overload || time.Since(start) != 0 {
 			t.Errorf("got %q after %v, want %q at once", cause, time.Since(start), headers.Overload)
 		}
-		verdict := make(chan headers.Cause)
+		verdict := make(chan headers.Reason)
 		go func() { verdict <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
 		synctest.Wait()
 		time.Sleep(200 * time.Millisecond)
@@ -214,7 +214,7 @@
 	}
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest("GET", "/services/desk/", nil)
-	r.Header.Set(headers.Deadline, "20s")
+	r.Header.Set(headers.DeadlineHeader, "20s")
 	f.ServeHTTP(w, r)
 	if w.Code != http.StatusOK || requests.Load() != 2 {
 		t.Errorf("got status %d after %d connections, want 200 after 2", w.Code, requests.Load())
@@ -224,12 +224,12 @@
 // Guards against endpoints that speak for the agent: only the agent may say
 // that a request was not run.
 func TestOutcomeOfEndpointIsIgnored(t *testing.T) {
-	w, e := run(t, "POST", runner.RequestID, "1", headers.Deadline, "5s")
-	if got := w.Header().Get(headers.Outcome); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
+	w, e := run(t, "POST", runner.RequestID, "1", headers.DeadlineHeader, "5s")
+	if got := w.Header().Get(headers.OutcomeHeader); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
 		t.Errorf("got status %d, outcome %q, executed %v", w.Code, got, e.Executed())
 	}
 	h := make(http.Header)
-	headers.Copy(h, http.Header{headers.Outcome: {"notRun"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"1"}})
+	headers.CopyEndToEnd(h, http.Header{headers.OutcomeHeader: {"notRun"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"1"}})
 	if len(h) != 1 || h.Get("X-Kept") != "1" {
 		t.Errorf("got headers %v, want X-Kept only", h)
 	}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -27,8 +27,8 @@
 // Forwarder admits and sends requests. It is safe for concurrent use.
 type Forwarder struct {
 	options  Options
-	counters map[headers.Result]tally.Counter
-	reasons  map[headers.Cause]tally.Counter
+	counters map[headers.Outcome]tally.Counter
+	reasons  map[headers.Reason]tally.Counter
 	retries  tally.Counter
 	silent   tally.Counter
 
@@ -51,13 +51,13 @@
 	}
 	f := &Forwarder{
 		options: o, endpoints: make(map[units.ServiceName]*endpoint),
-		counters: make(map[headers.Result]tally.Counter), reasons: make(map[headers.Cause]tally.Counter),
+		counters: make(map[headers.Outcome]tally.Counter), reasons: make(map[headers.Reason]tally.Counter),
 		retries: o.Scope.Counter("forwardRetries"), silent: o.Scope.Counter("silentConnections"),
 	}
-	for _, r := range []headers.Result{headers.Done, headers.NotRun, headers.Unknown} {
+	for _, r := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
 		f.counters[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
 	}
-	for _, c := range []headers.Cause{headers.Leaving, headers.Overload, headers.TooLate, headers.NoEndpoint, headers.NoConnect, headers.Malformed} {
+	for _, c := range []headers.Reason{headers.Leaving, headers.Overload, headers.DeadlineExceeded, headers.NoEndpoint, headers.NoConnection, headers.Malformed} {
 		f.reasons[c] = o.Scope.Tagged(map[string]string{"reason": string(c)}).Counter("rejected")
 	}
 	return f
@@ -103,7 +103,7 @@
 }
 
 // enter finds the endpoint for a request and counts the request as in flight.
-func (f *Forwarder) enter(service units.ServiceName) (*endpoint, headers.Cause) {
+func (f *Forwarder) enter(service units.ServiceName) (*endpoint, headers.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[service]
@@ -119,10 +119,10 @@
 	return e, ""
 }
 
-func (f *Forwarder) reject(w http.ResponseWriter, status int, cause headers.Cause) {
+func (f *Forwarder) reject(w http.ResponseWriter, status int, cause headers.Reason) {
 	f.counters[headers.NotRun].Inc(1)
 	f.reasons[cause].Inc(1)
-	headers.Reject(w, status, cause, string(cause))
+	headers.WriteRejection(w, status, cause, string(cause))
 }
 
 // defaultTime bounds a request whose entry process gave no deadline.
@@ -134,9 +134,9 @@
 // ServeHTTP serves /services/{service}/{path...} on the sessions of entry
 // processes.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	service, uri, err := headers.Target(r.RequestURI)
-	left, deadlineErr := headers.TimeLeft(r.Header, defaultTime, maxTime)
-	idempotent, idempotentErr := headers.IsIdempotent(r.Method, r.Header)
+	service, uri, err := headers.ParseTarget(r.RequestURI)
+	left, deadlineErr := headers.ParseTimeout(r.Header, defaultTime, maxTime)
+	idempotent, idempotentErr := headers.ParseIdempotent(r.Method, r.Header)
 	if err != nil || deadlineErr != nil || idempotentErr != nil {
 		f.reject(w, http.StatusBadRequest, headers.Malformed)
 		return
@@ -155,7 +155,7 @@
 		f.reject(w, http.StatusRequestEntityTooLarge, headers.Malformed)
 		return
 	}
-	if cause := e.admission.acquire(ctx, headers.PriorityOf(r.Header), deadline); cause != "" {
+	if cause := e.admission.acquire(ctx, headers.ParsePriority(r.Header), deadline); cause != "" {
 		f.reject(w, http.StatusServiceUnavailable, cause)
 		return
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -21,9 +21,9 @@
 
 // answer is the result of one or more attempts.
 type answer struct {
-	outcome headers.Result
-	cause   headers.Cause // with NotRun
-	free    bool          // a retry costs no endpoint anything: leaving or not sent
+	outcome headers.Outcome
+	cause   headers.Reason // with NotRun
+	free    bool           // a retry costs no endpoint anything: leaving or not sent
 	status  int
 	header  http.Header
 	length  int64         // declared by the endpoint, -1 for none
@@ -202,7 +202,7 @@
 	case a.outcome == headers.NotRun && a.cause == headers.Leaving:
 		a.free = true
 		choice.End(routing.Leaving, now)
-	case a.outcome == headers.NotRun && a.cause != headers.NoConnect:
+	case a.outcome == headers.NotRun && a.cause != headers.NoConnection:
 		choice.End(routing.Rejected, now)
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		choice.End(routing.Cancelled, now)
@@ -227,7 +227,7 @@
 		choice.End(routing.Failed, now)
 	}
 	if notSent {
-		return &answer{outcome: headers.NotRun, cause: headers.NoConnect, free: true}
+		return &answer{outcome: headers.NotRun, cause: headers.NoConnection, free: true}
 	}
 	return &answer{outcome: headers.Unknown}
 }
@@ -244,14 +244,14 @@
 	if len(in.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(in.body)), int64(len(in.body))
 	}
-	headers.Copy(r.Header, source.Header)
+	headers.CopyEndToEnd(r.Header, source.Header)
 	if source.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = nil // net/http would add its own
 	}
 	left := max(time.Millisecond, in.deadline.Remaining(time.Now()))
-	r.Header[headers.Deadline] = []string{left.Round(time.Microsecond).String()}
-	r.Header[headers.Idempotent] = []string{strconv.FormatBool(in.idempotent)}
-	r.Header[headers.Priority] = []string{strconv.Itoa(int(in.priority))}
+	r.Header[headers.DeadlineHeader] = []string{left.Round(time.Microsecond).String()}
+	r.Header[headers.IdempotentHeader] = []string{strconv.FormatBool(in.idempotent)}
+	r.Header[headers.PriorityHeader] = []string{strconv.Itoa(int(in.priority))}
 	return r.WithContext(ctx)
 }
 
@@ -259,12 +259,12 @@
 // agent marked as done is one of the endpoint.
 func (g *Gateway) receive(response *http.Response, in *inbound) *answer {
 	a := &answer{status: response.StatusCode, header: response.Header, length: response.ContentLength}
-	switch headers.Result(response.Header.Get(headers.Outcome)) {
+	switch headers.Outcome(response.Header.Get(headers.OutcomeHeader)) {
 	case headers.Done:
 		a.outcome = headers.Done
 	case headers.NotRun:
 		response.Body.Close()
-		a.outcome, a.cause = headers.NotRun, headers.Cause(response.Header.Get(headers.Reason))
+		a.outcome, a.cause = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
 		return a
 	default:
 		response.Body.Close()
@@ -298,9 +298,9 @@
 	return io.ReadAll(io.LimitReader(response.Body, limit+1))
 }
 
-func (g *Gateway) reject(w http.ResponseWriter, status int, cause headers.Cause, text string) {
+func (g *Gateway) reject(w http.ResponseWriter, status int, cause headers.Reason, text string) {
 	g.counters.outcomes[headers.NotRun].Inc(1)
-	headers.Reject(w, status, cause, text)
+	headers.WriteRejection(w, status, cause, text)
 }
 
 // write passes the answer to the caller. A large response that is cut in the
@@ -312,12 +312,12 @@
 		return
 	case headers.Unknown:
 		g.counters.outcomes[headers.Unknown].Inc(1)
-		headers.Lose(w, "no whole response in time; the request may have been executed")
+		headers.WriteUnknownOutcome(w, "no whole response in time; the request may have been executed")
 		return
 	}
 	h := w.Header()
-	headers.Copy(h, a.header)
-	h[headers.Outcome] = []string{string(headers.Done)}
+	headers.CopyEndToEnd(h, a.header)
+	h[headers.OutcomeHeader] = []string{string(headers.Done)}
 	if a.length >= 0 && a.status != http.StatusNoContent {
 		h["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
 	}
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -11,7 +11,7 @@
 // counters are looked up once: a lookup by name takes locks on every request.
 type counters struct {
 	requests, shed, retries, hedges, hedgesWon, cut tally.Counter
-	outcomes                                        map[headers.Result]tally.Counter
+	outcomes                                        map[headers.Outcome]tally.Counter
 	latency                                         tally.Histogram
 }
 
@@ -20,9 +20,9 @@
 		requests: scope.Counter("requests"), shed: scope.Counter("requestsShed"),
 		retries: scope.Counter("retries"), hedges: scope.Counter("hedges"), hedgesWon: scope.Counter("hedgesWon"),
 		cut:      scope.Counter("responsesCut"),
-		outcomes: make(map[headers.Result]tally.Counter),
+		outcomes: make(map[headers.Outcome]tally.Counter),
 	}
-	for _, o := range []headers.Result{headers.Done, headers.NotRun, headers.Unknown} {
+	for _, o := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
 		c.outcomes[o] = scope.Tagged(map[string]string{"outcome": string(o)}).Counter("outcomes")
 	}
 	// 250 us doubled 17 times reaches half a minute, past most deadlines.
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -46,11 +46,11 @@
 		for _, name := range []string{endpoint.RequestID, endpoint.WholeCheck} {
 			w.Header().Set(name, response.Header.Get(name))
 		}
-		w.Header().Set(headers.Outcome, string(headers.Done))
+		w.Header().Set(headers.OutcomeHeader, string(headers.Done))
 		_, _ = w.Write(data)
 		return
 	}
-	headers.Reject(w, http.StatusServiceUnavailable, headers.Overload, "no endpoint answered")
+	headers.WriteRejection(w, http.StatusServiceUnavailable, headers.Overload, "no endpoint answered")
 }
 
 // step is one request of a history and what happens to its first attempt.
@@ -75,11 +75,11 @@
 	t.Helper()
 	found := violations{}
 	c := newClient(t)
-	outcomes := map[string]headers.Result{}
+	outcomes := map[string]headers.Outcome{}
 	for i, s := range history {
 		id := fmt.Sprintf("%d-%s", i, s.Fault)
-		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.Idempotent, fmt.Sprint(s.Idempotent),
-			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.Deadline, "200ms")
+		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, fmt.Sprint(s.Idempotent),
+			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.DeadlineHeader, "200ms")
 		outcomes[id] = r.outcome
 		if r.outcome == headers.Done && r.status == http.StatusOK && r.check(id) != "" {
 			found["truncated or foreign answer passed on"]++
@@ -156,7 +156,7 @@
 		for i := range 8 {
 			go func() {
 				id := fmt.Sprint(i)
-				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Deadline, "5s")
+				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "5s")
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -184,7 +184,7 @@
 
 // shed decides whether the request is rejected at once: at a limit, or when
 // the requests before it leave no time until its deadline.
-func (g *Gateway) shed(s *service, in *inbound, perService, total int64, now time.Time) headers.Cause {
+func (g *Gateway) shed(s *service, in *inbound, perService, total int64, now time.Time) headers.Reason {
 	share := shares[in.priority]
 	if float64(total) > share*float64(g.options.Limit) || perService > int64(g.options.ServiceLimit) {
 		return headers.Overload
@@ -223,7 +223,7 @@
 
 // parse checks everything but the body.
 func (g *Gateway) parse(r *http.Request, now time.Time) (*inbound, int, error) {
-	name, _, err := headers.Target(r.RequestURI)
+	name, _, err := headers.ParseTarget(r.RequestURI)
 	if err != nil {
 		return nil, http.StatusNotFound, err
 	}
@@ -231,11 +231,11 @@
 	if document == nil || document.Service(name) == nil {
 		return nil, http.StatusNotFound, errNoService
 	}
-	left, err := headers.TimeLeft(r.Header, g.options.DefaultTime, g.options.MaxTime)
+	left, err := headers.ParseTimeout(r.Header, g.options.DefaultTime, g.options.MaxTime)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	idempotent, err := headers.IsIdempotent(r.Method, r.Header)
+	idempotent, err := headers.ParseIdempotent(r.Method, r.Header)
 	switch {
 	case err != nil:
 		return nil, http.StatusBadRequest, err
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,8 +30,8 @@
 // response is what a caller saw.
 type response struct {
 	status  int
-	outcome headers.Result
-	reason  headers.Cause
+	outcome headers.Outcome
+	reason  headers.Reason
 	header  http.Header
 	body    []byte
 	err     error // the response is not whole
@@ -57,7 +57,7 @@
 	}
 	defer answer.Body.Close()
 	data, err := io.ReadAll(answer.Body)
-	return response{answer.StatusCode, headers.Result(answer.Header.Get(headers.Outcome)), headers.Cause(answer.Header.Get(headers.Reason)), answer.Header, data, err}
+	return response{answer.StatusCode, headers.Outcome(answer.Header.Get(headers.OutcomeHeader)), headers.Reason(answer.Header.Get(headers.ReasonHeader)), answer.Header, data, err}
 }
 
 // check reports why a response with outcome done is not the whole answer to
@@ -84,7 +84,7 @@
 		body               io.Reader
 		pairs              []string
 		status             int
-		outcome            headers.Result
+		outcome            headers.Outcome
 	}{
 		{"get", "GET", "/services/desk/a/b?c=d", nil, nil, 200, headers.Done},
 		{"head", "HEAD", "/services/desk/", nil, nil, 200, headers.Done},
@@ -93,9 +93,9 @@
 		{"endpoint error", "GET", "/services/desk/", nil, []string{"Fault", "error"}, 500, headers.Done},
 		{"unknown service", "GET", "/services/none/", nil, nil, 404, headers.NotRun},
 		{"other path", "GET", "/other", nil, nil, 404, headers.NotRun},
-		{"malformed deadline", "GET", "/services/desk/", nil, []string{headers.Deadline, "soon"}, 400, headers.NotRun},
-		{"negative deadline", "GET", "/services/desk/", nil, []string{headers.Deadline, "-1s"}, 400, headers.NotRun},
-		{"malformed idempotent", "GET", "/services/desk/", nil, []string{headers.Idempotent, "maybe"}, 400, headers.NotRun},
+		{"malformed deadline", "GET", "/services/desk/", nil, []string{headers.DeadlineHeader, "soon"}, 400, headers.NotRun},
+		{"negative deadline", "GET", "/services/desk/", nil, []string{headers.DeadlineHeader, "-1s"}, 400, headers.NotRun},
+		{"malformed idempotent", "GET", "/services/desk/", nil, []string{headers.IdempotentHeader, "maybe"}, 400, headers.NotRun},
 		{"upgrade", "GET", "/services/desk/", nil, []string{"Upgrade", "websocket", "Connection", "Upgrade"}, 400, headers.NotRun},
 		{"body too large", "POST", "/services/desk/", strings.NewReader(big), nil, 413, headers.NotRun},
 		{"chunked body too large", "POST", "/services/desk/", io.MultiReader(strings.NewReader(big)), nil, 413, headers.NotRun},
@@ -117,9 +117,9 @@
 	c := newClient(t)
 	for _, test := range []struct {
 		fault     string
-		outcome   headers.Result // of the non-idempotent request
+		outcome   headers.Outcome // of the non-idempotent request
 		executed  int
-		different headers.Result // of the idempotent request when it differs
+		different headers.Outcome // of the idempotent request when it differs
 	}{
 		{"", headers.Done, 1, ""},
 		{"resetBefore", headers.Unknown, 0, ""},
@@ -132,8 +132,8 @@
 	} {
 		for _, method := range []string{"GET", "POST"} {
 			id := test.fault + method
-			r := send(c, method, e.url+"/services/desk/", strings.NewReader("body"), headers.Idempotent, "false",
-				"Idempotency-Key", id, endpoint.RequestID, id, endpoint.FaultName, test.fault, headers.Deadline, "300ms")
+			r := send(c, method, e.url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, "false",
+				"Idempotency-Key", id, endpoint.RequestID, id, endpoint.FaultName, test.fault, headers.DeadlineHeader, "300ms")
 			if r.outcome != test.outcome || r.err != nil {
 				t.Errorf("%s: got outcome %q, status %d, error %v; want %q", id, r.outcome, r.status, r.err, test.outcome)
 			}
@@ -245,7 +245,7 @@
 	for _, idempotent := range []string{"true", "false"} {
 		for i := range 60 {
 			id := fmt.Sprint(idempotent, i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Idempotent, idempotent)
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.IdempotentHeader, idempotent)
 			if r.outcome != headers.Done || r.check(id) != "" {
 				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.check(id))
 			}
@@ -300,7 +300,7 @@
 	for i := range 12 {
 		wait.Go(func() {
 			id := fmt.Sprint(i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Deadline, "250ms")
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "250ms")
 			switch {
 			case r.outcome == headers.Done:
 				done.Add(1)
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -11,8 +11,8 @@
 func TestRefusedHedgeHidesNoUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		unknown bool
-		last    headers.Result
-		want    headers.Result
+		last    headers.Outcome
+		want    headers.Outcome
 	}{
 		{true, headers.NotRun, headers.Unknown},
 		{true, headers.Unknown, headers.Unknown},
--- a/internal/gateway/system_test.go
+++ b/internal/gateway/system_test.go
@@ -109,7 +109,7 @@
 	go func() { defer close(left); _ = a.endpoint.Run(endpointCtx) }()
 	a.leave = func() { leave(); <-left }
 	mux := http.NewServeMux()
-	mux.Handle(headers.Prefix, a.forwarder)
+	mux.Handle(headers.ServicePathPrefix, a.forwarder)
 	ctx, cancel := context.WithCancel(context.Background())
 	var sessions []*link.Session
 	for _, e := range entries {
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -14,34 +14,34 @@
 
 // Names of headers.
 const (
-	Deadline   = "Wasabihill-Deadline"   // time left, a Go duration
-	Idempotent = "Wasabihill-Idempotent" // true or false; default by method
-	Outcome    = "Wasabihill-Outcome"    // on responses
-	Reason     = "Wasabihill-Reason"     // why a request was not run
-	Priority   = "Wasabihill-Priority"   // from entry to agent only
+	DeadlineHeader   = "Wasabihill-Deadline"   // time left, a Go duration
+	IdempotentHeader = "Wasabihill-Idempotent" // true or false; default by method
+	OutcomeHeader    = "Wasabihill-Outcome"    // on responses
+	ReasonHeader     = "Wasabihill-Reason"     // why a request was not run
+	PriorityHeader   = "Wasabihill-Priority"   // from entry to agent only
 )
 
 // Result is the value of the header Outcome.
-type Result string
+type Outcome string
 
 // The outcomes of a request.
 const (
-	Done    Result = "done"    // the endpoint's whole response follows
-	NotRun  Result = "notRun"  // the request was not executed and never will be
-	Unknown Result = "unknown" // the request may have been executed
+	Done    Outcome = "done"    // the endpoint's whole response follows
+	NotRun  Outcome = "notRun"  // the request was not executed and never will be
+	Unknown Outcome = "unknown" // the request may have been executed
 )
 
 // Cause is the value of the header Reason.
-type Cause string
+type Reason string
 
 // Why a request was not run.
 const (
-	Leaving    Cause = "leaving"    // the endpoint or its agent is about to stop
-	Overload   Cause = "overload"   // no slot in time
-	TooLate    Cause = "deadline"   // the deadline has passed
-	NoEndpoint Cause = "noEndpoint" // none is eligible
-	NoConnect  Cause = "noConnection"
-	Malformed  Cause = "malformed"
+	Leaving          Reason = "leaving"    // the endpoint or its agent is about to stop
+	Overload         Reason = "overload"   // no slot in time
+	DeadlineExceeded Reason = "deadline"   // the deadline has passed
+	NoEndpoint       Reason = "noEndpoint" // none is eligible
+	NoConnection     Reason = "noConnection"
+	Malformed        Reason = "malformed"
 )
 
 // Kind tells errors of this package apart.
@@ -54,16 +54,16 @@
 type Error = fault.Error[Kind]
 
 // Prefix is the path under which services are reached.
-const Prefix = "/services/"
+const ServicePathPrefix = "/services/"
 
 // maxName bounds the name of a service in a path.
 const maxName = 128
 
 // Target splits a request URI into the service and the URI for its endpoint.
-func Target(uri string) (units.ServiceName, string, error) {
-	rest, ok := strings.CutPrefix(uri, Prefix)
+func ParseTarget(uri string) (units.ServiceName, string, error) {
+	rest, ok := strings.CutPrefix(uri, ServicePathPrefix)
 	if !ok {
-		return "", "", fault.New("path", Invalid, "want %s{service}/{path}", Prefix)
+		return "", "", fault.New("path", Invalid, "want %s{service}/{path}", ServicePathPrefix)
 	}
 	end := strings.IndexAny(rest, "/?")
 	if end < 0 {
@@ -83,17 +83,17 @@
 
 // TimeLeft reads the header Deadline; fallback stands for an absent one and
 // limit for a longer one.
-func TimeLeft(h http.Header, fallback, limit time.Duration) (time.Duration, error) {
-	values := h[Deadline]
+func ParseTimeout(h http.Header, fallback, limit time.Duration) (time.Duration, error) {
+	values := h[DeadlineHeader]
 	switch {
 	case len(values) == 0:
 		return fallback, nil
 	case len(values) > 1:
-		return 0, fault.New(Deadline, Invalid, "given %d times", len(values))
+		return 0, fault.New(DeadlineHeader, Invalid, "given %d times", len(values))
 	}
 	d, err := time.ParseDuration(values[0])
 	if err != nil || d <= 0 {
-		return 0, fault.New(Deadline, Invalid, "want a positive duration such as \"250ms\"")
+		return 0, fault.New(DeadlineHeader, Invalid, "want a positive duration such as \"250ms\"")
 	}
 	return min(d, limit), nil
 }
@@ -104,8 +104,8 @@
 }
 
 // IsIdempotent reads the header Idempotent; the default follows the method.
-func IsIdempotent(method string, h http.Header) (bool, error) {
-	values := h[Idempotent]
+func ParseIdempotent(method string, h http.Header) (bool, error) {
+	values := h[IdempotentHeader]
 	switch {
 	case len(values) == 0:
 		return idempotentMethods[method], nil
@@ -114,12 +114,12 @@
 	case len(values) == 1 && values[0] == "false":
 		return false, nil
 	}
-	return false, fault.New(Idempotent, Invalid, "want true or false")
+	return false, fault.New(IdempotentHeader, Invalid, "want true or false")
 }
 
 // PriorityOf reads the header Priority; the default is normal.
-func PriorityOf(h http.Header) units.Priority {
-	n, err := strconv.Atoi(h.Get(Priority))
+func ParsePriority(h http.Header) units.Priority {
+	n, err := strconv.Atoi(h.Get(PriorityHeader))
 	if err != nil || n < int(units.PriorityLow) || n > int(units.PriorityUrgent) {
 		return units.PriorityNormal
 	}
@@ -131,12 +131,12 @@
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true,
-	Deadline: true, Idempotent: true, Outcome: true, Reason: true, Priority: true,
+	DeadlineHeader: true, IdempotentHeader: true, OutcomeHeader: true, ReasonHeader: true, PriorityHeader: true,
 }
 
 // Copy adds the headers of source that may be passed on to target. The values
 // are shared; neither side may change them in place.
-func Copy(target, source http.Header) {
+func CopyEndToEnd(target, source http.Header) {
 	var named []string
 	for _, v := range source["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -154,15 +154,15 @@
 }
 
 // Reject answers that the request was not run.
-func Reject(w http.ResponseWriter, status int, cause Cause, text string) {
-	w.Header().Set(Outcome, string(NotRun))
-	w.Header().Set(Reason, string(cause))
+func WriteRejection(w http.ResponseWriter, status int, cause Reason, text string) {
+	w.Header().Set(OutcomeHeader, string(NotRun))
+	w.Header().Set(ReasonHeader, string(cause))
 	http.Error(w, text, status)
 }
 
 // Lose answers that the outcome of the request is unknown.
-func Lose(w http.ResponseWriter, text string) {
-	w.Header().Set(Outcome, string(Unknown))
+func WriteUnknownOutcome(w http.ResponseWriter, text string) {
+	w.Header().Set(OutcomeHeader, string(Unknown))
 	http.Error(w, text, http.StatusGatewayTimeout)
 }
 
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -12,11 +12,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, uri string) {
-		name, rest, err := Target(uri)
+		name, rest, err := ParseTarget(uri)
 		if err != nil {
 			return
 		}
-		if name == "" || strings.ContainsAny(string(name), "/?%") || !strings.HasPrefix(rest, "/") || !strings.HasPrefix(uri, Prefix+string(name)) {
+		if name == "" || strings.ContainsAny(string(name), "/?%") || !strings.HasPrefix(rest, "/") || !strings.HasPrefix(uri, ServicePathPrefix+string(name)) {
 			t.Fatalf("%q: got service %q, rest %q", uri, name, rest)
 		}
 	})
@@ -27,19 +27,19 @@
 	f.Add("-1h", "TRUE", "99999999999", "")
 	f.Add("9999999h", "", "", ",,")
 	f.Fuzz(func(t *testing.T, deadline, idempotent, priority, connection string) {
-		h := http.Header{Deadline: {deadline}, Idempotent: {idempotent}, Priority: {priority}, "Connection": {connection}, "X-A": {"1"}}
-		if d, err := TimeLeft(h, time.Second, time.Minute); err == nil && (d <= 0 || d > time.Minute) {
+		h := http.Header{DeadlineHeader: {deadline}, IdempotentHeader: {idempotent}, PriorityHeader: {priority}, "Connection": {connection}, "X-A": {"1"}}
+		if d, err := ParseTimeout(h, time.Second, time.Minute); err == nil && (d <= 0 || d > time.Minute) {
 			t.Fatalf("deadline %q: got %v", deadline, d)
 		}
-		if _, err := IsIdempotent("POST", h); err == nil && idempotent != "true" && idempotent != "false" {
+		if _, err := ParseIdempotent("POST", h); err == nil && idempotent != "true" && idempotent != "false" {
 			t.Fatalf("idempotent %q was accepted", idempotent)
 		}
-		if p := PriorityOf(h); p < 1 || p > 4 {
+		if p := ParsePriority(h); p < 1 || p > 4 {
 			t.Fatalf("priority %q: got %v", priority, p)
 		}
 		c := make(http.Header)
-		Copy(c, h)
-		if c[Deadline] != nil || c["Connection"] != nil {
+		CopyEndToEnd(c, h)
+		if c[DeadlineHeader] != nil || c["Connection"] != nil {
 			t.Fatalf("got %v, want no headers of this hop", c)
 		}
 	})
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -182,7 +182,7 @@
 		}
 		defer s.incoming.Add(-1)
 		if s.incoming.Add(1) > maxStreams || handler == nil {
-			w.Header().Set(headers.Outcome, string(headers.NotRun))
+			w.Header().Set(headers.OutcomeHeader, string(headers.NotRun))
 			http.Error(w, "too many requests on this session", http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -182,9 +182,9 @@
 		h.Body = http.NoBody
 	}
 	h.Header.Set(endpoint.RequestID, id)
-	h.Header.Set(headers.Idempotent, strconv.FormatBool(q.idempotent))
+	h.Header.Set(headers.IdempotentHeader, strconv.FormatBool(q.idempotent))
 	if r.options.Deadline > 0 {
-		h.Header.Set(headers.Deadline, r.options.Deadline.String())
+		h.Header.Set(headers.DeadlineHeader, r.options.Deadline.String())
 	}
 	return h, nil
 }
@@ -209,8 +209,8 @@
 
 // judge returns the outcome and checks that an answer is the request's own and
 // whole.
-func (r *runner) judge(response *http.Response, body []byte, id string, latency time.Duration, into *result) headers.Result {
-	outcome := headers.Result(response.Header.Get(headers.Outcome))
+func (r *runner) judge(response *http.Response, body []byte, id string, latency time.Duration, into *result) headers.Outcome {
+	outcome := headers.Outcome(response.Header.Get(headers.OutcomeHeader))
 	if outcome == "" && r.options.Service == "" {
 		outcome = headers.Done
 	}
