--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -27,7 +27,7 @@
 	address   string
 	admission admission
 	transport atomic.Pointer[link.Transport]
-	budget    *routing.Budget
+	budget    *routing.RetryBudget
 
 	mu          sync.Mutex // guards the rest
 	state       wire.EndpointState
@@ -36,7 +36,7 @@
 }
 
 func newEndpoint(a announcement, queue int) *endpoint {
-	e := &endpoint{service: a.Service, address: a.Address, budget: routing.NewBudget()}
+	e := &endpoint{service: a.Service, address: a.Address, budget: routing.NewRetryBudget()}
 	e.admission.limit = queue
 	e.admission.slots = a.Slots
 	e.admission.closed = true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,7 +66,7 @@
 type Gateway struct {
 	options  Options
 	counters counters
-	budget   *routing.Budget
+	budget   *routing.RetryBudget
 	active   atomic.Int64
 	draining atomic.Bool
 	services sync.Map       // units.ServiceName -> *service
@@ -91,7 +91,7 @@
 // New returns a Gateway.
 func New(o Options) *Gateway {
 	o.defaults()
-	return &Gateway{options: o, counters: newCounters(o.Scope), budget: routing.NewBudget()}
+	return &Gateway{options: o, counters: newCounters(o.Scope), budget: routing.NewRetryBudget()}
 }
 
 // Limits of the caller listener: a header block and the time to read it.
@@ -194,10 +194,10 @@
 		sample = &loadSample{load: g.options.Table.Load(in.service, now), at: now}
 		s.load.Store(sample)
 	}
-	switch wait := sample.load.Wait(); {
+	switch wait := sample.load.EstimatedWait(); {
 	case sample.load.Endpoints == 0:
 		return headers.NoEndpoint
-	case wait > 0 && !in.deadline.Allows(wait+sample.load.Latency, now):
+	case wait > 0 && !in.deadline.CanFinish(wait+sample.load.MinLatency, now):
 		return headers.Overload
 	}
 	return ""
--- a/internal/gateway/system_test.go
+++ b/internal/gateway/system_test.go
@@ -47,7 +47,7 @@
 	o.Table, o.Document = e.table, func() *environment.Document { return document }
 	e.gateway = gateway.New(o)
 	heartbeat := link.Handle(func(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
-		e.table.Observe(units.WorkerID(h.Worker), link.FromContext(ctx), h, time.Now())
+		e.table.RecordHeartbeat(units.WorkerID(h.Worker), link.FromContext(ctx), h, time.Now())
 		return &wire.HeartbeatReply{}, nil
 	})
 	e.links = &link.Listener{Address: "127.0.0.1:0", Handler: heartbeat}
@@ -143,9 +143,9 @@
 	})
 	t.Cleanup(a.stop)
 	for _, e := range entries {
-		before := e.table.Eligible("desk", time.Now())
+		before := e.table.CountEligible("desk", time.Now())
 		deadline := time.Now().Add(5 * time.Second)
-		for e.table.Eligible("desk", time.Now()) == before && time.Now().Before(deadline) {
+		for e.table.CountEligible("desk", time.Now()) == before && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -48,7 +48,7 @@
 
 // Observe implements entry.Requests.
 func (p *requestPath) Observe(worker units.WorkerID, session *link.Session, beat entry.Beat) {
-	p.table.Observe(worker, session, beat.Message, beat.At)
+	p.table.RecordHeartbeat(worker, session, beat.Message, beat.At)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, known := p.sessions[session]; known {
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -8,7 +8,7 @@
 // Budget bounds retries and hedges to a tenth of the requests, so that they
 // cannot multiply the load of a system in trouble. The zero value is empty;
 // use NewBudget.
-type Budget struct{ tokens atomic.Int64 }
+type RetryBudget struct{ tokens atomic.Int64 }
 
 const (
 	token         = 10  // deposits that pay for one retry: 10% of requests
@@ -17,21 +17,21 @@
 )
 
 // NewBudget returns a budget that allows a few retries at once.
-func NewBudget() *Budget {
-	b := &Budget{}
+func NewRetryBudget() *RetryBudget {
+	b := &RetryBudget{}
 	b.tokens.Store(budgetStart * token)
 	return b
 }
 
 // Deposit accounts for one request of a caller.
-func (b *Budget) Deposit() {
+func (b *RetryBudget) Deposit() {
 	if b.tokens.Load() < budgetMaximum*token {
 		b.tokens.Add(1)
 	}
 }
 
 // Withdraw pays for one retry or hedge and reports whether the budget held it.
-func (b *Budget) Withdraw() bool {
+func (b *RetryBudget) Withdraw() bool {
 	for {
 		n := b.tokens.Load()
 		if n < token {
@@ -50,4 +50,4 @@
 func (d Deadline) Remaining(now time.Time) time.Duration { return max(0, d.At.Sub(now)) }
 
 // Allows reports whether work that takes about need can still end in time.
-func (d Deadline) Allows(need time.Duration, now time.Time) bool { return d.Remaining(now) > need }
+func (d Deadline) CanFinish(need time.Duration, now time.Time) bool { return d.Remaining(now) > need }
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -228,19 +228,19 @@
 
 // Load describes a service for admission at the entry process.
 type Load struct {
-	Endpoints int           // eligible
-	Slots     int64         // of those
-	Requests  int64         // waiting or running there
-	Latency   time.Duration // lowest expected one
+	Endpoints  int           // eligible
+	Slots      int64         // of those
+	Requests   int64         // waiting or running there
+	MinLatency time.Duration // lowest expected one
 }
 
 // Wait estimates how long a new request waits for a slot.
-func (l Load) Wait() time.Duration {
+func (l Load) EstimatedWait() time.Duration {
 	excess := l.Requests + 1 - l.Slots
 	if excess <= 0 || l.Slots == 0 {
 		return 0
 	}
-	return time.Duration(float64(excess) / float64(l.Slots) * float64(l.Latency))
+	return time.Duration(float64(excess) / float64(l.Slots) * float64(l.MinLatency))
 }
 
 // Load sums up the eligible endpoints of the service.
@@ -253,8 +253,8 @@
 		l.Endpoints++
 		l.Slots += e.slots.Load()
 		l.Requests += e.outstanding.Load() + e.others.Load()
-		if d := e.expected(now); l.Latency == 0 || d < l.Latency {
-			l.Latency = d
+		if d := e.expected(now); l.MinLatency == 0 || d < l.MinLatency {
+			l.MinLatency = d
 		}
 	}
 	return l
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -81,12 +81,12 @@
 
 func (e *Endpoint) eligible(now time.Time) bool {
 	at := e.table.since(now)
-	return e.usable.Load() && at-e.seen.Load() <= int64(e.table.settings.Fresh)+e.table.stall.allowance(at)
+	return e.usable.Load() && at-e.seen.Load() <= int64(e.table.settings.HeartbeatTimeout)+e.table.stall.allowance(at)
 }
 
 // share is the part of its full traffic that the endpoint takes, 0.1 to 1.
 func (e *Endpoint) share(now time.Time) float64 {
-	elapsed := float64(e.table.since(now)-e.slowFrom.Load()) / float64(e.table.settings.SlowStart)
+	elapsed := float64(e.table.since(now)-e.slowFrom.Load()) / float64(e.table.settings.SlowStartWindow)
 	return min(1, max(minimumShare, elapsed))
 }
 
@@ -143,7 +143,7 @@
 
 // eject takes the endpoint out of the choice for a time that doubles.
 func (e *Endpoint) eject(now time.Time) {
-	d := min(e.table.settings.Ejection<<min(e.ejections, 10), maxEjection)
+	d := min(e.table.settings.BaseEjectionTime<<min(e.ejections, 10), maxEjection)
 	e.ejections++
 	e.until = now.Add(d)
 	e.probing, e.probes = false, 0
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -37,7 +37,7 @@
 	}})
 	s := &fakeSession{}
 	for i := range n {
-		t.Observe(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
+		t.RecordHeartbeat(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
 	}
 	refresh(t, s, n, start)
 	return t, s
@@ -47,7 +47,7 @@
 
 func refresh(t *Table, s Session, n int, now time.Time) {
 	for i := range n {
-		t.Observe(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), now)
+		t.RecordHeartbeat(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), now)
 	}
 }
 
@@ -91,7 +91,7 @@
 			if documentFirst {
 				table.SetDocument(c.document, start)
 			}
-			table.Observe("worker-0", &fakeSession{}, c.beat, start)
+			table.RecordHeartbeat("worker-0", &fakeSession{}, c.beat, start)
 			if !documentFirst {
 				table.SetDocument(c.document, start)
 			}
@@ -106,7 +106,7 @@
 // has taken over.
 func TestRemoveIgnoresOlderSession(t *testing.T) {
 	table, old := newTable(1)
-	table.Observe(name(0), &fakeSession{"new"}, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+	table.RecordHeartbeat(name(0), &fakeSession{"new"}, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
 	table.Remove(name(0), old)
 	if table.Choose(request, start) == nil {
 		t.Error("got no endpoint after the old session ended, want the one of the new session")
@@ -120,7 +120,7 @@
 	observe := func(s Session, epoch uint64, now time.Time) Session {
 		h := beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
 		h.Epoch = epoch
-		table.Observe(name(0), s, h, now)
+		table.RecordHeartbeat(name(0), s, h, now)
 		return table.Choose(request, now).session
 	}
 	observe(current, 2, start)
@@ -135,9 +135,9 @@
 // Guards against a choice that ignores load, latency or distance.
 func TestChoicePrefersLessLoadedAndNearer(t *testing.T) {
 	table, s := newTable(2)
-	table.Observe(name(0), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 8), start)
-	table.Observe(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
-	table.Observe(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+	table.RecordHeartbeat(name(0), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 8), start)
+	table.RecordHeartbeat(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
+	table.RecordHeartbeat(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
 	counts := map[units.WorkerID]int{}
 	for range 300 {
 		c := table.Choose(request, start)
@@ -212,7 +212,7 @@
 func TestReturningDomainStartsSlowly(t *testing.T) {
 	table, s := newTable(4)
 	for i := range 4 {
-		table.Observe(name(10+i), s, beat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+		table.RecordHeartbeat(name(10+i), s, beat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
 	}
 	domains := func(state environment.DomainState) *environment.Document {
 		return &environment.Document{FailureDomains: []environment.FailureDomain{
@@ -236,7 +236,7 @@
 // Guards against retries above a tenth of the requests.
 func TestBudgetIsATenth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBudget()
+		b := NewRetryBudget()
 		requests, retries := 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "step") > 0 {
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -31,9 +31,9 @@
 	chosen(true, "before the first tick after the pause")
 	run(TickInterval)
 	chosen(true, "after it")
-	table.Observe(name(0), session, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
+	table.RecordHeartbeat(name(0), session, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
 	run(fresh)
-	if got := table.Eligible("s", at); got != 1 {
+	if got := table.CountEligible("s", at); got != 1 {
 		t.Errorf("got %d eligible endpoints, want 1: the other stayed silent", got)
 	}
 	run(fresh)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -27,12 +27,12 @@
 	Domain units.DomainName // failure domain of this process
 	Region units.RegionName // region of this process
 	// Costs are added to the expected latency of an endpoint.
-	SameRegionCost  time.Duration // other domain of the region; default 8 ms, a round trip
-	OtherRegionCost time.Duration // default 50 ms
-	Fresh           time.Duration // oldest heartbeat of an eligible endpoint; default 2 s
-	Ejection        time.Duration // first ejection; doubles each time up to 30 s; default 1 s
-	SlowStart       time.Duration // time until a returning endpoint takes its full share; default 10 s
-	Random          func() uint64 // safe for concurrent use; default math/rand/v2
+	SameRegionCost   time.Duration // other domain of the region; default 8 ms, a round trip
+	OtherRegionCost  time.Duration // default 50 ms
+	HeartbeatTimeout time.Duration // oldest heartbeat of an eligible endpoint; default 2 s
+	BaseEjectionTime time.Duration // first ejection; doubles each time up to 30 s; default 1 s
+	SlowStartWindow  time.Duration // time until a returning endpoint takes its full share; default 10 s
+	Random           func() uint64 // safe for concurrent use; default math/rand/v2
 }
 
 func (s *Settings) defaults() {
@@ -42,9 +42,9 @@
 	}{
 		{&s.SameRegionCost, 8 * time.Millisecond},
 		{&s.OtherRegionCost, 50 * time.Millisecond},
-		{&s.Fresh, 2 * time.Second},
-		{&s.Ejection, time.Second},
-		{&s.SlowStart, 10 * time.Second},
+		{&s.HeartbeatTimeout, 2 * time.Second},
+		{&s.BaseEjectionTime, time.Second},
+		{&s.SlowStartWindow, 10 * time.Second},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
@@ -104,7 +104,7 @@
 // Observe records a heartbeat that arrived over session. While a newer epoch of
 // the worker sends heartbeats, those of an older one are ignored: they come from
 // an agent that was paused and has been replaced.
-func (t *Table) Observe(id units.WorkerID, session Session, h *wire.Heartbeat, now time.Time) {
+func (t *Table) RecordHeartbeat(id units.WorkerID, session Session, h *wire.Heartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.workers[id]
@@ -112,7 +112,7 @@
 		w = &worker{endpoints: make(map[units.ServiceName]*Endpoint)}
 		t.workers[id] = w
 	}
-	if h.Epoch < w.epoch && session != w.session && now.Sub(w.seen) <= t.settings.Fresh {
+	if h.Epoch < w.epoch && session != w.session && now.Sub(w.seen) <= t.settings.HeartbeatTimeout {
 		return
 	}
 	w.epoch, w.seen = h.Epoch, now
@@ -211,7 +211,7 @@
 
 // Tick tells the table that this process runs. It is expected every
 // TickInterval.
-func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.Fresh)) }
+func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.HeartbeatTimeout)) }
 
 func (t *Table) since(now time.Time) int64 { return int64(now.Sub(t.origin)) }
 
@@ -223,7 +223,7 @@
 }
 
 // Eligible counts the endpoints of the service that may get requests now.
-func (t *Table) Eligible(service units.ServiceName, now time.Time) int {
+func (t *Table) CountEligible(service units.ServiceName, now time.Time) int {
 	n := 0
 	for _, e := range t.endpoints(service) {
 		if e.eligible(now) {
