--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -38,7 +38,7 @@
 func (e *costEntry) heartbeat(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.backs[h.Worker] = link.FromContext(ctx)
+	e.backs[h.Worker] = link.SessionFromContext(ctx)
 	if e.address[h.Worker] == "" && h.Epoch != 0 {
 		e.address[h.Worker] = e.relay(h.LinkAddress)
 	}
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -266,7 +266,7 @@
 	accept := platform.Accept(nil)
 	listener := &link.Listener{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case sessions <- link.FromContext(r.Context()):
+		case sessions <- link.SessionFromContext(r.Context()):
 		default:
 		}
 		accept.ServeHTTP(w, r)
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -21,7 +21,7 @@
 	now := time.Now()
 	e.recorder.Observe(m.GetClock())
 	e.collect(m.GetEvents())
-	session := link.FromContext(ctx)
+	session := link.SessionFromContext(ctx)
 	e.descriptions.complete(m, session)
 	if e.requests != nil && session != nil {
 		e.requests.Observe(units.WorkerID(m.GetWorker()), session, Beat{Message: m, At: now})
--- a/internal/forward/announce.go
+++ b/internal/forward/announce.go
@@ -123,7 +123,7 @@
 		if len(f.endpoints) >= maxServices && f.endpoints[a.Service] == nil {
 			return 0, fault.New("announce", Conflict, "at most %d services beside one agent", maxServices)
 		}
-		e = newEndpoint(a, f.options.Queue)
+		e = newEndpoint(a, f.options.MaxQueued)
 		f.endpoints[a.Service] = e
 	}
 	e.announce(a, f.draining, now)
--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -53,9 +53,9 @@
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	address := e.address
 	return link.NewTransport(link.Options{
-		Dial:        func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
-		Connections: e.connections,
-		HeaderBytes: maxHeader,
+		Dial:           func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
+		MaxConnections: e.connections,
+		MaxHeaderBytes: maxHeader,
 	})
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -128,7 +128,7 @@
 			_, err = f.announce(a, time.Now())
 			return err
 		}
-		state := func() wire.EndpointState { return f.Reports()[0].State }
+		state := func() wire.EndpointState { return f.EndpointReports()[0].State }
 		for _, step := range []struct {
 			state, address string
 			wait           time.Duration
@@ -168,7 +168,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = e.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended; agent.Close() })
-	for len(f.Reports()) == 0 {
+	for len(f.EndpointReports()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w := httptest.NewRecorder()
@@ -209,7 +209,7 @@
 		}
 	}()
 	defer func() { cancel(); <-ended }()
-	for len(f.Reports()) == 0 {
+	for len(f.EndpointReports()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w := httptest.NewRecorder()
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -19,9 +19,9 @@
 
 // Options configures a Forwarder. Zero fields take the defaults.
 type Options struct {
-	Scope     tally.Scope // counters of outcomes; default none
-	Queue     int         // most waiting requests per endpoint; default 64
-	BodyBytes int64       // largest request body; default 8 MiB
+	Scope        tally.Scope // counters of outcomes; default none
+	MaxQueued    int         // most waiting requests per endpoint; default 64
+	MaxBodyBytes int64       // largest request body; default 8 MiB
 }
 
 // Forwarder admits and sends requests. It is safe for concurrent use.
@@ -43,11 +43,11 @@
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
-	if o.Queue == 0 {
-		o.Queue = 64
+	if o.MaxQueued == 0 {
+		o.MaxQueued = 64
 	}
-	if o.BodyBytes == 0 {
-		o.BodyBytes = 8 << 20
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = 8 << 20
 	}
 	f := &Forwarder{
 		options: o, endpoints: make(map[units.ServiceName]*endpoint),
@@ -64,7 +64,7 @@
 }
 
 // Reports describes the endpoints for the next heartbeat.
-func (f *Forwarder) Reports() []*wire.EndpointReport {
+func (f *Forwarder) EndpointReports() []*wire.EndpointReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -150,7 +150,7 @@
 		return
 	}
 	defer f.inFlight.Done()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.options.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.options.MaxBodyBytes))
 	if err != nil {
 		f.reject(w, http.StatusRequestEntityTooLarge, headers.Malformed)
 		return
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -271,12 +271,12 @@
 		a.outcome = headers.Unknown
 		return a
 	}
-	body, err := readUpTo(response, g.options.WholeBytes)
+	body, err := readUpTo(response, g.options.ResponseBufferBytes)
 	switch {
 	case err != nil:
 		response.Body.Close()
 		a.outcome = headers.Unknown
-	case int64(len(body)) > g.options.WholeBytes:
+	case int64(len(body)) > g.options.ResponseBufferBytes:
 		a.body, a.rest = body, response.Body
 	default:
 		response.Body.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,15 +23,15 @@
 
 // Options configures a Gateway. Zero fields take the defaults.
 type Options struct {
-	Table        *routing.Table
-	Document     func() *environment.Document // current document; nil result rejects every request
-	Scope        tally.Scope                  // counters; default none
-	Limit        int                          // most requests at a time; default 4096
-	ServiceLimit int                          // most requests of one service at a time; default 2048
-	BodyBytes    int64                        // largest request body; default 1 MiB
-	WholeBytes   int64                        // largest response read completely before it is passed on; default 1 MiB
-	DefaultTime  time.Duration                // deadline of a request without one; default 10 s
-	MaxTime      time.Duration                // longest deadline; default 5 min
+	Table               *routing.Table
+	Document            func() *environment.Document // current document; nil result rejects every request
+	Scope               tally.Scope                  // counters; default none
+	MaxRequests         int                          // most requests at a time; default 4096
+	MaxServiceRequests  int                          // most requests of one service at a time; default 2048
+	MaxBodyBytes        int64                        // largest request body; default 1 MiB
+	ResponseBufferBytes int64                        // largest response read completely before it is passed on; default 1 MiB
+	DefaultTimeout      time.Duration                // deadline of a request without one; default 10 s
+	MaxTimeout          time.Duration                // longest deadline; default 5 min
 }
 
 func (o *Options) defaults() {
@@ -41,7 +41,7 @@
 	for _, n := range []struct {
 		field *int
 		value int
-	}{{&o.Limit, 4096}, {&o.ServiceLimit, 2048}} {
+	}{{&o.MaxRequests, 4096}, {&o.MaxServiceRequests, 2048}} {
 		if *n.field == 0 {
 			*n.field = n.value
 		}
@@ -49,16 +49,16 @@
 	for _, n := range []struct {
 		field *int64
 		value int64
-	}{{&o.BodyBytes, 1 << 20}, {&o.WholeBytes, 1 << 20}} {
+	}{{&o.MaxBodyBytes, 1 << 20}, {&o.ResponseBufferBytes, 1 << 20}} {
 		if *n.field == 0 {
 			*n.field = n.value
 		}
 	}
-	if o.DefaultTime == 0 {
-		o.DefaultTime = 10 * time.Second
+	if o.DefaultTimeout == 0 {
+		o.DefaultTimeout = 10 * time.Second
 	}
-	if o.MaxTime == 0 {
-		o.MaxTime = 5 * time.Minute
+	if o.MaxTimeout == 0 {
+		o.MaxTimeout = 5 * time.Minute
 	}
 }
 
@@ -186,7 +186,7 @@
 // the requests before it leave no time until its deadline.
 func (g *Gateway) shed(s *service, in *inbound, perService, total int64, now time.Time) headers.Reason {
 	share := shares[in.priority]
-	if float64(total) > share*float64(g.options.Limit) || perService > int64(g.options.ServiceLimit) {
+	if float64(total) > share*float64(g.options.MaxRequests) || perService > int64(g.options.MaxServiceRequests) {
 		return headers.Overload
 	}
 	sample := s.load.Load()
@@ -231,7 +231,7 @@
 	if document == nil || document.Service(name) == nil {
 		return nil, http.StatusNotFound, errNoService
 	}
-	left, err := headers.ParseTimeout(r.Header, g.options.DefaultTime, g.options.MaxTime)
+	left, err := headers.ParseTimeout(r.Header, g.options.DefaultTimeout, g.options.MaxTimeout)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
@@ -243,7 +243,7 @@
 		return nil, http.StatusBadRequest, errUpgrade
 	case len(r.Header) > maxHeaders:
 		return nil, http.StatusRequestHeaderFieldsTooLarge, errHeaders
-	case r.ContentLength > g.options.BodyBytes:
+	case r.ContentLength > g.options.MaxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errBody
 	}
 	return &inbound{
@@ -262,7 +262,7 @@
 	// Without support for deadlines the server's own timeouts remain.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.options.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.options.MaxBodyBytes))
 	in.body = body
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestContractOfRequests(t *testing.T) {
-	e := newEntry(t, gateway.Options{BodyBytes: 1000})
+	e := newEntry(t, gateway.Options{MaxBodyBytes: 1000})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 200}, e)
 	c := newClient(t)
 	big := strings.Repeat("x", 1001)
@@ -264,7 +264,7 @@
 func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: time.Hour}, e)
-	busy := func() int32 { return a.forwarder.Reports()[0].Busy }
+	busy := func() int32 { return a.forwarder.EndpointReports()[0].Busy }
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, "POST", e.url+"/services/desk/", strings.NewReader("body"))
 	if err != nil {
@@ -291,7 +291,7 @@
 // Guards against limits that do not hold, and against refusals that take as
 // long as the work: with one slot taken, what cannot end in time is refused.
 func TestLimitsRefuse(t *testing.T) {
-	e := newEntry(t, gateway.Options{ServiceLimit: 6})
+	e := newEntry(t, gateway.Options{MaxServiceRequests: 6})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond, Slots: 1}, e)
 	c := newClient(t)
 	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // teaches the service time
--- a/internal/gateway/system_test.go
+++ b/internal/gateway/system_test.go
@@ -47,7 +47,7 @@
 	o.Table, o.Document = e.table, func() *environment.Document { return document }
 	e.gateway = gateway.New(o)
 	heartbeat := link.Handle(func(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
-		e.table.RecordHeartbeat(units.WorkerID(h.Worker), link.FromContext(ctx), h, time.Now())
+		e.table.RecordHeartbeat(units.WorkerID(h.Worker), link.SessionFromContext(ctx), h, time.Now())
 		return &wire.HeartbeatReply{}, nil
 	})
 	e.links = &link.Listener{Address: "127.0.0.1:0", Handler: heartbeat}
@@ -154,7 +154,7 @@
 
 func (a *agentProcess) beat(ctx context.Context, worker string, s *link.Session) {
 	for ctx.Err() == nil {
-		h := &wire.Heartbeat{Worker: worker, FailureDomain: "a", Region: "r", Endpoints: a.forwarder.Reports()}
+		h := &wire.Heartbeat{Worker: worker, FailureDomain: "a", Region: "r", Endpoints: a.forwarder.EndpointReports()}
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		_ = s.Call(call, "/link/heartbeat", h, &wire.HeartbeatReply{})
 		cancel()
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -230,7 +230,7 @@
 }
 
 func TestSessionLimit(t *testing.T) {
-	l := &Listener{Address: "127.0.0.1:0", Handler: http.NotFoundHandler(), Sessions: 1}
+	l := &Listener{Address: "127.0.0.1:0", Handler: http.NotFoundHandler(), MaxSessions: 1}
 	address, err := l.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -16,9 +16,9 @@
 
 // Listener accepts sessions of peers. Set the exported fields before Run.
 type Listener struct {
-	Address  string       // IP:port to listen on; port 0 picks one
-	Handler  http.Handler // serves the peers' requests
-	Sessions int          // most sessions at a time; 0 means defaultSessions
+	Address     string       // IP:port to listen on; port 0 picks one
+	Handler     http.Handler // serves the peers' requests
+	MaxSessions int          // most sessions at a time; 0 means defaultSessions
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -40,8 +40,8 @@
 		}
 		l.listener = listener
 		l.sessions = make(map[*Session]struct{})
-		if l.Sessions == 0 {
-			l.Sessions = defaultSessions
+		if l.MaxSessions == 0 {
+			l.MaxSessions = defaultSessions
 		}
 	}
 	return l.listener.Addr(), nil
@@ -83,7 +83,7 @@
 func (l *Listener) admit(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.sessions) >= l.Sessions {
+	if len(l.sessions) >= l.MaxSessions {
 		conn.Close()
 		return
 	}
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -86,7 +86,7 @@
 type sessionKey struct{}
 
 // FromContext returns the session on which the request of ctx arrived, or nil.
-func FromContext(ctx context.Context) *Session {
+func SessionFromContext(ctx context.Context) *Session {
 	s, _ := ctx.Value(sessionKey{}).(*Session)
 	return s
 }
@@ -120,11 +120,11 @@
 func newSession(mux *yamux.Session, handler http.Handler, remote string) *Session {
 	s := &Session{mux: mux, remote: remote}
 	s.transport = NewTransport(Options{
-		Dial:        func(context.Context) (net.Conn, error) { return mux.Open() },
-		Connections: maxStreams,
-		Idle:        maxIdleStreams,
-		IdleTimeout: idleStreamTimeout,
-		HeaderBytes: maxHeader,
+		Dial:               func(context.Context) (net.Conn, error) { return mux.Open() },
+		MaxConnections:     maxStreams,
+		MaxIdleConnections: maxIdleStreams,
+		IdleTimeout:        idleStreamTimeout,
+		MaxHeaderBytes:     maxHeader,
 	})
 	s.accept = &streamListener{mux: mux}
 	s.accept.open, s.accept.stop = context.WithCancel(context.Background())
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -23,11 +23,11 @@
 
 // Options configures a Transport.
 type Options struct {
-	Dial        func(ctx context.Context) (net.Conn, error)
-	Connections int           // most connections at a time; 0 means no limit
-	Idle        int           // most idle connections kept; 0 opens a connection for each request
-	IdleTimeout time.Duration // must be below the peer's, or a request meets a closing connection
-	HeaderBytes int64         // most bytes of a response header block
+	Dial               func(ctx context.Context) (net.Conn, error)
+	MaxConnections     int           // most connections at a time; 0 means no limit
+	MaxIdleConnections int           // most idle connections kept; 0 opens a connection for each request
+	IdleTimeout        time.Duration // must be below the peer's, or a request meets a closing connection
+	MaxHeaderBytes     int64         // most bytes of a response header block
 }
 
 // NewTransport returns a transport to the one peer that o.Dial reaches.
@@ -40,11 +40,11 @@
 			}
 			return &sentConn{Conn: conn}, nil
 		},
-		DisableKeepAlives:      o.Idle == 0,
-		MaxConnsPerHost:        o.Connections,
-		MaxIdleConnsPerHost:    o.Idle,
+		DisableKeepAlives:      o.MaxIdleConnections == 0,
+		MaxConnsPerHost:        o.MaxConnections,
+		MaxIdleConnsPerHost:    o.MaxIdleConnections,
 		IdleConnTimeout:        o.IdleTimeout,
-		MaxResponseHeaderBytes: o.HeaderBytes,
+		MaxResponseHeaderBytes: o.MaxHeaderBytes,
 		DisableCompression:     true,
 	}}
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -89,7 +89,7 @@
 		return nil, fault.New("attach", link.Rejected, "term %d is in force", a.term)
 	}
 	a.term, a.attachment = in.GetTerm(), in.GetAttachment()
-	a.session = link.FromContext(ctx)
+	a.session = link.SessionFromContext(ctx)
 	a.mu.Unlock()
 	klog.InfoS("attached", "leader", in.GetLeader(), "term", in.GetTerm(), "attachment", in.GetAttachment())
 	a.notify()
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -61,7 +61,7 @@
 func runAgent(ctx context.Context, s *settings.Agent) error {
 	scope, metrics, closer := administration.NewMetrics(string(s.Worker))
 	defer closer.Close()
-	forwarder := forward.New(forward.Options{Scope: scope, Queue: s.Limits.QueuedRequests})
+	forwarder := forward.New(forward.Options{Scope: scope, MaxQueued: s.Limits.QueuedRequests})
 	a := newAgent(s, scope, forwarder)
 	announce, err := net.Listen("tcp", s.AnnounceAddress.String())
 	if err != nil {
@@ -103,7 +103,7 @@
 			BaseURL: "http://" + s.WorkerAddress.String(),
 			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workerConnections, IdleConnTimeout: time.Minute}},
 		},
-		RequestHandler: forwarder, EndpointReports: forwarder.Reports, Guard: &guard.Controller{},
+		RequestHandler: forwarder, EndpointReports: forwarder.EndpointReports, Guard: &guard.Controller{},
 		OmitUnchanged: true,
 		Events: func(kind, subject, text string) {
 			changes.Inc(1)
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -36,7 +36,7 @@
 		return &requestPath{
 			Gateway: gateway.New(gateway.Options{
 				Table: table, Document: document, Scope: scope,
-				Limit: s.Limits.CallerRequests, BodyBytes: int64(s.Limits.CallerBody), MaxTime: s.Limits.CallerTimeout,
+				MaxRequests: s.Limits.CallerRequests, MaxBodyBytes: int64(s.Limits.CallerBody), MaxTimeout: s.Limits.CallerTimeout,
 			}),
 			table: table, sessions: make(map[*link.Session]struct{}),
 		}
