--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -24,11 +24,11 @@
 
 // Agent is the process beside a runner. Set the exported fields before Run.
 type Agent struct {
-	Settings   *Settings
-	Store      durable.Store
-	Controller *runner.Controller
-	Heartbeats http.Handler // takes the runner's announcements
-	Scope      tally.Scope  // nil counts nothing
+	Settings         *Settings
+	Store            durable.Store
+	Controller       *runner.Controller
+	HeartbeatHandler http.Handler // takes the runner's announcements
+	Scope            tally.Scope  // nil counts nothing
 
 	mu         sync.Mutex
 	term       uint64
@@ -47,11 +47,11 @@
 	a.Controller.OnChange = a.notify
 	group, ctx := errgroup.WithContext(ctx)
 	a.ctx = ctx
-	heartbeats, err := net.Listen("tcp", a.Settings.Heartbeats)
+	heartbeats, err := net.Listen("tcp", a.Settings.HeartbeatAddress)
 	if err != nil {
 		return err
 	}
-	group.Go(func() error { return serve(ctx, heartbeats, a.Heartbeats) })
+	group.Go(func() error { return serve(ctx, heartbeats, a.HeartbeatHandler) })
 	group.Go(func() error {
 		offset, err := register(ctx, a.Store, RoleAgent, a.Settings.Name, a.Settings.advertisedAddress())
 		if err != nil {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -30,8 +30,8 @@
 	Scope    tally.Scope // nil counts nothing
 	Advisor  Advisor     // nil when there is no service that gives advice
 	// Clients and Readiness serve the platform's interfaces.
-	Clients   func(*Entry) http.Handler
-	Readiness func(*Entry) http.Handler
+	ClientHandler    func(*Entry) http.Handler
+	ReadinessHandler func(*Entry) http.Handler
 
 	elector *leadership.Elector
 	meters  meters
@@ -49,11 +49,11 @@
 	e.peers = make(map[string]string)
 	e.meters = newMeters(e.Scope)
 	e.elector = e.newElector()
-	clients, err := net.Listen("tcp", e.Settings.Clients)
+	clients, err := net.Listen("tcp", e.Settings.ClientAddress)
 	if err != nil {
 		return err
 	}
-	readiness, err := net.Listen("tcp", e.Settings.Readiness)
+	readiness, err := net.Listen("tcp", e.Settings.ReadinessAddress)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	defer stopParts()
 	group, parts := errgroup.WithContext(parts)
 	e.runParts(parts, group, readiness)
-	server := &http.Server{Handler: e.Clients(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	server := &http.Server{Handler: e.ClientHandler(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	group.Go(func() error {
 		if err := server.Serve(clients); err != http.ErrServerClosed {
 			return err
@@ -96,7 +96,7 @@
 	listener := &link.Listener{Address: e.Settings.sessionAddress(), Handler: e.routes()}
 	group.Go(func() error { return runListener(ctx, listener) })
 	group.Go(func() error { return e.Feed.Run(ctx) })
-	group.Go(func() error { return serve(ctx, readiness, e.Readiness(e)) })
+	group.Go(func() error { return serve(ctx, readiness, e.ReadinessHandler(e)) })
 	group.Go(func() error {
 		followMembers(ctx, e.Store, e.member)
 		return nil
@@ -127,7 +127,7 @@
 	e.mu.Unlock()
 	klog.InfoS("stopping", "node", e.Settings.Name)
 	server.SetKeepAlivesEnabled(false)
-	deadline := time.Now().Add(e.Settings.StopWithin - stopReserve)
+	deadline := time.Now().Add(e.Settings.StopTimeout - stopReserve)
 	time.Sleep(min(rotationTime, time.Until(deadline)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	l.scheduler = scheduler.New(grantFor+grantMargin, l.settings.KeepFinished)
+	l.scheduler = scheduler.New(grantFor+grantMargin, l.settings.FinishedJobRetention)
 	l.scheduler.SetOperations(l.feed.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,25 +11,25 @@
 
 // Settings are what a process learns from the platform about itself.
 type Settings struct {
-	Name          string // of the machine; unique in the deployment
-	IP            string
-	FirstPort     int    // the first port for sessions between our processes
-	AdvertisedIP  string // by which other processes reach this one; IP when empty
-	Domain        units.DomainName
-	Clients       string // listen address for clients; empty for an agent
-	Readiness     string // listen address for readiness checks; empty for an agent
-	Heartbeats    string // listen address for the runner's heartbeats; empty for an entry process
-	Runner        string // address of the runner on this machine; empty for an entry process
-	Service       units.ServiceName
-	Store         string // address of the platform's store
-	AdviceService string // address of the service that knows which workers may run a step
-	FirstStart    bool   // the whole system starts for the first time
-	Memory        units.Bytes
-	Processors    float64 // cores that this machine may use
+	Name                 string // of the machine; unique in the deployment
+	IP                   string
+	FirstPort            int    // the first port for sessions between our processes
+	AdvertisedIP         string // by which other processes reach this one; IP when empty
+	FailureDomain        units.DomainName
+	ClientAddress        string // listen address for clients; empty for an agent
+	ReadinessAddress     string // listen address for readiness checks; empty for an agent
+	HeartbeatAddress     string // listen address for the runner's heartbeats; empty for an entry process
+	RunnerAddress        string // address of the runner on this machine; empty for an entry process
+	Service              units.ServiceName
+	StoreAddress         string // address of the platform's store
+	AdviceServiceAddress string // address of the service that knows which workers may run a step
+	FirstStart           bool   // the whole system starts for the first time
+	Memory               units.Bytes
+	Processors           float64 // cores that this machine may use
 
-	StopWithin   time.Duration // from a request to stop until the process is killed
-	LongestLease time.Duration // of a runner
-	KeepFinished time.Duration // how long the state of a finished job is kept
+	StopTimeout          time.Duration // from a request to stop until the process is killed
+	MaxLease             time.Duration // of a runner
+	FinishedJobRetention time.Duration // how long the state of a finished job is kept
 }
 
 const (
