--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -14,9 +14,9 @@
 const (
 	Accepted    Outcome = "accepted"    // the job's record is durable
 	Found       Outcome = "found"       // the job or the queue is known
-	NoJob       Outcome = "noJob"       // no such job exists
-	Refused     Outcome = "refused"     // nothing was done and never will be
-	Undecided   Outcome = "undecided"   // the job may have been accepted, or may still be
+	JobNotFound Outcome = "noJob"       // no such job exists
+	Rejected    Outcome = "refused"     // nothing was done and never will be
+	Unknown     Outcome = "undecided"   // the job may have been accepted, or may still be
 	Unavailable Outcome = "unavailable" // nothing can be said now; a reading changes nothing
 )
 
@@ -45,16 +45,16 @@
 // The verbs.
 const (
 	Submit Verb = "submit"
-	Look   Verb = "look"   // at a job's state
+	Lookup Verb = "look"   // at a job's state
 	Cancel Verb = "cancel" // a job
 	Count  Verb = "count"  // the jobs of a queue that have not begun
 )
 
 // Request is a request of a client whose queue is known.
 type Request struct {
-	Verb  Verb
-	Queue workflow.QueueName
-	ID    workflow.JobID  // empty for Count
-	Job   *workflow.Job   // for Submit
-	Rule  workflow.Policy // for Submit: the queue's policy
+	Verb   Verb
+	Queue  workflow.QueueName
+	ID     workflow.JobID  // empty for Count
+	Job    *workflow.Job   // for Submit
+	Policy workflow.Policy // for Submit: the queue's policy
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -260,7 +260,7 @@
 	}
 	message := &wire.ClientCall{Verb: string(r.Verb), JobId: string(r.ID), Queue: string(r.Queue)}
 	if r.Job != nil {
-		message.Job = workflow.ToWire(r.Job, r.Rule)
+		message.Job = workflow.ToWire(r.Job, r.Policy)
 	}
 	reply := &wire.ClientReply{}
 	if err := session.Call(ctx, pathClient, message, reply); err != nil {
@@ -274,7 +274,7 @@
 func failedCall(r Request, err error) Reply {
 	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: err.Error()}
 	if !fault.Is(err, link.NotSent) && (r.Verb == Submit || r.Verb == Cancel) {
-		reply.Outcome = Undecided
+		reply.Outcome = Unknown
 	}
 	return reply
 }
@@ -297,7 +297,7 @@
 	}
 	r := Request{Verb: Verb(in.GetVerb()), Queue: workflow.QueueName(in.GetQueue()), ID: workflow.JobID(in.GetJobId())}
 	if in.GetJob() != nil {
-		r.Job, r.Rule = workflow.FromWire(in.GetJob())
+		r.Job, r.Policy = workflow.FromWire(in.GetJob())
 	}
 	return leading.serve(ctx, r).toWire(), nil
 }
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -260,7 +260,7 @@
 	case <-l.ctx.Done():
 	}
 	if r.Verb == Submit || r.Verb == Cancel {
-		return Reply{Outcome: Undecided, Reason: "the store has not answered"}
+		return Reply{Outcome: Unknown, Reason: "the store has not answered"}
 	}
 	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leader has ended"}
 }
@@ -274,7 +274,7 @@
 	switch r.Verb {
 	case Submit:
 		l.submit(r, answer)
-	case Look:
+	case Lookup:
 		state, known := l.scheduler.State(r.ID)
 		if !known {
 			answer <- l.unknownJob(r.ID)
@@ -294,7 +294,7 @@
 	if l.pending[id] != nil {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
 	}
-	return Reply{Outcome: NoJob}
+	return Reply{Outcome: JobNotFound}
 }
 
 func (l *leader) submit(r Request, answer chan Reply) {
@@ -308,12 +308,12 @@
 		return
 	}
 	if l.writer.Stalled() {
-		answer <- Reply{Outcome: Refused, RetryAfter: unavailableRetry, Reason: "store does not answer"}
+		answer <- Reply{Outcome: Rejected, RetryAfter: unavailableRetry, Reason: "store does not answer"}
 		return
 	}
-	value, err := workflow.Encode(r.Job, r.Rule)
+	value, err := workflow.Encode(r.Job, r.Policy)
 	if err != nil {
-		answer <- Reply{Outcome: Refused, Reason: err.Error()}
+		answer <- Reply{Outcome: Rejected, Reason: err.Error()}
 		return
 	}
 	s := &submission{waiters: []chan Reply{answer}}
@@ -324,8 +324,8 @@
 
 func (l *leader) accepted(r Request, s *submission) {
 	delete(l.pending, r.ID)
-	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Rule.Priority, "steps", r.Job.Summary())
-	l.scheduler.Accept(r.Job, r.Rule, now())
+	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Policy.Priority, "steps", r.Job.Summary())
+	l.scheduler.Accept(r.Job, r.Policy, now())
 	for _, waiter := range s.waiters {
 		waiter <- Reply{Outcome: Accepted}
 	}
@@ -337,7 +337,7 @@
 		return
 	}
 	if !l.scheduler.Known(r.ID) {
-		answer <- Reply{Outcome: NoJob}
+		answer <- Reply{Outcome: JobNotFound}
 		return
 	}
 	flush := l.scheduler.Cancel(r.ID, now())
