--- a/internal/node/advice.go
+++ b/internal/node/advice.go
@@ -21,7 +21,7 @@
 const adviceTimeout = 5 * time.Second
 
 // ask sends the questions that the tables have.
-func (l *leader) ask(at scheduler.Now) {
+func (l *leader) requestAdvice(at scheduler.Now) {
 	if l.advisor == nil {
 		return
 	}
@@ -33,7 +33,7 @@
 			if err != nil {
 				klog.InfoS("no advice", "job", q.Step.Job, "step", q.Step.Step, "workers", len(q.Runners), "err", err)
 			}
-			l.event(func() { l.scheduler.Advise(q.Step, tickets, valid, now()) })
+			l.enqueue(func() { l.scheduler.Advise(q.Step, tickets, valid, now()) })
 		}()
 	}
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -34,16 +34,16 @@
 	term       uint64
 	attachment uint64
 	session    *link.Session
-	meters     meters
-	news       chan struct{} // holds a token when the leader must hear something
+	metrics    metrics
+	changed    chan struct{} // holds a token when the leader must hear something
 	ctx        context.Context
 }
 
 // Run serves the runner and the leader until ctx ends. Runs go on: their lease
 // outlives a restart of the agent.
 func (a *Agent) Run(ctx context.Context) error {
-	a.news = make(chan struct{}, 1)
-	a.meters = newMeters(a.Scope)
+	a.changed = make(chan struct{}, 1)
+	a.metrics = newMetrics(a.Scope)
 	a.Controller.OnChange = a.notify
 	group, ctx := errgroup.WithContext(ctx)
 	a.ctx = ctx
@@ -55,18 +55,18 @@
 	group.Go(func() error {
 		offset, err := register(ctx, a.Store, RoleAgent, a.Settings.Name, a.Settings.advertisedAddress())
 		if err != nil {
-			return ignoreEnd(ctx, err)
+			return ignoreCancelled(ctx, err)
 		}
 		a.Controller.Token = runner.Token(offset + 1)
 		listener := &link.Listener{Address: a.Settings.sessionAddress(), Handler: a.routes()}
 		group.Go(func() error { return runListener(ctx, listener) })
-		group.Go(func() error { return a.report(ctx) })
+		group.Go(func() error { return a.runReports(ctx) })
 		return a.Controller.Run(ctx)
 	})
-	return ignoreEnd(ctx, group.Wait())
+	return ignoreCancelled(ctx, group.Wait())
 }
 
-func ignoreEnd(ctx context.Context, err error) error {
+func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -75,14 +75,14 @@
 
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(pathAttach, link.Handle(a.attach))
-	mux.HandleFunc(pathOrders, link.Handle(a.orders))
+	mux.HandleFunc(pathAttach, link.Handle(a.handleAttach))
+	mux.HandleFunc(pathOrders, link.Handle(a.handleOrders))
 	return mux
 }
 
 // attach makes the caller the leader that this agent reports to, unless it
 // knows a later one.
-func (a *Agent) attach(ctx context.Context, in *wire.Attach) (*wire.OrdersReply, error) {
+func (a *Agent) handleAttach(ctx context.Context, in *wire.Attach) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	if in.GetTerm() < a.term || in.GetTerm() == a.term && in.GetAttachment() <= a.attachment {
 		a.mu.Unlock()
@@ -98,7 +98,7 @@
 
 // orders admits what the attached leader has decided. Holding the lock means
 // that no order of an earlier attachment is admitted after a later attach.
-func (a *Agent) orders(_ context.Context, in *wire.Orders) (*wire.OrdersReply, error) {
+func (a *Agent) handleOrders(_ context.Context, in *wire.Orders) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if in.GetTerm() != a.term || in.GetAttachment() != a.attachment {
@@ -118,7 +118,7 @@
 		}
 		a.Controller.Describe(startFromWire(id, s))
 	}
-	a.meters.orders(len(in.GetStarts()), len(in.GetStops()))
+	a.metrics.countOrders(len(in.GetStarts()), len(in.GetStops()))
 	for _, s := range in.GetStops() {
 		id, err := workflow.ParseTaskID(s.GetTask())
 		if err != nil {
@@ -126,7 +126,7 @@
 		}
 		a.Controller.Stop(a.ctx, id, workflow.Attempt(s.GetAttempt()))
 	}
-	a.suggest(in.GetPairs())
+	a.setEstimates(in.GetPairs())
 	a.Controller.Record(in.GetRecordedBornUnixMs(), in.GetRecorded())
 	return &wire.OrdersReply{Sequence: a.Controller.Sequence()}, nil
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-func (a *Agent) suggest(pairs []*wire.PairEstimate) {
+func (a *Agent) setEstimates(pairs []*wire.PairEstimate) {
 	if len(pairs) == 0 {
 		return
 	}
@@ -165,28 +165,28 @@
 
 func (a *Agent) notify() {
 	select {
-	case a.news <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
 // report tells the leader everything, at once when there is news.
-func (a *Agent) report(ctx context.Context) error {
-	timer := time.NewTimer(reportEvery)
+func (a *Agent) runReports(ctx context.Context) error {
+	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.news:
+		case <-a.changed:
 		case <-timer.C:
 		}
-		timer.Reset(reportEvery)
-		a.reportOnce(ctx)
+		timer.Reset(reportInterval)
+		a.sendReport(ctx)
 	}
 }
 
-func (a *Agent) reportOnce(ctx context.Context) {
+func (a *Agent) sendReport(ctx context.Context) {
 	a.mu.Lock()
 	session, attachment := a.session, a.attachment
 	a.mu.Unlock()
@@ -195,36 +195,36 @@
 	}
 	report, rejections := a.Controller.Report()
 	report.Attachment = attachment
-	ctx, cancel := context.WithTimeout(ctx, sessionCall)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := bootclock.Now()
 	reply := &wire.ReportReply{}
 	if err := session.Call(ctx, pathReport, report, reply); err != nil {
-		a.meters.unanswered()
+		a.metrics.countFailedCall()
 		klog.InfoS("report is not answered", "err", err)
 		a.dropSession(session, fault.Is(err, link.Rejected))
 		return
 	}
-	a.meters.report(len(report.GetEnded()), rejections)
+	a.metrics.countReport(len(report.GetEnded()), rejections)
 	a.Controller.Delivered(rejections)
 	if reply.GetGranted() {
-		a.Controller.Grant(sent.Add(grantFor))
+		a.Controller.Grant(sent.Add(grantDuration))
 	}
-	a.suggest(reply.GetPairs())
+	a.setEstimates(reply.GetPairs())
 	a.Controller.Record(reply.GetRecordedBornUnixMs(), reply.GetRecorded())
 }
 
 // runListener accepts sessions until ctx ends, then ends them.
 func runListener(ctx context.Context, listener *link.Listener) error {
 	err := listener.Run(ctx)
-	ending, cancel := context.WithTimeout(context.Background(), sessionEnd)
+	ending, cancel := context.WithTimeout(context.Background(), sessionShutdownTimeout)
 	defer cancel()
 	listener.Shutdown(ending)
 	return err
 }
 
 // sessionEnd bounds the end of the sessions of a process that stops.
-const sessionEnd = 300 * time.Millisecond
+const sessionShutdownTimeout = 300 * time.Millisecond
 
 // serve answers HTTP requests until ctx ends.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
--- a/internal/node/agent_test.go
+++ b/internal/node/agent_test.go
@@ -13,7 +13,7 @@
 
 // testAgent serves an agent's sessions and reports; the leader is the test's.
 func testAgent(t *testing.T) (a *Agent, address string) {
-	a = &Agent{Settings: &Settings{Name: "agent"}, Controller: &runner.Controller{}, news: make(chan struct{}, 1), meters: newMeters(nil)}
+	a = &Agent{Settings: &Settings{Name: "agent"}, Controller: &runner.Controller{}, changed: make(chan struct{}, 1), metrics: newMetrics(nil)}
 	ctx, cancel := context.WithCancel(context.Background())
 	a.ctx, a.Controller.OnChange = ctx, a.notify
 	listener := &link.Listener{Address: "127.0.0.1:0", Handler: a.routes()}
@@ -23,7 +23,7 @@
 	}
 	ended := make(chan error, 2)
 	go func() { ended <- runListener(ctx, listener) }()
-	go func() { ended <- a.report(ctx) }()
+	go func() { ended <- a.runReports(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -54,7 +54,7 @@
 // the runs' leases ended.
 func TestRefusedReportEndsSession(t *testing.T) {
 	_, address := testAgent(t)
-	session := attachTo(t, address, func(*wire.WorkerReport) (*wire.ReportReply, error) { return nil, errEndedTerm })
+	session := attachTo(t, address, func(*wire.WorkerReport) (*wire.ReportReply, error) { return nil, errTermEnded })
 	select {
 	case <-session.Done():
 	case <-time.After(5 * time.Second):
@@ -90,14 +90,14 @@
 	first := attachTo(t, address, grant)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if _, err := a.attach(ctx, &wire.Attach{Term: 3, Leader: "leader", Attachment: 2}); err != nil {
+	if _, err := a.handleAttach(ctx, &wire.Attach{Term: 3, Leader: "leader", Attachment: 2}); err != nil {
 		t.Fatal(err)
 	}
 	err := first.Call(ctx, pathOrders, &wire.Orders{Term: 3, Attachment: 1}, &wire.OrdersReply{})
 	if err == nil {
 		t.Error("orders of attachment 1 were taken after attachment 2, want a refusal")
 	}
-	if _, err := a.attach(ctx, &wire.Attach{Term: 2, Leader: "old", Attachment: 9}); err == nil {
+	if _, err := a.handleAttach(ctx, &wire.Attach{Term: 2, Leader: "old", Attachment: 9}); err == nil {
 		t.Error("an earlier term attached, want a refusal")
 	}
 }
--- a/internal/node/agentlink.go
+++ b/internal/node/agentconn.go
@@ -22,12 +22,12 @@
 	// dialTimeout bounds a connection attempt to an agent or the leader.
 	dialTimeout = 700 * time.Millisecond
 	// redialPause follows a session that failed.
-	redialPause = 200 * time.Millisecond
+	redialDelay = 200 * time.Millisecond
 )
 
 // agentLink is the leader's session to one agent. Its fields are owned by the
 // goroutine that owns the tables.
-type agentLink struct {
+type agentConn struct {
 	worker     units.WorkerID
 	address    string
 	stop       context.CancelFunc
@@ -36,7 +36,7 @@
 }
 
 // connect keeps a session to an agent.
-func (l *leader) connect(m member) {
+func (l *leader) connectAgent(m member) {
 	id := units.WorkerID(m.name)
 	attachment := uint64(0)
 	if old := l.agents[id]; old != nil {
@@ -44,21 +44,21 @@
 		attachment = old.attachment
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	a := &agentLink{worker: id, address: m.address, stop: stop, attachment: attachment}
+	a := &agentConn{worker: id, address: m.address, stop: stop, attachment: attachment}
 	l.agents[id] = a
 	l.group.Go(func() error {
 		for ctx.Err() == nil {
-			l.attachOnce(ctx, a)
-			pause.Jittered(ctx, redialPause)
+			l.runAttachment(ctx, a)
+			pause.Jittered(ctx, redialDelay)
 		}
 		return nil
 	})
 }
 
 // attachOnce opens a session, attaches and returns when the session has ended.
-func (l *leader) attachOnce(ctx context.Context, a *agentLink) {
+func (l *leader) runAttachment(ctx context.Context, a *agentConn) {
 	attachment := make(chan uint64, 1)
-	if !l.event(func() {
+	if !l.enqueue(func() {
 		a.attachment++
 		attachment <- a.attachment
 	}) {
@@ -78,8 +78,8 @@
 		return
 	}
 	defer session.Close()
-	l.event(func() { l.attached(a, session) })
-	callCtx, cancel := context.WithTimeout(ctx, sessionCall)
+	l.enqueue(func() { l.agentAttached(a, session) })
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	err = session.Call(callCtx, pathAttach, &wire.Attach{Term: uint64(l.term), Leader: l.settings.Name, Attachment: number}, &wire.OrdersReply{})
 	cancel()
 	if err == nil {
@@ -90,49 +90,49 @@
 		}
 	}
 	klog.InfoS("session to agent ended", "worker", a.worker, "attachment", number, "err", err)
-	l.event(func() { l.detached(a, session) })
+	l.enqueue(func() { l.agentDetached(a, session) })
 }
 
 // current reports whether a is the link in use; an agent that came back at
 // another address has a newer one.
-func (l *leader) current(a *agentLink) bool { return l.agents[a.worker] == a }
+func (l *leader) isCurrent(a *agentConn) bool { return l.agents[a.worker] == a }
 
-func (l *leader) attached(a *agentLink, session *link.Session) {
-	if !l.current(a) {
+func (l *leader) agentAttached(a *agentConn, session *link.Session) {
+	if !l.isCurrent(a) {
 		return
 	}
 	a.session = session
 	l.scheduler.Attach(a.worker, now())
 }
 
-func (l *leader) detached(a *agentLink, session *link.Session) {
-	if !l.current(a) || a.session != session {
+func (l *leader) agentDetached(a *agentConn, session *link.Session) {
+	if !l.isCurrent(a) || a.session != session {
 		return
 	}
 	a.session = nil
 	l.scheduler.Detach(a.worker)
 }
 
-func (l *leader) agentRoutes(a *agentLink, attachment uint64) http.Handler {
+func (l *leader) agentRoutes(a *agentConn, attachment uint64) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathReport, link.Handle(func(ctx context.Context, in *wire.WorkerReport) (*wire.ReportReply, error) {
-		return l.report(ctx, a, attachment, in)
+		return l.handleReport(ctx, a, attachment, in)
 	}))
 	return mux
 }
 
 // report takes over an agent's report. The answer lets the agent's runs go on.
-func (l *leader) report(ctx context.Context, a *agentLink, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
+func (l *leader) handleReport(ctx context.Context, a *agentConn, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
 	answer := make(chan *wire.ReportReply, 1)
-	l.event(func() {
-		if in.GetAttachment() != attachment || a.attachment != attachment || !l.current(a) {
+	l.enqueue(func() {
+		if in.GetAttachment() != attachment || a.attachment != attachment || !l.isCurrent(a) {
 			answer <- nil
 			return
 		}
 		at := now()
-		l.meters.report(len(in.GetEnded()), len(in.GetRejected()))
+		l.metrics.countReport(len(in.GetEnded()), len(in.GetRejected()))
 		l.scheduler.Report(a.worker, in, at)
-		granted := l.leads()
+		granted := l.isLeading()
 		if granted {
 			l.scheduler.Granted(a.worker, in, at)
 		}
@@ -148,26 +148,26 @@
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 	}
-	return nil, errEndedTerm
+	return nil, errTermEnded
 }
 
-var errEndedTerm = fault.New("report", link.Rejected, "the term has ended")
+var errTermEnded = fault.New("report", link.Rejected, "the term has ended")
 
 // send passes orders to an agent in the background.
-func (l *leader) send(orders scheduler.Orders) {
+func (l *leader) sendOrders(orders scheduler.Orders) {
 	a := l.agents[orders.Worker]
 	if a == nil || a.session == nil {
 		return
 	}
-	l.meters.orders(len(orders.Starts), len(orders.Stops))
+	l.metrics.countOrders(len(orders.Starts), len(orders.Stops))
 	session, message := a.session, ordersToWire(orders)
 	message.Term, message.Attachment = uint64(l.term), a.attachment
 	go func() {
-		ctx, cancel := context.WithTimeout(l.ctx, sessionCall)
+		ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 		defer cancel()
 		reply := &wire.OrdersReply{}
 		if err := session.Call(ctx, pathOrders, message, reply); err != nil {
-			l.meters.unanswered()
+			l.metrics.countFailedCall()
 			klog.InfoS("orders are not answered; the session is replaced", "worker", orders.Worker, "err", err)
 			session.Close() // a new attachment shows which orders were carried out
 			return
@@ -176,7 +176,7 @@
 		for i, s := range orders.Starts {
 			tasks[i] = s.Task
 		}
-		l.event(func() {
+		l.enqueue(func() {
 			if a.session == session {
 				l.scheduler.Sent(orders.Worker, tasks, reply.GetSequence())
 			}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -34,20 +34,20 @@
 	ReadinessHandler func(*Entry) http.Handler
 
 	elector *leadership.Elector
-	meters  meters
-
-	mu       sync.Mutex
-	leading  *leader       // nil while this process does not lead
-	session  *link.Session // to the leader, nil while there is none
-	target   leadership.Leader
-	peers    map[string]string // address of each other entry process by name
-	stopping bool
+	metrics metrics
+
+	mu          sync.Mutex
+	leader      *leader       // nil while this process does not lead
+	session     *link.Session // to the leader, nil while there is none
+	knownLeader leadership.Leader
+	peers       map[string]string // address of each other entry process by name
+	stopping    bool
 }
 
 // Run serves until ctx ends, then finishes the requests in flight.
 func (e *Entry) Run(ctx context.Context) error {
 	e.peers = make(map[string]string)
-	e.meters = newMeters(e.Scope)
+	e.metrics = newMetrics(e.Scope)
 	e.elector = e.newElector()
 	clients, err := net.Listen("tcp", e.Settings.ClientAddress)
 	if err != nil {
@@ -61,7 +61,7 @@
 	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopParts()
 	group, parts := errgroup.WithContext(parts)
-	e.runParts(parts, group, readiness)
+	e.startComponents(parts, group, readiness)
 	server := &http.Server{Handler: e.ClientHandler(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	group.Go(func() error {
 		if err := server.Serve(clients); err != http.ErrServerClosed {
@@ -79,31 +79,31 @@
 		}
 		return nil
 	})
-	defer e.unfollow()
-	return ignoreEnd(ctx, group.Wait())
+	defer e.closeLeaderSession()
+	return ignoreCancelled(ctx, group.Wait())
 }
 
 func (e *Entry) newElector() *leadership.Elector {
 	return &leadership.Elector{
 		Store: e.Store, Name: e.Settings.Name, Address: e.Settings.advertisedAddress(), FirstStart: e.Settings.FirstStart,
-		Handicap: e.Settings.claimHandicap(), Lead: e.lead, OnChange: e.follow, Support: e.askSupport,
-		Vacant: e.leaderHasEnded, Connected: e.connected,
+		Handicap: e.Settings.claimDelay(), Lead: e.lead, OnChange: e.followLeader, Support: e.requestSupport,
+		Vacant: e.leaderProcessEnded, Connected: e.connected,
 	}
 }
 
 // runParts starts everything besides the requests of clients.
-func (e *Entry) runParts(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
+func (e *Entry) startComponents(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
 	listener := &link.Listener{Address: e.Settings.sessionAddress(), Handler: e.routes()}
 	group.Go(func() error { return runListener(ctx, listener) })
 	group.Go(func() error { return e.Feed.Run(ctx) })
 	group.Go(func() error { return serve(ctx, readiness, e.ReadinessHandler(e)) })
 	group.Go(func() error {
-		followMembers(ctx, e.Store, e.member)
+		followMembers(ctx, e.Store, e.handleMember)
 		return nil
 	})
 	group.Go(func() error {
 		if _, err := register(ctx, e.Store, RoleEntry, e.Settings.Name, e.Settings.advertisedAddress()); err != nil {
-			return ignoreEnd(ctx, err)
+			return ignoreCancelled(ctx, err)
 		}
 		return e.elector.Run(ctx)
 	})
@@ -114,9 +114,9 @@
 	maxHeaderBytes = 16 << 10
 	// rotationTime is how long clients may still open connections after the
 	// readiness check has failed.
-	rotationTime = 2500 * time.Millisecond
+	drainDelay = 2500 * time.Millisecond
 	// stopReserve is kept of the time to stop for the end of the process.
-	stopReserve = 1500 * time.Millisecond
+	exitReserve = 1500 * time.Millisecond
 )
 
 // shutdown turns readiness off, waits until no new connections come, and
@@ -127,8 +127,8 @@
 	e.mu.Unlock()
 	klog.InfoS("stopping", "node", e.Settings.Name)
 	server.SetKeepAlivesEnabled(false)
-	deadline := time.Now().Add(e.Settings.StopTimeout - stopReserve)
-	time.Sleep(min(rotationTime, time.Until(deadline)))
+	deadline := time.Now().Add(e.Settings.StopTimeout - exitReserve)
+	time.Sleep(min(drainDelay, time.Until(deadline)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
@@ -143,36 +143,36 @@
 	if e.stopping || e.Feed.State().Configuration == nil {
 		return false
 	}
-	return e.leading != nil || e.session != nil
+	return e.leader != nil || e.session != nil
 }
 
 // lead runs the scheduler while this process leads.
 func (e *Entry) lead(ctx context.Context, term leadership.Term) {
 	l := &leader{
 		term: term, settings: e.Settings, store: e.Store, feed: e.Feed, advisor: e.Advisor,
-		leads:  func() bool { return e.elector.Leads(term) },
-		meters: e.meters, events: make(chan func(), eventQueue),
+		isLeading: func() bool { return e.elector.Leads(term) },
+		metrics:   e.metrics, events: make(chan func(), eventQueueSize),
 	}
 	l.group, l.ctx = errgroup.WithContext(ctx)
-	e.Feed.SetOnChange(func(state operations.State) { l.event(func() { l.scheduler.SetOperations(state) }) })
-	e.meters.leading()
-	e.setLeading(l)
-	defer e.setLeading(nil)
-	if err := l.run(); !ended(ctx, err) {
+	e.Feed.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperations(state) }) })
+	e.metrics.countTerm()
+	e.setLeader(l)
+	defer e.setLeader(nil)
+	if err := l.run(); !isTermEnd(ctx, err) {
 		klog.ErrorS(err, "leader has failed", "term", term)
 	}
 }
 
-func (e *Entry) setLeading(l *leader) {
+func (e *Entry) setLeader(l *leader) {
 	e.mu.Lock()
-	e.leading = l
+	e.leader = l
 	e.mu.Unlock()
 }
 
 // follow connects to the leader.
-func (e *Entry) follow(leader leadership.Leader) {
+func (e *Entry) followLeader(leader leadership.Leader) {
 	e.mu.Lock()
-	e.target = leader
+	e.knownLeader = leader
 	old := e.session
 	e.session = nil
 	e.mu.Unlock()
@@ -180,28 +180,28 @@
 		old.Close()
 	}
 	if leader.Name != e.Settings.Name {
-		go e.keepSession(leader)
+		go e.maintainSession(leader)
 	}
 }
 
 // unfollow ends the session to the leader.
-func (e *Entry) unfollow() {
+func (e *Entry) closeLeaderSession() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.target = leadership.Leader{}
+	e.knownLeader = leadership.Leader{}
 	if e.session != nil {
 		e.session.Close()
 	}
 }
 
 // keepSession dials the leader until another one is known.
-func (e *Entry) keepSession(leader leadership.Leader) {
-	for e.follows(leader) {
+func (e *Entry) maintainSession(leader leadership.Leader) {
+	for e.isKnownLeader(leader) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		session, err := link.Dial(ctx, leader.Address, nil)
 		cancel()
 		if err != nil {
-			time.Sleep(redialPause)
+			time.Sleep(redialDelay)
 			continue
 		}
 		klog.InfoS("connected to the leader", "leader", leader.Name, "term", leader.Term)
@@ -211,20 +211,20 @@
 		}
 		<-session.Done()
 		e.dropSession(session)
-		time.Sleep(redialPause)
+		time.Sleep(redialDelay)
 	}
 }
 
-func (e *Entry) follows(leader leadership.Leader) bool {
+func (e *Entry) isKnownLeader(leader leadership.Leader) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.target == leader
+	return e.knownLeader == leader
 }
 
 func (e *Entry) useSession(leader leadership.Leader, session *link.Session) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.target != leader {
+	if e.knownLeader != leader {
 		return false
 	}
 	e.session = session
@@ -236,27 +236,27 @@
 	defer e.mu.Unlock()
 	if e.session == session {
 		e.session = nil
-		klog.InfoS("connection to the leader is lost", "leader", e.target.Name)
+		klog.InfoS("connection to the leader is lost", "leader", e.knownLeader.Name)
 	}
 }
 
 // Serve answers a request of a client: as the leader, or through its session.
 func (e *Entry) Serve(ctx context.Context, r Request) Reply {
 	begin := time.Now()
-	reply := e.answer(ctx, r)
-	e.meters.request(r.Verb, reply.Outcome, time.Since(begin))
+	reply := e.handleRequest(ctx, r)
+	e.metrics.recordRequest(r.Verb, reply.Outcome, time.Since(begin))
 	return reply
 }
 
-func (e *Entry) answer(ctx context.Context, r Request) Reply {
+func (e *Entry) handleRequest(ctx context.Context, r Request) Reply {
 	e.mu.Lock()
-	leading, session := e.leading, e.session
+	leading, session := e.leader, e.session
 	e.mu.Unlock()
 	if leading != nil {
-		return leading.serve(ctx, r)
+		return leading.handleRequest(ctx, r)
 	}
 	if session == nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "no leader is connected"}
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "no leader is connected"}
 	}
 	message := &wire.ClientCall{Verb: string(r.Verb), JobId: string(r.ID), Queue: string(r.Queue)}
 	if r.Job != nil {
@@ -264,15 +264,15 @@
 	}
 	reply := &wire.ClientReply{}
 	if err := session.Call(ctx, pathClient, message, reply); err != nil {
-		return failedCall(r, err)
+		return replyFailedCall(r, err)
 	}
 	return replyFromWire(reply)
 }
 
 // failedCall answers for a call to the leader that failed: nothing has
 // happened only when the call never left this process.
-func failedCall(r Request, err error) Reply {
-	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: err.Error()}
+func replyFailedCall(r Request, err error) Reply {
+	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: err.Error()}
 	if !fault.Is(err, link.NotSent) && (r.Verb == Submit || r.Verb == Cancel) {
 		reply.Outcome = Unknown
 	}
@@ -281,28 +281,28 @@
 
 func (e *Entry) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(pathClient, link.Handle(e.client))
-	mux.HandleFunc(pathSupport, link.Handle(e.support))
-	mux.HandleFunc(pathVacancy, link.Handle(e.vacancy))
+	mux.HandleFunc(pathClient, link.Handle(e.handleClient))
+	mux.HandleFunc(pathSupport, link.Handle(e.handleSupport))
+	mux.HandleFunc(pathVacancy, link.Handle(e.handleVacancy))
 	return mux
 }
 
 // client answers a request that another entry process passes on.
-func (e *Entry) client(ctx context.Context, in *wire.ClientCall) (*wire.ClientReply, error) {
+func (e *Entry) handleClient(ctx context.Context, in *wire.ClientCall) (*wire.ClientReply, error) {
 	e.mu.Lock()
-	leading := e.leading
+	leading := e.leader
 	e.mu.Unlock()
 	if leading == nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "not the leader"}.toWire(), nil
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "not the leader"}.toWire(), nil
 	}
 	r := Request{Verb: Verb(in.GetVerb()), Queue: workflow.QueueName(in.GetQueue()), ID: workflow.JobID(in.GetJobId())}
 	if in.GetJob() != nil {
 		r.Job, r.Policy = workflow.FromWire(in.GetJob())
 	}
-	return leading.serve(ctx, r).toWire(), nil
+	return leading.handleRequest(ctx, r).toWire(), nil
 }
 
-func (e *Entry) vacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
+func (e *Entry) handleVacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
 	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.Renounce(leadership.Term(in.GetTerm()))}, nil
 }
 
@@ -310,11 +310,11 @@
 func (e *Entry) connected() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leading != nil || e.session != nil
+	return e.leader != nil || e.session != nil
 }
 
 // leaderHasEnded asks the leader's machine whether another process runs there.
-func (e *Entry) leaderHasEnded(ctx context.Context, leader leadership.Leader) bool {
+func (e *Entry) leaderProcessEnded(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
 	session, err := link.Dial(ctx, leader.Address, nil)
@@ -330,7 +330,7 @@
 }
 
 // member keeps the addresses of the other entry processes.
-func (e *Entry) member(m member) {
+func (e *Entry) handleMember(m member) {
 	if m.role != RoleEntry || m.name == e.Settings.Name {
 		return
 	}
@@ -343,13 +343,13 @@
 	e.peers[m.name] = m.address
 }
 
-func (e *Entry) support(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
+func (e *Entry) handleSupport(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
 	promised, reachable, known := e.elector.Promise(leadership.Term(in.GetTerm()))
 	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
 }
 
 // askSupport asks every other entry process not to claim the leadership.
-func (e *Entry) askSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
+func (e *Entry) requestSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
 	e.mu.Lock()
 	addresses := make([]string, 0, len(e.peers))
 	for _, address := range e.peers {
@@ -361,7 +361,7 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, address := range addresses {
-		group.Go(func() error { return e.askPeer(ctx, address, term) })
+		group.Go(func() error { return e.requestPeerSupport(ctx, address, term) })
 	}
 	if err := group.Wait(); err != nil {
 		klog.InfoS("leadership is not supported", "term", term, "err", err)
@@ -370,7 +370,7 @@
 	return sent.Add(leadership.PromiseFor), true
 }
 
-func (e *Entry) askPeer(ctx context.Context, address string, term leadership.Term) error {
+func (e *Entry) requestPeerSupport(ctx context.Context, address string, term leadership.Term) error {
 	session, err := link.Dial(ctx, address, nil)
 	if err != nil {
 		return err
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -22,42 +22,42 @@
 const (
 	// idleTick is the interval of the rules without an event; due times and
 	// leases that end are noticed this late at most.
-	idleTick = 100 * time.Millisecond
+	idleInterval = 100 * time.Millisecond
 	// eventQueue holds what arrives while the rules run.
-	eventQueue = 1024
+	eventQueueSize = 1024
 	// The rules rest after each run for ruleRest times as long as it took, so that
 	// events gather while more happens than the rules can follow one by one.
 	// Below shortestRest the wake-up costs more than the rest saves; longestRest
 	// bounds what a start waits.
-	ruleRest     = 3
-	shortestRest = time.Millisecond
-	longestRest  = 20 * time.Millisecond
+	rulePauseFactor = 3
+	minRulePause    = time.Millisecond
+	maxRulePause    = 20 * time.Millisecond
 	// expireEvery is the interval at which finished jobs are deleted.
-	expireEvery = 5 * time.Second
+	expireInterval = 5 * time.Second
 	// unavailableRetry is when clients return while there is no leader; a
 	// takeover takes about as long.
-	unavailableRetry = time.Second
+	unavailableRetryAfter = time.Second
 )
 
 // leader runs the scheduler for one term. One goroutine owns the tables; the
 // others send it events.
 type leader struct {
-	term     leadership.Term
-	settings *Settings
-	store    durable.Store
-	feed     *operations.Feed
-	leads    func() bool // this process has authority for the term now
-	advisor  Advisor
+	term      leadership.Term
+	settings  *Settings
+	store     durable.Store
+	feed      *operations.Feed
+	isLeading func() bool // this process has authority for the term now
+	advisor   Advisor
 
-	meters    meters
-	events    chan func()
-	scheduler *scheduler.Scheduler
-	writer    *jobstore.Writer
-	agents    map[units.WorkerID]*agentLink
-	pending   map[workflow.JobID]*submission
-	cancels   []cancellation
-	group     *errgroup.Group
-	ctx       context.Context
+	metrics       metrics
+	events        chan func()
+	scheduler     *scheduler.Scheduler
+	writer        *jobstore.Writer
+	agents        map[units.WorkerID]*agentConn
+	pending       map[workflow.JobID]*submission
+	cancellations []cancellation
+	group         *errgroup.Group
+	ctx           context.Context
 }
 
 // submission is a job whose record is on its way to the store.
@@ -74,7 +74,7 @@
 // run leads until ctx ends or a later term has taken over.
 func (l *leader) run() error {
 	ctx := l.ctx
-	l.agents = make(map[units.WorkerID]*agentLink)
+	l.agents = make(map[units.WorkerID]*agentConn)
 	l.pending = make(map[workflow.JobID]*submission)
 	l.writer = jobstore.New(l.store, uint64(l.term))
 	if err := l.recover(ctx); err != nil {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	l.scheduler = scheduler.New(grantFor+grantMargin, l.settings.FinishedJobRetention)
+	l.scheduler = scheduler.New(grantDuration+grantMargin, l.settings.FinishedJobRetention)
 	l.scheduler.SetOperations(l.feed.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
@@ -108,13 +108,13 @@
 	for _, m := range members {
 		if m.role == RoleAgent && m.address != "" {
 			l.scheduler.RecoverWorker(units.WorkerID(m.name), now())
-			l.connect(m)
+			l.connectAgent(m)
 		}
 	}
 	klog.InfoS("leader is ready", "term", l.term, "records", len(items), "members", len(members),
 		"fence", fenced.Sub(begin), "total", time.Since(begin))
 	l.group.Go(func() error {
-		followMembers(ctx, l.store, func(m member) { l.event(func() { l.member(m) }) })
+		followMembers(ctx, l.store, func(m member) { l.enqueue(func() { l.handleMember(m) }) })
 		return nil
 	})
 	return nil
@@ -133,13 +133,13 @@
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		pause.Jittered(ctx, storePause)
+		pause.Jittered(ctx, storeRetryDelay)
 	}
 }
 
 // event hands fn to the goroutine that owns the tables. It reports false when
 // the leader has ended.
-func (l *leader) event(fn func()) bool {
+func (l *leader) enqueue(fn func()) bool {
 	select {
 	case l.events <- fn:
 		return true
@@ -150,7 +150,7 @@
 
 // loop runs events and then, once, the rules over the tables.
 func (l *leader) loop(ctx context.Context) error {
-	timer := time.NewTimer(idleTick)
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	expire := time.Now()
 	for {
@@ -159,11 +159,11 @@
 			return nil
 		case fn := <-l.events:
 			fn()
-			l.drain()
+			l.runQueuedEvents()
 		case <-timer.C:
 		}
-		timer.Reset(idleTick)
-		if time.Since(expire) > expireEvery {
+		timer.Reset(idleInterval)
+		if time.Since(expire) > expireInterval {
 			expire = time.Now()
 			if records := l.scheduler.Expired(now()); len(records) > 0 {
 				l.writer.Write(records, nil)
@@ -173,14 +173,14 @@
 		if err := l.tick(); err != nil {
 			return err
 		}
-		if rest := min(ruleRest*time.Since(begin), longestRest); rest >= shortestRest {
+		if rest := min(rulePauseFactor*time.Since(begin), maxRulePause); rest >= minRulePause {
 			pause.For(ctx, rest)
 		}
 	}
 }
 
 // drain runs the events that have gathered.
-func (l *leader) drain() {
+func (l *leader) runQueuedEvents() {
 	for {
 		select {
 		case fn := <-l.events:
@@ -195,24 +195,24 @@
 func (l *leader) tick() error {
 	at := now()
 	l.scheduler.Tick(at, l.mayStart(at))
-	l.meters.rules(bootclock.Now().Sub(at.Boot))
+	l.metrics.recordRules(bootclock.Now().Sub(at.Boot))
 	records, flush, err := l.scheduler.Flush()
 	if err != nil {
 		return err
 	}
 	if flush != 0 {
 		l.writer.Write(records, func() {
-			l.meters.flush(bootclock.Now().Sub(at.Boot))
-			l.event(func() { l.committed(flush) })
+			l.metrics.recordFlush(bootclock.Now().Sub(at.Boot))
+			l.enqueue(func() { l.flushCommitted(flush) })
 		})
 	}
-	if !l.leads() {
+	if !l.isLeading() {
 		return nil
 	}
 	for _, orders := range l.scheduler.TakeOrders() {
-		l.send(orders)
+		l.sendOrders(orders)
 	}
-	l.ask(at)
+	l.requestAdvice(at)
 	return nil
 }
 
@@ -220,19 +220,19 @@
 // operators' records are known up to a moment ago.
 func (l *leader) mayStart(at scheduler.Now) bool {
 	current, ok := l.feed.Current()
-	return ok && l.leads() && at.Boot.Sub(current) < evidenceFor
+	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
 
-func (l *leader) committed(flush uint64) {
+func (l *leader) flushCommitted(flush uint64) {
 	l.scheduler.Committed(flush)
-	for len(l.cancels) > 0 && l.cancels[0].flush <= flush {
-		l.cancels[0].waiter <- Reply{Outcome: Found}
-		l.cancels = l.cancels[1:]
+	for len(l.cancellations) > 0 && l.cancellations[0].flush <= flush {
+		l.cancellations[0].waiter <- Reply{Outcome: Found}
+		l.cancellations = l.cancellations[1:]
 	}
 }
 
 // member takes note of a process that has joined or left.
-func (l *leader) member(m member) {
+func (l *leader) handleMember(m member) {
 	if m.role != RoleAgent {
 		return
 	}
@@ -244,14 +244,14 @@
 		return
 	}
 	l.scheduler.Join(id, now())
-	l.connect(m)
+	l.connectAgent(m)
 }
 
 // serve answers a request of a client.
-func (l *leader) serve(ctx context.Context, r Request) Reply {
+func (l *leader) handleRequest(ctx context.Context, r Request) Reply {
 	answer := make(chan Reply, 1)
-	if !l.event(func() { l.handle(r, answer) }) {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leader has ended"}
+	if !l.enqueue(func() { l.processRequest(r, answer) }) {
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 	}
 	select {
 	case reply := <-answer:
@@ -262,13 +262,13 @@
 	if r.Verb == Submit || r.Verb == Cancel {
 		return Reply{Outcome: Unknown, Reason: "the store has not answered"}
 	}
-	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leader has ended"}
+	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 }
 
 // handle runs in the goroutine that owns the tables.
-func (l *leader) handle(r Request, answer chan Reply) {
-	if !l.leads() {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leadership is not certain"}
+func (l *leader) processRequest(r Request, answer chan Reply) {
+	if !l.isLeading() {
+		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leadership is not certain"}
 		return
 	}
 	switch r.Verb {
@@ -277,7 +277,7 @@
 	case Lookup:
 		state, known := l.scheduler.State(r.ID)
 		if !known {
-			answer <- l.unknownJob(r.ID)
+			answer <- l.replyUnknownJob(r.ID)
 			return
 		}
 		answer <- Reply{Outcome: Found, State: state}
@@ -290,9 +290,9 @@
 
 // unknownJob answers for a job without a durable record; one whose record is
 // on its way may exist in a moment.
-func (l *leader) unknownJob(id workflow.JobID) Reply {
+func (l *leader) replyUnknownJob(id workflow.JobID) Reply {
 	if l.pending[id] != nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 	}
 	return Reply{Outcome: JobNotFound}
 }
@@ -308,7 +308,7 @@
 		return
 	}
 	if l.writer.Stalled() {
-		answer <- Reply{Outcome: Rejected, RetryAfter: unavailableRetry, Reason: "store does not answer"}
+		answer <- Reply{Outcome: Rejected, RetryAfter: unavailableRetryAfter, Reason: "store does not answer"}
 		return
 	}
 	value, err := workflow.Encode(r.Job, r.Policy)
@@ -319,10 +319,10 @@
 	s := &submission{waiters: []chan Reply{answer}}
 	l.pending[id] = s
 	record := durable.Record{Key: scheduler.JobKey(id), Value: value}
-	l.writer.Write([]durable.Record{record}, func() { l.event(func() { l.accepted(r, s) }) })
+	l.writer.Write([]durable.Record{record}, func() { l.enqueue(func() { l.jobAccepted(r, s) }) })
 }
 
-func (l *leader) accepted(r Request, s *submission) {
+func (l *leader) jobAccepted(r Request, s *submission) {
 	delete(l.pending, r.ID)
 	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Policy.Priority, "steps", r.Job.Summary())
 	l.scheduler.Accept(r.Job, r.Policy, now())
@@ -333,7 +333,7 @@
 
 func (l *leader) cancel(r Request, answer chan Reply) {
 	if l.pending[r.ID] != nil {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
+		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 		return
 	}
 	if !l.scheduler.Known(r.ID) {
@@ -345,10 +345,10 @@
 		answer <- Reply{Outcome: Found} // final already, or cancelled before
 		return
 	}
-	l.cancels = append(l.cancels, cancellation{flush, answer})
+	l.cancellations = append(l.cancellations, cancellation{flush, answer})
 }
 
 // ended reports whether err only says that the term is over.
-func ended(ctx context.Context, err error) bool {
+func isTermEnd(ctx context.Context, err error) bool {
 	return err == nil || ctx.Err() != nil || fault.Is(err, durable.Fenced)
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -23,9 +23,9 @@
 	// membersTopic holds the address of every process, by role and machine.
 	membersTopic durable.Topic = "members"
 	// storePause follows a call that the store did not answer.
-	storePause = 150 * time.Millisecond
+	storeRetryDelay = 150 * time.Millisecond
 	// membersWait bounds a long poll for new members.
-	membersWait = 5 * time.Second
+	memberPollTimeout = 5 * time.Second
 )
 
 // Role tells the kinds of processes apart.
@@ -57,7 +57,7 @@
 			return 0, ctx.Err()
 		}
 		klog.InfoS("registration is repeated", "err", err)
-		pause.Jittered(ctx, storePause)
+		pause.Jittered(ctx, storeRetryDelay)
 	}
 }
 
@@ -92,7 +92,7 @@
 		snapshot, err := store.Newest(ctx, membersTopic)
 		if err != nil {
 			klog.InfoS("members can't be read", "err", err)
-			pause.Jittered(ctx, storePause)
+			pause.Jittered(ctx, storeRetryDelay)
 			continue
 		}
 		for _, item := range snapshot.Items {
@@ -105,9 +105,9 @@
 // tailMembers returns when records have been missed or ctx ends.
 func tailMembers(ctx context.Context, store durable.Store, from units.Offset, fn func(member)) {
 	for ctx.Err() == nil {
-		batch, err := store.Read(ctx, membersTopic, true, from, membersWait)
+		batch, err := store.Read(ctx, membersTopic, true, from, memberPollTimeout)
 		if fault.Is(err, durable.Unavailable) {
-			pause.Jittered(ctx, storePause)
+			pause.Jittered(ctx, storeRetryDelay)
 			continue
 		}
 		if err != nil {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -36,17 +36,17 @@
 	// grantFor is how long an agent may go on without an answer of the leader.
 	// It covers a takeover: noticing that the leader is gone, the claim,
 	// reading the records and attaching to the agents.
-	grantFor = 6 * time.Second
+	grantDuration = 6 * time.Second
 	// grantMargin covers the difference of two machines' clocks in that time
 	// and the end of the runs.
 	grantMargin = 500 * time.Millisecond
 	// reportEvery is the interval of reports without news.
-	reportEvery = time.Second
+	reportInterval = time.Second
 	// evidenceFor is how old the leader's knowledge of the operators' records
 	// may be when a task starts.
-	evidenceFor = 2500 * time.Millisecond
+	maxOperationsAge = 2500 * time.Millisecond
 	// sessionCall bounds one message between our processes.
-	sessionCall = 1200 * time.Millisecond
+	callTimeout = 1200 * time.Millisecond
 	// vacancyTimeout bounds the question whether the leader's process lives.
 	vacancyTimeout = 250 * time.Millisecond
 )
@@ -64,14 +64,14 @@
 const (
 	// handicapPerCore is the delay of a claim by a machine of half a core; the
 	// scheduler's rules take that much longer on a smaller one.
-	handicapPerCore = 100 * time.Millisecond
-	longestHandicap = 500 * time.Millisecond
+	claimDelayPerCore = 100 * time.Millisecond
+	maxClaimDelay     = 500 * time.Millisecond
 )
 
 // claimHandicap delays the claim of a small machine, so that a larger one leads.
-func (s *Settings) claimHandicap() time.Duration {
+func (s *Settings) claimDelay() time.Duration {
 	if s.Processors <= 0 || s.Processors >= 1 {
 		return 0
 	}
-	return min(time.Duration(float64(handicapPerCore)*(1/s.Processors-1)), longestHandicap)
+	return min(time.Duration(float64(claimDelayPerCore)*(1/s.Processors-1)), maxClaimDelay)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -6,13 +6,13 @@
 // should win; the delay stays far below the time of a takeover.
 func TestSmallMachineWaits(t *testing.T) {
 	large, small := &Settings{Processors: 0.8}, &Settings{Processors: 0.2}
-	if got, want := large.claimHandicap(), small.claimHandicap(); got >= want {
+	if got, want := large.claimDelay(), small.claimDelay(); got >= want {
 		t.Errorf("handicap of the larger machine: got %v, want less than %v", got, want)
 	}
-	if got := (&Settings{Processors: 0.01}).claimHandicap(); got != longestHandicap {
-		t.Errorf("handicap of a tiny machine: got %v, want %v", got, longestHandicap)
+	if got := (&Settings{Processors: 0.01}).claimDelay(); got != maxClaimDelay {
+		t.Errorf("handicap of a tiny machine: got %v, want %v", got, maxClaimDelay)
 	}
-	if got := (&Settings{}).claimHandicap(); got != 0 {
+	if got := (&Settings{}).claimDelay(); got != 0 {
 		t.Errorf("handicap without a known size: got %v, want 0", got)
 	}
 }
