--- a/internal/node/advice.go
+++ b/internal/node/advice.go
@@ -9,18 +9,19 @@
 	"wasabihill.example/wasabihill/internal/scheduler"
 )
 
-// Advisor knows which workers may run a step.
+// Advisor decides which workers may run a step.
 type Advisor interface {
-	// Advise returns a ticket for each of the runners that may run the step,
-	// and for how long the tickets are valid.
+	// Advise returns one ticket for each runner that may run the step, and how
+	// long the tickets are valid.
 	Advise(ctx context.Context, q scheduler.Question) (tickets map[string]string, valid time.Duration, err error)
 }
 
-// adviceTimeout bounds one answer: the service takes the questions of a
-// machine in turn, and some milliseconds for each worker named.
+// adviceTimeout bounds one request. The service processes the requests of a
+// machine one after the other and takes some milliseconds per worker listed.
 const adviceTimeout = 5 * time.Second
 
-// ask sends the questions that the tables have.
+// requestAdvice sends the scheduler's open questions to the advice service in
+// the background.
 func (l *leader) requestAdvice(at scheduler.Now) {
 	if l.advisor == nil {
 		return
@@ -31,7 +32,7 @@
 			defer cancel()
 			tickets, valid, err := l.advisor.Advise(ctx, q)
 			if err != nil {
-				klog.InfoS("no advice", "job", q.Step.Job, "step", q.Step.Step, "workers", len(q.Runners), "err", err)
+				klog.InfoS("advice request failed", "job", q.Step.Job, "step", q.Step.Step, "workers", len(q.Runners), "err", err)
 			}
 			l.enqueue(func() { l.scheduler.Advise(q.Step, tickets, valid, now()) })
 		}()
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -22,25 +22,26 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Agent is the process beside a runner. Set the exported fields before Run.
+// Agent is the process that controls one runner on the same machine. Set the
+// exported fields before Run.
 type Agent struct {
 	Settings         *Settings
 	Store            durable.Store
 	Controller       *runner.Controller
-	HeartbeatHandler http.Handler // takes the runner's announcements
-	Scope            tally.Scope  // nil counts nothing
+	HeartbeatHandler http.Handler // serves the runner's heartbeats
+	Scope            tally.Scope  // nil disables metrics
 
 	mu         sync.Mutex
 	term       uint64
 	attachment uint64
 	session    *link.Session
 	metrics    metrics
-	changed    chan struct{} // holds a token when the leader must hear something
+	changed    chan struct{} // holds a token while there are changes to report
 	ctx        context.Context
 }
 
-// Run serves the runner and the leader until ctx ends. Runs go on: their lease
-// outlives a restart of the agent.
+// Run serves the runner and the leader until ctx ends. It does not stop the
+// runs: their lease outlives a restart of the agent.
 func (a *Agent) Run(ctx context.Context) error {
 	a.changed = make(chan struct{}, 1)
 	a.metrics = newMetrics(a.Scope)
@@ -66,6 +67,7 @@
 	return ignoreCancelled(ctx, group.Wait())
 }
 
+// ignoreCancelled returns nil once ctx has ended, and err before that.
 func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -80,8 +82,9 @@
 	return mux
 }
 
-// attach makes the caller the leader that this agent reports to, unless it
-// knows a later one.
+// handleAttach makes the caller the leader that this agent reports to. It
+// rejects a term before the current one, and within the current term an
+// attachment number that is not higher than the current one.
 func (a *Agent) handleAttach(ctx context.Context, in *wire.Attach) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	if in.GetTerm() < a.term || in.GetTerm() == a.term && in.GetAttachment() <= a.attachment {
@@ -91,13 +94,14 @@
 	a.term, a.attachment = in.GetTerm(), in.GetAttachment()
 	a.session = link.SessionFromContext(ctx)
 	a.mu.Unlock()
-	klog.InfoS("attached", "leader", in.GetLeader(), "term", in.GetTerm(), "attachment", in.GetAttachment())
+	klog.InfoS("attached to the leader", "leader", in.GetLeader(), "term", in.GetTerm(), "attachment", in.GetAttachment())
 	a.notify()
 	return &wire.OrdersReply{}, nil
 }
 
-// orders admits what the attached leader has decided. Holding the lock means
-// that no order of an earlier attachment is admitted after a later attach.
+// handleOrders applies the orders of the attached leader. It holds the lock
+// throughout, so that no order of an earlier attachment is applied after a
+// later attach.
 func (a *Agent) handleOrders(_ context.Context, in *wire.Orders) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -139,10 +143,10 @@
 	}
 }
 
-// dropSession forgets a session that has ended, and ends one on which the
-// leader no longer takes reports, so that it attaches again.
-func (a *Agent) dropSession(session *link.Session, refused bool) {
-	if refused {
+// dropSession clears the session if it is ending. A session on which the leader
+// rejects reports is closed first, so that the leader attaches again.
+func (a *Agent) dropSession(session *link.Session, rejected bool) {
+	if rejected {
 		session.Close()
 	}
 	a.mu.Lock()
@@ -170,7 +174,8 @@
 	}
 }
 
-// report tells the leader everything, at once when there is news.
+// runReports sends the complete state to the leader, at each interval and
+// immediately after a change.
 func (a *Agent) runReports(ctx context.Context) error {
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
@@ -201,7 +206,7 @@
 	reply := &wire.ReportReply{}
 	if err := session.Call(ctx, pathReport, report, reply); err != nil {
 		a.metrics.countFailedCall()
-		klog.InfoS("report is not answered", "err", err)
+		klog.InfoS("report to the leader failed", "err", err)
 		a.dropSession(session, fault.Is(err, link.Rejected))
 		return
 	}
@@ -214,19 +219,20 @@
 	a.Controller.Record(reply.GetRecordedBornUnixMs(), reply.GetRecorded())
 }
 
-// runListener accepts sessions until ctx ends, then ends them.
+// runListener accepts sessions until ctx ends, then shuts them down.
 func runListener(ctx context.Context, listener *link.Listener) error {
 	err := listener.Run(ctx)
-	ending, cancel := context.WithTimeout(context.Background(), sessionShutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), sessionShutdownTimeout)
 	defer cancel()
-	listener.Shutdown(ending)
+	listener.Shutdown(shutdownCtx)
 	return err
 }
 
-// sessionEnd bounds the end of the sessions of a process that stops.
+// sessionShutdownTimeout bounds the shutdown of all sessions when the process
+// stops.
 const sessionShutdownTimeout = 300 * time.Millisecond
 
-// serve answers HTTP requests until ctx ends.
+// serve handles HTTP requests on listener until ctx ends.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
@@ -241,6 +247,6 @@
 	// headerTimeout frees a connection whose request header never completes.
 	headerTimeout = 3 * time.Second
 	// idleTimeout exceeds the interval of heartbeats and readiness checks, so
-	// that their connections are used again.
+	// that their connections are reused.
 	idleTimeout = 15 * time.Second
 )
--- a/internal/node/agent_test.go
+++ b/internal/node/agent_test.go
@@ -11,7 +11,8 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// testAgent serves an agent's sessions and reports; the leader is the test's.
+// testAgent runs an agent's listener and report loop. The test acts as the
+// leader.
 func testAgent(t *testing.T) (a *Agent, address string) {
 	a = &Agent{Settings: &Settings{Name: "agent"}, Controller: &runner.Controller{}, changed: make(chan struct{}, 1), metrics: newMetrics(nil)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -32,6 +33,8 @@
 	return a, bound.String()
 }
 
+// attachTo connects to the agent as a leader, attaches and serves its reports
+// with report.
 func attachTo(t *testing.T, address string, report func(*wire.WorkerReport) (*wire.ReportReply, error)) *link.Session {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -49,21 +52,21 @@
 	return session
 }
 
-// An agent whose report is refused must end the session, so that the leader
-// attaches again. Forgetting the session alone left both sides waiting, and
-// the runs' leases ended.
-func TestRefusedReportEndsSession(t *testing.T) {
+// An agent whose report is rejected must close the session, so that the leader
+// attaches again. When it only cleared its reference, both sides waited and the
+// leases of the runs expired.
+func TestRejectedReportEndsSession(t *testing.T) {
 	_, address := testAgent(t)
 	session := attachTo(t, address, func(*wire.WorkerReport) (*wire.ReportReply, error) { return nil, errTermEnded })
 	select {
 	case <-session.Done():
 	case <-time.After(5 * time.Second):
-		t.Error("session goes on after a refused report, want its end")
+		t.Error("session is still open 5s after a rejected report, want it closed")
 	}
 }
 
-// A leader that is not certain to lead takes reports without granting time;
-// the agent must stay attached and go on reporting.
+// A leader that is unsure of its leadership accepts reports without a grant.
+// The agent must stay attached and continue to report.
 func TestReportWithoutGrantKeepsSession(t *testing.T) {
 	_, address := testAgent(t)
 	reports := make(chan struct{}, 16)
@@ -75,16 +78,16 @@
 		select {
 		case <-reports:
 		case <-session.Done():
-			t.Fatal("session has ended, want it to go on")
+			t.Fatal("session ended after a report without a grant, want it open")
 		case <-time.After(5 * time.Second):
 			t.Fatal("no report within 5s")
 		}
 	}
 }
 
-// Orders of an earlier attachment must not be carried out after a later one:
-// the leader has taken their tasks back.
-func TestOrdersOfEarlierAttachmentAreRefused(t *testing.T) {
+// Orders of an earlier attachment must not be applied after a later one: the
+// leader has already withdrawn their tasks.
+func TestOrdersOfEarlierAttachmentAreRejected(t *testing.T) {
 	a, address := testAgent(t)
 	grant := func(*wire.WorkerReport) (*wire.ReportReply, error) { return &wire.ReportReply{Granted: true}, nil }
 	first := attachTo(t, address, grant)
@@ -95,9 +98,9 @@
 	}
 	err := first.Call(ctx, pathOrders, &wire.Orders{Term: 3, Attachment: 1}, &wire.OrdersReply{})
 	if err == nil {
-		t.Error("orders of attachment 1 were taken after attachment 2, want a refusal")
+		t.Error("orders of attachment 1 were applied after attachment 2, want a rejection")
 	}
 	if _, err := a.handleAttach(ctx, &wire.Attach{Term: 2, Leader: "old", Attachment: 9}); err == nil {
-		t.Error("an earlier term attached, want a refusal")
+		t.Error("term 2 attached after term 3, want a rejection")
 	}
 }
--- a/internal/node/agentconn.go
+++ b/internal/node/agentconn.go
@@ -21,21 +21,23 @@
 const (
 	// dialTimeout bounds a connection attempt to an agent or the leader.
 	dialTimeout = 700 * time.Millisecond
-	// redialPause follows a session that failed.
+	// redialDelay is the pause between the end of a session and the next dial.
 	redialDelay = 200 * time.Millisecond
 )
 
-// agentLink is the leader's session to one agent. Its fields are owned by the
-// goroutine that owns the tables.
+// agentConn is the leader's connection to one agent. Only the goroutine that
+// runs the scheduler accesses its mutable fields.
 type agentConn struct {
 	worker     units.WorkerID
 	address    string
 	stop       context.CancelFunc
 	attachment uint64
-	session    *link.Session // nil while there is none
+	session    *link.Session // nil while disconnected
 }
 
-// connect keeps a session to an agent.
+// connectAgent starts a goroutine that keeps a session to the agent open. It
+// replaces an earlier connection to the same worker and continues its
+// attachment numbers.
 func (l *leader) connectAgent(m member) {
 	id := units.WorkerID(m.name)
 	attachment := uint64(0)
@@ -55,7 +57,8 @@
 	})
 }
 
-// attachOnce opens a session, attaches and returns when the session has ended.
+// runAttachment opens a session, attaches to the agent and returns when the
+// session has ended.
 func (l *leader) runAttachment(ctx context.Context, a *agentConn) {
 	attachment := make(chan uint64, 1)
 	if !l.enqueue(func() {
@@ -74,7 +77,7 @@
 	session, err := link.Dial(dialCtx, a.address, l.agentRoutes(a, number))
 	cancel()
 	if err != nil {
-		klog.V(1).InfoS("agent can't be reached", "worker", a.worker, "address", a.address, "err", err)
+		klog.V(1).InfoS("failed to connect to agent", "worker", a.worker, "address", a.address, "err", err)
 		return
 	}
 	defer session.Close()
@@ -93,8 +96,8 @@
 	l.enqueue(func() { l.agentDetached(a, session) })
 }
 
-// current reports whether a is the link in use; an agent that came back at
-// another address has a newer one.
+// isCurrent reports whether a is the connection in use. An agent that returned
+// at another address has a newer one.
 func (l *leader) isCurrent(a *agentConn) bool { return l.agents[a.worker] == a }
 
 func (l *leader) agentAttached(a *agentConn, session *link.Session) {
@@ -121,7 +124,8 @@
 	return mux
 }
 
-// report takes over an agent's report. The answer lets the agent's runs go on.
+// handleReport passes an agent's report to the scheduler. A granted reply lets
+// the agent's runs continue.
 func (l *leader) handleReport(ctx context.Context, a *agentConn, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
 	answer := make(chan *wire.ReportReply, 1)
 	l.enqueue(func() {
@@ -153,7 +157,7 @@
 
 var errTermEnded = fault.New("report", link.Rejected, "the term has ended")
 
-// send passes orders to an agent in the background.
+// sendOrders sends orders to an agent in the background.
 func (l *leader) sendOrders(orders scheduler.Orders) {
 	a := l.agents[orders.Worker]
 	if a == nil || a.session == nil {
@@ -168,8 +172,8 @@
 		reply := &wire.OrdersReply{}
 		if err := session.Call(ctx, pathOrders, message, reply); err != nil {
 			l.metrics.countFailedCall()
-			klog.InfoS("orders are not answered; the session is replaced", "worker", orders.Worker, "err", err)
-			session.Close() // a new attachment shows which orders were carried out
+			klog.InfoS("sending orders to the agent failed; replacing the session", "worker", orders.Worker, "err", err)
+			session.Close() // the reports of a new attachment show which orders were applied
 			return
 		}
 		tasks := make([]workflow.TaskID, len(orders.Starts))
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -7,25 +7,25 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// Outcome is what became of a request of a client.
+// Outcome is the result of a client request.
 type Outcome string
 
-// The outcomes.
+// Outcomes of client requests. They travel in replies and tag metrics.
 const (
 	Accepted    Outcome = "accepted"    // the job's record is durable
-	Found       Outcome = "found"       // the job or the queue is known
+	Found       Outcome = "found"       // the job or the queue exists
 	JobNotFound Outcome = "noJob"       // no such job exists
-	Rejected    Outcome = "refused"     // nothing was done and never will be
-	Unknown     Outcome = "undecided"   // the job may have been accepted, or may still be
-	Unavailable Outcome = "unavailable" // nothing can be said now; a reading changes nothing
+	Rejected    Outcome = "refused"     // the request had no effect and never will
+	Unknown     Outcome = "undecided"   // the request may have taken effect, or may still do so
+	Unavailable Outcome = "unavailable" // no answer is possible now; the request had no effect
 )
 
-// Reply is the answer to a request of a client.
+// Reply is the answer to a client request.
 type Reply struct {
 	Outcome    Outcome
 	State      workflow.State
 	Pending    int
-	RetryAfter time.Duration // when to come back; 0 when there is no advice
+	RetryAfter time.Duration // how long to wait before a retry; 0 when there is no hint
 	Reason     string        // for the log
 }
 
@@ -39,18 +39,18 @@
 		RetryAfter: time.Duration(w.GetRetryAfterMs()) * time.Millisecond, Reason: w.GetReason()}
 }
 
-// Verb is what a client asks for.
+// Verb is the operation that a client requests.
 type Verb string
 
-// The verbs.
+// Verbs of client requests. They travel between entry processes and tag metrics.
 const (
 	Submit Verb = "submit"
-	Lookup Verb = "look"   // at a job's state
-	Cancel Verb = "cancel" // a job
-	Count  Verb = "count"  // the jobs of a queue that have not begun
+	Lookup Verb = "look"   // returns a job's state
+	Cancel Verb = "cancel" // cancels a job
+	Count  Verb = "count"  // counts a queue's jobs that have not started
 )
 
-// Request is a request of a client whose queue is known.
+// Request is a client request whose queue has been resolved.
 type Request struct {
 	Verb   Verb
 	Queue  workflow.QueueName
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -21,15 +21,16 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// Entry is a process that takes requests of clients. Set the exported fields
-// before Run.
+// Entry is a process that serves client requests and may be elected leader. Set
+// the exported fields before Run.
 type Entry struct {
 	Settings *Settings
 	Store    durable.Store
 	Feed     *operations.Feed
-	Scope    tally.Scope // nil counts nothing
-	Advisor  Advisor     // nil when there is no service that gives advice
-	// Clients and Readiness serve the platform's interfaces.
+	Scope    tally.Scope // nil disables metrics
+	Advisor  Advisor     // nil when the deployment has no advice service
+	// ClientHandler and ReadinessHandler return the handlers of the platform's
+	// interfaces.
 	ClientHandler    func(*Entry) http.Handler
 	ReadinessHandler func(*Entry) http.Handler
 
@@ -38,7 +39,7 @@
 
 	mu          sync.Mutex
 	leader      *leader       // nil while this process does not lead
-	session     *link.Session // to the leader, nil while there is none
+	session     *link.Session // to the leader; nil while disconnected
 	knownLeader leadership.Leader
 	peers       map[string]string // address of each other entry process by name
 	stopping    bool
@@ -57,11 +58,11 @@
 	if err != nil {
 		return err
 	}
-	// Parts outlive ctx until the requests in flight are answered.
-	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	e.startComponents(parts, group, readiness)
+	// The components outlive ctx until the requests in flight are answered.
+	components, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopComponents()
+	group, components := errgroup.WithContext(components)
+	e.startComponents(components, group, readiness)
 	server := &http.Server{Handler: e.ClientHandler(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	group.Go(func() error {
 		if err := server.Serve(clients); err != http.ErrServerClosed {
@@ -73,8 +74,8 @@
 		select {
 		case <-ctx.Done():
 			e.shutdown(server)
-			stopParts()
-		case <-parts.Done():
+			stopComponents()
+		case <-components.Done():
 			server.Close()
 		}
 		return nil
@@ -91,7 +92,7 @@
 	}
 }
 
-// runParts starts everything besides the requests of clients.
+// startComponents starts everything except the server for client requests.
 func (e *Entry) startComponents(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
 	listener := &link.Listener{Address: e.Settings.sessionAddress(), Handler: e.routes()}
 	group.Go(func() error { return runListener(ctx, listener) })
@@ -110,17 +111,18 @@
 }
 
 const (
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes bounds the header of a client request.
 	maxHeaderBytes = 16 << 10
-	// rotationTime is how long clients may still open connections after the
-	// readiness check has failed.
+	// drainDelay is how long clients may still open connections after the
+	// readiness check has started to fail.
 	drainDelay = 2500 * time.Millisecond
-	// stopReserve is kept of the time to stop for the end of the process.
+	// exitReserve is the part of the stop timeout that is kept for the exit of
+	// the process after the requests in flight.
 	exitReserve = 1500 * time.Millisecond
 )
 
-// shutdown turns readiness off, waits until no new connections come, and
-// finishes the requests in flight.
+// shutdown makes the readiness check fail, waits until clients stop opening
+// connections and finishes the requests in flight.
 func (e *Entry) shutdown(server *http.Server) {
 	e.mu.Lock()
 	e.stopping = true
@@ -132,7 +134,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		klog.InfoS("requests in flight were cut off", "err", err)
+		klog.InfoS("stop timeout expired with requests in flight", "err", err)
 	}
 }
 
@@ -146,7 +148,8 @@
 	return e.leader != nil || e.session != nil
 }
 
-// lead runs the scheduler while this process leads.
+// lead runs the scheduler for the term. It returns when this process no longer
+// leads.
 func (e *Entry) lead(ctx context.Context, term leadership.Term) {
 	l := &leader{
 		term: term, settings: e.Settings, store: e.Store, feed: e.Feed, advisor: e.Advisor,
@@ -159,7 +162,7 @@
 	e.setLeader(l)
 	defer e.setLeader(nil)
 	if err := l.run(); !isTermEnd(ctx, err) {
-		klog.ErrorS(err, "leader has failed", "term", term)
+		klog.ErrorS(err, "leader failed; the term ends", "term", term)
 	}
 }
 
@@ -169,22 +172,23 @@
 	e.mu.Unlock()
 }
 
-// follow connects to the leader.
+// followLeader replaces the session to the previous leader by one to the given
+// leader.
 func (e *Entry) followLeader(leader leadership.Leader) {
 	e.mu.Lock()
 	e.knownLeader = leader
-	old := e.session
+	previous := e.session
 	e.session = nil
 	e.mu.Unlock()
-	if old != nil {
-		old.Close()
+	if previous != nil {
+		previous.Close()
 	}
 	if leader.Name != e.Settings.Name {
 		go e.maintainSession(leader)
 	}
 }
 
-// unfollow ends the session to the leader.
+// closeLeaderSession closes the session to the leader and prevents another one.
 func (e *Entry) closeLeaderSession() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -194,7 +198,8 @@
 	}
 }
 
-// keepSession dials the leader until another one is known.
+// maintainSession keeps a session to the leader open until another leader is
+// known.
 func (e *Entry) maintainSession(leader leadership.Leader) {
 	for e.isKnownLeader(leader) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
@@ -240,7 +245,8 @@
 	}
 }
 
-// Serve answers a request of a client: as the leader, or through its session.
+// Serve answers a client request, locally when this process leads and otherwise
+// through the session to the leader.
 func (e *Entry) Serve(ctx context.Context, r Request) Reply {
 	begin := time.Now()
 	reply := e.handleRequest(ctx, r)
@@ -250,10 +256,10 @@
 
 func (e *Entry) handleRequest(ctx context.Context, r Request) Reply {
 	e.mu.Lock()
-	leading, session := e.leader, e.session
+	local, session := e.leader, e.session
 	e.mu.Unlock()
-	if leading != nil {
-		return leading.handleRequest(ctx, r)
+	if local != nil {
+		return local.handleRequest(ctx, r)
 	}
 	if session == nil {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "no leader is connected"}
@@ -269,8 +275,8 @@
 	return replyFromWire(reply)
 }
 
-// failedCall answers for a call to the leader that failed: nothing has
-// happened only when the call never left this process.
+// replyFailedCall returns the reply to a client whose call to the leader
+// failed. Only a call that was not sent certainly had no effect.
 func replyFailedCall(r Request, err error) Reply {
 	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: err.Error()}
 	if !fault.Is(err, link.NotSent) && (r.Verb == Submit || r.Verb == Cancel) {
@@ -287,21 +293,23 @@
 	return mux
 }
 
-// client answers a request that another entry process passes on.
+// handleClient answers a request that another entry process forwards.
 func (e *Entry) handleClient(ctx context.Context, in *wire.ClientCall) (*wire.ClientReply, error) {
 	e.mu.Lock()
-	leading := e.leader
+	local := e.leader
 	e.mu.Unlock()
-	if leading == nil {
+	if local == nil {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "not the leader"}.toWire(), nil
 	}
 	r := Request{Verb: Verb(in.GetVerb()), Queue: workflow.QueueName(in.GetQueue()), ID: workflow.JobID(in.GetJobId())}
 	if in.GetJob() != nil {
 		r.Job, r.Policy = workflow.FromWire(in.GetJob())
 	}
-	return leading.handleRequest(ctx, r).toWire(), nil
+	return local.handleRequest(ctx, r).toWire(), nil
 }
 
+// handleVacancy reports whether this process leads the given term or has just
+// claimed it. Otherwise the process renounces that term.
 func (e *Entry) handleVacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
 	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.Renounce(leadership.Term(in.GetTerm()))}, nil
 }
@@ -313,7 +321,9 @@
 	return e.leader != nil || e.session != nil
 }
 
-// leaderHasEnded asks the leader's machine whether another process runs there.
+// leaderProcessEnded queries the process at the leader's address whether it leads
+// the leader's term. It returns true when a process of that name answers that
+// it does not, as after a restart, and false without an answer.
 func (e *Entry) leaderProcessEnded(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
@@ -329,7 +339,7 @@
 	return reply.GetName() == leader.Name && !reply.GetLeads()
 }
 
-// member keeps the addresses of the other entry processes.
+// handleMember updates the addresses of the other entry processes.
 func (e *Entry) handleMember(m member) {
 	if m.role != RoleEntry || m.name == e.Settings.Name {
 		return
@@ -348,7 +358,9 @@
 	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
 }
 
-// askSupport asks every other entry process not to claim the leadership.
+// requestSupport requests from every other entry process a promise not to claim the
+// leadership. It returns when the promises expire, and false unless every
+// process promised.
 func (e *Entry) requestSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
 	e.mu.Lock()
 	addresses := make([]string, 0, len(e.peers))
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -20,33 +20,35 @@
 )
 
 const (
-	// idleTick is the interval of the rules without an event; due times and
-	// leases that end are noticed this late at most.
+	// idleInterval is the interval at which the rules run without an event. It
+	// bounds the delay with which due times and expired leases are detected.
 	idleInterval = 100 * time.Millisecond
-	// eventQueue holds what arrives while the rules run.
+	// eventQueueSize bounds the events that are queued while the rules run.
 	eventQueueSize = 1024
-	// The rules rest after each run for ruleRest times as long as it took, so that
-	// events gather while more happens than the rules can follow one by one.
-	// Below shortestRest the wake-up costs more than the rest saves; longestRest
-	// bounds what a start waits.
+	// After each run of the rules the loop pauses for rulePauseFactor times the
+	// duration of the run, so that events accumulate when they arrive faster
+	// than the rules can process them one by one. A pause below minRulePause is
+	// skipped, because the wake-up would cost more than the pause saves;
+	// maxRulePause bounds the delay of a start.
 	rulePauseFactor = 3
 	minRulePause    = time.Millisecond
 	maxRulePause    = 20 * time.Millisecond
-	// expireEvery is the interval at which finished jobs are deleted.
+	// expireInterval is the interval at which records of finished jobs are
+	// deleted.
 	expireInterval = 5 * time.Second
-	// unavailableRetry is when clients return while there is no leader; a
-	// takeover takes about as long.
+	// unavailableRetryAfter is the delay before clients retry while there is no
+	// leader. A failover takes about as long.
 	unavailableRetryAfter = time.Second
 )
 
-// leader runs the scheduler for one term. One goroutine owns the tables; the
+// leader runs the scheduler for one term. One goroutine runs the scheduler; the
 // others send it events.
 type leader struct {
 	term      leadership.Term
 	settings  *Settings
 	store     durable.Store
 	feed      *operations.Feed
-	isLeading func() bool // this process has authority for the term now
+	isLeading func() bool // reports whether this process holds the leadership now
 	advisor   Advisor
 
 	metrics       metrics
@@ -60,10 +62,10 @@
 	ctx           context.Context
 }
 
-// submission is a job whose record is on its way to the store.
+// submission is a job whose record is being written to the store.
 type submission struct{ waiters []chan Reply }
 
-// cancellation is a cancelled job whose record is on its way.
+// cancellation is a cancelled job whose record is being written to the store.
 type cancellation struct {
 	flush  uint64
 	waiter chan Reply
@@ -71,7 +73,7 @@
 
 func now() scheduler.Now { return scheduler.Now{Boot: bootclock.Now(), Wall: time.Now()} }
 
-// run leads until ctx ends or a later term has taken over.
+// run leads until ctx ends or a later term has begun.
 func (l *leader) run() error {
 	ctx := l.ctx
 	l.agents = make(map[units.WorkerID]*agentConn)
@@ -85,7 +87,7 @@
 	return l.group.Wait()
 }
 
-// recover reads the records of the earlier terms.
+// recover restores the scheduler from the records of the earlier terms.
 func (l *leader) recover(ctx context.Context) error {
 	begin := time.Now()
 	if err := l.writer.Fence(ctx); err != nil {
@@ -137,8 +139,8 @@
 	}
 }
 
-// event hands fn to the goroutine that owns the tables. It reports false when
-// the leader has ended.
+// enqueue queues fn for the goroutine that runs the scheduler. It returns false
+// when the leader has ended.
 func (l *leader) enqueue(fn func()) bool {
 	select {
 	case l.events <- fn:
@@ -148,11 +150,11 @@
 	}
 }
 
-// loop runs events and then, once, the rules over the tables.
+// loop applies events and runs the rules until ctx ends.
 func (l *leader) loop(ctx context.Context) error {
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
-	expire := time.Now()
+	lastExpire := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -163,8 +165,8 @@
 		case <-timer.C:
 		}
 		timer.Reset(idleInterval)
-		if time.Since(expire) > expireInterval {
-			expire = time.Now()
+		if time.Since(lastExpire) > expireInterval {
+			lastExpire = time.Now()
 			if records := l.scheduler.Expired(now()); len(records) > 0 {
 				l.writer.Write(records, nil)
 			}
@@ -173,13 +175,13 @@
 		if err := l.tick(); err != nil {
 			return err
 		}
-		if rest := min(rulePauseFactor*time.Since(begin), maxRulePause); rest >= minRulePause {
-			pause.For(ctx, rest)
+		if delay := min(rulePauseFactor*time.Since(begin), maxRulePause); delay >= minRulePause {
+			pause.For(ctx, delay)
 		}
 	}
 }
 
-// drain runs the events that have gathered.
+// runQueuedEvents runs the events that are queued now.
 func (l *leader) runQueuedEvents() {
 	for {
 		select {
@@ -191,7 +193,8 @@
 	}
 }
 
-// tick runs the rules, writes what has changed and sends the orders.
+// tick runs the scheduler's rules, writes the changed records and sends the
+// orders.
 func (l *leader) tick() error {
 	at := now()
 	l.scheduler.Tick(at, l.mayStart(at))
@@ -216,13 +219,15 @@
 	return nil
 }
 
-// mayStart reports whether a task may start now: this process leads, and the
-// operators' records are known up to a moment ago.
+// mayStart reports whether tasks may start now: this process leads, and its
+// copy of the operators' records is recent.
 func (l *leader) mayStart(at scheduler.Now) bool {
 	current, ok := l.feed.Current()
 	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
 
+// flushCommitted records that the flush is durable and answers the
+// cancellations that it covers.
 func (l *leader) flushCommitted(flush uint64) {
 	l.scheduler.Committed(flush)
 	for len(l.cancellations) > 0 && l.cancellations[0].flush <= flush {
@@ -231,14 +236,14 @@
 	}
 }
 
-// member takes note of a process that has joined or left.
+// handleMember connects to an agent that has registered or changed its address.
 func (l *leader) handleMember(m member) {
 	if m.role != RoleAgent {
 		return
 	}
 	id := units.WorkerID(m.name)
 	if m.address == "" {
-		return // an agent that has left comes back, or its leases end
+		return // the agent registers again, or its leases expire
 	}
 	if known := l.agents[id]; known != nil && known.address == m.address {
 		return
@@ -247,7 +252,7 @@
 	l.connectAgent(m)
 }
 
-// serve answers a request of a client.
+// handleRequest answers a client request.
 func (l *leader) handleRequest(ctx context.Context, r Request) Reply {
 	answer := make(chan Reply, 1)
 	if !l.enqueue(func() { l.processRequest(r, answer) }) {
@@ -265,7 +270,7 @@
 	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 }
 
-// handle runs in the goroutine that owns the tables.
+// processRequest must be called in the goroutine that runs the scheduler.
 func (l *leader) processRequest(r Request, answer chan Reply) {
 	if !l.isLeading() {
 		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leadership is not certain"}
@@ -288,8 +293,8 @@
 	}
 }
 
-// unknownJob answers for a job without a durable record; one whose record is
-// on its way may exist in a moment.
+// replyUnknownJob returns the reply for a job without a durable record. A job
+// whose record is being written may exist soon.
 func (l *leader) replyUnknownJob(id workflow.JobID) Reply {
 	if l.pending[id] != nil {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
@@ -342,13 +347,13 @@
 	}
 	flush := l.scheduler.Cancel(r.ID, now())
 	if flush == 0 {
-		answer <- Reply{Outcome: Found} // final already, or cancelled before
+		answer <- Reply{Outcome: Found} // already final, or cancelled before
 		return
 	}
 	l.cancellations = append(l.cancellations, cancellation{flush, answer})
 }
 
-// ended reports whether err only says that the term is over.
+// isTermEnd reports whether err is nil or results from the end of the term.
 func isTermEnd(ctx context.Context, err error) bool {
 	return err == nil || ctx.Err() != nil || fault.Is(err, durable.Fenced)
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// membersTopic holds the address of every process, by role and machine.
+	// membersTopic holds the address of every process, keyed by role and machine.
 	membersTopic durable.Topic = "members"
-	// storePause follows a call that the store did not answer.
+	// storeRetryDelay is the pause after a failed call to the store.
 	storeRetryDelay = 150 * time.Millisecond
-	// membersWait bounds a long poll for new members.
+	// memberPollTimeout bounds one long poll for member records.
 	memberPollTimeout = 5 * time.Second
 )
 
-// Role tells the kinds of processes apart.
+// Role is the kind of a process. It is the prefix of a member's key in the store.
 type Role string
 
-// The roles.
+// Roles of processes.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
@@ -39,8 +39,9 @@
 
 func memberKey(role Role, name string) string { return string(role) + "/" + name }
 
-// register writes this process's address and returns the record's offset. A
-// later process of the same machine gets a higher one.
+// register appends this process's address to the members' topic and returns the
+// record's offset. A later process on the same machine gets a higher offset. It
+// retries until the store accepts the record or ctx ends.
 func register(ctx context.Context, store durable.Store, role Role, name, address string) (units.Offset, error) {
 	value, err := proto.Marshal(&wire.MemberRecord{Name: name, Address: address, Role: string(role)})
 	if err != nil {
@@ -56,7 +57,7 @@
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		klog.InfoS("registration is repeated", "err", err)
+		klog.InfoS("registration failed; retrying", "err", err)
 		pause.Jittered(ctx, storeRetryDelay)
 	}
 }
@@ -65,7 +66,7 @@
 type member struct {
 	role    Role
 	name    string
-	address string // empty when the member has left
+	address string // empty after the member has left
 }
 
 func decodeMember(key string, value []byte) (member, error) {
@@ -85,13 +86,12 @@
 	return m, nil
 }
 
-// followMembers calls fn for every member and every later change until ctx
-// ends.
+// followMembers calls fn for every member and every later change until ctx ends.
 func followMembers(ctx context.Context, store durable.Store, fn func(member)) {
 	for ctx.Err() == nil {
 		snapshot, err := store.Newest(ctx, membersTopic)
 		if err != nil {
-			klog.InfoS("members can't be read", "err", err)
+			klog.InfoS("failed to read the members' topic; retrying", "err", err)
 			pause.Jittered(ctx, storeRetryDelay)
 			continue
 		}
@@ -102,7 +102,9 @@
 	}
 }
 
-// tailMembers returns when records have been missed or ctx ends.
+// tailMembers calls fn for every record from the offset on. It returns when ctx
+// ends or the store reports an error other than unavailability, for example that
+// records were missed.
 func tailMembers(ctx context.Context, store durable.Store, from units.Offset, fn func(member)) {
 	for ctx.Err() == nil {
 		batch, err := store.Read(ctx, membersTopic, true, from, memberPollTimeout)
@@ -123,18 +125,18 @@
 func applyMember(key string, value []byte, fn func(member)) {
 	m, err := decodeMember(key, value)
 	if err != nil {
-		klog.ErrorS(err, "member is skipped")
+		klog.ErrorS(err, "skipping invalid member record")
 		return
 	}
 	fn(m)
 }
 
-// sessionAddress is where this process listens for sessions.
+// sessionAddress returns the address on which this process listens for sessions.
 func (s *Settings) sessionAddress() string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort))
 }
 
-// advertisedAddress is where other processes connect to this one.
+// advertisedAddress returns the address to which other processes connect.
 func (s *Settings) advertisedAddress() string {
 	return net.JoinHostPort(cmp.Or(s.AdvertisedIP, s.IP), strconv.Itoa(s.FirstPort))
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node runs the processes of a deployment on a platform: entry
-// processes, which take requests of clients and of which one leads the
+// Package node runs the two kinds of processes of a deployment: entry processes,
+// which serve client requests and elect one of themselves as leader to run the
 // scheduler, and agents, which control one runner each.
 package node
 
@@ -9,12 +9,12 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Settings are what a process learns from the platform about itself.
+// Settings are the properties of a process that the platform sets.
 type Settings struct {
-	Name                 string // of the machine; unique in the deployment
+	Name                 string // name of the machine, unique in the deployment
 	IP                   string
-	FirstPort            int    // the first port for sessions between our processes
-	AdvertisedIP         string // by which other processes reach this one; IP when empty
+	FirstPort            int    // first port for sessions between our processes
+	AdvertisedIP         string // IP to which other processes connect; defaults to IP
 	FailureDomain        units.DomainName
 	ClientAddress        string // listen address for clients; empty for an agent
 	ReadinessAddress     string // listen address for readiness checks; empty for an agent
@@ -22,36 +22,36 @@
 	RunnerAddress        string // address of the runner on this machine; empty for an entry process
 	Service              units.ServiceName
 	StoreAddress         string // address of the platform's store
-	AdviceServiceAddress string // address of the service that knows which workers may run a step
-	FirstStart           bool   // the whole system starts for the first time
+	AdviceServiceAddress string // address of the service that decides which workers may run a step
+	FirstStart           bool   // the whole deployment starts for the first time
 	Memory               units.Bytes
 	Processors           float64 // cores that this machine may use
 
-	StopTimeout          time.Duration // from a request to stop until the process is killed
-	MaxLease             time.Duration // of a runner
+	StopTimeout          time.Duration // time between the request to stop and the kill of the process
+	MaxLease             time.Duration // longest lease that a runner accepts
 	FinishedJobRetention time.Duration // how long the state of a finished job is kept
 }
 
 const (
-	// grantFor is how long an agent may go on without an answer of the leader.
-	// It covers a takeover: noticing that the leader is gone, the claim,
-	// reading the records and attaching to the agents.
+	// grantDuration is how long an agent may continue without a granted report.
+	// It covers a failover: detecting the loss of the leader, claiming the
+	// leadership, reading the records and attaching to the agents.
 	grantDuration = 6 * time.Second
-	// grantMargin covers the difference of two machines' clocks in that time
-	// and the end of the runs.
+	// grantMargin covers the clock difference between two machines in that time
+	// and the termination of the runs.
 	grantMargin = 500 * time.Millisecond
-	// reportEvery is the interval of reports without news.
+	// reportInterval is the interval of reports while nothing changes.
 	reportInterval = time.Second
-	// evidenceFor is how old the leader's knowledge of the operators' records
-	// may be when a task starts.
+	// maxOperationsAge is the maximum age of the leader's copy of the
+	// operators' records at which it may start tasks.
 	maxOperationsAge = 2500 * time.Millisecond
-	// sessionCall bounds one message between our processes.
+	// callTimeout bounds one call between our processes.
 	callTimeout = 1200 * time.Millisecond
-	// vacancyTimeout bounds the question whether the leader's process lives.
+	// vacancyTimeout bounds the check whether the leader's process has ended.
 	vacancyTimeout = 250 * time.Millisecond
 )
 
-// The paths of messages on the sessions.
+// Paths of the messages on sessions.
 const (
 	pathAttach  = "/scheduler/attach"
 	pathReport  = "/scheduler/report"
@@ -62,13 +62,15 @@
 )
 
 const (
-	// handicapPerCore is the delay of a claim by a machine of half a core; the
-	// scheduler's rules take that much longer on a smaller one.
+	// claimDelayPerCore is the delay before a machine with half a core claims
+	// the leadership. Smaller machines wait longer, because the scheduler's
+	// rules take longer on them.
 	claimDelayPerCore = 100 * time.Millisecond
 	maxClaimDelay     = 500 * time.Millisecond
 )
 
-// claimHandicap delays the claim of a small machine, so that a larger one leads.
+// claimDelay returns how long this process waits before it claims the
+// leadership, so that a larger machine wins it.
 func (s *Settings) claimDelay() time.Duration {
 	if s.Processors <= 0 || s.Processors >= 1 {
 		return 0
