--- a/internal/gateway/measure_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -13,7 +13,7 @@
 )
 
 // offer runs one load and fails on wrong answers.
-func offer(b *testing.B, o load.Options) *load.Report {
+func runLoad(b *testing.B, o load.Options) *load.Report {
 	b.Helper()
 	r, err := load.Run(context.Background(), o)
 	if err != nil {
@@ -41,7 +41,7 @@
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
 				target.Rate, target.Time, target.InFlight, target.BodyBytes, target.NonIdempotent = 500, 5*time.Second, 64, 256, 0.5
-				r := offer(b, target)
+				r := runLoad(b, target)
 				b.ReportMetric(float64(r.Done.Median.Microseconds()), "p50-us")
 				b.ReportMetric(float64(r.Done.P99.Microseconds()), "p99-us")
 				b.ReportMetric(float64(r.Outcomes["done"])/float64(r.Planned), "done-share")
@@ -64,7 +64,7 @@
 			}
 			capacity := 2 * 8 / serviceTime.Seconds()
 			for range b.N {
-				r := offer(b, load.Options{
+				r := runLoad(b, load.Options{
 					Targets: []string{e.url}, Service: "desk", Rate: capacity * c.factor, Time: 5 * time.Second,
 					InFlight: 512, BodyBytes: 256, Deadline: 50 * time.Millisecond, NonIdempotent: 0.5,
 				})
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -20,33 +20,33 @@
 const maxAttempts = 4
 
 // answer is the result of one or more attempts.
-type answer struct {
-	outcome headers.Outcome
-	cause   headers.Reason // with NotRun
-	free    bool           // a retry costs no endpoint anything: leaving or not sent
-	status  int
-	header  http.Header
-	length  int64         // declared by the endpoint, -1 for none
-	body    []byte        // the whole body, or its beginning when rest is set
-	rest    io.ReadCloser // what follows body in a large response
-	cancel  context.CancelFunc
-	hedge   bool
+type result struct {
+	outcome       headers.Outcome
+	reason        headers.Reason // with NotRun
+	freeRetry     bool           // a retry costs no endpoint anything: leaving or not sent
+	status        int
+	header        http.Header
+	contentLength int64         // declared by the endpoint, -1 for none
+	body          []byte        // the whole body, or its beginning when rest is set
+	remainder     io.ReadCloser // what follows body in a large response
+	cancel        context.CancelFunc
+	hedge         bool
 }
 
 // discard releases what the answer holds; the attempt is over afterwards.
-func (a *answer) discard() {
+func (a *result) release() {
 	if a.cancel != nil {
 		a.cancel()
 	}
-	if a.rest != nil {
-		a.rest.Close()
+	if a.remainder != nil {
+		a.remainder.Close()
 	}
 }
 
 // call sends the request until an answer is whole or another attempt is not
 // allowed. A request that is not idempotent goes on only after proof that it
 // did not run.
-func (g *Gateway) call(ctx context.Context, in *inbound) *answer {
+func (g *Gateway) execute(ctx context.Context, in *inbound) *result {
 	var tried []*routing.Endpoint
 	unknown := false
 	cause := headers.NoEndpoint
@@ -60,27 +60,27 @@
 			break // every endpoint has refused
 		}
 		tried = append(tried, choice.Endpoint)
-		a := g.attempt(ctx, in, choice, &tried)
+		a := g.attemptWithHedge(ctx, in, choice, &tried)
 		if a.outcome == headers.Done {
 			return a
 		}
-		a.discard()
+		a.release()
 		unknown = unknown || a.outcome == headers.Unknown
 		if a.outcome == headers.NotRun {
-			cause = a.cause
+			cause = a.reason
 		}
 		if ctx.Err() != nil || (a.outcome == headers.Unknown && !in.idempotent) {
 			break
 		}
-		if !a.free && !g.budget.Withdraw() {
+		if !a.freeRetry && !g.budget.Withdraw() {
 			break
 		}
-		g.counters.retries.Inc(1)
+		g.metrics.retries.Inc(1)
 	}
 	if unknown {
-		return &answer{outcome: headers.Unknown}
+		return &result{outcome: headers.Unknown}
 	}
-	return &answer{outcome: headers.NotRun, cause: cause}
+	return &result{outcome: headers.NotRun, reason: cause}
 }
 
 func (g *Gateway) choose(in *inbound, tried []*routing.Endpoint) *routing.Choice {
@@ -89,15 +89,15 @@
 
 // attempt sends the request to the choice, and for an idempotent request to a
 // second endpoint when the first is slow.
-func (g *Gateway) attempt(ctx context.Context, in *inbound, choice *routing.Choice, tried *[]*routing.Endpoint) *answer {
+func (g *Gateway) attemptWithHedge(ctx context.Context, in *inbound, choice *routing.Choice, tried *[]*routing.Endpoint) *result {
 	if !in.idempotent {
-		return g.send(ctx, in, choice)
+		return g.sendAttempt(ctx, in, choice)
 	}
-	answers := make(chan *answer, 2)
+	answers := make(chan *result, 2)
 	launch := func(c *routing.Choice, hedge bool) context.CancelFunc {
 		attemptCtx, cancel := context.WithCancel(ctx)
-		g.attempts.Go(func() {
-			a := g.send(attemptCtx, in, c)
+		g.cancelledAttempts.Go(func() {
+			a := g.sendAttempt(attemptCtx, in, c)
 			a.hedge = hedge
 			answers <- a
 		})
@@ -110,7 +110,7 @@
 	for pending := 1; ; {
 		select {
 		case <-timer.C:
-			second := g.hedge(in, *tried)
+			second := g.chooseHedge(in, *tried)
 			if second == nil {
 				continue
 			}
@@ -121,29 +121,29 @@
 			pending--
 			if a.outcome != headers.Done && pending > 0 {
 				unknown = unknown || a.outcome == headers.Unknown
-				a.discard()
+				a.release()
 				continue
 			}
-			a = a.after(unknown)
+			a = a.withEarlierUnknown(unknown)
 			if a.hedge && a.outcome == headers.Done {
-				g.counters.hedgesWon.Inc(1)
+				g.metrics.hedgesWon.Inc(1)
 			}
-			return g.settle(a, answers, pending, cancels)
+			return g.cancelLosers(a, answers, pending, cancels)
 		}
 	}
 }
 
 // after returns the answer of the last attempt in view of those before it: when
 // one of them may have run, a refusal of the last proves nothing.
-func (a *answer) after(unknown bool) *answer {
+func (a *result) withEarlierUnknown(unknown bool) *result {
 	if unknown && a.outcome == headers.NotRun {
-		a.outcome, a.cause, a.free = headers.Unknown, "", false
+		a.outcome, a.reason, a.freeRetry = headers.Unknown, "", false
 	}
 	return a
 }
 
 // hedge chooses a second endpoint when the budget allows one and there is one.
-func (g *Gateway) hedge(in *inbound, tried []*routing.Endpoint) *routing.Choice {
+func (g *Gateway) chooseHedge(in *inbound, tried []*routing.Endpoint) *routing.Choice {
 	second := g.choose(in, tried)
 	if second == nil {
 		return nil
@@ -152,13 +152,13 @@
 		second.End(routing.Cancelled, time.Now())
 		return nil
 	}
-	g.counters.hedges.Inc(1)
+	g.metrics.hedges.Inc(1)
 	return second
 }
 
 // settle gives up the attempts that lost. The winner's attempt goes on until
 // its body has been passed on.
-func (g *Gateway) settle(winner *answer, answers <-chan *answer, pending int, cancels []context.CancelFunc) *answer {
+func (g *Gateway) cancelLosers(winner *result, answers <-chan *result, pending int, cancels []context.CancelFunc) *result {
 	lost := 0
 	if winner.hedge {
 		lost = 1
@@ -178,20 +178,20 @@
 		cancel()
 	}
 	if pending > 0 {
-		g.attempts.Go(func() { (<-answers).discard() })
+		g.cancelledAttempts.Go(func() { (<-answers).release() })
 	}
 	return winner
 }
 
 // send makes one attempt and classifies its answer.
-func (g *Gateway) send(ctx context.Context, in *inbound, choice *routing.Choice) *answer {
+func (g *Gateway) sendAttempt(ctx context.Context, in *inbound, choice *routing.Choice) *result {
 	ctx, cancel := context.WithCancel(ctx)
-	response, err := choice.RoundTrip(g.outbound(ctx, in))
+	response, err := choice.RoundTrip(g.newAgentRequest(ctx, in))
 	if err != nil {
 		cancel()
-		return failed(ctx, choice, err)
+		return classifyError(ctx, choice, err)
 	}
-	a := g.receive(response, in)
+	a := g.readResponse(response, in)
 	a.cancel = cancel
 	now := time.Now()
 	switch {
@@ -199,10 +199,10 @@
 		choice.End(routing.Failed, now)
 	case a.outcome == headers.Done:
 		choice.End(routing.Succeeded, now)
-	case a.outcome == headers.NotRun && a.cause == headers.Leaving:
-		a.free = true
+	case a.outcome == headers.NotRun && a.reason == headers.Leaving:
+		a.freeRetry = true
 		choice.End(routing.Leaving, now)
-	case a.outcome == headers.NotRun && a.cause != headers.NoConnection:
+	case a.outcome == headers.NotRun && a.reason != headers.NoConnection:
 		choice.End(routing.Rejected, now)
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		choice.End(routing.Cancelled, now)
@@ -213,7 +213,7 @@
 }
 
 // failed classifies an attempt without a response.
-func failed(ctx context.Context, choice *routing.Choice, err error) *answer {
+func classifyError(ctx context.Context, choice *routing.Choice, err error) *result {
 	now := time.Now()
 	notSent := fault.Is(err, link.NotSent)
 	switch {
@@ -227,13 +227,13 @@
 		choice.End(routing.Failed, now)
 	}
 	if notSent {
-		return &answer{outcome: headers.NotRun, cause: headers.NoConnection, free: true}
+		return &result{outcome: headers.NotRun, reason: headers.NoConnection, freeRetry: true}
 	}
-	return &answer{outcome: headers.Unknown}
+	return &result{outcome: headers.Unknown}
 }
 
 // outbound is the request as the agent gets it.
-func (g *Gateway) outbound(ctx context.Context, in *inbound) *http.Request {
+func (g *Gateway) newAgentRequest(ctx context.Context, in *inbound) *http.Request {
 	source := in.request
 	target := *source.URL
 	target.Scheme, target.Host = "http", "link"
@@ -257,14 +257,14 @@
 
 // receive reads the response up to the buffer limit. Only a response that an
 // agent marked as done is one of the endpoint.
-func (g *Gateway) receive(response *http.Response, in *inbound) *answer {
-	a := &answer{status: response.StatusCode, header: response.Header, length: response.ContentLength}
+func (g *Gateway) readResponse(response *http.Response, in *inbound) *result {
+	a := &result{status: response.StatusCode, header: response.Header, contentLength: response.ContentLength}
 	switch headers.Outcome(response.Header.Get(headers.OutcomeHeader)) {
 	case headers.Done:
 		a.outcome = headers.Done
 	case headers.NotRun:
 		response.Body.Close()
-		a.outcome, a.cause = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
+		a.outcome, a.reason = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
 		return a
 	default:
 		response.Body.Close()
@@ -277,12 +277,12 @@
 		response.Body.Close()
 		a.outcome = headers.Unknown
 	case int64(len(body)) > g.options.ResponseBufferBytes:
-		a.body, a.rest = body, response.Body
+		a.body, a.remainder = body, response.Body
 	default:
 		response.Body.Close()
 		a.body = body
-		if a.length < 0 && headers.BodyAllowed(in.request.Method, a.status) {
-			a.length = int64(len(body))
+		if a.contentLength < 0 && headers.BodyAllowed(in.request.Method, a.status) {
+			a.contentLength = int64(len(body))
 		}
 	}
 	return a
@@ -299,44 +299,44 @@
 }
 
 func (g *Gateway) reject(w http.ResponseWriter, status int, cause headers.Reason, text string) {
-	g.counters.outcomes[headers.NotRun].Inc(1)
+	g.metrics.outcomes[headers.NotRun].Inc(1)
 	headers.WriteRejection(w, status, cause, text)
 }
 
 // write passes the answer to the caller. A large response that is cut in the
 // middle aborts the caller's connection, because the status has been sent.
-func (g *Gateway) write(w http.ResponseWriter, in *inbound, a *answer) {
+func (g *Gateway) writeResult(w http.ResponseWriter, in *inbound, a *result) {
 	switch a.outcome {
 	case headers.NotRun:
-		g.reject(w, http.StatusServiceUnavailable, a.cause, string(a.cause))
+		g.reject(w, http.StatusServiceUnavailable, a.reason, string(a.reason))
 		return
 	case headers.Unknown:
-		g.counters.outcomes[headers.Unknown].Inc(1)
+		g.metrics.outcomes[headers.Unknown].Inc(1)
 		headers.WriteUnknownOutcome(w, "no whole response in time; the request may have been executed")
 		return
 	}
 	h := w.Header()
 	headers.CopyEndToEnd(h, a.header)
 	h[headers.OutcomeHeader] = []string{string(headers.Done)}
-	if a.length >= 0 && a.status != http.StatusNoContent {
-		h["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
+	if a.contentLength >= 0 && a.status != http.StatusNoContent {
+		h["Content-Length"] = []string{strconv.FormatInt(a.contentLength, 10)}
 	}
 	w.WriteHeader(a.status)
 	if len(a.body) > 0 && headers.BodyAllowed(in.request.Method, a.status) {
 		_, _ = w.Write(a.body) // a caller that left needs no response
 	}
-	if a.rest != nil {
-		g.stream(w, a)
+	if a.remainder != nil {
+		g.copyRemainder(w, a)
 	}
-	g.counters.outcomes[headers.Done].Inc(1)
+	g.metrics.outcomes[headers.Done].Inc(1)
 }
 
 // stream copies the rest of a large response. The caller must keep reading.
-func (g *Gateway) stream(w http.ResponseWriter, a *answer) {
+func (g *Gateway) copyRemainder(w http.ResponseWriter, a *result) {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, 64<<10)
 	for {
-		n, err := a.rest.Read(buffer)
+		n, err := a.remainder.Read(buffer)
 		if n > 0 {
 			_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := w.Write(buffer[:n]); err != nil {
@@ -348,8 +348,8 @@
 			return
 		}
 		if err != nil {
-			g.counters.cut.Inc(1)
-			g.counters.outcomes[headers.Unknown].Inc(1)
+			g.metrics.truncated.Inc(1)
+			g.metrics.outcomes[headers.Unknown].Inc(1)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -59,7 +59,7 @@
 	Idempotent bool
 }
 
-var historyOf = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
+var historyGenerator = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	return step{
 		Fault:      rapid.SampledFrom([]string{"", "", "resetBefore", "resetAfter", "truncated", "silent", "slow", "duplicate", "error"}).Draw(t, "fault"),
 		Idempotent: rapid.Bool().Draw(t, "idempotent"),
@@ -71,7 +71,7 @@
 
 // play sends the history one request after the other and compares what the
 // caller was told with what the endpoints executed.
-func play(t *testing.T, url string, history []step, executed func() map[string]int) violations {
+func runHistory(t *testing.T, url string, history []step, executed func() map[string]int) violations {
 	t.Helper()
 	found := violations{}
 	c := newClient(t)
@@ -81,7 +81,7 @@
 		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, fmt.Sprint(s.Idempotent),
 			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.DeadlineHeader, "200ms")
 		outcomes[id] = r.outcome
-		if r.outcome == headers.Done && r.status == http.StatusOK && r.check(id) != "" {
+		if r.outcome == headers.Done && r.status == http.StatusOK && r.verify(id) != "" {
 			found["truncated or foreign answer passed on"]++
 		}
 	}
@@ -103,7 +103,7 @@
 func TestHistoriesAgainstNaiveGateway(t *testing.T) {
 	all := violations{}
 	for seed := range 3 {
-		history := historyOf.Example(seed + 1)
+		history := historyGenerator.Example(seed + 1)
 		naive := &naiveGateway{client: &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{}}}
 		e := newEntry(t, gateway.Options{})
 		var productEndpoints, naiveEndpoints []*endpoint.Endpoint
@@ -114,12 +114,12 @@
 			naive.endpoints = append(naive.endpoints, "http://"+own.Address())
 		}
 		server := httptest.NewServer(naive)
-		for name, n := range play(t, server.URL, history, sum(naiveEndpoints)) {
+		for name, n := range runHistory(t, server.URL, history, sumExecuted(naiveEndpoints)) {
 			all[name] += n
 		}
 		server.Close()
 		naive.client.CloseIdleConnections()
-		if got := play(t, e.url, history, sum(productEndpoints)); len(got) != 0 {
+		if got := runHistory(t, e.url, history, sumExecuted(productEndpoints)); len(got) != 0 {
 			t.Errorf("seed %d: the product violates %v", seed+1, got)
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-func sum(endpoints []*endpoint.Endpoint) func() map[string]int {
+func sumExecuted(endpoints []*endpoint.Endpoint) func() map[string]int {
 	return func() map[string]int {
 		total := map[string]int{}
 		for _, e := range endpoints {
@@ -145,11 +145,11 @@
 
 // Guards against a second execution when the hop between entry and agent
 // breaks or goes silent while requests are in flight.
-func TestBrokenHopRunsRequestsAtMostOnce(t *testing.T) {
+func TestBrokenConnectionRunsRequestsAtMostOnce(t *testing.T) {
 	for _, fault := range []string{"silent", "closed"} {
 		e := newEntry(t, gateway.Options{})
-		hop := newHop(t, e)
-		broken := newAgentVia(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond}, hop.address, e)
+		proxy := newFaultyProxy(t, e)
+		broken := newAgentThrough(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond}, proxy.address, e)
 		healthy := newAgent(t, 2, endpoint.Options{ServiceTime: 100 * time.Millisecond}, e)
 		c := newClient(t)
 		results := make(chan response, 8)
@@ -160,7 +160,7 @@
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
-		hop.inject(fault)
+		proxy.inject(fault)
 		done := 0
 		for range 8 {
 			if r := <-results; r.outcome == headers.Done {
@@ -169,7 +169,7 @@
 				t.Errorf("%s: got outcome %q, error %v", fault, r.outcome, r.err)
 			}
 		}
-		for id, n := range sum([]*endpoint.Endpoint{broken.endpoint, healthy.endpoint})() {
+		for id, n := range sumExecuted([]*endpoint.Endpoint{broken.endpoint, healthy.endpoint})() {
 			if n != 1 {
 				t.Errorf("%s: request %s executed %d times, want 1", fault, id, n)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -64,17 +64,17 @@
 
 // Gateway is the HTTP handler for callers. It is safe for concurrent use.
 type Gateway struct {
-	options  Options
-	counters counters
-	budget   *routing.RetryBudget
-	active   atomic.Int64
-	draining atomic.Bool
-	services sync.Map       // units.ServiceName -> *service
-	attempts sync.WaitGroup // losing hedges that are being given up
+	options           Options
+	metrics           metrics
+	budget            *routing.RetryBudget
+	active            atomic.Int64
+	draining          atomic.Bool
+	services          sync.Map       // units.ServiceName -> *service
+	cancelledAttempts sync.WaitGroup // losing hedges that are being given up
 }
 
 // service is the state of one service at this entry process.
-type service struct {
+type serviceState struct {
 	active atomic.Int64
 	load   atomic.Pointer[loadSample]
 }
@@ -86,12 +86,12 @@
 	at   time.Time
 }
 
-const loadAge = 10 * time.Millisecond
+const maxLoadAge = 10 * time.Millisecond
 
 // New returns a Gateway.
 func New(o Options) *Gateway {
 	o.defaults()
-	return &Gateway{options: o, counters: newCounters(o.Scope), budget: routing.NewRetryBudget()}
+	return &Gateway{options: o, metrics: newMetrics(o.Scope), budget: routing.NewRetryBudget()}
 }
 
 // Limits of the caller listener: a header block and the time to read it.
@@ -130,14 +130,14 @@
 	case <-ctx.Done():
 	}
 	if server.Shutdown(ctx) == nil {
-		g.attempts.Wait()
+		g.cancelledAttempts.Wait()
 	}
 }
 
 // ServeHTTP serves /services/{service}/{path...}.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	g.counters.requests.Inc(1)
+	g.metrics.requests.Inc(1)
 	if g.draining.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
@@ -146,12 +146,12 @@
 		g.reject(w, status, headers.Malformed, err.Error())
 		return
 	}
-	s := g.service(in.service)
+	s := g.serviceState(in.service)
 	defer s.active.Add(-1)
 	defer g.active.Add(-1)
 	perService, total := s.active.Add(1), g.active.Add(1)
-	if cause := g.shed(s, in, perService, total, start); cause != "" {
-		g.counters.shed.Inc(1)
+	if cause := g.checkLimits(s, in, perService, total, start); cause != "" {
+		g.metrics.shed.Inc(1)
 		g.reject(w, http.StatusServiceUnavailable, cause, string(cause))
 		return
 	}
@@ -162,35 +162,35 @@
 	ctx, cancel := context.WithDeadline(r.Context(), in.deadline.At)
 	defer cancel()
 	g.budget.Deposit()
-	a := g.call(ctx, in)
-	defer a.discard()
-	g.write(w, in, a)
-	g.counters.latency.RecordDuration(time.Since(start))
+	a := g.execute(ctx, in)
+	defer a.release()
+	g.writeResult(w, in, a)
+	g.metrics.latency.RecordDuration(time.Since(start))
 }
 
-func (g *Gateway) service(name units.ServiceName) *service {
+func (g *Gateway) serviceState(name units.ServiceName) *serviceState {
 	if s, ok := g.services.Load(name); ok {
-		return s.(*service)
+		return s.(*serviceState)
 	}
-	s, _ := g.services.LoadOrStore(name, &service{})
-	return s.(*service)
+	s, _ := g.services.LoadOrStore(name, &serviceState{})
+	return s.(*serviceState)
 }
 
 // shares are the parts of the limits that each priority may fill, so that the
 // rest is left to higher ones.
-var shares = map[units.Priority]float64{
+var priorityShares = map[units.Priority]float64{
 	units.PriorityLow: 0.6, units.PriorityNormal: 0.75, units.PriorityHigh: 0.9, units.PriorityUrgent: 1,
 }
 
 // shed decides whether the request is rejected at once: at a limit, or when
 // the requests before it leave no time until its deadline.
-func (g *Gateway) shed(s *service, in *inbound, perService, total int64, now time.Time) headers.Reason {
-	share := shares[in.priority]
+func (g *Gateway) checkLimits(s *serviceState, in *inbound, perService, total int64, now time.Time) headers.Reason {
+	share := priorityShares[in.priority]
 	if float64(total) > share*float64(g.options.MaxRequests) || perService > int64(g.options.MaxServiceRequests) {
 		return headers.Overload
 	}
 	sample := s.load.Load()
-	if sample == nil || now.Sub(sample.at) > loadAge {
+	if sample == nil || now.Sub(sample.at) > maxLoadAge {
 		sample = &loadSample{load: g.options.Table.Load(in.service, now), at: now}
 		s.load.Store(sample)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -51,18 +51,18 @@
 	for i := 0; i < len(pairs); i += 2 {
 		r.Header.Set(pairs[i], pairs[i+1])
 	}
-	answer, err := c.Do(r)
+	reply, err := c.Do(r)
 	if err != nil {
 		return response{err: err}
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
-	return response{answer.StatusCode, headers.Outcome(answer.Header.Get(headers.OutcomeHeader)), headers.Reason(answer.Header.Get(headers.ReasonHeader)), answer.Header, data, err}
+	defer reply.Body.Close()
+	data, err := io.ReadAll(reply.Body)
+	return response{reply.StatusCode, headers.Outcome(reply.Header.Get(headers.OutcomeHeader)), headers.Reason(reply.Header.Get(headers.ReasonHeader)), reply.Header, data, err}
 }
 
 // check reports why a response with outcome done is not the whole answer to
 // request id.
-func (r *response) check(id string) string {
+func (r *response) verify(id string) string {
 	switch {
 	case r.err != nil:
 		return r.err.Error()
@@ -74,7 +74,7 @@
 	return ""
 }
 
-func TestContractOfRequests(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	e := newEntry(t, gateway.Options{MaxBodyBytes: 1000})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 200}, e)
 	c := newClient(t)
@@ -110,7 +110,7 @@
 
 // Guards against a second execution of a request that must run at most once,
 // against truncated answers that look whole, and against a notRun that is wrong.
-func TestFaultsOfEndpoint(t *testing.T) {
+func TestEndpointFaults(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{}, e)
 	b := newAgent(t, 2, endpoint.Options{}, e)
@@ -153,7 +153,7 @@
 			e := newEntry(t, gateway.Options{})
 			// As long as an entry process gives a balancer by default: a client
 			// that has seen readiness on may get its processor time much later.
-			e.notice = 3 * time.Second
+			e.drainDelay = 3 * time.Second
 			agents := []*agentProcess{}
 			for i := range 3 {
 				agents = append(agents, newAgent(t, i, endpoint.Options{ServiceTime: 2 * time.Millisecond}, e))
@@ -172,7 +172,7 @@
 						sent.Add(1)
 						answers.Store(id, r.outcome)
 						switch {
-						case r.outcome == headers.Done && r.check(id) == "":
+						case r.outcome == headers.Done && r.verify(id) == "":
 							done.Add(1)
 						case r.outcome == headers.NotRun:
 							refused.Add(1)
@@ -224,8 +224,8 @@
 	e := newEntry(t, gateway.Options{})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 5 << 20}, e)
 	c := newClient(t)
-	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestID, "1"); r.outcome != headers.Done || r.check("1") != "" {
-		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.check("1"))
+	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestID, "1"); r.outcome != headers.Done || r.verify("1") != "" {
+		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.verify("1"))
 	}
 	for _, method := range []string{"GET", "POST"} {
 		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultName, "truncated"); r.err == nil {
@@ -246,8 +246,8 @@
 		for i := range 60 {
 			id := fmt.Sprint(idempotent, i)
 			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.IdempotentHeader, idempotent)
-			if r.outcome != headers.Done || r.check(id) != "" {
-				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.check(id))
+			if r.outcome != headers.Done || r.verify(id) != "" {
+				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.verify(id))
 			}
 			if n := a.endpoint.Executed()[id] + b.endpoint.Executed()[id]; idempotent == "false" && n != 1 {
 				t.Errorf("%s: executed %d times, want 1", id, n)
@@ -290,7 +290,7 @@
 
 // Guards against limits that do not hold, and against refusals that take as
 // long as the work: with one slot taken, what cannot end in time is refused.
-func TestLimitsRefuse(t *testing.T) {
+func TestLimitsReject(t *testing.T) {
 	e := newEntry(t, gateway.Options{MaxServiceRequests: 6})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond, Slots: 1}, e)
 	c := newClient(t)
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -8,7 +8,7 @@
 
 // A request was answered as not run although its first attempt, whose outcome
 // was unknown, had run: the refusal of the hedge hid it.
-func TestRefusedHedgeHidesNoUnknownOutcome(t *testing.T) {
+func TestRejectedHedgeKeepsUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		unknown bool
 		last    headers.Outcome
@@ -20,11 +20,11 @@
 		{false, headers.NotRun, headers.NotRun},
 	}
 	for _, c := range cases {
-		a := (&answer{outcome: c.last, free: true}).after(c.unknown)
+		a := (&result{outcome: c.last, freeRetry: true}).withEarlierUnknown(c.unknown)
 		if a.outcome != c.want {
 			t.Errorf("unknown before %t, last %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
 		}
-		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.free {
+		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.freeRetry {
 			t.Error("an unknown outcome counts as free of charge, want it to draw on the retry budget")
 		}
 	}
--- a/internal/gateway/system_test.go
+++ b/internal/gateway/helpers_test.go
@@ -31,18 +31,18 @@
 
 // entryProcess is the request path of an entry process.
 type entryProcess struct {
-	gateway *gateway.Gateway
-	table   *routing.Table
-	links   *link.Listener
-	server  *http.Server
-	url     string
-	notice  time.Duration // between readiness off and the close of the listener
-	stop    func()
+	gateway    *gateway.Gateway
+	table      *routing.Table
+	links      *link.Listener
+	server     *http.Server
+	url        string
+	drainDelay time.Duration // between readiness off and the close of the listener
+	stop       func()
 }
 
 func newEntry(t testing.TB, o gateway.Options) *entryProcess {
 	t.Helper()
-	e := &entryProcess{notice: 50 * time.Millisecond, table: routing.New(routing.Settings{Domain: "a", Region: "r"})}
+	e := &entryProcess{drainDelay: 50 * time.Millisecond, table: routing.New(routing.Settings{Domain: "a", Region: "r"})}
 	e.table.SetDocument(document, time.Now())
 	o.Table, o.Document = e.table, func() *environment.Document { return document }
 	e.gateway = gateway.New(o)
@@ -68,7 +68,7 @@
 	e.stop = sync.OnceFunc(func() {
 		stop, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
-		e.gateway.Shutdown(stop, e.server, e.notice)
+		e.gateway.Shutdown(stop, e.server, e.drainDelay)
 		cancel()
 		e.links.Shutdown(stop)
 		wait.Wait()
@@ -86,11 +86,11 @@
 }
 
 func newAgent(t testing.TB, index int, o endpoint.Options, entries ...*entryProcess) *agentProcess {
-	return newAgentVia(t, index, o, "", entries...)
+	return newAgentThrough(t, index, o, "", entries...)
 }
 
 // newAgentVia dials via, when given, instead of the entry processes.
-func newAgentVia(t testing.TB, index int, o endpoint.Options, via string, entries ...*entryProcess) *agentProcess {
+func newAgentThrough(t testing.TB, index int, o endpoint.Options, via string, entries ...*entryProcess) *agentProcess {
 	t.Helper()
 	a := &agentProcess{forwarder: forward.New(forward.Options{})}
 	announcements, err := net.Listen("tcp", "127.0.0.1:0")
@@ -126,7 +126,7 @@
 			t.Fatal(err)
 		}
 		sessions = append(sessions, s)
-		wait.Go(func() { a.beat(ctx, fmt.Sprint("worker-", index), s) })
+		wait.Go(func() { a.sendHeartbeats(ctx, fmt.Sprint("worker-", index), s) })
 	}
 	a.stop = sync.OnceFunc(func() {
 		stop, done := context.WithTimeout(context.Background(), 10*time.Second)
@@ -152,7 +152,7 @@
 	return a
 }
 
-func (a *agentProcess) beat(ctx context.Context, worker string, s *link.Session) {
+func (a *agentProcess) sendHeartbeats(ctx context.Context, worker string, s *link.Session) {
 	for ctx.Err() == nil {
 		h := &wire.Heartbeat{Worker: worker, FailureDomain: "a", Region: "r", Endpoints: a.forwarder.EndpointReports()}
 		call, cancel := context.WithTimeout(ctx, time.Second)
@@ -166,20 +166,20 @@
 }
 
 // hop is the connection between an agent and an entry process, with faults.
-type hop struct {
+type faultyProxy struct {
 	address string
 	silent  atomic.Bool
 	mu      sync.Mutex
 	conns   []net.Conn
 }
 
-func newHop(t *testing.T, e *entryProcess) *hop {
+func newFaultyProxy(t *testing.T, e *entryProcess) *faultyProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hop{address: l.Addr().String()}
+	h := &faultyProxy{address: l.Addr().String()}
 	entry, err := e.links.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -187,20 +187,20 @@
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		for range 16 {
-			near, err := l.Accept()
+			agentConn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", entry.String())
+			entryConn, err := net.Dial("tcp", entry.String())
 			if err != nil {
-				near.Close()
+				agentConn.Close()
 				return
 			}
 			h.mu.Lock()
-			h.conns = append(h.conns, near, far)
+			h.conns = append(h.conns, agentConn, entryConn)
 			h.mu.Unlock()
-			wait.Go(func() { h.copy(near, far) })
-			wait.Go(func() { h.copy(far, near) })
+			wait.Go(func() { h.copy(agentConn, entryConn) })
+			wait.Go(func() { h.copy(entryConn, agentConn) })
 		}
 	})
 	t.Cleanup(func() {
@@ -211,7 +211,7 @@
 	return h
 }
 
-func (h *hop) copy(to, from net.Conn) {
+func (h *faultyProxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -225,7 +225,7 @@
 }
 
 // inject makes the connections silent or closes them.
-func (h *hop) inject(fault string) {
+func (h *faultyProxy) inject(fault string) {
 	if fault == "silent" {
 		h.silent.Store(true)
 		return
--- a/internal/gateway/counters.go
+++ b/internal/gateway/metrics.go
@@ -9,18 +9,18 @@
 )
 
 // counters are looked up once: a lookup by name takes locks on every request.
-type counters struct {
-	requests, shed, retries, hedges, hedgesWon, cut tally.Counter
-	outcomes                                        map[headers.Outcome]tally.Counter
-	latency                                         tally.Histogram
+type metrics struct {
+	requests, shed, retries, hedges, hedgesWon, truncated tally.Counter
+	outcomes                                              map[headers.Outcome]tally.Counter
+	latency                                               tally.Histogram
 }
 
-func newCounters(scope tally.Scope) counters {
-	c := counters{
+func newMetrics(scope tally.Scope) metrics {
+	c := metrics{
 		requests: scope.Counter("requests"), shed: scope.Counter("requestsShed"),
 		retries: scope.Counter("retries"), hedges: scope.Counter("hedges"), hedgesWon: scope.Counter("hedgesWon"),
-		cut:      scope.Counter("responsesCut"),
-		outcomes: make(map[headers.Outcome]tally.Counter),
+		truncated: scope.Counter("responsesCut"),
+		outcomes:  make(map[headers.Outcome]tally.Counter),
 	}
 	for _, o := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
 		c.outcomes[o] = scope.Tagged(map[string]string{"outcome": string(o)}).Counter("outcomes")
