--- a/internal/gateway/benchmark_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// offer runs one load and fails on wrong answers.
+// runLoad runs one load and fails the benchmark on incorrect responses.
 func runLoad(b *testing.B, o load.Options) *load.Report {
 	b.Helper()
 	r, err := load.Run(context.Background(), o)
@@ -20,13 +20,13 @@
 		b.Fatal(err)
 	}
 	if len(r.Faults) > 0 {
-		b.Fatalf("answers failed their checks: %v", r.Faults)
+		b.Fatalf("incorrect responses: %v", r.Faults)
 	}
 	return r
 }
 
-// BenchmarkAddedLatency compares requests through entry and agent with direct
-// ones at the same rate, in one run. Run with -benchtime 1x.
+// BenchmarkAddedLatency compares requests through entry process and agent with
+// direct requests at the same rate, in one run. Run it with -benchtime 1x.
 func BenchmarkAddedLatency(b *testing.B) {
 	e := newEntry(b, gateway.Options{})
 	a := newAgent(b, 1, endpoint.Options{ServiceTime: 2 * time.Millisecond}, e)
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkOverload offers the capacity of two endpoints and twice of it.
+// BenchmarkOverload offers once and twice the capacity of two endpoints.
 func BenchmarkOverload(b *testing.B) {
 	const serviceTime = 10 * time.Millisecond
 	for _, c := range []struct {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -19,33 +19,33 @@
 // maxAttempts bounds the endpoints tried one after the other for a request.
 const maxAttempts = 4
 
-// answer is the result of one or more attempts.
+// result is the outcome of one or more attempts.
 type result struct {
 	outcome       headers.Outcome
-	reason        headers.Reason // with NotRun
-	freeRetry     bool           // a retry costs no endpoint anything: leaving or not sent
+	reason        headers.Reason // set when outcome is NotRun
+	freeRetry     bool           // a retry adds no load: the endpoint is leaving or nothing was sent
 	status        int
 	header        http.Header
-	contentLength int64         // declared by the endpoint, -1 for none
-	body          []byte        // the whole body, or its beginning when rest is set
-	remainder     io.ReadCloser // what follows body in a large response
+	contentLength int64         // as declared by the endpoint; -1 if it is not
+	body          []byte        // the whole body, or its beginning when remainder is set
+	remainder     io.ReadCloser // the rest of a large response after body
 	cancel        context.CancelFunc
 	hedge         bool
 }
 
-// discard releases what the answer holds; the attempt is over afterwards.
-func (a *result) release() {
-	if a.cancel != nil {
-		a.cancel()
+// release frees the resources of the result and ends its attempt.
+func (res *result) release() {
+	if res.cancel != nil {
+		res.cancel()
 	}
-	if a.remainder != nil {
-		a.remainder.Close()
+	if res.remainder != nil {
+		res.remainder.Close()
 	}
 }
 
-// call sends the request until an answer is whole or another attempt is not
-// allowed. A request that is not idempotent goes on only after proof that it
-// did not run.
+// execute sends the request until a whole response has arrived or no further
+// attempt is allowed. A request that is not idempotent is retried only after
+// proof that it did not run.
 func (g *Gateway) execute(ctx context.Context, in *inbound) *result {
 	var tried []*routing.Endpoint
 	unknown := false
@@ -57,22 +57,22 @@
 		}
 		if cause == headers.Overload && slices.Contains(tried, choice.Endpoint) {
 			choice.End(routing.Cancelled, time.Now())
-			break // every endpoint has refused
+			break // every endpoint has rejected the request
 		}
 		tried = append(tried, choice.Endpoint)
-		a := g.attemptWithHedge(ctx, in, choice, &tried)
-		if a.outcome == headers.Done {
-			return a
+		res := g.attemptWithHedge(ctx, in, choice, &tried)
+		if res.outcome == headers.Done {
+			return res
 		}
-		a.release()
-		unknown = unknown || a.outcome == headers.Unknown
-		if a.outcome == headers.NotRun {
-			cause = a.reason
+		res.release()
+		unknown = unknown || res.outcome == headers.Unknown
+		if res.outcome == headers.NotRun {
+			cause = res.reason
 		}
-		if ctx.Err() != nil || (a.outcome == headers.Unknown && !in.idempotent) {
+		if ctx.Err() != nil || (res.outcome == headers.Unknown && !in.idempotent) {
 			break
 		}
-		if !a.freeRetry && !g.budget.Withdraw() {
+		if !res.freeRetry && !g.budget.Withdraw() {
 			break
 		}
 		g.metrics.retries.Inc(1)
@@ -87,26 +87,26 @@
 	return g.options.Table.Choose(routing.Request{Service: in.service, Idempotent: in.idempotent, Avoid: tried}, time.Now())
 }
 
-// attempt sends the request to the choice, and for an idempotent request to a
-// second endpoint when the first is slow.
+// attemptWithHedge sends the request to the chosen endpoint. An idempotent
+// request is also sent to a second endpoint when the first is slow.
 func (g *Gateway) attemptWithHedge(ctx context.Context, in *inbound, choice *routing.Choice, tried *[]*routing.Endpoint) *result {
 	if !in.idempotent {
 		return g.sendAttempt(ctx, in, choice)
 	}
-	answers := make(chan *result, 2)
+	results := make(chan *result, 2)
 	launch := func(c *routing.Choice, hedge bool) context.CancelFunc {
 		attemptCtx, cancel := context.WithCancel(ctx)
-		g.cancelledAttempts.Go(func() {
-			a := g.sendAttempt(attemptCtx, in, c)
-			a.hedge = hedge
-			answers <- a
+		g.backgroundAttempts.Go(func() {
+			res := g.sendAttempt(attemptCtx, in, c)
+			res.hedge = hedge
+			results <- res
 		})
 		return cancel
 	}
 	cancels := []context.CancelFunc{launch(choice, false)}
 	timer := time.NewTimer(choice.HedgeDelay(time.Now()))
 	defer timer.Stop()
-	unknown := false // an attempt that lost may have run
+	unknown := false // an earlier attempt may have run
 	for pending := 1; ; {
 		select {
 		case <-timer.C:
@@ -117,32 +117,34 @@
 			*tried = append(*tried, second.Endpoint)
 			cancels = append(cancels, launch(second, true))
 			pending++
-		case a := <-answers:
+		case res := <-results:
 			pending--
-			if a.outcome != headers.Done && pending > 0 {
-				unknown = unknown || a.outcome == headers.Unknown
-				a.release()
+			if res.outcome != headers.Done && pending > 0 {
+				unknown = unknown || res.outcome == headers.Unknown
+				res.release()
 				continue
 			}
-			a = a.withEarlierUnknown(unknown)
-			if a.hedge && a.outcome == headers.Done {
+			res = res.withEarlierUnknown(unknown)
+			if res.hedge && res.outcome == headers.Done {
 				g.metrics.hedgesWon.Inc(1)
 			}
-			return g.cancelLosers(a, answers, pending, cancels)
+			return g.cancelLosers(res, results, pending, cancels)
 		}
 	}
 }
 
-// after returns the answer of the last attempt in view of those before it: when
-// one of them may have run, a refusal of the last proves nothing.
-func (a *result) withEarlierUnknown(unknown bool) *result {
-	if unknown && a.outcome == headers.NotRun {
-		a.outcome, a.reason, a.freeRetry = headers.Unknown, "", false
+// withEarlierUnknown adjusts the result of the last attempt for the attempts
+// before it: when one of them may have run, a rejection of the last attempt
+// does not prove that the request did not run.
+func (res *result) withEarlierUnknown(unknown bool) *result {
+	if unknown && res.outcome == headers.NotRun {
+		res.outcome, res.reason, res.freeRetry = headers.Unknown, "", false
 	}
-	return a
+	return res
 }
 
-// hedge chooses a second endpoint when the budget allows one and there is one.
+// chooseHedge chooses a second endpoint. It returns nil when there is none or
+// the retry budget is exhausted.
 func (g *Gateway) chooseHedge(in *inbound, tried []*routing.Endpoint) *routing.Choice {
 	second := g.choose(in, tried)
 	if second == nil {
@@ -156,21 +158,21 @@
 	return second
 }
 
-// settle gives up the attempts that lost. The winner's attempt goes on until
-// its body has been passed on.
-func (g *Gateway) cancelLosers(winner *result, answers <-chan *result, pending int, cancels []context.CancelFunc) *result {
-	lost := 0
+// cancelLosers cancels the attempts that lost and returns the winner, whose
+// attempt continues until its body has been copied to the caller.
+func (g *Gateway) cancelLosers(winner *result, results <-chan *result, pending int, cancels []context.CancelFunc) *result {
+	winnerIndex := 0
 	if winner.hedge {
-		lost = 1
+		winnerIndex = 1
 	}
-	own := winner.cancel
+	cancelAttempt := winner.cancel
 	for i, cancel := range cancels {
-		if (i == 1) == (lost == 1) {
-			winning := cancel
+		if (i == 1) == (winnerIndex == 1) {
+			cancelWinner := cancel
 			winner.cancel = func() {
-				winning()
-				if own != nil {
-					own()
+				cancelWinner()
+				if cancelAttempt != nil {
+					cancelAttempt()
 				}
 			}
 			continue
@@ -178,12 +180,12 @@
 		cancel()
 	}
 	if pending > 0 {
-		g.cancelledAttempts.Go(func() { (<-answers).release() })
+		g.backgroundAttempts.Go(func() { (<-results).release() })
 	}
 	return winner
 }
 
-// send makes one attempt and classifies its answer.
+// sendAttempt makes one attempt and classifies its outcome.
 func (g *Gateway) sendAttempt(ctx context.Context, in *inbound, choice *routing.Choice) *result {
 	ctx, cancel := context.WithCancel(ctx)
 	response, err := choice.RoundTrip(g.newAgentRequest(ctx, in))
@@ -191,28 +193,28 @@
 		cancel()
 		return classifyError(ctx, choice, err)
 	}
-	a := g.readResponse(response, in)
-	a.cancel = cancel
+	res := g.readResponse(response, in)
+	res.cancel = cancel
 	now := time.Now()
 	switch {
-	case a.outcome == headers.Done && a.status >= http.StatusInternalServerError:
+	case res.outcome == headers.Done && res.status >= http.StatusInternalServerError:
 		choice.End(routing.Failed, now)
-	case a.outcome == headers.Done:
+	case res.outcome == headers.Done:
 		choice.End(routing.Succeeded, now)
-	case a.outcome == headers.NotRun && a.reason == headers.Leaving:
-		a.freeRetry = true
+	case res.outcome == headers.NotRun && res.reason == headers.Leaving:
+		res.freeRetry = true
 		choice.End(routing.Leaving, now)
-	case a.outcome == headers.NotRun && a.reason != headers.NoConnection:
+	case res.outcome == headers.NotRun && res.reason != headers.NoConnection:
 		choice.End(routing.Rejected, now)
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		choice.End(routing.Cancelled, now)
 	default:
 		choice.End(routing.Failed, now)
 	}
-	return a
+	return res
 }
 
-// failed classifies an attempt without a response.
+// classifyError classifies an attempt that failed without a response.
 func classifyError(ctx context.Context, choice *routing.Choice, err error) *result {
 	now := time.Now()
 	notSent := fault.Is(err, link.NotSent)
@@ -232,7 +234,7 @@
 	return &result{outcome: headers.Unknown}
 }
 
-// outbound is the request as the agent gets it.
+// newAgentRequest returns the request in the form that is sent to the agent.
 func (g *Gateway) newAgentRequest(ctx context.Context, in *inbound) *http.Request {
 	source := in.request
 	target := *source.URL
@@ -248,47 +250,47 @@
 	if source.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = nil // net/http would add its own
 	}
-	left := max(time.Millisecond, in.deadline.Remaining(time.Now()))
-	r.Header[headers.DeadlineHeader] = []string{left.Round(time.Microsecond).String()}
+	remaining := max(time.Millisecond, in.deadline.Remaining(time.Now()))
+	r.Header[headers.DeadlineHeader] = []string{remaining.Round(time.Microsecond).String()}
 	r.Header[headers.IdempotentHeader] = []string{strconv.FormatBool(in.idempotent)}
 	r.Header[headers.PriorityHeader] = []string{strconv.Itoa(int(in.priority))}
 	return r.WithContext(ctx)
 }
 
-// receive reads the response up to the buffer limit. Only a response that an
-// agent marked as done is one of the endpoint.
+// readResponse reads the response up to the buffer limit. Only a response that
+// an agent marked as done comes from the endpoint.
 func (g *Gateway) readResponse(response *http.Response, in *inbound) *result {
-	a := &result{status: response.StatusCode, header: response.Header, contentLength: response.ContentLength}
+	res := &result{status: response.StatusCode, header: response.Header, contentLength: response.ContentLength}
 	switch headers.Outcome(response.Header.Get(headers.OutcomeHeader)) {
 	case headers.Done:
-		a.outcome = headers.Done
+		res.outcome = headers.Done
 	case headers.NotRun:
 		response.Body.Close()
-		a.outcome, a.reason = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
-		return a
+		res.outcome, res.reason = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
+		return res
 	default:
 		response.Body.Close()
-		a.outcome = headers.Unknown
-		return a
+		res.outcome = headers.Unknown
+		return res
 	}
 	body, err := readUpTo(response, g.options.ResponseBufferBytes)
 	switch {
 	case err != nil:
 		response.Body.Close()
-		a.outcome = headers.Unknown
+		res.outcome = headers.Unknown
 	case int64(len(body)) > g.options.ResponseBufferBytes:
-		a.body, a.remainder = body, response.Body
+		res.body, res.remainder = body, response.Body
 	default:
 		response.Body.Close()
-		a.body = body
-		if a.contentLength < 0 && headers.BodyAllowed(in.request.Method, a.status) {
-			a.contentLength = int64(len(body))
+		res.body = body
+		if res.contentLength < 0 && headers.BodyAllowed(in.request.Method, res.status) {
+			res.contentLength = int64(len(body))
 		}
 	}
-	return a
+	return res
 }
 
-// readUpTo reads at most one byte more than limit.
+// readUpTo reads at most limit+1 bytes of the body.
 func readUpTo(response *http.Response, limit int64) ([]byte, error) {
 	if n := response.ContentLength; n >= 0 && n <= limit && response.Request.Method != http.MethodHead {
 		body := make([]byte, n)
@@ -303,12 +305,13 @@
 	headers.WriteRejection(w, status, cause, text)
 }
 
-// write passes the answer to the caller. A large response that is cut in the
-// middle aborts the caller's connection, because the status has been sent.
-func (g *Gateway) writeResult(w http.ResponseWriter, in *inbound, a *result) {
-	switch a.outcome {
+// writeResult writes the result to the caller. When the rest of a large
+// response is truncated it aborts the caller's connection, because the status
+// has already been sent.
+func (g *Gateway) writeResult(w http.ResponseWriter, in *inbound, res *result) {
+	switch res.outcome {
 	case headers.NotRun:
-		g.reject(w, http.StatusServiceUnavailable, a.reason, string(a.reason))
+		g.reject(w, http.StatusServiceUnavailable, res.reason, string(res.reason))
 		return
 	case headers.Unknown:
 		g.metrics.outcomes[headers.Unknown].Inc(1)
@@ -316,27 +319,28 @@
 		return
 	}
 	h := w.Header()
-	headers.CopyEndToEnd(h, a.header)
+	headers.CopyEndToEnd(h, res.header)
 	h[headers.OutcomeHeader] = []string{string(headers.Done)}
-	if a.contentLength >= 0 && a.status != http.StatusNoContent {
-		h["Content-Length"] = []string{strconv.FormatInt(a.contentLength, 10)}
+	if res.contentLength >= 0 && res.status != http.StatusNoContent {
+		h["Content-Length"] = []string{strconv.FormatInt(res.contentLength, 10)}
 	}
-	w.WriteHeader(a.status)
-	if len(a.body) > 0 && headers.BodyAllowed(in.request.Method, a.status) {
-		_, _ = w.Write(a.body) // a caller that left needs no response
+	w.WriteHeader(res.status)
+	if len(res.body) > 0 && headers.BodyAllowed(in.request.Method, res.status) {
+		_, _ = w.Write(res.body) // an error means that the caller has disconnected
 	}
-	if a.remainder != nil {
-		g.copyRemainder(w, a)
+	if res.remainder != nil {
+		g.copyRemainder(w, res)
 	}
 	g.metrics.outcomes[headers.Done].Inc(1)
 }
 
-// stream copies the rest of a large response. The caller must keep reading.
-func (g *Gateway) copyRemainder(w http.ResponseWriter, a *result) {
+// copyRemainder copies the rest of a large response. Each write must finish
+// within writeTimeout.
+func (g *Gateway) copyRemainder(w http.ResponseWriter, res *result) {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, 64<<10)
 	for {
-		n, err := a.remainder.Read(buffer)
+		n, err := res.remainder.Read(buffer)
 		if n > 0 {
 			_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := w.Write(buffer[:n]); err != nil {
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -17,8 +17,9 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// naiveGateway goes round robin, retries on any error and passes on what it
-// has read. It shows that the fault histories below can break the guarantees.
+// naiveGateway distributes requests round robin, retries after any error and
+// returns whatever it has read. It shows that the fault histories of this file
+// can break the guarantees.
 type naiveGateway struct {
 	endpoints []string
 	next      atomic.Int64
@@ -53,7 +54,7 @@
 	headers.WriteRejection(w, http.StatusServiceUnavailable, headers.Overload, "no endpoint answered")
 }
 
-// step is one request of a history and what happens to its first attempt.
+// step is one request of a history and the fault of its first attempt.
 type step struct {
 	Fault      string
 	Idempotent bool
@@ -69,8 +70,8 @@
 // violations counts broken guarantees by name.
 type violations map[string]int
 
-// play sends the history one request after the other and compares what the
-// caller was told with what the endpoints executed.
+// runHistory sends the requests of the history one after the other and compares
+// the outcomes that the caller received with the executions at the endpoints.
 func runHistory(t *testing.T, url string, history []step, executed func() map[string]int) violations {
 	t.Helper()
 	found := violations{}
@@ -82,7 +83,7 @@
 			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.DeadlineHeader, "200ms")
 		outcomes[id] = r.outcome
 		if r.outcome == headers.Done && r.status == http.StatusOK && r.verify(id) != "" {
-			found["truncated or foreign answer passed on"]++
+			found["truncated or mismatched response returned"]++
 		}
 	}
 	counts := executed()
@@ -98,8 +99,8 @@
 	return found
 }
 
-// Guards, on the same fault histories, against the violations that the naive
-// gateway shows.
+// Runs the same fault histories against the naive gateway, which violates the
+// guarantees, and against the product, which must not.
 func TestHistoriesAgainstNaiveGateway(t *testing.T) {
 	all := violations{}
 	for seed := range 3 {
@@ -124,9 +125,9 @@
 		}
 	}
 	t.Logf("the naive gateway violates %v", all)
-	for _, name := range []string{"truncated or foreign answer passed on", "non-idempotent request executed twice", "executed request reported as not run"} {
+	for _, name := range []string{"truncated or mismatched response returned", "non-idempotent request executed twice", "executed request reported as not run"} {
 		if all[name] == 0 {
-			t.Errorf("the histories do not show the naive gateway violating %q; they prove nothing about it", name)
+			t.Errorf("the naive gateway does not violate %q on these histories, so they do not test it", name)
 		}
 	}
 }
@@ -143,8 +144,8 @@
 	}
 }
 
-// Guards against a second execution when the hop between entry and agent
-// breaks or goes silent while requests are in flight.
+// Guards against a second execution when the connection between entry process
+// and agent breaks or goes silent while requests are in flight.
 func TestBrokenConnectionRunsRequestsAtMostOnce(t *testing.T) {
 	for _, fault := range []string{"silent", "closed"} {
 		e := newEntry(t, gateway.Options{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway serves the requests of callers at an entry process: it
-// admits them, chooses endpoints, retries and hedges where that is safe, and
-// passes on whole responses only.
+// Package gateway serves the requests of callers at an entry process: it admits
+// them, chooses endpoints, retries and hedges where that is safe, and returns
+// whole responses only.
 package gateway
 
 import (
@@ -24,14 +24,14 @@
 // Options configures a Gateway. Zero fields take the defaults.
 type Options struct {
 	Table               *routing.Table
-	Document            func() *environment.Document // current document; nil result rejects every request
-	Scope               tally.Scope                  // counters; default none
-	MaxRequests         int                          // most requests at a time; default 4096
-	MaxServiceRequests  int                          // most requests of one service at a time; default 2048
+	Document            func() *environment.Document // returns the current document; while it returns nil, every request is rejected
+	Scope               tally.Scope                  // metrics; disabled when nil
+	MaxRequests         int                          // concurrent requests; default 4096
+	MaxServiceRequests  int                          // concurrent requests of one service; default 2048
 	MaxBodyBytes        int64                        // largest request body; default 1 MiB
-	ResponseBufferBytes int64                        // largest response read completely before it is passed on; default 1 MiB
-	DefaultTimeout      time.Duration                // deadline of a request without one; default 10 s
-	MaxTimeout          time.Duration                // longest deadline; default 5 min
+	ResponseBufferBytes int64                        // responses up to this size are buffered whole before they are returned; default 1 MiB
+	DefaultTimeout      time.Duration                // for a request without a deadline; default 10 s
+	MaxTimeout          time.Duration                // longer deadlines are shortened to it; default 5 min
 }
 
 func (o *Options) defaults() {
@@ -64,23 +64,23 @@
 
 // Gateway is the HTTP handler for callers. It is safe for concurrent use.
 type Gateway struct {
-	options           Options
-	metrics           metrics
-	budget            *routing.RetryBudget
-	active            atomic.Int64
-	draining          atomic.Bool
-	services          sync.Map       // units.ServiceName -> *service
-	cancelledAttempts sync.WaitGroup // losing hedges that are being given up
+	options            Options
+	metrics            metrics
+	budget             *routing.RetryBudget
+	active             atomic.Int64
+	draining           atomic.Bool
+	services           sync.Map       // units.ServiceName -> *service
+	backgroundAttempts sync.WaitGroup // attempts of idempotent requests; those that lost are ending
 }
 
-// service is the state of one service at this entry process.
+// serviceState is the state of one service at this entry process.
 type serviceState struct {
 	active atomic.Int64
 	load   atomic.Pointer[loadSample]
 }
 
-// loadSample keeps a summary of the service's endpoints for loadAge, because
-// summing up a thousand endpoints for each request is too expensive.
+// loadSample caches a summary of the service's endpoints for maxLoadAge,
+// because summarizing a thousand endpoints for each request is too expensive.
 type loadSample struct {
 	load routing.Load
 	at   time.Time
@@ -94,13 +94,13 @@
 	return &Gateway{options: o, metrics: newMetrics(o.Scope), budget: routing.NewRetryBudget()}
 }
 
-// Limits of the caller listener: a header block and the time to read it.
+// Limits of the server for callers.
 const (
 	maxHeaderBytes = 32 << 10
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	bodyTimeout    = 10 * time.Second
-	writeTimeout   = 30 * time.Second // for each part of a large response
+	writeTimeout   = 30 * time.Second // for each write of a large response
 	maxHeaders     = 100
 )
 
@@ -115,22 +115,23 @@
 // Ready reports whether the load balancer should send requests here.
 func (g *Gateway) Ready() bool { return !g.draining.Load() }
 
-// Shutdown ends the service of callers without cutting off a request. It turns
-// readiness off, serves for notice, in which the load balancer goes elsewhere,
-// then stops server and waits until every request has been answered or ctx
-// ends. Responses meanwhile ask callers to close their connections, so that no
-// request meets a connection that is being closed. The links must stay open
-// until Shutdown returns.
-func (g *Gateway) Shutdown(ctx context.Context, server *http.Server, notice time.Duration) {
+// Shutdown stops serving callers without interrupting a request. It turns
+// readiness off and keeps serving for drainDelay, in which the load balancer
+// redirects new requests. Then it stops server and waits until every request
+// has been answered or ctx ends. During the delay, responses ask callers to
+// close their connections, so that no request is sent on a connection that is
+// being closed. The sessions to the agents must stay open until Shutdown
+// returns.
+func (g *Gateway) Shutdown(ctx context.Context, server *http.Server, drainDelay time.Duration) {
 	g.draining.Store(true)
-	timer := time.NewTimer(notice)
+	timer := time.NewTimer(drainDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if server.Shutdown(ctx) == nil {
-		g.cancelledAttempts.Wait()
+		g.backgroundAttempts.Wait()
 	}
 }
 
@@ -162,9 +163,9 @@
 	ctx, cancel := context.WithDeadline(r.Context(), in.deadline.At)
 	defer cancel()
 	g.budget.Deposit()
-	a := g.execute(ctx, in)
-	defer a.release()
-	g.writeResult(w, in, a)
+	res := g.execute(ctx, in)
+	defer res.release()
+	g.writeResult(w, in, res)
 	g.metrics.latency.RecordDuration(time.Since(start))
 }
 
@@ -176,14 +177,15 @@
 	return s.(*serviceState)
 }
 
-// shares are the parts of the limits that each priority may fill, so that the
-// rest is left to higher ones.
+// priorityShares are the fractions of MaxRequests that the requests of each
+// priority may fill. The rest is reserved for higher priorities.
 var priorityShares = map[units.Priority]float64{
 	units.PriorityLow: 0.6, units.PriorityNormal: 0.75, units.PriorityHigh: 0.9, units.PriorityUrgent: 1,
 }
 
-// shed decides whether the request is rejected at once: at a limit, or when
-// the requests before it leave no time until its deadline.
+// checkLimits returns a reason to reject the request at once: a limit is
+// reached, no endpoint is eligible, or the requests ahead of it leave too
+// little time until its deadline. An empty reason admits the request.
 func (g *Gateway) checkLimits(s *serviceState, in *inbound, perService, total int64, now time.Time) headers.Reason {
 	share := priorityShares[in.priority]
 	if float64(total) > share*float64(g.options.MaxRequests) || perService > int64(g.options.MaxServiceRequests) {
@@ -203,7 +205,7 @@
 	return ""
 }
 
-// inbound is a caller's request that passed the checks.
+// inbound is a caller's request that passed validation.
 type inbound struct {
 	request    *http.Request
 	service    units.ServiceName
@@ -221,7 +223,8 @@
 	errTruncated = errors.New("request body truncated")
 )
 
-// parse checks everything but the body.
+// parse validates everything but the body. On an error it also returns the HTTP
+// status.
 func (g *Gateway) parse(r *http.Request, now time.Time) (*inbound, int, error) {
 	name, _, err := headers.ParseTarget(r.RequestURI)
 	if err != nil {
@@ -231,7 +234,7 @@
 	if document == nil || document.Service(name) == nil {
 		return nil, http.StatusNotFound, errNoService
 	}
-	left, err := headers.ParseTimeout(r.Header, g.options.DefaultTimeout, g.options.MaxTimeout)
+	timeout, err := headers.ParseTimeout(r.Header, g.options.DefaultTimeout, g.options.MaxTimeout)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
@@ -248,12 +251,12 @@
 	}
 	return &inbound{
 		request: r, service: name, priority: document.Service(name).Priority, idempotent: idempotent,
-		deadline: routing.Deadline{At: now.Add(left)},
+		deadline: routing.Deadline{At: now.Add(timeout)},
 	}, 0, nil
 }
 
-// readBody reads the body completely, so that a retry can send it again and a
-// caller that stops sending holds no endpoint.
+// readBody reads the whole body, so that a retry can send it again and a caller
+// that stops sending does not occupy an endpoint.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, in *inbound) (int, error) {
 	if r.ContentLength == 0 {
 		return 0, nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,19 +22,19 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http lingers 500 ms on a connection after a request that was too
-	// large, longer than goleak waits; it then ends by itself.
+	// After a request that is too large, net/http keeps the connection for 500 ms,
+	// which is longer than goleak waits. The goroutine then ends by itself.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// response is what a caller saw.
+// response is what a caller received.
 type response struct {
 	status  int
 	outcome headers.Outcome
 	reason  headers.Reason
 	header  http.Header
 	body    []byte
-	err     error // the response is not whole
+	err     error // set if the response is not whole
 }
 
 func newClient(t testing.TB) *http.Client {
@@ -60,20 +60,22 @@
 	return response{reply.StatusCode, headers.Outcome(reply.Header.Get(headers.OutcomeHeader)), headers.Reason(reply.Header.Get(headers.ReasonHeader)), reply.Header, data, err}
 }
 
-// check reports why a response with outcome done is not the whole answer to
-// request id.
+// verify returns why a response with outcome done is not the whole response to
+// request id, or an empty string.
 func (r *response) verify(id string) string {
 	switch {
 	case r.err != nil:
 		return r.err.Error()
 	case r.header.Get(endpoint.RequestID) != id:
-		return "answer of request " + r.header.Get(endpoint.RequestID)
+		return "response to request " + r.header.Get(endpoint.RequestID)
 	case r.header.Get(endpoint.WholeCheck) != fmt.Sprintf("%016x", xxhash.Sum64(r.body)):
 		return "body is not whole"
 	}
 	return ""
 }
 
+// Checks the status and the outcome header of valid, invalid and oversized
+// requests.
 func TestRequestOutcomes(t *testing.T) {
 	e := newEntry(t, gateway.Options{MaxBodyBytes: 1000})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 200}, e)
@@ -109,7 +111,8 @@
 }
 
 // Guards against a second execution of a request that must run at most once,
-// against truncated answers that look whole, and against a notRun that is wrong.
+// against truncated responses that look whole, and against an outcome notRun
+// for a request that ran. Each fault occurs at the endpoint.
 func TestEndpointFaults(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{}, e)
@@ -145,24 +148,25 @@
 	}
 }
 
-// Guards against a planned stop that cuts off a request, and against notRun
-// answers about requests that an endpoint executed.
+// Guards against a planned stop of an endpoint, an agent or an entry process
+// that interrupts a request, and against an outcome notRun for a request that
+// an endpoint executed.
 func TestPlannedStopsCutOffNoRequest(t *testing.T) {
 	for _, kind := range []string{"endpoint", "agent", "entry"} {
 		t.Run(kind, func(t *testing.T) {
 			e := newEntry(t, gateway.Options{})
-			// As long as an entry process gives a balancer by default: a client
-			// that has seen readiness on may get its processor time much later.
+			// The default drain delay of an entry process. A client that has seen
+			// readiness on may be scheduled much later.
 			e.drainDelay = 3 * time.Second
 			agents := []*agentProcess{}
 			for i := range 3 {
 				agents = append(agents, newAgent(t, i, endpoint.Options{ServiceTime: 2 * time.Millisecond}, e))
 			}
 			c := newClient(t)
-			var sent, done, refused atomic.Int64
+			var sent, done, rejected atomic.Int64
 			var stopped atomic.Bool
 			var wait sync.WaitGroup
-			answers := sync.Map{}
+			outcomes := sync.Map{}
 			for worker := range 12 {
 				wait.Go(func() {
 					// The load balancer stops sending when readiness is off.
@@ -170,12 +174,12 @@
 						id := fmt.Sprint(worker, "-", i)
 						r := send(c, "POST", e.url+"/services/desk/", bytes.NewReader([]byte(id)), endpoint.RequestID, id)
 						sent.Add(1)
-						answers.Store(id, r.outcome)
+						outcomes.Store(id, r.outcome)
 						switch {
 						case r.outcome == headers.Done && r.verify(id) == "":
 							done.Add(1)
 						case r.outcome == headers.NotRun:
-							refused.Add(1)
+							rejected.Add(1)
 						default:
 							t.Errorf("%s: got outcome %q, error %v", id, r.outcome, r.err)
 						}
@@ -201,7 +205,7 @@
 					executed[id] += n
 				}
 			}
-			answers.Range(func(id, outcome any) bool {
+			outcomes.Range(func(id, outcome any) bool {
 				want := 1
 				if outcome == headers.NotRun {
 					want = 0
@@ -211,15 +215,15 @@
 				}
 				return true
 			})
-			if refused.Load() > 0 {
-				t.Errorf("got %d of %d requests refused, want none while two endpoints are ready", refused.Load(), sent.Load())
+			if rejected.Load() > 0 {
+				t.Errorf("got %d of %d requests rejected, want none while two endpoints are ready", rejected.Load(), sent.Load())
 			}
 		})
 	}
 }
 
-// Guards against a large response that is cut in the middle and ends normally
-// for the caller, and against large responses that arrive changed.
+// Guards against a large response that is truncated but ends normally for the
+// caller, and against large responses that arrive altered.
 func TestLargeResponses(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 5 << 20}, e)
@@ -229,12 +233,12 @@
 	}
 	for _, method := range []string{"GET", "POST"} {
 		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultName, "truncated"); r.err == nil {
-			t.Errorf("%s: got a normal end after %d bytes of a truncated response", method, len(r.body))
+			t.Errorf("%s: got a normal end of a truncated response after %d bytes", method, len(r.body))
 		}
 	}
 }
 
-// Guards against answers of a hedge that lost reaching a caller, and against
+// Guards against responses of a losing hedge that reach a caller, and against
 // hedges of requests that must run at most once.
 func TestHedges(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
@@ -260,7 +264,7 @@
 	}
 }
 
-// Guards against slots that stay taken for callers that have left.
+// Guards against slots that stay occupied after their caller has disconnected.
 func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: time.Hour}, e)
@@ -282,21 +286,22 @@
 	}
 	for tries := 0; busy() > 0; tries++ {
 		if tries == 10_000 {
-			t.Fatal("the slot is still taken")
+			t.Fatal("the slot is still occupied after the caller disconnected")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards against limits that do not hold, and against refusals that take as
-// long as the work: with one slot taken, what cannot end in time is refused.
+// Guards against limits that are not enforced, and against rejections that take
+// as long as the work: while the only slot is busy, requests that cannot finish
+// in time are rejected at once.
 func TestLimitsReject(t *testing.T) {
 	e := newEntry(t, gateway.Options{MaxServiceRequests: 6})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond, Slots: 1}, e)
 	c := newClient(t)
-	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // teaches the service time
+	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // sets the estimate of the service time
 	var wait sync.WaitGroup
-	var done, refused atomic.Int64
+	var done, rejected atomic.Int64
 	for i := range 12 {
 		wait.Go(func() {
 			id := fmt.Sprint(i)
@@ -305,12 +310,12 @@
 			case r.outcome == headers.Done:
 				done.Add(1)
 			case r.outcome == headers.NotRun && r.status == http.StatusServiceUnavailable && a.endpoint.Executed()[id] == 0:
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
 	wait.Wait()
-	if done.Load() < 1 || refused.Load() < 6 || done.Load()+refused.Load() < 11 {
-		t.Errorf("got %d done, %d truly refused of 12; want at least 1, 6 and nearly all", done.Load(), refused.Load())
+	if done.Load() < 1 || rejected.Load() < 6 || done.Load()+rejected.Load() < 11 {
+		t.Errorf("got %d done, %d rejected without execution of 12; want at least 1, 6 and nearly all", done.Load(), rejected.Load())
 	}
 }
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -6,8 +6,8 @@
 	"wasabihill.example/wasabihill/internal/headers"
 )
 
-// A request was answered as not run although its first attempt, whose outcome
-// was unknown, had run: the refusal of the hedge hid it.
+// Guards against an outcome notRun for a request whose first attempt had run
+// with an unknown outcome: the rejection of the hedge replaced that outcome.
 func TestRejectedHedgeKeepsUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		unknown bool
@@ -22,10 +22,10 @@
 	for _, c := range cases {
 		a := (&result{outcome: c.last, freeRetry: true}).withEarlierUnknown(c.unknown)
 		if a.outcome != c.want {
-			t.Errorf("unknown before %t, last %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
+			t.Errorf("earlier attempt unknown %t, last attempt %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
 		}
 		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.freeRetry {
-			t.Error("an unknown outcome counts as free of charge, want it to draw on the retry budget")
+			t.Error("an unknown outcome allows a free retry, want it to use the retry budget")
 		}
 	}
 }
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -21,7 +21,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// heartbeatInterval is shorter than the product's, for faster tests.
+// heartbeatInterval is shorter than the product's to speed up the tests.
 const heartbeatInterval = 50 * time.Millisecond
 
 var document = &environment.Document{
@@ -36,7 +36,7 @@
 	links      *link.Listener
 	server     *http.Server
 	url        string
-	drainDelay time.Duration // between readiness off and the close of the listener
+	drainDelay time.Duration // between readiness off and closing the listener
 	stop       func()
 }
 
@@ -81,16 +81,17 @@
 type agentProcess struct {
 	forwarder *forward.Forwarder
 	endpoint  *endpoint.Endpoint
-	leave     func() // the endpoint leaves as on SIGTERM
-	stop      func() // planned stop of the agent
+	leave     func() // stops the endpoint as on SIGTERM
+	stop      func() // performs a planned stop of the agent
 }
 
 func newAgent(t testing.TB, index int, o endpoint.Options, entries ...*entryProcess) *agentProcess {
 	return newAgentThrough(t, index, o, "", entries...)
 }
 
-// newAgentVia dials via, when given, instead of the entry processes.
-func newAgentThrough(t testing.TB, index int, o endpoint.Options, via string, entries ...*entryProcess) *agentProcess {
+// newAgentThrough connects to the address through, if given, instead of to the
+// entry processes.
+func newAgentThrough(t testing.TB, index int, o endpoint.Options, through string, entries ...*entryProcess) *agentProcess {
 	t.Helper()
 	a := &agentProcess{forwarder: forward.New(forward.Options{})}
 	announcements, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,8 +119,8 @@
 			t.Fatal(err)
 		}
 		target := address.String()
-		if via != "" {
-			target = via
+		if through != "" {
+			target = through
 		}
 		s, err := link.Dial(ctx, target, mux)
 		if err != nil {
@@ -132,7 +133,7 @@
 		stop, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
 		a.forwarder.Drain(stop)
-		time.Sleep(2 * heartbeatInterval) // entry processes hear that the agent leaves
+		time.Sleep(2 * heartbeatInterval) // entry processes receive the leaving state
 		cancel()
 		for _, s := range sessions {
 			s.Shutdown(stop)
@@ -165,7 +166,8 @@
 	}
 }
 
-// hop is the connection between an agent and an entry process, with faults.
+// faultyProxy relays the connection between an agent and an entry process and
+// injects faults.
 type faultyProxy struct {
 	address string
 	silent  atomic.Bool
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,7 +8,8 @@
 	"wasabihill.example/wasabihill/internal/headers"
 )
 
-// counters are looked up once: a lookup by name takes locks on every request.
+// metrics holds the counters of a Gateway. They are resolved once, because a
+// lookup by name takes locks on every request.
 type metrics struct {
 	requests, shed, retries, hedges, hedgesWon, truncated tally.Counter
 	outcomes                                              map[headers.Outcome]tally.Counter
@@ -25,7 +26,7 @@
 	for _, o := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
 		c.outcomes[o] = scope.Tagged(map[string]string{"outcome": string(o)}).Counter("outcomes")
 	}
-	// 250 us doubled 17 times reaches half a minute, past most deadlines.
+	// 250 us doubled 17 times is about half a minute, longer than most deadlines.
 	c.latency = scope.Histogram("latency", tally.MustMakeExponentialDurationBuckets(250*time.Microsecond, 2, 18))
 	return c
 }
