--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -22,7 +22,7 @@
 	closed  bool          // the endpoint is leaving or gone
 }
 
-// waiter is one queued request. Its verdict is sent once; an empty cause grants
+// waiter is one queued request. Its verdict is sent once; an empty reason grants
 // a slot.
 type waiter struct {
 	priority units.Priority
@@ -41,12 +41,12 @@
 // minimumMargin stands for a service time that is not known yet.
 const minimumMargin = time.Millisecond
 
-// acquire waits for a slot. An empty cause means that the caller holds one and
-// must release it; any other cause means that the request must not be sent.
+// acquire waits for a slot. An empty reason means that the caller holds one and
+// must release it; any other reason means that the request must not be sent.
 func (a *admission) acquire(ctx context.Context, priority units.Priority, deadline time.Time) headers.Reason {
-	w, cause := a.enqueue(priority, deadline, time.Now())
+	w, reason := a.enqueue(priority, deadline, time.Now())
 	if w == nil {
-		return cause
+		return reason
 	}
 	// Past this moment a slot comes too late. Refusing then, rather than at the
 	// deadline, lets the refusal reach the caller in time.
@@ -54,8 +54,8 @@
 	timer := time.NewTimer(time.Until(deadline) - max(service, minimumMargin))
 	defer timer.Stop()
 	select {
-	case cause := <-w.verdict:
-		return cause
+	case reason := <-w.verdict:
+		return reason
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -42,8 +42,8 @@
 			kept := queued[:0]
 			for _, w := range queued {
 				select {
-				case cause := <-w.verdict:
-					if cause == "" {
+				case reason := <-w.verdict:
+					if reason == "" {
 						running++
 						for _, o := range queued {
 							if o != w && o.index >= 0 && o.before(w) {
@@ -60,10 +60,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				w, cause := a.enqueue(units.Priority(rapid.IntRange(1, 4).Draw(t, "priority")), time.Now().Add(time.Hour), now)
+				w, reason := a.enqueue(units.Priority(rapid.IntRange(1, 4).Draw(t, "priority")), time.Now().Add(time.Hour), now)
 				if w != nil {
 					queued = append(queued, w)
-				} else if cause == "" {
+				} else if reason == "" {
 					running++
 				}
 			case 2:
@@ -91,22 +91,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := &admission{slots: 1, limit: 8, service: 100 * time.Millisecond}
 		ctx, start := t.Context(), time.Now()
-		if cause := a.acquire(ctx, units.PriorityNormal, start.Add(time.Second)); cause != "" {
-			t.Fatalf("got %q for a free slot", cause)
+		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(time.Second)); reason != "" {
+			t.Fatalf("got %q for a free slot", reason)
 		}
-		if cause := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); cause != headers.Overload || time.Since(start) != 0 {
-			t.Errorf("got %q after %v, want %q at once", cause, time.Since(start), headers.Overload)
+		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); reason != headers.Overload || time.Since(start) != 0 {
+			t.Errorf("got %q after %v, want %q at once", reason, time.Since(start), headers.Overload)
 		}
 		verdict := make(chan headers.Reason)
 		go func() { verdict <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
 		synctest.Wait()
 		time.Sleep(200 * time.Millisecond)
 		a.release(200 * time.Millisecond)
-		if cause := <-verdict; cause != headers.Overload {
-			t.Errorf("got %q for a request with 50 ms left, want %q", cause, headers.Overload)
+		if reason := <-verdict; reason != headers.Overload {
+			t.Errorf("got %q for a request with 50 ms left, want %q", reason, headers.Overload)
 		}
-		if cause := a.acquire(ctx, units.PriorityNormal, time.Now().Add(time.Millisecond)); cause != "" {
-			t.Errorf("got %q for a free slot; the estimate would never recover", cause)
+		if reason := a.acquire(ctx, units.PriorityNormal, time.Now().Add(time.Millisecond)); reason != "" {
+			t.Errorf("got %q for a free slot; the estimate would never recover", reason)
 		}
 	})
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -119,10 +119,10 @@
 	return e, ""
 }
 
-func (f *Forwarder) reject(w http.ResponseWriter, status int, cause headers.Reason) {
+func (f *Forwarder) reject(w http.ResponseWriter, status int, reason headers.Reason) {
 	f.counters[headers.NotRun].Inc(1)
-	f.reasons[cause].Inc(1)
-	headers.WriteRejection(w, status, cause, string(cause))
+	f.reasons[reason].Inc(1)
+	headers.WriteRejection(w, status, reason, string(reason))
 }
 
 // defaultTime bounds a request whose entry process gave no deadline.
@@ -144,9 +144,9 @@
 	deadline := time.Now().Add(left)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	e, cause := f.enter(service)
+	e, reason := f.enter(service)
 	if e == nil {
-		f.reject(w, http.StatusServiceUnavailable, cause)
+		f.reject(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	defer f.inFlight.Done()
@@ -155,8 +155,8 @@
 		f.reject(w, http.StatusRequestEntityTooLarge, headers.Malformed)
 		return
 	}
-	if cause := e.admission.acquire(ctx, headers.ParsePriority(r.Header), deadline); cause != "" {
-		f.reject(w, http.StatusServiceUnavailable, cause)
+	if reason := e.admission.acquire(ctx, headers.ParsePriority(r.Header), deadline); reason != "" {
+		f.reject(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	c := &call{forwarder: f, endpoint: e, in: r, uri: uri, body: body, idempotent: idempotent, deadline: deadline}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -49,13 +49,13 @@
 func (g *Gateway) execute(ctx context.Context, in *inbound) *result {
 	var tried []*routing.Endpoint
 	unknown := false
-	cause := headers.NoEndpoint
+	reason := headers.NoEndpoint
 	for range maxAttempts {
 		choice := g.choose(in, tried)
 		if choice == nil {
 			break
 		}
-		if cause == headers.Overload && slices.Contains(tried, choice.Endpoint) {
+		if reason == headers.Overload && slices.Contains(tried, choice.Endpoint) {
 			choice.End(routing.Cancelled, time.Now())
 			break // every endpoint has rejected the request
 		}
@@ -67,7 +67,7 @@
 		res.release()
 		unknown = unknown || res.outcome == headers.Unknown
 		if res.outcome == headers.NotRun {
-			cause = res.reason
+			reason = res.reason
 		}
 		if ctx.Err() != nil || (res.outcome == headers.Unknown && !in.idempotent) {
 			break
@@ -80,7 +80,7 @@
 	if unknown {
 		return &result{outcome: headers.Unknown}
 	}
-	return &result{outcome: headers.NotRun, reason: cause}
+	return &result{outcome: headers.NotRun, reason: reason}
 }
 
 func (g *Gateway) choose(in *inbound, tried []*routing.Endpoint) *routing.Choice {
@@ -300,9 +300,9 @@
 	return io.ReadAll(io.LimitReader(response.Body, limit+1))
 }
 
-func (g *Gateway) reject(w http.ResponseWriter, status int, cause headers.Reason, text string) {
+func (g *Gateway) reject(w http.ResponseWriter, status int, reason headers.Reason, text string) {
 	g.metrics.outcomes[headers.NotRun].Inc(1)
-	headers.WriteRejection(w, status, cause, text)
+	headers.WriteRejection(w, status, reason, text)
 }
 
 // writeResult writes the result to the caller. When the rest of a large
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,9 +151,9 @@
 	defer s.active.Add(-1)
 	defer g.active.Add(-1)
 	perService, total := s.active.Add(1), g.active.Add(1)
-	if cause := g.checkLimits(s, in, perService, total, start); cause != "" {
+	if reason := g.checkLimits(s, in, perService, total, start); reason != "" {
 		g.metrics.shed.Inc(1)
-		g.reject(w, http.StatusServiceUnavailable, cause, string(cause))
+		g.reject(w, http.StatusServiceUnavailable, reason, string(reason))
 		return
 	}
 	if status, err := g.readBody(w, r, in); err != nil {
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -154,9 +154,9 @@
 }
 
 // Reject answers that the request was not run.
-func WriteRejection(w http.ResponseWriter, status int, cause Reason, text string) {
+func WriteRejection(w http.ResponseWriter, status int, reason Reason, text string) {
 	w.Header().Set(OutcomeHeader, string(NotRun))
-	w.Header().Set(ReasonHeader, string(cause))
+	w.Header().Set(ReasonHeader, string(reason))
 	http.Error(w, text, status)
 }
 
