--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -11,21 +11,21 @@
 type RetryBudget struct{ tokens atomic.Int64 }
 
 const (
-	token         = 10  // deposits that pay for one retry: 10% of requests
-	budgetStart   = 10  // retries allowed before the first deposits
-	budgetMaximum = 100 // retries that a quiet time can save up
+	depositsPerRetry = 10  // deposits that pay for one retry: 10% of requests
+	initialRetries   = 10  // retries allowed before the first deposits
+	maxSavedRetries  = 100 // retries that a quiet time can save up
 )
 
 // NewBudget returns a budget that allows a few retries at once.
 func NewRetryBudget() *RetryBudget {
 	b := &RetryBudget{}
-	b.tokens.Store(budgetStart * token)
+	b.tokens.Store(initialRetries * depositsPerRetry)
 	return b
 }
 
 // Deposit accounts for one request of a caller.
 func (b *RetryBudget) Deposit() {
-	if b.tokens.Load() < budgetMaximum*token {
+	if b.tokens.Load() < maxSavedRetries*depositsPerRetry {
 		b.tokens.Add(1)
 	}
 }
@@ -34,10 +34,10 @@
 func (b *RetryBudget) Withdraw() bool {
 	for {
 		n := b.tokens.Load()
-		if n < token {
+		if n < depositsPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(n, n-token) {
+		if b.tokens.CompareAndSwap(n, n-depositsPerRetry) {
 			return true
 		}
 	}
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -48,7 +48,7 @@
 }
 
 // samples bounds the random draws for two candidates before a scan.
-const samples = 8
+const maxDraws = 8
 
 // Choose picks an endpoint for the request, or returns nil when none is
 // eligible.
@@ -57,38 +57,38 @@
 	if len(all) == 0 {
 		return nil
 	}
-	if e := t.dueProbe(all, &r, now); e != nil {
-		return e.choose(now, true)
+	if e := t.chooseProbe(all, &r, now); e != nil {
+		return e.newChoice(now, true)
 	}
 	var best, fallback *Endpoint
 	candidates := 0
-	for i := 0; i < samples && candidates < 2; i++ {
+	for i := 0; i < maxDraws && candidates < 2; i++ {
 		random := t.settings.Random()
 		e := all[random%uint64(len(all))]
 		if !e.eligible(now) || e.ejected.Load() || e == best || r.avoids(e) {
 			continue
 		}
 		// Part of the draws passes over an endpoint in slow start.
-		if float64(random>>40)/(1<<24) > e.share(now) {
-			fallback = better(fallback, e, now)
+		if float64(random>>40)/(1<<24) > e.trafficShare(now) {
+			fallback = lowerScore(fallback, e, now)
 			continue
 		}
-		best = better(best, e, now)
+		best = lowerScore(best, e, now)
 		candidates++
 	}
 	if best == nil {
 		best = fallback
 	}
 	if best == nil {
-		best = t.scan(all, &r, now)
+		best = t.chooseByScan(all, &r, now)
 	}
 	if best == nil {
 		return nil
 	}
-	return best.choose(now, false)
+	return best.newChoice(now, false)
 }
 
-func better(a, b *Endpoint, now time.Time) *Endpoint {
+func lowerScore(a, b *Endpoint, now time.Time) *Endpoint {
 	if a == nil || b.score(now) < a.score(now) {
 		return b
 	}
@@ -97,9 +97,9 @@
 
 // dueProbe draws one endpoint and lets the request probe it when it is ejected
 // and due, so that at most a small share of requests are probes.
-func (t *Table) dueProbe(all []*Endpoint, r *Request, now time.Time) *Endpoint {
+func (t *Table) chooseProbe(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	e := all[t.settings.Random()%uint64(len(all))]
-	if e.ejected.Load() && e.eligible(now) && !r.avoids(e) && e.claimProbe(r.Idempotent, now) {
+	if e.ejected.Load() && e.eligible(now) && !r.avoids(e) && e.tryBeginProbe(r.Idempotent, now) {
 		return e
 	}
 	return nil
@@ -107,7 +107,7 @@
 
 // scan looks at every endpoint: the best one in service, else one that was
 // avoided, else an ejected one.
-func (t *Table) scan(all []*Endpoint, r *Request, now time.Time) *Endpoint {
+func (t *Table) chooseByScan(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	var ranks [3]*Endpoint
 	for _, e := range all {
 		if !e.eligible(now) {
@@ -119,7 +119,7 @@
 		} else if r.avoids(e) {
 			rank = 1
 		}
-		ranks[rank] = better(ranks[rank], e, now)
+		ranks[rank] = lowerScore(ranks[rank], e, now)
 	}
 	for _, e := range ranks {
 		if e != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (e *Endpoint) choose(now time.Time, probe bool) *Choice {
+func (e *Endpoint) newChoice(now time.Time, probe bool) *Choice {
 	e.outstanding.Add(1)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,31 +141,31 @@
 	e := c.Endpoint
 	e.outstanding.Add(-1)
 	if result == Leaving || result == NotSent {
-		e.withdraw(c.session)
+		e.markUnusable(c.session)
 	}
 	e.mu.Lock()
 	eject := false
 	switch result {
 	case Succeeded:
-		e.measure(now.Sub(c.start), now)
-		e.outlying(false)
+		e.recordLatency(now.Sub(c.start), now)
+		e.recordResult(false)
 	case Failed:
-		e.measure(now.Sub(c.start), now)
-		eject = e.outlying(true)
+		e.recordLatency(now.Sub(c.start), now)
+		eject = e.recordResult(true)
 	case Cancelled:
 		// The response would have taken at least this long.
-		if d := now.Sub(c.start); d > e.expectedLocked(now) {
-			e.measure(d, now)
+		if d := now.Sub(c.start); d > e.expectedLatencyLocked(now) {
+			e.recordLatency(d, now)
 		}
 	}
 	returned := false
 	if c.probe {
-		returned = e.endProbe(result, now)
+		returned = e.recordProbe(result, now)
 		eject = false
 	}
 	e.mu.Unlock()
 	if returned {
-		e.startSlowly(now)
+		e.beginSlowStart(now)
 	}
 	if eject && !e.ejected.Load() {
 		e.table.eject(e, now)
@@ -174,7 +174,7 @@
 
 // withdraw stops the use of the endpoint until its next heartbeat, unless a
 // newer session has taken over.
-func (e *Endpoint) withdraw(session Session) {
+func (e *Endpoint) markUnusable(session Session) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.session == session {
@@ -184,21 +184,21 @@
 
 // endProbe reports whether the endpoint returns. Rejections say nothing about
 // its health.
-func (e *Endpoint) endProbe(result Result, now time.Time) bool {
+func (e *Endpoint) recordProbe(result Result, now time.Time) bool {
 	if !e.ejected.Load() {
 		return false
 	}
-	e.probing = false
+	e.probeInFlight = false
 	switch result {
 	case Succeeded:
-		e.probes++
+		e.successfulProbes++
 	case Failed:
 		e.eject(now)
 	}
-	if e.probes < probesToReturn {
+	if e.successfulProbes < probesToReadmit {
 		return false
 	}
-	e.probes, e.ejections = 0, max(0, e.ejections-1)
+	e.successfulProbes, e.ejections = 0, max(0, e.ejections-1)
 	e.ejected.Store(false)
 	return true
 }
@@ -252,8 +252,8 @@
 		}
 		l.Endpoints++
 		l.Slots += e.slots.Load()
-		l.Requests += e.outstanding.Load() + e.others.Load()
-		if d := e.expected(now); l.MinLatency == 0 || d < l.MinLatency {
+		l.Requests += e.outstanding.Load() + e.otherRequests.Load()
+		if d := e.expectedLatency(now); l.MinLatency == 0 || d < l.MinLatency {
 			l.MinLatency = d
 		}
 	}
@@ -264,6 +264,6 @@
 // one: three times the expected latency, at least 2 ms, which few healthy
 // responses exceed.
 func (c *Choice) HedgeDelay(now time.Time) time.Duration {
-	distance := time.Duration(c.Endpoint.distance.Load())
-	return max(2*time.Millisecond, 3*c.Endpoint.expected(now)+distance)
+	distance := time.Duration(c.Endpoint.localityCost.Load())
+	return max(2*time.Millisecond, 3*c.Endpoint.expectedLatency(now)+distance)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -37,21 +37,21 @@
 	}})
 	s := &fakeSession{}
 	for i := range n {
-		t.RecordHeartbeat(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
+		t.RecordHeartbeat(workerName(i), s, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
 	}
-	refresh(t, s, n, start)
+	heartbeatAll(t, s, n, start)
 	return t, s
 }
 
-func name(i int) units.WorkerID { return units.WorkerID(fmt.Sprint("worker-", i)) }
+func workerName(i int) units.WorkerID { return units.WorkerID(fmt.Sprint("worker-", i)) }
 
-func refresh(t *Table, s Session, n int, now time.Time) {
+func heartbeatAll(t *Table, s Session, n int, now time.Time) {
 	for i := range n {
-		t.RecordHeartbeat(name(i), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), now)
+		t.RecordHeartbeat(workerName(i), s, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), now)
 	}
 }
 
-func beat(domain, region string, state wire.EndpointState, busy int32) *wire.Heartbeat {
+func newHeartbeat(domain, region string, state wire.EndpointState, busy int32) *wire.Heartbeat {
 	return &wire.Heartbeat{FailureDomain: domain, Region: region, Endpoints: []*wire.EndpointReport{
 		{Service: "s", State: state, Slots: 8, Connections: 64, Busy: busy, LatencyMicroseconds: 1000}}}
 }
@@ -66,7 +66,7 @@
 
 // Guards against requests to an endpoint that must not get any.
 func TestEligibility(t *testing.T) {
-	ready := beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
+	ready := newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
 	document := func(state environment.DomainState, drained ...units.WorkerID) *environment.Document {
 		return &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "a", Region: "r", State: state}}, DrainedWorkers: drained}
 	}
@@ -79,10 +79,10 @@
 	}{
 		{"ready", ready, document(environment.DomainIn), 2 * time.Second, true},
 		{"old heartbeat", ready, document(environment.DomainIn), 2*time.Second + 1, false},
-		{"leaving", beat("a", "r", wire.EndpointState_ENDPOINT_STATE_LEAVING, 0), document(environment.DomainIn), 0, false},
-		{"gone", beat("a", "r", wire.EndpointState_ENDPOINT_STATE_GONE, 0), document(environment.DomainIn), 0, false},
+		{"leaving", newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_LEAVING, 0), document(environment.DomainIn), 0, false},
+		{"gone", newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_GONE, 0), document(environment.DomainIn), 0, false},
 		{"domain out", ready, document(environment.DomainOut), 0, false},
-		{"unknown domain", beat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), document(environment.DomainIn), 0, false},
+		{"unknown domain", newHeartbeat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), document(environment.DomainIn), 0, false},
 		{"worker drained", ready, document(environment.DomainIn, "worker-0"), 0, false},
 		{"no endpoint", &wire.Heartbeat{}, document(environment.DomainIn), 0, false},
 	} {
@@ -106,8 +106,8 @@
 // has taken over.
 func TestRemoveIgnoresOlderSession(t *testing.T) {
 	table, old := newTable(1)
-	table.RecordHeartbeat(name(0), &fakeSession{"new"}, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
-	table.Remove(name(0), old)
+	table.RecordHeartbeat(workerName(0), &fakeSession{"new"}, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+	table.Remove(workerName(0), old)
 	if table.Choose(request, start) == nil {
 		t.Error("got no endpoint after the old session ended, want the one of the new session")
 	}
@@ -118,9 +118,9 @@
 	table := New(Settings{Domain: "a", Region: "r"})
 	replaced, current := &fakeSession{"replaced"}, &fakeSession{"current"}
 	observe := func(s Session, epoch uint64, now time.Time) Session {
-		h := beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
+		h := newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
 		h.Epoch = epoch
-		table.RecordHeartbeat(name(0), s, h, now)
+		table.RecordHeartbeat(workerName(0), s, h, now)
 		return table.Choose(request, now).session
 	}
 	observe(current, 2, start)
@@ -135,21 +135,21 @@
 // Guards against a choice that ignores load, latency or distance.
 func TestChoicePrefersLessLoadedAndNearer(t *testing.T) {
 	table, s := newTable(2)
-	table.RecordHeartbeat(name(0), s, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 8), start)
-	table.RecordHeartbeat(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
-	table.RecordHeartbeat(name(2), s, beat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+	table.RecordHeartbeat(workerName(0), s, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 8), start)
+	table.RecordHeartbeat(workerName(2), s, newHeartbeat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start.Add(-time.Minute))
+	table.RecordHeartbeat(workerName(2), s, newHeartbeat("z", "other", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
 	counts := map[units.WorkerID]int{}
 	for range 300 {
 		c := table.Choose(request, start)
 		counts[c.Endpoint.Worker]++
 		c.End(Cancelled, start)
 	}
-	if counts[name(1)] < 190 || counts[name(2)] > 0 {
+	if counts[workerName(1)] < 190 || counts[workerName(2)] > 0 {
 		t.Errorf("got choices %v, want most on the idle near worker-1 and none in the other region", counts)
 	}
 }
 
-func fail(table *Table, worker units.WorkerID, n int, now time.Time) {
+func failRequests(table *Table, worker units.WorkerID, n int, now time.Time) {
 	for range 10_000 {
 		c := table.Choose(request, now)
 		if c.Endpoint.Worker != worker {
@@ -167,11 +167,11 @@
 // never returns.
 func TestOutlierIsEjectedAndReturnsByProbes(t *testing.T) {
 	table, s := newTable(4)
-	fail(table, name(1), failuresToEject, start)
+	failRequests(table, workerName(1), failuresToEject, start)
 	count := func(now time.Time, result Result) (n int) {
 		for range 400 {
 			c := table.Choose(request, now)
-			if c.Endpoint.Worker == name(1) {
+			if c.Endpoint.Worker == workerName(1) {
 				n++
 			}
 			c.End(result, now)
@@ -182,10 +182,10 @@
 		t.Errorf("got %d requests to an ejected endpoint, want 0", got)
 	}
 	later := start.Add(1500 * time.Millisecond)
-	if got := count(later, Succeeded); got < probesToReturn {
-		t.Errorf("got %d probes after the ejection, want at least %d", got, probesToReturn)
+	if got := count(later, Succeeded); got < probesToReadmit {
+		t.Errorf("got %d probes after the ejection, want at least %d", got, probesToReadmit)
 	}
-	refresh(table, s, 4, later.Add(20*time.Second))
+	heartbeatAll(table, s, 4, later.Add(20*time.Second))
 	if got := count(later.Add(20*time.Second), Succeeded); got < 40 {
 		t.Errorf("got %d of 400 requests after slow start, want about a quarter", got)
 	}
@@ -212,7 +212,7 @@
 func TestReturningDomainStartsSlowly(t *testing.T) {
 	table, s := newTable(4)
 	for i := range 4 {
-		table.RecordHeartbeat(name(10+i), s, beat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
+		table.RecordHeartbeat(workerName(10+i), s, newHeartbeat("b", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
 	}
 	domains := func(state environment.DomainState) *environment.Document {
 		return &environment.Document{FailureDomains: []environment.FailureDomain{
@@ -224,7 +224,7 @@
 	returned := 0
 	for range 1000 {
 		c := table.Choose(request, start.Add(100*time.Millisecond))
-		if c.Endpoint.Worker >= name(10) && len(c.Endpoint.Worker) == len("worker-10") {
+		if c.Endpoint.Worker >= workerName(10) && len(c.Endpoint.Worker) == len("worker-10") {
 			returned++
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 // Guards against retries above a tenth of the requests.
-func TestBudgetIsATenth(t *testing.T) {
+func TestRetryBudgetIsATenth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget()
 		requests, retries := 0, 0
@@ -246,8 +246,8 @@
 				retries++
 			}
 		}
-		if retries > budgetStart+requests/token {
-			t.Fatalf("got %d retries for %d requests, want at most %d", retries, requests, budgetStart+requests/token)
+		if retries > initialRetries+requests/depositsPerRetry {
+			t.Fatalf("got %d retries for %d requests, want at most %d", retries, requests, initialRetries+requests/depositsPerRetry)
 		}
 	})
 }
@@ -266,11 +266,11 @@
 		})
 	}
 	for i := range 500 {
-		refresh(table, s, 8, start)
-		table.Remove(name(i%8), s)
+		heartbeatAll(table, s, 8, start)
+		table.Remove(workerName(i%8), s)
 	}
 	wait.Wait()
-	refresh(table, s, 8, start)
+	heartbeatAll(table, s, 8, start)
 	for _, e := range table.endpoints("s") {
 		if got := e.outstanding.Load(); got != 0 {
 			t.Errorf("%s: got %d outstanding after all ended, want 0", e.Worker, got)
@@ -282,7 +282,7 @@
 	table, s := newTable(1000)
 	table.settings.Random = rand.Uint64
 	now := time.Now()
-	refresh(table, s, 1000, now)
+	heartbeatAll(table, s, 1000, now)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/routing/stall.go
+++ b/internal/routing/stall.go
@@ -10,44 +10,44 @@
 	TickInterval = 100 * time.Millisecond
 	// stalledAfter is the gap between two ticks that shows that this process did
 	// not run; shorter ones come from ordinary scheduling.
-	stalledAfter = 4 * TickInterval
+	minStall = 4 * TickInterval
 )
 
 // stall tells how long this process did not run. A process that was paused or
 // got no processor time finds every heartbeat old although its peers sent theirs:
 // the age of a heartbeat counts only while this process could have read it.
 // Times are nanoseconds since the table's origin.
-type stall struct {
-	last  atomic.Int64 // newest tick; 0 before the first
-	grace atomic.Int64 // length of the newest stall
-	until atomic.Int64 // when grace ends: the waiting heartbeats have been read
+type stallDetector struct {
+	lastTick   atomic.Int64 // newest tick; 0 before the first
+	lastStall  atomic.Int64 // length of the newest stall
+	graceUntil atomic.Int64 // when grace ends: the waiting heartbeats have been read
 }
 
-func (s *stall) tick(now, fresh int64) {
-	if gap := s.current(now); gap > 0 {
-		s.grace.Store(gap)
-		s.until.Store(now + fresh)
+func (s *stallDetector) recordTick(now, fresh int64) {
+	if gap := s.ongoing(now); gap > 0 {
+		s.lastStall.Store(gap)
+		s.graceUntil.Store(now + fresh)
 	}
-	s.last.Store(now)
+	s.lastTick.Store(now)
 }
 
 // current is the length of the stall that lasts at now, or that has just ended
 // and has not met a tick yet.
-func (s *stall) current(now int64) int64 {
-	last := s.last.Load()
-	if gap := now - last; last != 0 && gap > int64(stalledAfter) {
+func (s *stallDetector) ongoing(now int64) int64 {
+	last := s.lastTick.Load()
+	if gap := now - last; last != 0 && gap > int64(minStall) {
 		return gap
 	}
 	return 0
 }
 
 // allowance is the part of a heartbeat's age at now that is this process's own.
-func (s *stall) allowance(now int64) int64 {
-	if gap := s.current(now); gap > 0 {
+func (s *stallDetector) heartbeatAllowance(now int64) int64 {
+	if gap := s.ongoing(now); gap > 0 {
 		return gap
 	}
-	if now < s.until.Load() {
-		return s.grace.Load()
+	if now < s.graceUntil.Load() {
+		return s.lastStall.Load()
 	}
 	return 0
 }
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -31,7 +31,7 @@
 	chosen(true, "before the first tick after the pause")
 	run(TickInterval)
 	chosen(true, "after it")
-	table.RecordHeartbeat(name(0), session, beat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
+	table.RecordHeartbeat(workerName(0), session, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
 	run(fresh)
 	if got := table.CountEligible("s", at); got != 1 {
 		t.Errorf("got %d eligible endpoints, want 1: the other stayed silent", got)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -59,8 +59,8 @@
 type Table struct {
 	settings Settings
 	origin   time.Time // times are kept relative to it, on the monotonic clock
-	sets     atomic.Pointer[map[units.ServiceName]*set]
-	stall    stall
+	sets     atomic.Pointer[map[units.ServiceName]*endpointSet]
+	stall    stallDetector
 
 	mu       sync.Mutex // guards changes of membership, document and ejections
 	document *environment.Document
@@ -69,23 +69,23 @@
 
 // worker groups the endpoints that one agent reports.
 type worker struct {
-	epoch     uint64
-	seen      time.Time
-	session   Session
-	domain    units.DomainName
-	region    units.RegionName
-	draining  bool
-	endpoints map[units.ServiceName]*Endpoint
+	epoch         uint64
+	lastHeartbeat time.Time
+	session       Session
+	domain        units.DomainName
+	region        units.RegionName
+	draining      bool
+	endpoints     map[units.ServiceName]*Endpoint
 }
 
 // set is the immutable list of a service's endpoints.
-type set struct{ endpoints []*Endpoint }
+type endpointSet struct{ endpoints []*Endpoint }
 
 // New returns an empty table.
 func New(s Settings) *Table {
 	s.defaults()
 	t := &Table{settings: s, origin: time.Now(), workers: make(map[units.WorkerID]*worker)}
-	t.sets.Store(&map[units.ServiceName]*set{})
+	t.sets.Store(&map[units.ServiceName]*endpointSet{})
 	return t
 }
 
@@ -96,7 +96,7 @@
 	t.document = d
 	for id, w := range t.workers {
 		for _, e := range w.endpoints {
-			t.admit(id, w, e, now)
+			t.updateUsable(id, w, e, now)
 		}
 	}
 }
@@ -112,10 +112,10 @@
 		w = &worker{endpoints: make(map[units.ServiceName]*Endpoint)}
 		t.workers[id] = w
 	}
-	if h.Epoch < w.epoch && session != w.session && now.Sub(w.seen) <= t.settings.HeartbeatTimeout {
+	if h.Epoch < w.epoch && session != w.session && now.Sub(w.lastHeartbeat) <= t.settings.HeartbeatTimeout {
 		return
 	}
-	w.epoch, w.seen = h.Epoch, now
+	w.epoch, w.lastHeartbeat = h.Epoch, now
 	w.session, w.domain, w.region = session, units.DomainName(h.FailureDomain), units.RegionName(h.Region)
 	w.draining = h.Draining
 	changed := false
@@ -129,8 +129,8 @@
 			w.endpoints[name] = e
 			changed = true
 		}
-		e.observe(r, session, t.distance(w), now)
-		t.admit(id, w, e, now)
+		e.applyReport(r, session, t.localityCost(w), now)
+		t.updateUsable(id, w, e, now)
 	}
 	for name := range w.endpoints {
 		if !reported[name] {
@@ -139,7 +139,7 @@
 		}
 	}
 	if changed {
-		t.rebuild()
+		t.rebuildSets()
 	}
 }
 
@@ -150,26 +150,26 @@
 	defer t.mu.Unlock()
 	if w := t.workers[id]; w != nil && w.session == session {
 		delete(t.workers, id)
-		t.rebuild()
+		t.rebuildSets()
 	}
 }
 
 // admit decides whether the endpoint may get requests, heartbeat age aside. An
 // endpoint that becomes usable starts slowly.
-func (t *Table) admit(id units.WorkerID, w *worker, e *Endpoint, now time.Time) {
+func (t *Table) updateUsable(id units.WorkerID, w *worker, e *Endpoint, now time.Time) {
 	usable := !w.draining && wire.EndpointState(e.state.Load()) == wire.EndpointState_ENDPOINT_STATE_READY
 	if t.document != nil {
 		usable = usable && !t.document.DomainIsOut(w.domain) && !t.document.IsDrained(id)
 	}
 	if usable && !e.usable.Swap(true) {
-		e.startSlowly(now)
+		e.beginSlowStart(now)
 	} else if !usable {
 		e.usable.Store(false)
 	}
 }
 
 // distance is the extra latency of the worker's failure domain.
-func (t *Table) distance(w *worker) time.Duration {
+func (t *Table) localityCost(w *worker) time.Duration {
 	switch {
 	case w.domain == t.settings.Domain:
 		return 0
@@ -180,13 +180,13 @@
 }
 
 // rebuild replaces the immutable sets after a change of membership.
-func (t *Table) rebuild() {
-	sets := make(map[units.ServiceName]*set)
+func (t *Table) rebuildSets() {
+	sets := make(map[units.ServiceName]*endpointSet)
 	for _, w := range t.workers {
 		for name, e := range w.endpoints {
 			s := sets[name]
 			if s == nil {
-				s = &set{}
+				s = &endpointSet{}
 				sets[name] = s
 			}
 			s.endpoints = append(s.endpoints, e)
@@ -211,9 +211,11 @@
 
 // Tick tells the table that this process runs. It is expected every
 // TickInterval.
-func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.HeartbeatTimeout)) }
+func (t *Table) Tick(now time.Time) {
+	t.stall.recordTick(t.sinceOrigin(now), int64(t.settings.HeartbeatTimeout))
+}
 
-func (t *Table) since(now time.Time) int64 { return int64(now.Sub(t.origin)) }
+func (t *Table) sinceOrigin(now time.Time) int64 { return int64(now.Sub(t.origin)) }
 
 func (t *Table) endpoints(service units.ServiceName) []*Endpoint {
 	if s := (*t.sets.Load())[service]; s != nil {
