--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,7 +34,7 @@
 	MaxTimeout          time.Duration                // longer deadlines are shortened to it; default 5 min
 }
 
-func (o *Options) defaults() {
+func (o *Options) setDefaults() {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
@@ -90,7 +90,7 @@
 
 // New returns a Gateway.
 func New(o Options) *Gateway {
-	o.defaults()
+	o.setDefaults()
 	return &Gateway{options: o, metrics: newMetrics(o.Scope), budget: routing.NewRetryBudget()}
 }
 
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Budget bounds retries and hedges to a tenth of the requests, so that they
-// cannot multiply the load of a system in trouble. The zero value is empty;
-// use NewBudget.
+// RetryBudget limits retries and hedges to a tenth of the requests, so that
+// they cannot multiply the load of an overloaded system. The zero value is
+// empty; use NewRetryBudget.
 type RetryBudget struct{ tokens atomic.Int64 }
 
 const (
-	depositsPerRetry = 10  // deposits that pay for one retry: 10% of requests
-	initialRetries   = 10  // retries allowed before the first deposits
-	maxSavedRetries  = 100 // retries that a quiet time can save up
+	depositsPerRetry = 10  // limits retries to 10% of the requests
+	initialRetries   = 10  // allowed before the first deposits
+	maxSavedRetries  = 100 // accumulated at most while there are no retries
 )
 
-// NewBudget returns a budget that allows a few retries at once.
+// NewRetryBudget returns a budget that allows initialRetries retries before the
+// first deposit.
 func NewRetryBudget() *RetryBudget {
 	b := &RetryBudget{}
 	b.tokens.Store(initialRetries * depositsPerRetry)
@@ -30,7 +31,8 @@
 	}
 }
 
-// Withdraw pays for one retry or hedge and reports whether the budget held it.
+// Withdraw takes the price of one retry or hedge. It returns false, and takes
+// nothing, when the budget is too low.
 func (b *RetryBudget) Withdraw() bool {
 	for {
 		n := b.tokens.Load()
@@ -43,11 +45,12 @@
 	}
 }
 
-// Deadline is the moment by which a caller needs the response.
+// Deadline is the time by which a caller needs the response.
 type Deadline struct{ At time.Time }
 
-// Remaining is the time left, not below zero.
+// Remaining returns the time left, or 0 after the deadline.
 func (d Deadline) Remaining(now time.Time) time.Duration { return max(0, d.At.Sub(now)) }
 
-// Allows reports whether work that takes about need can still end in time.
+// CanFinish reports whether work that takes about need can finish before the
+// deadline.
 func (d Deadline) CanFinish(need time.Duration, now time.Time) bool { return d.Remaining(now) > need }
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -7,20 +7,21 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Result tells Choice.End how a request ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results of a request.
+// Results of an attempt.
 const (
 	Succeeded Result = iota // a whole response arrived
 	Failed                  // no whole response, or a server error
-	Rejected                // the agent proved that the request did not run
+	Rejected                // the agent confirmed that the request did not run
 	Leaving                 // like Rejected, because the endpoint is leaving
 	NotSent                 // no byte was sent; the session is ending
-	Cancelled               // given up here: the caller left or a hedge won
+	Cancelled               // cancelled by this process: the caller disconnected or another attempt won
 )
 
-// Choice is an endpoint chosen for one attempt. End must be called once.
+// Choice is an endpoint chosen for one attempt. The caller must call End
+// exactly once.
 type Choice struct {
 	Endpoint *Endpoint
 	session  Session
@@ -31,11 +32,11 @@
 // RoundTrip sends the attempt to the endpoint's agent.
 func (c *Choice) RoundTrip(r *http.Request) (*http.Response, error) { return c.session.RoundTrip(r) }
 
-// Request describes the attempt to choose for.
+// Request describes the attempt to choose an endpoint for.
 type Request struct {
 	Service    units.ServiceName
 	Idempotent bool
-	Avoid      []*Endpoint // tried before; chosen only when nothing else is left
+	Avoid      []*Endpoint // already tried; chosen only when every other eligible endpoint is ejected
 }
 
 func (r *Request) avoids(e *Endpoint) bool {
@@ -47,11 +48,12 @@
 	return false
 }
 
-// samples bounds the random draws for two candidates before a scan.
+// maxDraws bounds the random draws for two candidates. When they find none,
+// Choose scans all endpoints.
 const maxDraws = 8
 
-// Choose picks an endpoint for the request, or returns nil when none is
-// eligible.
+// Choose returns an endpoint for the request, or nil when none is eligible. It
+// takes the better of two random candidates.
 func (t *Table) Choose(r Request, now time.Time) *Choice {
 	all := t.endpoints(r.Service)
 	if len(all) == 0 {
@@ -63,13 +65,13 @@
 	var best, fallback *Endpoint
 	candidates := 0
 	for i := 0; i < maxDraws && candidates < 2; i++ {
-		random := t.settings.Random()
-		e := all[random%uint64(len(all))]
+		draw := t.settings.Random()
+		e := all[draw%uint64(len(all))]
 		if !e.eligible(now) || e.ejected.Load() || e == best || r.avoids(e) {
 			continue
 		}
-		// Part of the draws passes over an endpoint in slow start.
-		if float64(random>>40)/(1<<24) > e.trafficShare(now) {
+		// An endpoint in slow start is skipped in part of the draws.
+		if float64(draw>>40)/(1<<24) > e.trafficShare(now) {
 			fallback = lowerScore(fallback, e, now)
 			continue
 		}
@@ -88,6 +90,7 @@
 	return best.newChoice(now, false)
 }
 
+// lowerScore returns the endpoint with the lower score. a may be nil.
 func lowerScore(a, b *Endpoint, now time.Time) *Endpoint {
 	if a == nil || b.score(now) < a.score(now) {
 		return b
@@ -95,8 +98,9 @@
 	return a
 }
 
-// dueProbe draws one endpoint and lets the request probe it when it is ejected
-// and due, so that at most a small share of requests are probes.
+// chooseProbe draws one endpoint and returns it when it is ejected and due for
+// a probe. With a single draw, at most a small share of the requests are
+// probes.
 func (t *Table) chooseProbe(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	e := all[t.settings.Random()%uint64(len(all))]
 	if e.ejected.Load() && e.eligible(now) && !r.avoids(e) && e.tryBeginProbe(r.Idempotent, now) {
@@ -105,8 +109,8 @@
 	return nil
 }
 
-// scan looks at every endpoint: the best one in service, else one that was
-// avoided, else an ejected one.
+// chooseByScan scans every endpoint. It returns the best one that is neither
+// ejected nor avoided, else the best avoided one, else the best ejected one.
 func (t *Table) chooseByScan(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	var ranks [3]*Endpoint
 	for _, e := range all {
@@ -172,8 +176,8 @@
 	}
 }
 
-// withdraw stops the use of the endpoint until its next heartbeat, unless a
-// newer session has taken over.
+// markUnusable excludes the endpoint until its next heartbeat, unless a newer
+// session has replaced session.
 func (e *Endpoint) markUnusable(session Session) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,8 +186,9 @@
 	}
 }
 
-// endProbe reports whether the endpoint returns. Rejections say nothing about
-// its health.
+// recordProbe records the result of a probe and reports whether the endpoint
+// returns to service. Rejections do not count, because they say nothing about
+// its health. The caller holds e.mu.
 func (e *Endpoint) recordProbe(result Result, now time.Time) bool {
 	if !e.ejected.Load() {
 		return false
@@ -203,8 +208,8 @@
 	return true
 }
 
-// eject ejects e unless half of the eligible endpoints are ejected already: a
-// fault that hits most of them is not theirs.
+// eject ejects e, unless that would eject more than half of the eligible
+// endpoints: a fault that affects most of them has another cause.
 func (t *Table) eject(e *Endpoint, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,15 +231,16 @@
 	e.mu.Unlock()
 }
 
-// Load describes a service for admission at the entry process.
+// Load summarizes the eligible endpoints of a service for admission control at
+// the entry process.
 type Load struct {
-	Endpoints  int           // eligible
-	Slots      int64         // of those
-	Requests   int64         // waiting or running there
-	MinLatency time.Duration // lowest expected one
+	Endpoints  int           // number of eligible endpoints
+	Slots      int64         // slots of the eligible endpoints
+	Requests   int64         // waiting or running at the eligible endpoints
+	MinLatency time.Duration // lowest expected latency
 }
 
-// Wait estimates how long a new request waits for a slot.
+// EstimatedWait estimates how long a new request waits for a slot.
 func (l Load) EstimatedWait() time.Duration {
 	excess := l.Requests + 1 - l.Slots
 	if excess <= 0 || l.Slots == 0 {
@@ -243,7 +249,7 @@
 	return time.Duration(float64(excess) / float64(l.Slots) * float64(l.MinLatency))
 }
 
-// Load sums up the eligible endpoints of the service.
+// Load returns the summary of the service's eligible endpoints.
 func (t *Table) Load(service units.ServiceName, now time.Time) Load {
 	var l Load
 	for _, e := range t.endpoints(service) {
@@ -260,10 +266,10 @@
 	return l
 }
 
-// HedgeDelay is the time after which an idempotent attempt deserves a second
-// one: three times the expected latency, at least 2 ms, which few healthy
-// responses exceed.
+// HedgeDelay returns the time after which an idempotent attempt is hedged:
+// three times the expected latency plus the locality cost, at least 2 ms. Few
+// healthy responses take longer.
 func (c *Choice) HedgeDelay(now time.Time) time.Duration {
-	distance := time.Duration(c.Endpoint.localityCost.Load())
-	return max(2*time.Millisecond, 3*c.Endpoint.expectedLatency(now)+distance)
+	localityCost := time.Duration(c.Endpoint.localityCost.Load())
+	return max(2*time.Millisecond, 3*c.Endpoint.expectedLatency(now)+localityCost)
 }
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -11,30 +11,34 @@
 )
 
 const (
-	// latencyMemory is how long a measured latency outweighs the one that the
-	// agent reports; it spans a few heartbeats, so a recovered endpoint is
-	// soon tried again.
+	// latencyDecayTime is the time constant with which a measured latency gives
+	// way to the one that the agent reports. It spans a few heartbeats, so that
+	// a recovered endpoint is soon used again.
 	latencyDecayTime = 3 * time.Second
-	// initialLatency stands for an endpoint about which nothing is known.
+	// initialLatency is the lower bound of the expected latency, and its value
+	// while nothing has been reported.
 	initialLatency = time.Millisecond
-	// failuresToEject are the consecutive failures that eject an endpoint.
+	// failuresToEject is the number of consecutive failures that eject an
+	// endpoint.
 	failuresToEject = 5
-	// failureRatio ejects an endpoint that fails half of its recent requests
-	// without failing several in a row; it needs minimumSamples of them.
+	// failureRatioToEject ejects an endpoint that fails half of its recent
+	// requests but not failuresToEject in a row. It applies from
+	// minRatioSamples results on.
 	failureRatioToEject = 0.5
 	minRatioSamples     = 10
-	// probesToReturn are the successful probes after which an ejected endpoint
-	// returns.
+	// probesToReadmit is the number of successful probes after which an ejected
+	// endpoint returns to service.
 	probesToReadmit = 3
 	maxEjection     = 30 * time.Second
-	// probeFallback is how long probes are left to idempotent requests; a
-	// service that gets none must still be able to return.
+	// idempotentProbePeriod is how long only idempotent requests probe an
+	// endpoint whose ejection has expired. Afterwards any request may, because
+	// a service without idempotent requests must also recover.
 	idempotentProbePeriod = 5 * time.Second
-	// minimumShare is the share with which slow start begins.
+	// minSlowStartShare is the traffic share at the beginning of slow start.
 	minSlowStartShare = 0.1
 )
 
-// Endpoint is one endpoint beside one worker.
+// Endpoint is the endpoint of one service on one worker.
 type Endpoint struct {
 	Worker  units.WorkerID
 	Service units.ServiceName
@@ -42,34 +46,35 @@
 	table          *Table
 	usable         atomic.Bool
 	state          atomic.Int32
-	lastHeartbeat  atomic.Int64 // time of the last heartbeat, since the table's origin
+	lastHeartbeat  atomic.Int64 // time since the table's origin
 	localityCost   atomic.Int64
 	outstanding    atomic.Int64
-	otherRequests  atomic.Int64 // requests there that other entry processes sent
+	otherRequests  atomic.Int64 // requests at the endpoint from other entry processes
 	slots          atomic.Int64
-	slowStartBegan atomic.Int64 // start of slow start, since the table's origin
+	slowStartBegan atomic.Int64 // time since the table's origin
 	ejected        atomic.Bool
 
 	mu                  sync.Mutex // guards the rest
 	session             Session
-	reportedLatency     time.Duration // service time as the agent sees it
+	reportedLatency     time.Duration // service time reported by the agent
 	measuredLatency     float64       // decayed, nanoseconds; 0 before the first response
 	measuredAt          time.Time
-	consecutiveFailures int     // consecutive
-	recentResults       float64 // decayed counts of results
-	recentFailures      float64
-	ejections           int // doubles the ejection time
+	consecutiveFailures int
+	recentResults       float64 // decayed count
+	recentFailures      float64 // decayed count
+	ejections           int     // each doubles the ejection time
 	ejectedUntil        time.Time
 	probeInFlight       bool
 	successfulProbes    int
 }
 
-func (e *Endpoint) applyReport(r *wire.EndpointReport, session Session, distance time.Duration, now time.Time) {
+// applyReport updates the endpoint from the report in a heartbeat.
+func (e *Endpoint) applyReport(r *wire.EndpointReport, session Session, localityCost time.Duration, now time.Time) {
 	e.state.Store(int32(r.State))
-	e.lastHeartbeat.Store(e.table.sinceOrigin(now))
-	e.localityCost.Store(int64(distance))
+	e.lastHeartbeat.Store(e.table.since(now))
+	e.localityCost.Store(int64(localityCost))
 	e.slots.Store(int64(r.Slots))
-	// What is reported includes the requests sent from here.
+	// The reported numbers include the requests of this process.
 	e.otherRequests.Store(max(0, int64(r.Busy)+int64(r.Queued)-e.outstanding.Load()))
 	e.mu.Lock()
 	e.session = session
@@ -77,21 +82,23 @@
 	e.mu.Unlock()
 }
 
-func (e *Endpoint) beginSlowStart(now time.Time) { e.slowStartBegan.Store(e.table.sinceOrigin(now)) }
+func (e *Endpoint) beginSlowStart(now time.Time) { e.slowStartBegan.Store(e.table.since(now)) }
 
 func (e *Endpoint) eligible(now time.Time) bool {
-	at := e.table.sinceOrigin(now)
+	at := e.table.since(now)
 	return e.usable.Load() && at-e.lastHeartbeat.Load() <= int64(e.table.settings.HeartbeatTimeout)+e.table.stall.heartbeatAllowance(at)
 }
 
-// share is the part of its full traffic that the endpoint takes, 0.1 to 1.
+// trafficShare returns the fraction of its full traffic that the endpoint takes
+// during slow start, 0.1 to 1.
 func (e *Endpoint) trafficShare(now time.Time) float64 {
-	elapsed := float64(e.table.sinceOrigin(now)-e.slowStartBegan.Load()) / float64(e.table.settings.SlowStartWindow)
+	elapsed := float64(e.table.since(now)-e.slowStartBegan.Load()) / float64(e.table.settings.SlowStartWindow)
 	return min(1, max(minSlowStartShare, elapsed))
 }
 
-// expected is the decayed latency; it approaches the reported one while
-// nothing is measured, so that old measurements do not keep traffic away.
+// expectedLatency returns the decayed latency. It approaches the reported
+// latency while nothing is measured, so that old measurements do not keep
+// traffic away.
 func (e *Endpoint) expectedLatency(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,14 +114,15 @@
 	return time.Duration(base + (e.measuredLatency-base)*min(1, weight))
 }
 
-// score orders candidates; the lower is better.
+// score returns the cost by which candidates are compared; lower is better.
 func (e *Endpoint) score(now time.Time) float64 {
 	load := float64(e.outstanding.Load() + e.otherRequests.Load() + 1)
 	return load*float64(e.expectedLatency(now)) + float64(e.localityCost.Load())
 }
 
-// measure adds the latency of one whole response. A slower response counts
-// more than a faster one, so that trouble shows early.
+// recordLatency adds the latency of one whole response. A response slower than
+// the average has more weight than a faster one, so that a slowdown shows
+// early.
 func (e *Endpoint) recordLatency(d time.Duration, now time.Time) {
 	weight := 0.1
 	if float64(d) > e.measuredLatency {
@@ -127,7 +135,8 @@
 	e.measuredLatency, e.measuredAt = old+(float64(d)-old)*weight, now
 }
 
-// outlying records a result and reports whether the endpoint should be ejected.
+// recordResult records a success or a failure and reports whether the endpoint
+// should be ejected.
 func (e *Endpoint) recordResult(failed bool) bool {
 	const memory = 0.95 // about the last 20 results
 	e.recentResults = e.recentResults*memory + 1
@@ -141,7 +150,8 @@
 	return e.consecutiveFailures >= failuresToEject || (e.recentResults >= minRatioSamples && e.recentFailures/e.recentResults >= failureRatioToEject)
 }
 
-// eject takes the endpoint out of the choice for a time that doubles.
+// eject excludes the endpoint from the choice for a time that doubles with each
+// ejection.
 func (e *Endpoint) eject(now time.Time) {
 	d := min(e.table.settings.BaseEjectionTime<<min(e.ejections, 10), maxEjection)
 	e.ejections++
@@ -151,8 +161,8 @@
 	e.ejected.Store(true)
 }
 
-// claimProbe reports whether this request may probe the ejected endpoint; one
-// probe runs at a time.
+// tryBeginProbe reports whether this request may probe the ejected endpoint,
+// and if so marks the probe as in flight. There is one probe at a time.
 func (e *Endpoint) tryBeginProbe(idempotent bool, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -25,8 +25,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// newTable returns a table with n ready endpoints of service s in domain a,
-// past their slow start.
+// newTable returns a table with n ready endpoints of service s in failure
+// domain a, past their slow start.
 func newTable(n int) (*Table, *fakeSession) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var mu sync.Mutex
@@ -64,7 +64,8 @@
 	os.Exit(m.Run())
 }
 
-// Guards against requests to an endpoint that must not get any.
+// Guards against requests to an endpoint whose state, heartbeat age, failure
+// domain or worker excludes it.
 func TestEligibility(t *testing.T) {
 	ready := newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0)
 	document := func(state environment.DomainState, drained ...units.WorkerID) *environment.Document {
@@ -96,14 +97,14 @@
 				table.SetDocument(c.document, start)
 			}
 			if got := table.Choose(request, start.Add(c.age)) != nil; got != c.want {
-				t.Errorf("%s, document first %t: got chosen %t, want %t", c.name, documentFirst, got, c.want)
+				t.Errorf("%s, document first %t: got endpoint chosen %t, want %t", c.name, documentFirst, got, c.want)
 			}
 		}
 	}
 }
 
-// Guards against an old session whose end removes endpoints that a newer one
-// has taken over.
+// Guards against the end of an old session that removes endpoints which a newer
+// session has reported since.
 func TestRemoveIgnoresOlderSession(t *testing.T) {
 	table, old := newTable(1)
 	table.RecordHeartbeat(workerName(0), &fakeSession{"new"}, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), start)
@@ -125,14 +126,14 @@
 	}
 	observe(current, 2, start)
 	if got := observe(replaced, 1, start.Add(time.Second)); got != current {
-		t.Errorf("got the session of the older epoch")
+		t.Errorf("got the session of the older epoch, want the current one")
 	}
 	if got := observe(replaced, 1, start.Add(3*time.Second)); got != replaced {
-		t.Errorf("got the silent session of a newer epoch, want the one that sends heartbeats")
+		t.Errorf("got the session of the newer epoch without recent heartbeats, want the older epoch that sends them")
 	}
 }
 
-// Guards against a choice that ignores load, latency or distance.
+// Guards against a choice that ignores load, latency or locality.
 func TestChoicePrefersLessLoadedAndNearer(t *testing.T) {
 	table, s := newTable(2)
 	table.RecordHeartbeat(workerName(0), s, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 8), start)
@@ -145,7 +146,7 @@
 		c.End(Cancelled, start)
 	}
 	if counts[workerName(1)] < 190 || counts[workerName(2)] > 0 {
-		t.Errorf("got choices %v, want most on the idle near worker-1 and none in the other region", counts)
+		t.Errorf("got choices %v, want most on the idle worker-1 and none in the other region", counts)
 	}
 }
 
@@ -163,8 +164,8 @@
 	}
 }
 
-// Guards against a failing endpoint that keeps its share, and against one that
-// never returns.
+// Guards against a failing endpoint that keeps its share of the traffic, and
+// against an ejected endpoint that never returns.
 func TestOutlierIsEjectedAndReturnsByProbes(t *testing.T) {
 	table, s := newTable(4)
 	failRequests(table, workerName(1), failuresToEject, start)
@@ -191,7 +192,8 @@
 	}
 }
 
-// Guards against ejecting most of a set when the fault lies elsewhere.
+// Guards against ejecting most endpoints of a service when the fault lies
+// elsewhere.
 func TestAtMostHalfIsEjected(t *testing.T) {
 	table, _ := newTable(5)
 	for range 2000 {
@@ -208,7 +210,8 @@
 	}
 }
 
-// Guards against a stampede to endpoints whose domain returns to service.
+// Guards against a burst of requests to endpoints whose failure domain returns
+// to service.
 func TestReturningDomainStartsSlowly(t *testing.T) {
 	table, s := newTable(4)
 	for i := range 4 {
@@ -233,7 +236,7 @@
 	}
 }
 
-// Guards against retries above a tenth of the requests.
+// Guards against retries that exceed a tenth of the requests.
 func TestRetryBudgetIsATenth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget()
@@ -252,7 +255,8 @@
 	})
 }
 
-// Run with -race: heartbeats, removals, choices and results together.
+// Exercises heartbeats, removals, choices and results concurrently. Run it with
+// -race.
 func TestConcurrentUse(t *testing.T) {
 	table, s := newTable(8)
 	var wait sync.WaitGroup
--- a/internal/routing/stall.go
+++ b/internal/routing/stall.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// TickInterval is how often Table.Tick is expected.
+	// TickInterval is the interval at which Table.Tick must be called.
 	TickInterval = 100 * time.Millisecond
-	// stalledAfter is the gap between two ticks that shows that this process did
-	// not run; shorter ones come from ordinary scheduling.
+	// minStall is the smallest gap between two ticks that counts as a stall of
+	// this process. Shorter gaps occur in ordinary scheduling.
 	minStall = 4 * TickInterval
 )
 
-// stall tells how long this process did not run. A process that was paused or
-// got no processor time finds every heartbeat old although its peers sent theirs:
-// the age of a heartbeat counts only while this process could have read it.
-// Times are nanoseconds since the table's origin.
+// stallDetector measures how long this process did not run. After a pause or
+// without processor time, the process finds every heartbeat old although its
+// peers sent theirs. The age of a heartbeat therefore counts only while this
+// process could have read it. Times are nanoseconds since the table's origin.
 type stallDetector struct {
-	lastTick   atomic.Int64 // newest tick; 0 before the first
-	lastStall  atomic.Int64 // length of the newest stall
-	graceUntil atomic.Int64 // when grace ends: the waiting heartbeats have been read
+	lastTick   atomic.Int64 // 0 before the first tick
+	lastStall  atomic.Int64 // length of the last stall
+	graceUntil atomic.Int64 // end of the allowance; the waiting heartbeats have been read by then
 }
 
-func (s *stallDetector) recordTick(now, fresh int64) {
+// tick records that the process runs at now. After a stall it grants the
+// allowance for the grace period, in which the waiting heartbeats are read.
+func (s *stallDetector) tick(now, grace int64) {
 	if gap := s.ongoing(now); gap > 0 {
 		s.lastStall.Store(gap)
-		s.graceUntil.Store(now + fresh)
+		s.graceUntil.Store(now + grace)
 	}
 	s.lastTick.Store(now)
 }
 
-// current is the length of the stall that lasts at now, or that has just ended
-// and has not met a tick yet.
+// ongoing returns the length of a stall that lasts at now or has just ended
+// without a tick since, or 0.
 func (s *stallDetector) ongoing(now int64) int64 {
 	last := s.lastTick.Load()
 	if gap := now - last; last != 0 && gap > int64(minStall) {
@@ -41,7 +43,8 @@
 	return 0
 }
 
-// allowance is the part of a heartbeat's age at now that is this process's own.
+// heartbeatAllowance returns the part of a heartbeat's age at now that a stall
+// of this process caused.
 func (s *stallDetector) heartbeatAllowance(now int64) int64 {
 	if gap := s.ongoing(now); gap > 0 {
 		return gap
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -7,11 +7,12 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Guards against an entry process that refuses every request for want of an
-// endpoint when it runs again after a pause, and against one that keeps sending
-// to a silent agent after that.
+// Guards against an entry process that rejects every request as without
+// endpoint when it resumes after a pause, because all heartbeats have become
+// old meanwhile. It also guards against sending requests to an agent that stays
+// silent after the pause.
 func TestStallOfThisProcessDoesNotMakeEndpointsStale(t *testing.T) {
-	const fresh = 2 * time.Second
+	const heartbeatTimeout = 2 * time.Second
 	table, session := newTable(2)
 	at := start
 	run := func(d time.Duration) {
@@ -23,19 +24,19 @@
 	chosen := func(want bool, when string) {
 		t.Helper()
 		if got := table.Choose(request, at) != nil; got != want {
-			t.Errorf("%s: got chosen %t, want %t", when, got, want)
+			t.Errorf("%s: got endpoint chosen %t, want %t", when, got, want)
 		}
 	}
 	run(time.Second)
 	at = at.Add(5 * time.Second) // paused
 	chosen(true, "before the first tick after the pause")
 	run(TickInterval)
-	chosen(true, "after it")
+	chosen(true, "after the first tick after the pause")
 	table.RecordHeartbeat(workerName(0), session, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
-	run(fresh)
+	run(heartbeatTimeout)
 	if got := table.CountEligible("s", at); got != 1 {
 		t.Errorf("got %d eligible endpoints, want 1: the other stayed silent", got)
 	}
-	run(fresh)
-	chosen(false, "both silent for more than the limit while the process ran")
+	run(heartbeatTimeout)
+	chosen(false, "after both were silent for longer than the limit while the process ran")
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing chooses the endpoint for each request of a caller. It holds
-// what heartbeats and earlier requests have told about every endpoint, and
-// decides with the time and the random source that it is given.
+// Package routing chooses the endpoint for each request of a caller. It keeps
+// the results of heartbeats and earlier requests for every endpoint, and uses
+// only the time and the random source that it is given.
 //
-// Reading is lock-free apart from the statistics of the endpoint concerned:
-// the set of endpoints changes rarely and is replaced as a whole.
+// Reads take no locks except for the statistics of the endpoint concerned: the
+// set of endpoints changes rarely and is replaced as a whole.
 package routing
 
 import (
@@ -19,23 +19,23 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Session carries requests to an agent; *link.Session is one.
+// Session carries requests to an agent. *link.Session implements it.
 type Session interface{ http.RoundTripper }
 
-// Settings are the constants of routing. Zero fields take the defaults.
+// Settings configures a Table. Zero fields take the defaults.
 type Settings struct {
 	Domain units.DomainName // failure domain of this process
 	Region units.RegionName // region of this process
-	// Costs are added to the expected latency of an endpoint.
-	SameRegionCost   time.Duration // other domain of the region; default 8 ms, a round trip
+	// Costs are added to the expected latency of an endpoint in another domain.
+	SameRegionCost   time.Duration // other domain of the same region; default 8 ms, a round trip
 	OtherRegionCost  time.Duration // default 50 ms
-	HeartbeatTimeout time.Duration // oldest heartbeat of an eligible endpoint; default 2 s
-	BaseEjectionTime time.Duration // first ejection; doubles each time up to 30 s; default 1 s
-	SlowStartWindow  time.Duration // time until a returning endpoint takes its full share; default 10 s
+	HeartbeatTimeout time.Duration // maximum heartbeat age of an eligible endpoint; default 2 s
+	BaseEjectionTime time.Duration // duration of the first ejection; doubles each time up to 30 s; default 1 s
+	SlowStartWindow  time.Duration // time until a new or returning endpoint takes its full share; default 10 s
 	Random           func() uint64 // safe for concurrent use; default math/rand/v2
 }
 
-func (s *Settings) defaults() {
+func (s *Settings) setDefaults() {
 	for _, d := range []struct {
 		field *time.Duration
 		value time.Duration
@@ -67,7 +67,7 @@
 	workers  map[units.WorkerID]*worker
 }
 
-// worker groups the endpoints that one agent reports.
+// worker holds the endpoints that one agent reports.
 type worker struct {
 	epoch         uint64
 	lastHeartbeat time.Time
@@ -78,18 +78,18 @@
 	endpoints     map[units.ServiceName]*Endpoint
 }
 
-// set is the immutable list of a service's endpoints.
+// endpointSet is the immutable list of a service's endpoints.
 type endpointSet struct{ endpoints []*Endpoint }
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	s.defaults()
+	s.setDefaults()
 	t := &Table{settings: s, origin: time.Now(), workers: make(map[units.WorkerID]*worker)}
 	t.sets.Store(&map[units.ServiceName]*endpointSet{})
 	return t
 }
 
-// SetDocument applies the state of failure domains and drained workers.
+// SetDocument applies the states of failure domains and drained workers.
 func (t *Table) SetDocument(d *environment.Document, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,9 +101,9 @@
 	}
 }
 
-// Observe records a heartbeat that arrived over session. While a newer epoch of
-// the worker sends heartbeats, those of an older one are ignored: they come from
-// an agent that was paused and has been replaced.
+// RecordHeartbeat records a heartbeat that arrived over session. While a newer
+// epoch of the worker sends heartbeats, those of an older epoch are ignored:
+// they come from an agent that was paused and has been replaced.
 func (t *Table) RecordHeartbeat(id units.WorkerID, session Session, h *wire.Heartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,8 +143,8 @@
 	}
 }
 
-// Remove forgets the worker's endpoints when session is the one that its last
-// heartbeat came over; a newer session keeps them.
+// Remove deletes the worker's endpoints if its last heartbeat came over
+// session. After a heartbeat over a newer session it has no effect.
 func (t *Table) Remove(id units.WorkerID, session Session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,8 +154,8 @@
 	}
 }
 
-// admit decides whether the endpoint may get requests, heartbeat age aside. An
-// endpoint that becomes usable starts slowly.
+// updateUsable decides whether the endpoint may receive requests, apart from
+// the age of its heartbeat. An endpoint that becomes usable begins slow start.
 func (t *Table) updateUsable(id units.WorkerID, w *worker, e *Endpoint, now time.Time) {
 	usable := !w.draining && wire.EndpointState(e.state.Load()) == wire.EndpointState_ENDPOINT_STATE_READY
 	if t.document != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// distance is the extra latency of the worker's failure domain.
+// localityCost returns the extra latency of the worker's failure domain.
 func (t *Table) localityCost(w *worker) time.Duration {
 	switch {
 	case w.domain == t.settings.Domain:
@@ -179,7 +179,7 @@
 	return t.settings.OtherRegionCost
 }
 
-// rebuild replaces the immutable sets after a change of membership.
+// rebuildSets replaces the immutable sets after a change of membership.
 func (t *Table) rebuildSets() {
 	sets := make(map[units.ServiceName]*endpointSet)
 	for _, w := range t.workers {
@@ -195,7 +195,7 @@
 	t.sets.Store(&sets)
 }
 
-// Run ticks until ctx ends.
+// Run calls Tick every TickInterval until ctx ends.
 func (t *Table) Run(ctx context.Context) error {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -209,13 +209,11 @@
 	}
 }
 
-// Tick tells the table that this process runs. It is expected every
+// Tick records that this process is running. It must be called every
 // TickInterval.
-func (t *Table) Tick(now time.Time) {
-	t.stall.recordTick(t.sinceOrigin(now), int64(t.settings.HeartbeatTimeout))
-}
+func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.HeartbeatTimeout)) }
 
-func (t *Table) sinceOrigin(now time.Time) int64 { return int64(now.Sub(t.origin)) }
+func (t *Table) since(now time.Time) int64 { return int64(now.Sub(t.origin)) }
 
 func (t *Table) endpoints(service units.ServiceName) []*Endpoint {
 	if s := (*t.sets.Load())[service]; s != nil {
@@ -224,7 +222,8 @@
 	return nil
 }
 
-// Eligible counts the endpoints of the service that may get requests now.
+// CountEligible returns the number of the service's endpoints that may receive
+// requests now.
 func (t *Table) CountEligible(service units.ServiceName, now time.Time) int {
 	n := 0
 	for _, e := range t.endpoints(service) {
