--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -13,13 +13,13 @@
 // admission grants the slots of one endpoint for all entry processes together.
 // Waiting requests are ordered by priority, then by deadline.
 type admission struct {
-	mu      sync.Mutex
-	slots   int
-	limit   int // most waiting requests
-	busy    int
-	queue   waiters
-	service time.Duration // decayed service time; 0 before the first response
-	closed  bool          // the endpoint is leaving or gone
+	mu          sync.Mutex
+	slots       int
+	maxQueued   int // most waiting requests
+	busy        int
+	queue       waitQueue
+	serviceTime time.Duration // decayed service time; 0 before the first response
+	closed      bool          // the endpoint is leaving or gone
 }
 
 // waiter is one queued request. Its verdict is sent once; an empty reason grants
@@ -27,11 +27,11 @@
 type waiter struct {
 	priority units.Priority
 	deadline time.Time
-	verdict  chan headers.Reason
+	decision chan headers.Reason
 	index    int // position in the heap, -1 outside
 }
 
-func (w *waiter) before(o *waiter) bool {
+func (w *waiter) precedes(o *waiter) bool {
 	if w.priority != o.priority {
 		return w.priority > o.priority
 	}
@@ -39,7 +39,7 @@
 }
 
 // minimumMargin stands for a service time that is not known yet.
-const minimumMargin = time.Millisecond
+const minServiceTime = time.Millisecond
 
 // acquire waits for a slot. An empty reason means that the caller holds one and
 // must release it; any other reason means that the request must not be sent.
@@ -50,16 +50,16 @@
 	}
 	// Past this moment a slot comes too late. Refusing then, rather than at the
 	// deadline, lets the refusal reach the caller in time.
-	_, _, service := a.load()
-	timer := time.NewTimer(time.Until(deadline) - max(service, minimumMargin))
+	_, _, serviceTime := a.load()
+	timer := time.NewTimer(time.Until(deadline) - max(serviceTime, minServiceTime))
 	defer timer.Stop()
 	select {
-	case reason := <-w.verdict:
+	case reason := <-w.decision:
 		return reason
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	a.abandon(w)
+	a.cancel(w)
 	return headers.Overload
 }
 
@@ -76,43 +76,43 @@
 		a.busy++
 		return nil, ""
 	}
-	w := &waiter{priority: priority, deadline: deadline, verdict: make(chan headers.Reason, 1)}
-	if now.Add(a.wait(w) + a.service).After(deadline) {
+	w := &waiter{priority: priority, deadline: deadline, decision: make(chan headers.Reason, 1)}
+	if now.Add(a.estimatedWait(w) + a.serviceTime).After(deadline) {
 		return nil, headers.Overload
 	}
-	if len(a.queue) >= a.limit {
-		worst := a.queue.worst()
-		if !w.before(worst) {
+	if len(a.queue) >= a.maxQueued {
+		worst := a.queue.last()
+		if !w.precedes(worst) {
 			return nil, headers.Overload
 		}
 		heap.Remove(&a.queue, worst.index)
-		worst.verdict <- headers.Overload
+		worst.decision <- headers.Overload
 	}
 	heap.Push(&a.queue, w)
 	return w, ""
 }
 
 // wait estimates the time until w gets a slot.
-func (a *admission) wait(w *waiter) time.Duration {
+func (a *admission) estimatedWait(w *waiter) time.Duration {
 	ahead := 1
 	for _, o := range a.queue {
-		if !w.before(o) {
+		if !w.precedes(o) {
 			ahead++
 		}
 	}
-	return time.Duration(float64(a.service) * float64(ahead) / float64(a.slots))
+	return time.Duration(float64(a.serviceTime) * float64(ahead) / float64(a.slots))
 }
 
 // abandon withdraws a waiter whose request has ended; a slot that was granted
 // in the meantime is released.
-func (a *admission) abandon(w *waiter) {
+func (a *admission) cancel(w *waiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if w.index >= 0 {
 		heap.Remove(&a.queue, w.index)
 		return
 	}
-	if <-w.verdict == "" {
+	if <-w.decision == "" {
 		a.busy--
 		a.grant(time.Now())
 	}
@@ -120,15 +120,15 @@
 
 // release returns a slot. A positive duration is the service time of a whole
 // response.
-func (a *admission) release(service time.Duration) {
+func (a *admission) release(serviceTime time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.busy--
-	if service > 0 {
-		if a.service == 0 {
-			a.service = service
+	if serviceTime > 0 {
+		if a.serviceTime == 0 {
+			a.serviceTime = serviceTime
 		}
-		a.service += (service - a.service) / 16
+		a.serviceTime += (serviceTime - a.serviceTime) / 16
 	}
 	a.grant(time.Now())
 }
@@ -138,12 +138,12 @@
 func (a *admission) grant(now time.Time) {
 	for a.busy < a.slots && len(a.queue) > 0 {
 		w := heap.Pop(&a.queue).(*waiter)
-		if now.Add(a.service).After(w.deadline) {
-			w.verdict <- headers.Overload
+		if now.Add(a.serviceTime).After(w.deadline) {
+			w.decision <- headers.Overload
 			continue
 		}
 		a.busy++
-		w.verdict <- ""
+		w.decision <- ""
 	}
 }
 
@@ -154,7 +154,7 @@
 	defer a.mu.Unlock()
 	a.closed = true
 	for len(a.queue) > 0 {
-		heap.Pop(&a.queue).(*waiter).verdict <- headers.Leaving
+		heap.Pop(&a.queue).(*waiter).decision <- headers.Leaving
 	}
 }
 
@@ -166,30 +166,30 @@
 	a.grant(time.Now())
 }
 
-func (a *admission) load() (busy, queued int, service time.Duration) {
+func (a *admission) load() (busy, queued int, serviceTime time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.busy, len(a.queue), a.service
+	return a.busy, len(a.queue), a.serviceTime
 }
 
 // waiters implements heap.Interface.
-type waiters []*waiter
+type waitQueue []*waiter
 
-func (q waiters) Len() int           { return len(q) }
-func (q waiters) Less(i, j int) bool { return q[i].before(q[j]) }
+func (q waitQueue) Len() int           { return len(q) }
+func (q waitQueue) Less(i, j int) bool { return q[i].precedes(q[j]) }
 
-func (q waiters) Swap(i, j int) {
+func (q waitQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
 }
 
-func (q *waiters) Push(x any) {
+func (q *waitQueue) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(*q)
 	*q = append(*q, w)
 }
 
-func (q *waiters) Pop() any {
+func (q *waitQueue) Pop() any {
 	old := *q
 	w := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -199,10 +199,10 @@
 }
 
 // worst is the waiter that goes last.
-func (q waiters) worst() *waiter {
+func (q waitQueue) last() *waiter {
 	w := q[0]
 	for _, o := range q[1:] {
-		if w.before(o) {
+		if w.precedes(o) {
 			w = o
 		}
 	}
--- a/internal/forward/announce.go
+++ b/internal/forward/announce.go
@@ -85,7 +85,7 @@
 		a, err := parseAnnouncement(data)
 		admitted := 0
 		if err == nil {
-			admitted, err = f.announce(a, time.Now())
+			admitted, err = f.applyAnnouncement(a, time.Now())
 		}
 		switch {
 		case fault.Is(err, Conflict):
@@ -105,7 +105,7 @@
 // service is refused while the first announces itself, because the agent admits
 // work to one endpoint; a successor of a leaving or gone endpoint takes over.
 // It returns how many admitted requests the endpoint has not answered yet.
-func (f *Forwarder) announce(a announcement, now time.Time) (admitted int, err error) {
+func (f *Forwarder) applyAnnouncement(a announcement, now time.Time) (admitted int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[a.Service]
@@ -113,7 +113,7 @@
 		if a.state() == wire.EndpointState_ENDPOINT_STATE_LEAVING {
 			return 0, nil // an earlier endpoint that a successor replaced
 		}
-		if e.current(now) == wire.EndpointState_ENDPOINT_STATE_READY {
+		if e.stateAt(now) == wire.EndpointState_ENDPOINT_STATE_READY {
 			return 0, fault.New("announce", Conflict, "%s at %s is ready", a.Service, e.address)
 		}
 		e.admission.close()
@@ -126,7 +126,7 @@
 		e = newEndpoint(a, f.options.MaxQueued)
 		f.endpoints[a.Service] = e
 	}
-	e.announce(a, f.draining, now)
+	e.applyAnnouncement(a, f.draining, now)
 	admitted, _, _ = e.admission.load()
 	return admitted, nil
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -19,28 +19,28 @@
 const (
 	// wholeBytes is the largest response that is read completely before it is
 	// passed on; a truncated one can then still be answered or retried.
-	wholeBytes = 64 << 10
+	responseBufferBytes = 64 << 10
 	// attempts bounds the connections tried for one request.
-	attempts = 3
+	maxAttempts = 3
 	// A connection without a response header is suspected after ten service
 	// times, but not before minimumStall, which covers pauses of the endpoint.
-	stallFactor  = 10
-	minimumStall = 500 * time.Millisecond
+	silenceFactor = 10
+	minSilence    = 500 * time.Millisecond
 )
 
 // errSilent cancels an attempt on a connection that went silent.
-var errSilent = errors.New("connection is silent while the endpoint announces itself")
+var errSilentConnection = errors.New("connection is silent while the endpoint announces itself")
 
 // call is one admitted request. It holds a slot.
 type call struct {
-	forwarder  *Forwarder
-	endpoint   *endpoint
-	in         *http.Request
-	uri        string // for the endpoint
-	body       []byte
-	idempotent bool
-	deadline   time.Time
-	served     time.Duration // service time of a whole response, 0 otherwise
+	forwarder   *Forwarder
+	endpoint    *endpoint
+	in          *http.Request
+	uri         string // for the endpoint
+	body        []byte
+	idempotent  bool
+	deadline    time.Time
+	serviceTime time.Duration // service time of a whole response, 0 otherwise
 }
 
 // run sends the request until an answer arrives or another attempt is not
@@ -48,8 +48,8 @@
 func (c *call) run(ctx context.Context, w http.ResponseWriter) {
 	unknown := false
 	var err error
-	for try := range attempts {
-		if try > 0 {
+	for attempt := range maxAttempts {
+		if attempt > 0 {
 			c.forwarder.retries.Inc(1)
 		}
 		err = c.attempt(ctx, w)
@@ -63,7 +63,7 @@
 		}
 	}
 	if unknown {
-		c.forwarder.counters[headers.Unknown].Inc(1)
+		c.forwarder.outcomes[headers.Unknown].Inc(1)
 		headers.WriteUnknownOutcome(w, "no whole response from the endpoint")
 		return
 	}
@@ -76,40 +76,40 @@
 	defer cancel(nil)
 	c.endpoint.budget.Deposit()
 	start := time.Now()
-	stopWatch := c.watch(start, cancel)
-	response, err := c.endpoint.transport.Load().RoundTrip(c.request(ctx))
-	stopWatch()
+	stop := c.cancelIfSilent(start, cancel)
+	response, err := c.endpoint.transport.Load().RoundTrip(c.newRequest(ctx))
+	stop()
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	return c.pass(w, response, start)
+	return c.writeResponse(w, response, start)
 }
 
 // watch suspects the connection when the response header takes too long while
 // the endpoint announces itself, and cancels the attempt; the retry opens a new
 // connection. The returned function ends the watch.
-func (c *call) watch(start time.Time, cancel context.CancelCauseFunc) (stop func()) {
+func (c *call) cancelIfSilent(start time.Time, cancel context.CancelCauseFunc) (stop func()) {
 	if !c.idempotent {
 		return func() {} // it may have been executed: its answer is worth waiting for
 	}
-	_, _, service := c.endpoint.admission.load()
+	_, _, serviceTime := c.endpoint.admission.load()
 	var mu sync.Mutex
 	var timer *time.Timer
 	stopped := false
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(max(minimumStall, stallFactor*service), func() {
+	timer = time.AfterFunc(max(minSilence, silenceFactor*serviceTime), func() {
 		if !c.endpoint.announcedSince(start) {
 			mu.Lock()
 			if !stopped {
-				timer.Reset(minimumStall)
+				timer.Reset(minSilence)
 			}
 			mu.Unlock()
 			return
 		}
-		c.forwarder.silent.Inc(1)
-		cancel(errSilent)
+		c.forwarder.silentConnections.Inc(1)
+		cancel(errSilentConnection)
 	})
 	return func() {
 		mu.Lock()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (c *call) request(ctx context.Context) *http.Request {
+func (c *call) newRequest(ctx context.Context) *http.Request {
 	target, err := url.ParseRequestURI(c.uri)
 	if err != nil {
 		target = &url.URL{Path: "/"} // net/http has parsed the URI before
@@ -141,9 +141,9 @@
 // pass writes the endpoint's response. A truncated one is an error before
 // anything was written; later it aborts the stream, which the entry process
 // sees as truncated.
-func (c *call) pass(w http.ResponseWriter, response *http.Response, start time.Time) error {
-	var whole bytes.Buffer
-	n, err := io.CopyN(&whole, response.Body, wholeBytes+1)
+func (c *call) writeResponse(w http.ResponseWriter, response *http.Response, start time.Time) error {
+	var buffer bytes.Buffer
+	n, err := io.CopyN(&buffer, response.Body, responseBufferBytes+1)
 	if err != nil && err != io.EOF {
 		return fault.Wrap("response", link.Unknown, err)
 	}
@@ -153,19 +153,19 @@
 	switch {
 	case response.ContentLength >= 0:
 		h["Content-Length"] = response.Header["Content-Length"]
-	case n <= wholeBytes && headers.BodyAllowed(c.in.Method, response.StatusCode):
+	case n <= responseBufferBytes && headers.BodyAllowed(c.in.Method, response.StatusCode):
 		h.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	w.WriteHeader(response.StatusCode)
-	_, err = w.Write(whole.Bytes())
-	if err == nil && n > wholeBytes {
+	_, err = w.Write(buffer.Bytes())
+	if err == nil && n > responseBufferBytes {
 		_, err = io.Copy(w, response.Body)
 	}
 	if err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		c.forwarder.counters[headers.Unknown].Inc(1)
+		c.forwarder.outcomes[headers.Unknown].Inc(1)
 		panic(http.ErrAbortHandler)
 	}
-	c.served = max(time.Since(start), time.Nanosecond)
-	c.forwarder.counters[headers.Done].Inc(1)
+	c.serviceTime = max(time.Since(start), time.Nanosecond)
+	c.forwarder.outcomes[headers.Done].Inc(1)
 	return nil
 }
--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -15,10 +15,10 @@
 
 const (
 	// goneAfter is three announcements, one a second, and some slack.
-	goneAfter   = 3200 * time.Millisecond
-	dialTimeout = time.Second
+	announcementTimeout = 3200 * time.Millisecond
+	dialTimeout         = time.Second
 	// maxHeader bounds the response header of an endpoint.
-	maxHeader = 64 << 10
+	maxResponseHeader = 64 << 10
 )
 
 // endpoint is the endpoint of one service beside this agent.
@@ -31,13 +31,13 @@
 
 	mu          sync.Mutex // guards the rest
 	state       wire.EndpointState
-	announced   time.Time
+	announcedAt time.Time
 	connections int
 }
 
-func newEndpoint(a announcement, queue int) *endpoint {
+func newEndpoint(a announcement, maxQueued int) *endpoint {
 	e := &endpoint{service: a.Service, address: a.Address, budget: routing.NewRetryBudget()}
-	e.admission.limit = queue
+	e.admission.maxQueued = maxQueued
 	e.admission.slots = a.Slots
 	e.admission.closed = true
 	e.connections = a.Connections
@@ -55,14 +55,14 @@
 	return link.NewTransport(link.Options{
 		Dial:           func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
 		MaxConnections: e.connections,
-		MaxHeaderBytes: maxHeader,
+		MaxHeaderBytes: maxResponseHeader,
 	})
 }
 
 // announce applies an announcement of this endpoint.
-func (e *endpoint) announce(a announcement, draining bool, now time.Time) {
+func (e *endpoint) applyAnnouncement(a announcement, draining bool, now time.Time) {
 	e.mu.Lock()
-	e.announced = now
+	e.announcedAt = now
 	e.state = a.state()
 	if e.connections != a.Connections {
 		e.connections = a.Connections
@@ -77,10 +77,10 @@
 }
 
 // current is the state at now: an endpoint that misses its announcements is gone.
-func (e *endpoint) current(now time.Time) wire.EndpointState {
+func (e *endpoint) stateAt(now time.Time) wire.EndpointState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.announced) > goneAfter {
+	if now.Sub(e.announcedAt) > announcementTimeout {
 		return wire.EndpointState_ENDPOINT_STATE_GONE
 	}
 	return e.state
@@ -92,12 +92,12 @@
 func (e *endpoint) announcedSince(t time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.announced.After(t)
+	return e.announcedAt.After(t)
 }
 
 func (e *endpoint) report(draining bool, now time.Time) *wire.EndpointReport {
-	busy, queued, service := e.admission.load()
-	state := e.current(now)
+	busy, queued, serviceTime := e.admission.load()
+	state := e.stateAt(now)
 	if draining && state == wire.EndpointState_ENDPOINT_STATE_READY {
 		state = wire.EndpointState_ENDPOINT_STATE_LEAVING
 	}
@@ -105,6 +105,6 @@
 	defer e.mu.Unlock()
 	return &wire.EndpointReport{
 		Service: string(e.service), State: state, Slots: int32(e.admission.slots), Connections: int32(e.connections),
-		Busy: int32(busy), Queued: int32(queued), LatencyMicroseconds: service.Microseconds(),
+		Busy: int32(busy), Queued: int32(queued), LatencyMicroseconds: serviceTime.Microseconds(),
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -18,7 +18,7 @@
 	"wasabihill.example/wasabihill/internal/fault"
 	"wasabihill.example/wasabihill/internal/generated"
 	"wasabihill.example/wasabihill/internal/headers"
-	runner "wasabihill.example/wasabihill/internal/standin/endpoint"
+	standin "wasabihill.example/wasabihill/internal/standin/endpoint"
 	"wasabihill.example/wasabihill/internal/wire"
 	"wasabihill.example/wasabihill/pkg/units"
 )
@@ -35,18 +35,18 @@
 func TestAdmissionKeepsSlotsAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		a := &admission{slots: rapid.IntRange(1, 3).Draw(t, "slots"), limit: 4}
+		a := &admission{slots: rapid.IntRange(1, 3).Draw(t, "slots"), maxQueued: 4}
 		running := 0
 		var queued []*waiter
 		collect := func() {
 			kept := queued[:0]
 			for _, w := range queued {
 				select {
-				case reason := <-w.verdict:
+				case reason := <-w.decision:
 					if reason == "" {
 						running++
 						for _, o := range queued {
-							if o != w && o.index >= 0 && o.before(w) {
+							if o != w && o.index >= 0 && o.precedes(w) {
 								t.Fatalf("granted priority %v before %v", w.priority, o.priority)
 							}
 						}
@@ -73,12 +73,12 @@
 				}
 			case 3:
 				if len(queued) > 0 {
-					a.abandon(queued[0])
+					a.cancel(queued[0])
 					queued = queued[1:]
 				}
 			}
 			collect()
-			if running != a.busy || running > a.slots || len(queued) != len(a.queue) || len(queued) > a.limit {
+			if running != a.busy || running > a.slots || len(queued) != len(a.queue) || len(queued) > a.maxQueued {
 				t.Fatalf("got %d running, %d busy, %d queued of %d slots", running, a.busy, len(a.queue), a.slots)
 			}
 		}
@@ -89,7 +89,7 @@
 // against a refusal that comes only when the deadline is over.
 func TestAdmissionShedsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &admission{slots: 1, limit: 8, service: 100 * time.Millisecond}
+		a := &admission{slots: 1, maxQueued: 8, serviceTime: 100 * time.Millisecond}
 		ctx, start := t.Context(), time.Now()
 		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(time.Second)); reason != "" {
 			t.Fatalf("got %q for a free slot", reason)
@@ -111,21 +111,21 @@
 	})
 }
 
-func body(state, address string) []byte {
+func announcementBody(state, address string) []byte {
 	return fmt.Appendf(nil, `{"service":"desk","address":%q,"slots":2,"connections":4,"state":%q}`, address, state)
 }
 
 // Guards against new work for a leaving or silent endpoint, and against two
 // endpoints of one service at an agent.
-func TestStatesOfEndpoint(t *testing.T) {
+func TestEndpointStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(Options{})
 		announce := func(state, address string) error {
-			a, err := parseAnnouncement(body(state, address))
+			a, err := parseAnnouncement(announcementBody(state, address))
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, err = f.announce(a, time.Now())
+			_, err = f.applyAnnouncement(a, time.Now())
 			return err
 		}
 		state := func() wire.EndpointState { return f.EndpointReports()[0].State }
@@ -156,11 +156,11 @@
 }
 
 // run sends one request through a Forwarder to a substitute endpoint.
-func run(t *testing.T, method string, pairs ...string) (*httptest.ResponseRecorder, *runner.Endpoint) {
+func forwardRequest(t *testing.T, method string, pairs ...string) (*httptest.ResponseRecorder, *standin.Endpoint) {
 	t.Helper()
 	f := New(Options{})
 	agent := httptest.NewServer(f.AnnounceHandler())
-	e, err := runner.New(runner.Options{Service: "desk", Agent: agent.URL})
+	e, err := standin.New(standin.Options{Service: "desk", Agent: agent.URL})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 	}))
 	defer server.Close()
 	defer close(silent)
-	a, err := parseAnnouncement(body("ready", strings.TrimPrefix(server.URL, "http://")))
+	a, err := parseAnnouncement(announcementBody("ready", strings.TrimPrefix(server.URL, "http://")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	go func() {
 		defer close(ended)
 		for ctx.Err() == nil {
-			_, _ = f.announce(a, time.Now())
+			_, _ = f.applyAnnouncement(a, time.Now())
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -224,7 +224,7 @@
 // Guards against endpoints that speak for the agent: only the agent may say
 // that a request was not run.
 func TestOutcomeOfEndpointIsIgnored(t *testing.T) {
-	w, e := run(t, "POST", runner.RequestID, "1", headers.DeadlineHeader, "5s")
+	w, e := forwardRequest(t, "POST", standin.RequestID, "1", headers.DeadlineHeader, "5s")
 	if got := w.Header().Get(headers.OutcomeHeader); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
 		t.Errorf("got status %d, outcome %q, executed %v", w.Code, got, e.Executed())
 	}
@@ -236,18 +236,18 @@
 }
 
 // Contract of POST /v1/announce.
-func TestAnnouncementContract(t *testing.T) {
+func TestAnnouncementStatus(t *testing.T) {
 	h := New(Options{}).AnnounceHandler()
 	for _, c := range []struct {
 		name, method, body string
 		status             int
 	}{
-		{"ready", "POST", string(body("ready", "127.0.0.1:80")), 204},
-		{"repeated", "POST", string(body("ready", "127.0.0.1:80")), 204},
-		{"second endpoint", "POST", string(body("ready", "127.0.0.1:81")), 409},
-		{"leaving", "POST", string(body("leaving", "127.0.0.1:80")), 204},
-		{"unknown state", "POST", string(body("asleep", "127.0.0.1:80")), 400},
-		{"no address", "POST", string(body("ready", "localhost")), 400},
+		{"ready", "POST", string(announcementBody("ready", "127.0.0.1:80")), 204},
+		{"repeated", "POST", string(announcementBody("ready", "127.0.0.1:80")), 204},
+		{"second endpoint", "POST", string(announcementBody("ready", "127.0.0.1:81")), 409},
+		{"leaving", "POST", string(announcementBody("leaving", "127.0.0.1:80")), 204},
+		{"unknown state", "POST", string(announcementBody("asleep", "127.0.0.1:80")), 400},
+		{"no address", "POST", string(announcementBody("ready", "localhost")), 400},
 		{"truncated", "POST", `{"service":"desk"`, 400},
 		{"too large", "POST", strings.Repeat(" ", maxAnnouncement+1), 413},
 		{"other method", "GET", "", 405},
@@ -262,7 +262,7 @@
 
 // Guards against an endpoint that closes while an admitted request is still on
 // its way to it: the agent had answered that it may.
-func TestLeavingEndpointIsToldOfAdmittedRequests(t *testing.T) {
+func TestLeavingEndpointSeesAdmittedRequests(t *testing.T) {
 	f := New(Options{})
 	h := f.AnnounceHandler()
 	arrived, answer := make(chan struct{}), make(chan struct{})
@@ -274,7 +274,7 @@
 	announce := func(state string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/announce",
-			strings.NewReader(string(body(state, strings.TrimPrefix(server.URL, "http://"))))))
+			strings.NewReader(string(announcementBody(state, strings.TrimPrefix(server.URL, "http://"))))))
 		return w.Code
 	}
 	announce("ready")
@@ -295,7 +295,7 @@
 }
 
 func FuzzAnnouncement(f *testing.F) {
-	f.Add(body("ready", "127.0.0.1:80"))
+	f.Add(announcementBody("ready", "127.0.0.1:80"))
 	f.Add([]byte(`{"service":"","address":"[::1]:0","slots":-1}`))
 	f.Add([]byte(`{"connections":1e99`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -26,11 +26,11 @@
 
 // Forwarder admits and sends requests. It is safe for concurrent use.
 type Forwarder struct {
-	options  Options
-	counters map[headers.Outcome]tally.Counter
-	reasons  map[headers.Reason]tally.Counter
-	retries  tally.Counter
-	silent   tally.Counter
+	options           Options
+	outcomes          map[headers.Outcome]tally.Counter
+	rejections        map[headers.Reason]tally.Counter
+	retries           tally.Counter
+	silentConnections tally.Counter
 
 	mu        sync.Mutex
 	endpoints map[units.ServiceName]*endpoint
@@ -51,14 +51,14 @@
 	}
 	f := &Forwarder{
 		options: o, endpoints: make(map[units.ServiceName]*endpoint),
-		counters: make(map[headers.Outcome]tally.Counter), reasons: make(map[headers.Reason]tally.Counter),
-		retries: o.Scope.Counter("forwardRetries"), silent: o.Scope.Counter("silentConnections"),
+		outcomes: make(map[headers.Outcome]tally.Counter), rejections: make(map[headers.Reason]tally.Counter),
+		retries: o.Scope.Counter("forwardRetries"), silentConnections: o.Scope.Counter("silentConnections"),
 	}
 	for _, r := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
-		f.counters[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
+		f.outcomes[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
 	}
 	for _, c := range []headers.Reason{headers.Leaving, headers.Overload, headers.DeadlineExceeded, headers.NoEndpoint, headers.NoConnection, headers.Malformed} {
-		f.reasons[c] = o.Scope.Tagged(map[string]string{"reason": string(c)}).Counter("rejected")
+		f.rejections[c] = o.Scope.Tagged(map[string]string{"reason": string(c)}).Counter("rejected")
 	}
 	return f
 }
@@ -74,7 +74,7 @@
 		reports = append(reports, r)
 		if r.State == wire.EndpointState_ENDPOINT_STATE_GONE {
 			e.admission.close()
-			if now.Sub(e.announced) > time.Minute && r.Busy == 0 {
+			if now.Sub(e.announcedAt) > time.Minute && r.Busy == 0 {
 				delete(f.endpoints, name)
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 // enter finds the endpoint for a request and counts the request as in flight.
-func (f *Forwarder) enter(service units.ServiceName) (*endpoint, headers.Reason) {
+func (f *Forwarder) beginRequest(service units.ServiceName) (*endpoint, headers.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[service]
@@ -112,7 +112,7 @@
 		return nil, headers.Leaving
 	case e == nil:
 		return nil, headers.NoEndpoint
-	case e.current(time.Now()) != wire.EndpointState_ENDPOINT_STATE_READY:
+	case e.stateAt(time.Now()) != wire.EndpointState_ENDPOINT_STATE_READY:
 		return nil, headers.Leaving
 	}
 	f.inFlight.Add(1)
@@ -120,31 +120,31 @@
 }
 
 func (f *Forwarder) reject(w http.ResponseWriter, status int, reason headers.Reason) {
-	f.counters[headers.NotRun].Inc(1)
-	f.reasons[reason].Inc(1)
+	f.outcomes[headers.NotRun].Inc(1)
+	f.rejections[reason].Inc(1)
 	headers.WriteRejection(w, status, reason, string(reason))
 }
 
 // defaultTime bounds a request whose entry process gave no deadline.
 const (
-	defaultTime = 10 * time.Second
-	maxTime     = time.Hour
+	defaultTimeout = 10 * time.Second
+	maxTimeout     = time.Hour
 )
 
 // ServeHTTP serves /services/{service}/{path...} on the sessions of entry
 // processes.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	service, uri, err := headers.ParseTarget(r.RequestURI)
-	left, deadlineErr := headers.ParseTimeout(r.Header, defaultTime, maxTime)
+	timeout, deadlineErr := headers.ParseTimeout(r.Header, defaultTimeout, maxTimeout)
 	idempotent, idempotentErr := headers.ParseIdempotent(r.Method, r.Header)
 	if err != nil || deadlineErr != nil || idempotentErr != nil {
 		f.reject(w, http.StatusBadRequest, headers.Malformed)
 		return
 	}
-	deadline := time.Now().Add(left)
+	deadline := time.Now().Add(timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	e, reason := f.enter(service)
+	e, reason := f.beginRequest(service)
 	if e == nil {
 		f.reject(w, http.StatusServiceUnavailable, reason)
 		return
@@ -160,6 +160,6 @@
 		return
 	}
 	c := &call{forwarder: f, endpoint: e, in: r, uri: uri, body: body, idempotent: idempotent, deadline: deadline}
-	defer func() { e.admission.release(c.served) }()
+	defer func() { e.admission.release(c.serviceTime) }()
 	c.run(ctx, w)
 }
