--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -10,27 +10,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// admission grants the slots of one endpoint for all entry processes together.
-// Waiting requests are ordered by priority, then by deadline.
+// admission admits the requests of all entry processes to one endpoint, at most
+// one per slot. Waiting requests are ordered by priority, then by deadline.
 type admission struct {
 	mu          sync.Mutex
 	slots       int
-	maxQueued   int // most waiting requests
+	maxQueued   int // maximum number of waiting requests
 	busy        int
 	queue       waitQueue
-	serviceTime time.Duration // decayed service time; 0 before the first response
+	serviceTime time.Duration // moving average; 0 before the first response
 	closed      bool          // the endpoint is leaving or gone
 }
 
-// waiter is one queued request. Its verdict is sent once; an empty reason grants
-// a slot.
+// waiter is one queued request. Its decision is sent once; an empty reason
+// grants a slot.
 type waiter struct {
 	priority units.Priority
 	deadline time.Time
 	decision chan headers.Reason
-	index    int // position in the heap, -1 outside
+	index    int // position in the heap, or -1
 }
 
+// precedes reports whether w is granted a slot before o.
 func (w *waiter) precedes(o *waiter) bool {
 	if w.priority != o.priority {
 		return w.priority > o.priority
@@ -38,18 +39,19 @@
 	return w.deadline.Before(o.deadline)
 }
 
-// minimumMargin stands for a service time that is not known yet.
+// minServiceTime replaces a service time that is lower or not yet measured.
 const minServiceTime = time.Millisecond
 
-// acquire waits for a slot. An empty reason means that the caller holds one and
+// acquire waits for a slot. After an empty reason the caller holds a slot and
 // must release it; any other reason means that the request must not be sent.
 func (a *admission) acquire(ctx context.Context, priority units.Priority, deadline time.Time) headers.Reason {
 	w, reason := a.enqueue(priority, deadline, time.Now())
 	if w == nil {
 		return reason
 	}
-	// Past this moment a slot comes too late. Refusing then, rather than at the
-	// deadline, lets the refusal reach the caller in time.
+	// After this time the request could not finish before its deadline.
+	// Rejecting it now rather than at the deadline lets the rejection reach the
+	// caller in time.
 	_, _, serviceTime := a.load()
 	timer := time.NewTimer(time.Until(deadline) - max(serviceTime, minServiceTime))
 	defer timer.Stop()
@@ -63,7 +65,8 @@
 	return headers.Overload
 }
 
-// enqueue decides at once where it can; else it returns the queued waiter.
+// enqueue grants or rejects the request immediately if possible. Otherwise it
+// returns the queued waiter.
 func (a *admission) enqueue(priority units.Priority, deadline, now time.Time) (*waiter, headers.Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -92,7 +95,7 @@
 	return w, ""
 }
 
-// wait estimates the time until w gets a slot.
+// estimatedWait estimates the time until w gets a slot.
 func (a *admission) estimatedWait(w *waiter) time.Duration {
 	ahead := 1
 	for _, o := range a.queue {
@@ -103,8 +106,8 @@
 	return time.Duration(float64(a.serviceTime) * float64(ahead) / float64(a.slots))
 }
 
-// abandon withdraws a waiter whose request has ended; a slot that was granted
-// in the meantime is released.
+// cancel removes a waiter whose request has ended. If the waiter has been
+// granted a slot in the meantime, the slot is released.
 func (a *admission) cancel(w *waiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,8 +121,8 @@
 	}
 }
 
-// release returns a slot. A positive duration is the service time of a whole
-// response.
+// release returns a slot. A positive serviceTime is the duration of a whole
+// response and updates the average.
 func (a *admission) release(serviceTime time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,7 +136,7 @@
 	a.grant(time.Now())
 }
 
-// grant hands free slots to the first waiters and sheds those that can no
+// grant assigns free slots to the first waiters and rejects those that can no
 // longer meet their deadline.
 func (a *admission) grant(now time.Time) {
 	for a.busy < a.slots && len(a.queue) > 0 {
@@ -147,7 +150,7 @@
 	}
 }
 
-// close rejects all that wait and all that come; requests that hold a slot
+// close rejects all waiting and all later requests. Requests that hold a slot
 // finish.
 func (a *admission) close() {
 	a.mu.Lock()
@@ -172,7 +175,7 @@
 	return a.busy, len(a.queue), a.serviceTime
 }
 
-// waiters implements heap.Interface.
+// waitQueue is the heap of waiting requests. It implements heap.Interface.
 type waitQueue []*waiter
 
 func (q waitQueue) Len() int           { return len(q) }
@@ -198,7 +201,7 @@
 	return w
 }
 
-// worst is the waiter that goes last.
+// last returns the waiter that is granted a slot last.
 func (q waitQueue) last() *waiter {
 	w := q[0]
 	for _, o := range q[1:] {
--- a/internal/forward/announce.go
+++ b/internal/forward/announce.go
@@ -12,12 +12,12 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of Error.
+// Kinds of Error.
 const (
-	Malformed Kind = "malformed" // an announcement that cannot be read
+	Malformed Kind = "malformed" // the announcement is invalid
 	Conflict  Kind = "conflict"  // another endpoint of the service is ready
 )
 
@@ -29,7 +29,7 @@
 	defaultConnections = 64
 	maxSlots           = 4096
 	maxAnnouncement    = 4 << 10
-	maxServices        = 64 // services that one agent keeps state for
+	maxServices        = 64 // per agent
 )
 
 // announcement is the body of POST /v1/announce.
@@ -48,8 +48,9 @@
 
 func (a *announcement) state() wire.EndpointState { return endpointStates[a.State] }
 
-// parseAnnouncement checks every field; an endpoint that announces nonsense
-// must not get requests.
+// parseAnnouncement decodes and validates an announcement. Every field is
+// checked, because an endpoint with invalid properties must not receive
+// requests.
 func parseAnnouncement(data []byte) (announcement, error) {
 	a := announcement{Slots: defaultSlots, Connections: defaultConnections}
 	if err := json.Unmarshal(data, &a); err != nil {
@@ -72,8 +73,9 @@
 }
 
 // AnnounceHandler serves POST /v1/announce for the endpoint beside this agent.
-// A leaving endpoint gets 202 while a request that was admitted before may still
-// reach it, and 204 when none can: only then closing it cuts nothing off.
+// A leaving endpoint receives status 202 while an admitted request may still
+// reach it, and 204 when none can. Only after 204 can it close without
+// interrupting a request.
 func (f *Forwarder) AnnounceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/announce", func(w http.ResponseWriter, r *http.Request) {
@@ -101,17 +103,17 @@
 	return mux
 }
 
-// announce applies a valid announcement. A second ready endpoint of the same
-// service is refused while the first announces itself, because the agent admits
-// work to one endpoint; a successor of a leaving or gone endpoint takes over.
-// It returns how many admitted requests the endpoint has not answered yet.
+// applyAnnouncement applies a valid announcement and returns the number of
+// admitted requests that the endpoint has not answered yet. While one endpoint
+// of a service is ready, a second ready one is rejected, because the agent
+// admits work to a single endpoint. A leaving or gone endpoint is replaced.
 func (f *Forwarder) applyAnnouncement(a announcement, now time.Time) (admitted int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[a.Service]
 	if e != nil && e.address != a.Address {
 		if a.state() == wire.EndpointState_ENDPOINT_STATE_LEAVING {
-			return 0, nil // an earlier endpoint that a successor replaced
+			return 0, nil // this endpoint has already been replaced
 		}
 		if e.stateAt(now) == wire.EndpointState_ENDPOINT_STATE_READY {
 			return 0, fault.New("announce", Conflict, "%s at %s is ready", a.Service, e.address)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -17,18 +17,20 @@
 )
 
 const (
-	// wholeBytes is the largest response that is read completely before it is
-	// passed on; a truncated one can then still be answered or retried.
+	// responseBufferBytes is the size up to which a response is buffered whole
+	// before it is sent on. A request whose buffered response is truncated can
+	// still be answered with an error or retried.
 	responseBufferBytes = 64 << 10
-	// attempts bounds the connections tried for one request.
+	// maxAttempts bounds the connections tried for one request.
 	maxAttempts = 3
-	// A connection without a response header is suspected after ten service
-	// times, but not before minimumStall, which covers pauses of the endpoint.
+	// A connection counts as silent when no response header arrives within
+	// silenceFactor times the service time, but not before minSilence, which
+	// covers pauses of the endpoint.
 	silenceFactor = 10
 	minSilence    = 500 * time.Millisecond
 )
 
-// errSilent cancels an attempt on a connection that went silent.
+// errSilentConnection cancels an attempt on a silent connection.
 var errSilentConnection = errors.New("connection is silent while the endpoint announces itself")
 
 // call is one admitted request. It holds a slot.
@@ -36,15 +38,16 @@
 	forwarder   *Forwarder
 	endpoint    *endpoint
 	in          *http.Request
-	uri         string // for the endpoint
+	uri         string // request URI for the endpoint
 	body        []byte
 	idempotent  bool
 	deadline    time.Time
 	serviceTime time.Duration // service time of a whole response, 0 otherwise
 }
 
-// run sends the request until an answer arrives or another attempt is not
-// allowed: after bytes were written, only idempotent requests get one.
+// run sends the request until it has written a response or no further attempt
+// is allowed. Once bytes were written to the endpoint, only an idempotent
+// request is sent again.
 func (c *call) run(ctx context.Context, w http.ResponseWriter) {
 	unknown := false
 	var err error
@@ -70,7 +73,8 @@
 	c.forwarder.reject(w, http.StatusServiceUnavailable, headers.NoConnection)
 }
 
-// attempt sends the request once. After nil the response has been written.
+// attempt sends the request once. After a nil error the response has been
+// written.
 func (c *call) attempt(ctx context.Context, w http.ResponseWriter) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -86,12 +90,12 @@
 	return c.writeResponse(w, response, start)
 }
 
-// watch suspects the connection when the response header takes too long while
-// the endpoint announces itself, and cancels the attempt; the retry opens a new
-// connection. The returned function ends the watch.
+// cancelIfSilent cancels the attempt when no response header arrives in time
+// although the endpoint announces itself. The retry then opens a new
+// connection. The returned function stops the timer.
 func (c *call) cancelIfSilent(start time.Time, cancel context.CancelCauseFunc) (stop func()) {
 	if !c.idempotent {
-		return func() {} // it may have been executed: its answer is worth waiting for
+		return func() {} // it may have been executed and cannot be retried, so wait for its response
 	}
 	_, _, serviceTime := c.endpoint.admission.load()
 	var mu sync.Mutex
@@ -122,7 +126,7 @@
 func (c *call) newRequest(ctx context.Context) *http.Request {
 	target, err := url.ParseRequestURI(c.uri)
 	if err != nil {
-		target = &url.URL{Path: "/"} // net/http has parsed the URI before
+		target = &url.URL{Path: "/"} // unreachable: net/http has already parsed the URI
 	}
 	target.Scheme, target.Host = "http", c.endpoint.address
 	r := &http.Request{
@@ -138,9 +142,9 @@
 	return r.WithContext(ctx)
 }
 
-// pass writes the endpoint's response. A truncated one is an error before
-// anything was written; later it aborts the stream, which the entry process
-// sees as truncated.
+// writeResponse writes the endpoint's response to w. A truncated response is an
+// error if nothing was written yet. Otherwise the stream is aborted, so that
+// the entry process also sees a truncated response.
 func (c *call) writeResponse(w http.ResponseWriter, response *http.Response, start time.Time) error {
 	var buffer bytes.Buffer
 	n, err := io.CopyN(&buffer, response.Body, responseBufferBytes+1)
--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// goneAfter is three announcements, one a second, and some slack.
+	// announcementTimeout covers three announcements, one a second, and some
+	// slack.
 	announcementTimeout = 3200 * time.Millisecond
 	dialTimeout         = time.Second
-	// maxHeader bounds the response header of an endpoint.
+	// maxResponseHeader bounds the response header of an endpoint, in bytes.
 	maxResponseHeader = 64 << 10
 )
 
@@ -45,10 +46,11 @@
 	return e
 }
 
-// newTransport opens a connection for each request. On a reused one a late
-// duplicate of an earlier response would pass for the response of the next
-// request, and a connection that went silent while idle would show only after
-// the request was sent; both matter more than a connect to the same machine.
+// newTransport returns a transport that opens a connection for each request. On
+// a reused connection, a late duplicate of an earlier response would be taken
+// for the response to the next request, and a connection that went silent while
+// idle would show only after the request was sent. Avoiding both is worth a
+// local connect per request.
 func (e *endpoint) newTransport() *link.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	address := e.address
@@ -59,7 +61,7 @@
 	})
 }
 
-// announce applies an announcement of this endpoint.
+// applyAnnouncement applies an announcement of this endpoint.
 func (e *endpoint) applyAnnouncement(a announcement, draining bool, now time.Time) {
 	e.mu.Lock()
 	e.announcedAt = now
@@ -76,7 +78,8 @@
 	}
 }
 
-// current is the state at now: an endpoint that misses its announcements is gone.
+// stateAt returns the state at now. An endpoint that misses its announcements
+// is gone.
 func (e *endpoint) stateAt(now time.Time) wire.EndpointState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,9 +89,9 @@
 	return e.state
 }
 
-// announcedSince reports whether the endpoint announced itself after t: a
-// connection without a response is then silent or its request is slow, but the
-// endpoint lives.
+// announcedSince reports whether the endpoint announced itself after t. If so,
+// the endpoint is alive, and a connection without a response is silent or its
+// request is slow.
 func (e *endpoint) announcedSince(t time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -30,8 +30,9 @@
 
 const ready, leaving, gone = wire.EndpointState_ENDPOINT_STATE_READY, wire.EndpointState_ENDPOINT_STATE_LEAVING, wire.EndpointState_ENDPOINT_STATE_GONE
 
-// Guards against more requests at an endpoint than it has slots, a slot that
-// is lost, and an order other than priority, then deadline.
+// Guards against more requests at an endpoint than it has slots, against a slot
+// that is never released, and against an order other than priority, then
+// deadline.
 func TestAdmissionKeepsSlotsAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -86,7 +87,7 @@
 }
 
 // Guards against work for requests that can no longer meet their deadline, and
-// against a refusal that comes only when the deadline is over.
+// against rejections that arrive only after the deadline.
 func TestAdmissionShedsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &admission{slots: 1, maxQueued: 8, serviceTime: 100 * time.Millisecond}
@@ -97,16 +98,16 @@
 		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); reason != headers.Overload || time.Since(start) != 0 {
 			t.Errorf("got %q after %v, want %q at once", reason, time.Since(start), headers.Overload)
 		}
-		verdict := make(chan headers.Reason)
-		go func() { verdict <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
+		decision := make(chan headers.Reason)
+		go func() { decision <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
 		synctest.Wait()
 		time.Sleep(200 * time.Millisecond)
 		a.release(200 * time.Millisecond)
-		if reason := <-verdict; reason != headers.Overload {
+		if reason := <-decision; reason != headers.Overload {
 			t.Errorf("got %q for a request with 50 ms left, want %q", reason, headers.Overload)
 		}
 		if reason := a.acquire(ctx, units.PriorityNormal, time.Now().Add(time.Millisecond)); reason != "" {
-			t.Errorf("got %q for a free slot; the estimate would never recover", reason)
+			t.Errorf("got %q for a free slot, want admission; otherwise the estimate never recovers", reason)
 		}
 	})
 }
@@ -115,8 +116,8 @@
 	return fmt.Appendf(nil, `{"service":"desk","address":%q,"slots":2,"connections":4,"state":%q}`, address, state)
 }
 
-// Guards against new work for a leaving or silent endpoint, and against two
-// endpoints of one service at an agent.
+// Guards against new requests for a leaving or silent endpoint, and against two
+// ready endpoints of one service at an agent.
 func TestEndpointStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(Options{})
@@ -139,7 +140,7 @@
 			{"ready", "127.0.0.1:2", 0, ready, true},
 			{"leaving", "127.0.0.1:1", 0, leaving, false},
 			{"ready", "127.0.0.1:2", 0, ready, false},
-			{"leaving", "127.0.0.1:1", 0, ready, false}, // of the replaced endpoint
+			{"leaving", "127.0.0.1:1", 0, ready, false}, // from the replaced endpoint
 			{"ready", "127.0.0.1:2", 3 * time.Second, ready, false},
 			{"ready", "127.0.0.1:2", 4 * time.Second, gone, false},
 			{"ready", "127.0.0.1:3", 0, ready, false},
@@ -155,7 +156,7 @@
 	})
 }
 
-// run sends one request through a Forwarder to a substitute endpoint.
+// forwardRequest sends one request through a Forwarder to a stand-in endpoint.
 func forwardRequest(t *testing.T, method string, pairs ...string) (*httptest.ResponseRecorder, *standin.Endpoint) {
 	t.Helper()
 	f := New(Options{})
@@ -180,8 +181,9 @@
 	return w, e
 }
 
-// Guards against waiting for TCP on a connection that went silent while the
-// endpoint lives: an idempotent request is answered on a new connection.
+// Guards against waiting for a TCP timeout on a connection that went silent
+// while the endpoint is alive. An idempotent request is retried on a new
+// connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	f := New(Options{})
 	agent := httptest.NewServer(f.AnnounceHandler())
@@ -221,8 +223,8 @@
 	}
 }
 
-// Guards against endpoints that speak for the agent: only the agent may say
-// that a request was not run.
+// Guards against an endpoint that sets the outcome header: only the agent may
+// report that a request was not run.
 func TestOutcomeOfEndpointIsIgnored(t *testing.T) {
 	w, e := forwardRequest(t, "POST", standin.RequestID, "1", headers.DeadlineHeader, "5s")
 	if got := w.Header().Get(headers.OutcomeHeader); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
@@ -235,7 +237,7 @@
 	}
 }
 
-// Contract of POST /v1/announce.
+// Checks the status of valid, repeated, conflicting and invalid announcements.
 func TestAnnouncementStatus(t *testing.T) {
 	h := New(Options{}).AnnounceHandler()
 	for _, c := range []struct {
@@ -261,7 +263,7 @@
 }
 
 // Guards against an endpoint that closes while an admitted request is still on
-// its way to it: the agent had answered that it may.
+// its way to it, because the agent had answered that it may close.
 func TestLeavingEndpointSeesAdmittedRequests(t *testing.T) {
 	f := New(Options{})
 	h := f.AnnounceHandler()
@@ -290,7 +292,7 @@
 	close(answer)
 	<-done
 	if got, want := announce("leaving"), http.StatusNoContent; got != want {
-		t.Errorf("with none: got status %d, want %d", got, want)
+		t.Errorf("without a request in flight: got status %d, want %d", got, want)
 	}
 }
 
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -1,6 +1,6 @@
-// Package forward is the agent's side of a request: it admits requests of all
-// entry processes to the endpoint beside the agent, within the endpoint's
-// slots, and sends them to it.
+// Package forward is the agent's side of the request path: it admits the
+// requests of all entry processes to the endpoint beside the agent, within the
+// endpoint's slots, and forwards them.
 package forward
 
 import (
@@ -19,12 +19,13 @@
 
 // Options configures a Forwarder. Zero fields take the defaults.
 type Options struct {
-	Scope        tally.Scope // counters of outcomes; default none
-	MaxQueued    int         // most waiting requests per endpoint; default 64
+	Scope        tally.Scope // metrics; disabled when nil
+	MaxQueued    int         // waiting requests per endpoint; default 64
 	MaxBodyBytes int64       // largest request body; default 8 MiB
 }
 
-// Forwarder admits and sends requests. It is safe for concurrent use.
+// Forwarder admits requests and forwards them to the endpoints. It is safe for
+// concurrent use.
 type Forwarder struct {
 	options           Options
 	outcomes          map[headers.Outcome]tally.Counter
@@ -35,7 +36,7 @@
 	mu        sync.Mutex
 	endpoints map[units.ServiceName]*endpoint
 	draining  bool
-	inFlight  sync.WaitGroup // entered only with mu held and while not draining
+	inFlight  sync.WaitGroup // incremented only while mu is held and draining is false
 }
 
 // New returns a Forwarder without endpoints.
@@ -63,7 +64,9 @@
 	return f
 }
 
-// Reports describes the endpoints for the next heartbeat.
+// EndpointReports returns the state of the endpoints for the next heartbeat. It
+// closes endpoints that are gone, and deletes them when they are idle and have
+// not announced themselves for a minute.
 func (f *Forwarder) EndpointReports() []*wire.EndpointReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +105,8 @@
 	}
 }
 
-// enter finds the endpoint for a request and counts the request as in flight.
+// beginRequest returns the service's endpoint and counts the request as in
+// flight, or returns the reason to reject the request.
 func (f *Forwarder) beginRequest(service units.ServiceName) (*endpoint, headers.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,8 +129,8 @@
 	headers.WriteRejection(w, status, reason, string(reason))
 }
 
-// defaultTime bounds a request whose entry process gave no deadline.
 const (
+	// defaultTimeout applies to a request without a deadline header.
 	defaultTimeout = 10 * time.Second
 	maxTimeout     = time.Hour
 )
