--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,5 +1,5 @@
 // Package headers defines the HTTP headers and paths of requests to services,
-// as callers, entry processes and agents use them.
+// which callers, entry processes and agents use.
 package headers
 
 import (
@@ -12,39 +12,39 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Names of headers.
+// Header names.
 const (
 	DeadlineHeader   = "Wasabihill-Deadline"   // time left, a Go duration
 	IdempotentHeader = "Wasabihill-Idempotent" // true or false; default by method
-	OutcomeHeader    = "Wasabihill-Outcome"    // on responses
-	ReasonHeader     = "Wasabihill-Reason"     // why a request was not run
-	PriorityHeader   = "Wasabihill-Priority"   // from entry to agent only
+	OutcomeHeader    = "Wasabihill-Outcome"    // an Outcome, on responses
+	ReasonHeader     = "Wasabihill-Reason"     // a Reason, on responses with outcome NotRun
+	PriorityHeader   = "Wasabihill-Priority"   // a number, from entry process to agent only
 )
 
-// Result is the value of the header Outcome.
+// Outcome is the value of OutcomeHeader.
 type Outcome string
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
 	Done    Outcome = "done"    // the endpoint's whole response follows
 	NotRun  Outcome = "notRun"  // the request was not executed and never will be
 	Unknown Outcome = "unknown" // the request may have been executed
 )
 
-// Cause is the value of the header Reason.
+// Reason is the value of ReasonHeader.
 type Reason string
 
-// Why a request was not run.
+// Reasons why a request was not run.
 const (
 	Leaving          Reason = "leaving"    // the endpoint or its agent is about to stop
-	Overload         Reason = "overload"   // no slot in time
+	Overload         Reason = "overload"   // no slot is free before the deadline, or a limit is reached
 	DeadlineExceeded Reason = "deadline"   // the deadline has passed
-	NoEndpoint       Reason = "noEndpoint" // none is eligible
+	NoEndpoint       Reason = "noEndpoint" // no endpoint of the service is eligible
 	NoConnection     Reason = "noConnection"
 	Malformed        Reason = "malformed"
 )
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Invalid is the kind of every error of this package.
@@ -53,13 +53,14 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Prefix is the path under which services are reached.
+// ServicePathPrefix is the path prefix of requests to services.
 const ServicePathPrefix = "/services/"
 
-// maxName bounds the name of a service in a path.
-const maxName = 128
+// maxServiceNameBytes bounds the service name in a path.
+const maxServiceNameBytes = 128
 
-// Target splits a request URI into the service and the URI for its endpoint.
+// ParseTarget splits a request URI into the service name and the URI for the
+// service's endpoint.
 func ParseTarget(uri string) (units.ServiceName, string, error) {
 	rest, ok := strings.CutPrefix(uri, ServicePathPrefix)
 	if !ok {
@@ -70,7 +71,7 @@
 		end = len(rest)
 	}
 	name, rest := rest[:end], rest[end:]
-	if name == "" || len(name) > maxName || strings.Trim(name, nameCharacters) != "" {
+	if name == "" || len(name) > maxServiceNameBytes || strings.Trim(name, serviceNameCharacters) != "" {
 		return "", "", fault.New("path", Invalid, "malformed name of a service")
 	}
 	if !strings.HasPrefix(rest, "/") {
@@ -79,10 +80,10 @@
 	return units.ServiceName(name), rest, nil
 }
 
-const nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+const serviceNameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 
-// TimeLeft reads the header Deadline; fallback stands for an absent one and
-// limit for a longer one.
+// ParseTimeout parses DeadlineHeader. It returns fallback when the header is
+// absent, and at most limit.
 func ParseTimeout(h http.Header, fallback, limit time.Duration) (time.Duration, error) {
 	values := h[DeadlineHeader]
 	switch {
@@ -98,12 +99,13 @@
 	return min(d, limit), nil
 }
 
-// idempotentMethods are safe to repeat unless the caller says otherwise.
+// idempotentMethods are the methods that are idempotent unless the caller
+// states otherwise.
 var idempotentMethods = map[string]bool{
 	http.MethodGet: true, http.MethodHead: true, http.MethodOptions: true, http.MethodPut: true, http.MethodDelete: true,
 }
 
-// IsIdempotent reads the header Idempotent; the default follows the method.
+// ParseIdempotent parses IdempotentHeader. The default depends on the method.
 func ParseIdempotent(method string, h http.Header) (bool, error) {
 	values := h[IdempotentHeader]
 	switch {
@@ -117,7 +119,8 @@
 	return false, fault.New(IdempotentHeader, Invalid, "want true or false")
 }
 
-// PriorityOf reads the header Priority; the default is normal.
+// ParsePriority parses PriorityHeader. The default, also for an invalid value,
+// is normal.
 func ParsePriority(h http.Header) units.Priority {
 	n, err := strconv.Atoi(h.Get(PriorityHeader))
 	if err != nil || n < int(units.PriorityLow) || n > int(units.PriorityUrgent) {
@@ -126,47 +129,49 @@
 	return units.Priority(n)
 }
 
-// notForwarded are hop-by-hop headers and those that each hop sets itself.
-var notForwarded = map[string]bool{
+// hopByHop are the hop-by-hop headers and those that each hop sets itself.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true,
 	DeadlineHeader: true, IdempotentHeader: true, OutcomeHeader: true, ReasonHeader: true, PriorityHeader: true,
 }
 
-// Copy adds the headers of source that may be passed on to target. The values
-// are shared; neither side may change them in place.
+// CopyEndToEnd copies the headers of source that may be forwarded to target.
+// The values are shared, so neither header may change them in place.
 func CopyEndToEnd(target, source http.Header) {
-	var named []string
+	var listed []string
 	for _, v := range source["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
-			named = append(named, http.CanonicalHeaderKey(strings.TrimSpace(name)))
+			listed = append(listed, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
 	for name, values := range source {
-		if !notForwarded[name] {
+		if !hopByHop[name] {
 			target[name] = values
 		}
 	}
-	for _, name := range named {
+	for _, name := range listed {
 		delete(target, name)
 	}
 }
 
-// Reject answers that the request was not run.
+// WriteRejection writes the response to a request that was not run.
 func WriteRejection(w http.ResponseWriter, status int, reason Reason, text string) {
 	w.Header().Set(OutcomeHeader, string(NotRun))
 	w.Header().Set(ReasonHeader, string(reason))
 	http.Error(w, text, status)
 }
 
-// Lose answers that the outcome of the request is unknown.
+// WriteUnknownOutcome writes the response to a request whose outcome is
+// unknown.
 func WriteUnknownOutcome(w http.ResponseWriter, text string) {
 	w.Header().Set(OutcomeHeader, string(Unknown))
 	http.Error(w, text, http.StatusGatewayTimeout)
 }
 
-// BodyAllowed reports whether a response of that status may carry a body.
+// BodyAllowed reports whether a response with the status to a request with the
+// method may carry a body.
 func BodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// Checks that ParseTarget returns either an error or a valid service name and
+// path for any URI.
 func FuzzTarget(f *testing.F) {
 	for _, s := range []string{"/services/desk/a?b", "/services/desk", "/services//", "/services/%2e/x", "http://h/services/a"} {
 		f.Add(s)
@@ -22,6 +24,8 @@
 	})
 }
 
+// Checks that invalid header values yield an error or a default within the
+// limits, and that hop-by-hop headers are not copied.
 func FuzzHeaders(f *testing.F) {
 	f.Add("250ms", "true", "4", "close, X-A")
 	f.Add("-1h", "TRUE", "99999999999", "")
@@ -40,7 +44,7 @@
 		c := make(http.Header)
 		CopyEndToEnd(c, h)
 		if c[DeadlineHeader] != nil || c["Connection"] != nil {
-			t.Fatalf("got %v, want no headers of this hop", c)
+			t.Fatalf("got %v, want no hop-by-hop headers", c)
 		}
 	})
 }
