--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// goneAfter is three announcements, one a second, and some slack.
-	goneAfter   = 3200 * time.Millisecond
-	dialTimeout = time.Second
-	// maxHeader bounds the response header of an endpoint.
-	maxHeader = 64 << 10
+	// announcementTimeout covers three announcements, one a second, and some
+	// slack.
+	announcementTimeout = 3200 * time.Millisecond
+	dialTimeout         = time.Second
+	// maxResponseHeader bounds the response header of an endpoint, in bytes.
+	maxResponseHeader = 64 << 10
 )
 
 // endpoint is the endpoint of one service beside this agent.
@@ -27,17 +28,17 @@
 	address   string
 	admission admission
 	transport atomic.Pointer[link.Transport]
-	budget    *routing.Budget
+	budget    *routing.RetryBudget
 
 	mu          sync.Mutex // guards the rest
 	state       wire.EndpointState
-	announced   time.Time
+	announcedAt time.Time
 	connections int
 }
 
-func newEndpoint(a announcement, queue int) *endpoint {
-	e := &endpoint{service: a.Service, address: a.Address, budget: routing.NewBudget()}
-	e.admission.limit = queue
+func newEndpoint(a announcement, maxQueued int) *endpoint {
+	e := &endpoint{service: a.Service, address: a.Address, budget: routing.NewRetryBudget()}
+	e.admission.maxQueued = maxQueued
 	e.admission.slots = a.Slots
 	e.admission.closed = true
 	e.connections = a.Connections
@@ -45,24 +46,25 @@
 	return e
 }
 
-// newTransport opens a connection for each request. On a reused one a late
-// duplicate of an earlier response would pass for the response of the next
-// request, and a connection that went silent while idle would show only after
-// the request was sent; both matter more than a connect to the same machine.
+// newTransport returns a transport that opens a connection for each request. On
+// a reused connection, a late duplicate of an earlier response would be taken
+// for the response to the next request, and a connection that went silent while
+// idle would show only after the request was sent. Avoiding both is worth a
+// local connect per request.
 func (e *endpoint) newTransport() *link.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	address := e.address
 	return link.NewTransport(link.Options{
-		Dial:        func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
-		Connections: e.connections,
-		HeaderBytes: maxHeader,
+		Dial:           func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) },
+		MaxConnections: e.connections,
+		MaxHeaderBytes: maxResponseHeader,
 	})
 }
 
-// announce applies an announcement of this endpoint.
-func (e *endpoint) announce(a announcement, draining bool, now time.Time) {
+// applyAnnouncement applies an announcement of this endpoint.
+func (e *endpoint) applyAnnouncement(a announcement, draining bool, now time.Time) {
 	e.mu.Lock()
-	e.announced = now
+	e.announcedAt = now
 	e.state = a.state()
 	if e.connections != a.Connections {
 		e.connections = a.Connections
@@ -76,28 +78,29 @@
 	}
 }
 
-// current is the state at now: an endpoint that misses its announcements is gone.
-func (e *endpoint) current(now time.Time) wire.EndpointState {
+// stateAt returns the state at now. An endpoint that misses its announcements
+// is gone.
+func (e *endpoint) stateAt(now time.Time) wire.EndpointState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.announced) > goneAfter {
+	if now.Sub(e.announcedAt) > announcementTimeout {
 		return wire.EndpointState_ENDPOINT_STATE_GONE
 	}
 	return e.state
 }
 
-// announcedSince reports whether the endpoint announced itself after t: a
-// connection without a response is then silent or its request is slow, but the
-// endpoint lives.
+// announcedSince reports whether the endpoint announced itself after t. If so,
+// the endpoint is alive, and a connection without a response is silent or its
+// request is slow.
 func (e *endpoint) announcedSince(t time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.announced.After(t)
+	return e.announcedAt.After(t)
 }
 
 func (e *endpoint) report(draining bool, now time.Time) *wire.EndpointReport {
-	busy, queued, service := e.admission.load()
-	state := e.current(now)
+	busy, queued, serviceTime := e.admission.load()
+	state := e.stateAt(now)
 	if draining && state == wire.EndpointState_ENDPOINT_STATE_READY {
 		state = wire.EndpointState_ENDPOINT_STATE_LEAVING
 	}
@@ -105,6 +108,6 @@
 	defer e.mu.Unlock()
 	return &wire.EndpointReport{
 		Service: string(e.service), State: state, Slots: int32(e.admission.slots), Connections: int32(e.connections),
-		Busy: int32(busy), Queued: int32(queued), LatencyMicroseconds: service.Microseconds(),
+		Busy: int32(busy), Queued: int32(queued), LatencyMicroseconds: serviceTime.Microseconds(),
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -18,7 +18,7 @@
 	"wasabihill.example/wasabihill/internal/fault"
 	"wasabihill.example/wasabihill/internal/generated"
 	"wasabihill.example/wasabihill/internal/headers"
-	runner "wasabihill.example/wasabihill/internal/standin/endpoint"
+	standin "wasabihill.example/wasabihill/internal/standin/endpoint"
 	"wasabihill.example/wasabihill/internal/wire"
 	"wasabihill.example/wasabihill/pkg/units"
 )
@@ -30,23 +30,24 @@
 
 const ready, leaving, gone = wire.EndpointState_ENDPOINT_STATE_READY, wire.EndpointState_ENDPOINT_STATE_LEAVING, wire.EndpointState_ENDPOINT_STATE_GONE
 
-// Guards against more requests at an endpoint than it has slots, a slot that
-// is lost, and an order other than priority, then deadline.
+// Guards against more requests at an endpoint than it has slots, against a slot
+// that is never released, and against an order other than priority, then
+// deadline.
 func TestAdmissionKeepsSlotsAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		a := &admission{slots: rapid.IntRange(1, 3).Draw(t, "slots"), limit: 4}
+		a := &admission{slots: rapid.IntRange(1, 3).Draw(t, "slots"), maxQueued: 4}
 		running := 0
 		var queued []*waiter
 		collect := func() {
 			kept := queued[:0]
 			for _, w := range queued {
 				select {
-				case cause := <-w.verdict:
-					if cause == "" {
+				case reason := <-w.decision:
+					if reason == "" {
 						running++
 						for _, o := range queued {
-							if o != w && o.index >= 0 && o.before(w) {
+							if o != w && o.index >= 0 && o.precedes(w) {
 								t.Fatalf("granted priority %v before %v", w.priority, o.priority)
 							}
 						}
@@ -60,10 +61,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				w, cause := a.enqueue(units.Priority(rapid.IntRange(1, 4).Draw(t, "priority")), time.Now().Add(time.Hour), now)
+				w, reason := a.enqueue(units.Priority(rapid.IntRange(1, 4).Draw(t, "priority")), time.Now().Add(time.Hour), now)
 				if w != nil {
 					queued = append(queued, w)
-				} else if cause == "" {
+				} else if reason == "" {
 					running++
 				}
 			case 2:
@@ -73,12 +74,12 @@
 				}
 			case 3:
 				if len(queued) > 0 {
-					a.abandon(queued[0])
+					a.cancel(queued[0])
 					queued = queued[1:]
 				}
 			}
 			collect()
-			if running != a.busy || running > a.slots || len(queued) != len(a.queue) || len(queued) > a.limit {
+			if running != a.busy || running > a.slots || len(queued) != len(a.queue) || len(queued) > a.maxQueued {
 				t.Fatalf("got %d running, %d busy, %d queued of %d slots", running, a.busy, len(a.queue), a.slots)
 			}
 		}
@@ -86,49 +87,49 @@
 }
 
 // Guards against work for requests that can no longer meet their deadline, and
-// against a refusal that comes only when the deadline is over.
+// against rejections that arrive only after the deadline.
 func TestAdmissionShedsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &admission{slots: 1, limit: 8, service: 100 * time.Millisecond}
+		a := &admission{slots: 1, maxQueued: 8, serviceTime: 100 * time.Millisecond}
 		ctx, start := t.Context(), time.Now()
-		if cause := a.acquire(ctx, units.PriorityNormal, start.Add(time.Second)); cause != "" {
-			t.Fatalf("got %q for a free slot", cause)
+		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(time.Second)); reason != "" {
+			t.Fatalf("got %q for a free slot", reason)
 		}
-		if cause := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); cause != headers.Overload || time.Since(start) != 0 {
-			t.Errorf("got %q after %v, want %q at once", cause, time.Since(start), headers.Overload)
+		if reason := a.acquire(ctx, units.PriorityNormal, start.Add(150*time.Millisecond)); reason != headers.Overload || time.Since(start) != 0 {
+			t.Errorf("got %q after %v, want %q at once", reason, time.Since(start), headers.Overload)
 		}
-		verdict := make(chan headers.Cause)
-		go func() { verdict <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
+		decision := make(chan headers.Reason)
+		go func() { decision <- a.acquire(ctx, units.PriorityNormal, start.Add(250*time.Millisecond)) }()
 		synctest.Wait()
 		time.Sleep(200 * time.Millisecond)
 		a.release(200 * time.Millisecond)
-		if cause := <-verdict; cause != headers.Overload {
-			t.Errorf("got %q for a request with 50 ms left, want %q", cause, headers.Overload)
+		if reason := <-decision; reason != headers.Overload {
+			t.Errorf("got %q for a request with 50 ms left, want %q", reason, headers.Overload)
 		}
-		if cause := a.acquire(ctx, units.PriorityNormal, time.Now().Add(time.Millisecond)); cause != "" {
-			t.Errorf("got %q for a free slot; the estimate would never recover", cause)
+		if reason := a.acquire(ctx, units.PriorityNormal, time.Now().Add(time.Millisecond)); reason != "" {
+			t.Errorf("got %q for a free slot, want admission; otherwise the estimate never recovers", reason)
 		}
 	})
 }
 
-func body(state, address string) []byte {
+func announcementBody(state, address string) []byte {
 	return fmt.Appendf(nil, `{"service":"desk","address":%q,"slots":2,"connections":4,"state":%q}`, address, state)
 }
 
-// Guards against new work for a leaving or silent endpoint, and against two
-// endpoints of one service at an agent.
-func TestStatesOfEndpoint(t *testing.T) {
+// Guards against new requests for a leaving or silent endpoint, and against two
+// ready endpoints of one service at an agent.
+func TestEndpointStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(Options{})
 		announce := func(state, address string) error {
-			a, err := parseAnnouncement(body(state, address))
+			a, err := parseAnnouncement(announcementBody(state, address))
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, err = f.announce(a, time.Now())
+			_, err = f.applyAnnouncement(a, time.Now())
 			return err
 		}
-		state := func() wire.EndpointState { return f.Reports()[0].State }
+		state := func() wire.EndpointState { return f.EndpointReports()[0].State }
 		for _, step := range []struct {
 			state, address string
 			wait           time.Duration
@@ -139,7 +140,7 @@
 			{"ready", "127.0.0.1:2", 0, ready, true},
 			{"leaving", "127.0.0.1:1", 0, leaving, false},
 			{"ready", "127.0.0.1:2", 0, ready, false},
-			{"leaving", "127.0.0.1:1", 0, ready, false}, // of the replaced endpoint
+			{"leaving", "127.0.0.1:1", 0, ready, false}, // from the replaced endpoint
 			{"ready", "127.0.0.1:2", 3 * time.Second, ready, false},
 			{"ready", "127.0.0.1:2", 4 * time.Second, gone, false},
 			{"ready", "127.0.0.1:3", 0, ready, false},
@@ -155,12 +156,12 @@
 	})
 }
 
-// run sends one request through a Forwarder to a substitute endpoint.
-func run(t *testing.T, method string, pairs ...string) (*httptest.ResponseRecorder, *runner.Endpoint) {
+// forwardRequest sends one request through a Forwarder to a stand-in endpoint.
+func forwardRequest(t *testing.T, method string, pairs ...string) (*httptest.ResponseRecorder, *standin.Endpoint) {
 	t.Helper()
 	f := New(Options{})
 	agent := httptest.NewServer(f.AnnounceHandler())
-	e, err := runner.New(runner.Options{Service: "desk", Agent: agent.URL})
+	e, err := standin.New(standin.Options{Service: "desk", Agent: agent.URL})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +169,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = e.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended; agent.Close() })
-	for len(f.Reports()) == 0 {
+	for len(f.EndpointReports()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w := httptest.NewRecorder()
@@ -180,8 +181,9 @@
 	return w, e
 }
 
-// Guards against waiting for TCP on a connection that went silent while the
-// endpoint lives: an idempotent request is answered on a new connection.
+// Guards against waiting for a TCP timeout on a connection that went silent
+// while the endpoint is alive. An idempotent request is retried on a new
+// connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	f := New(Options{})
 	agent := httptest.NewServer(f.AnnounceHandler())
@@ -195,7 +197,7 @@
 	}))
 	defer server.Close()
 	defer close(silent)
-	a, err := parseAnnouncement(body("ready", strings.TrimPrefix(server.URL, "http://")))
+	a, err := parseAnnouncement(announcementBody("ready", strings.TrimPrefix(server.URL, "http://")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,50 +206,50 @@
 	go func() {
 		defer close(ended)
 		for ctx.Err() == nil {
-			_, _ = f.announce(a, time.Now())
+			_, _ = f.applyAnnouncement(a, time.Now())
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
 	defer func() { cancel(); <-ended }()
-	for len(f.Reports()) == 0 {
+	for len(f.EndpointReports()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest("GET", "/services/desk/", nil)
-	r.Header.Set(headers.Deadline, "20s")
+	r.Header.Set(headers.DeadlineHeader, "20s")
 	f.ServeHTTP(w, r)
 	if w.Code != http.StatusOK || requests.Load() != 2 {
 		t.Errorf("got status %d after %d connections, want 200 after 2", w.Code, requests.Load())
 	}
 }
 
-// Guards against endpoints that speak for the agent: only the agent may say
-// that a request was not run.
+// Guards against an endpoint that sets the outcome header: only the agent may
+// report that a request was not run.
 func TestOutcomeOfEndpointIsIgnored(t *testing.T) {
-	w, e := run(t, "POST", runner.RequestID, "1", headers.Deadline, "5s")
-	if got := w.Header().Get(headers.Outcome); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
+	w, e := forwardRequest(t, "POST", standin.RequestID, "1", headers.DeadlineHeader, "5s")
+	if got := w.Header().Get(headers.OutcomeHeader); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
 		t.Errorf("got status %d, outcome %q, executed %v", w.Code, got, e.Executed())
 	}
 	h := make(http.Header)
-	headers.Copy(h, http.Header{headers.Outcome: {"notRun"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"1"}})
+	headers.CopyEndToEnd(h, http.Header{headers.OutcomeHeader: {"notRun"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"1"}})
 	if len(h) != 1 || h.Get("X-Kept") != "1" {
 		t.Errorf("got headers %v, want X-Kept only", h)
 	}
 }
 
-// Contract of POST /v1/announce.
-func TestAnnouncementContract(t *testing.T) {
+// Checks the status of valid, repeated, conflicting and invalid announcements.
+func TestAnnouncementStatus(t *testing.T) {
 	h := New(Options{}).AnnounceHandler()
 	for _, c := range []struct {
 		name, method, body string
 		status             int
 	}{
-		{"ready", "POST", string(body("ready", "127.0.0.1:80")), 204},
-		{"repeated", "POST", string(body("ready", "127.0.0.1:80")), 204},
-		{"second endpoint", "POST", string(body("ready", "127.0.0.1:81")), 409},
-		{"leaving", "POST", string(body("leaving", "127.0.0.1:80")), 204},
-		{"unknown state", "POST", string(body("asleep", "127.0.0.1:80")), 400},
-		{"no address", "POST", string(body("ready", "localhost")), 400},
+		{"ready", "POST", string(announcementBody("ready", "127.0.0.1:80")), 204},
+		{"repeated", "POST", string(announcementBody("ready", "127.0.0.1:80")), 204},
+		{"second endpoint", "POST", string(announcementBody("ready", "127.0.0.1:81")), 409},
+		{"leaving", "POST", string(announcementBody("leaving", "127.0.0.1:80")), 204},
+		{"unknown state", "POST", string(announcementBody("asleep", "127.0.0.1:80")), 400},
+		{"no address", "POST", string(announcementBody("ready", "localhost")), 400},
 		{"truncated", "POST", `{"service":"desk"`, 400},
 		{"too large", "POST", strings.Repeat(" ", maxAnnouncement+1), 413},
 		{"other method", "GET", "", 405},
@@ -261,8 +263,8 @@
 }
 
 // Guards against an endpoint that closes while an admitted request is still on
-// its way to it: the agent had answered that it may.
-func TestLeavingEndpointIsToldOfAdmittedRequests(t *testing.T) {
+// its way to it, because the agent had answered that it may close.
+func TestLeavingEndpointSeesAdmittedRequests(t *testing.T) {
 	f := New(Options{})
 	h := f.AnnounceHandler()
 	arrived, answer := make(chan struct{}), make(chan struct{})
@@ -274,7 +276,7 @@
 	announce := func(state string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/announce",
-			strings.NewReader(string(body(state, strings.TrimPrefix(server.URL, "http://"))))))
+			strings.NewReader(string(announcementBody(state, strings.TrimPrefix(server.URL, "http://"))))))
 		return w.Code
 	}
 	announce("ready")
@@ -290,12 +292,12 @@
 	close(answer)
 	<-done
 	if got, want := announce("leaving"), http.StatusNoContent; got != want {
-		t.Errorf("with none: got status %d, want %d", got, want)
+		t.Errorf("without a request in flight: got status %d, want %d", got, want)
 	}
 }
 
 func FuzzAnnouncement(f *testing.F) {
-	f.Add(body("ready", "127.0.0.1:80"))
+	f.Add(announcementBody("ready", "127.0.0.1:80"))
 	f.Add([]byte(`{"service":"","address":"[::1]:0","slots":-1}`))
 	f.Add([]byte(`{"connections":1e99`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -1,6 +1,6 @@
-// Package forward is the agent's side of a request: it admits requests of all
-// entry processes to the endpoint beside the agent, within the endpoint's
-// slots, and sends them to it.
+// Package forward is the agent's side of the request path: it admits the
+// requests of all entry processes to the endpoint beside the agent, within the
+// endpoint's slots, and forwards them.
 package forward
 
 import (
@@ -19,23 +19,24 @@
 
 // Options configures a Forwarder. Zero fields take the defaults.
 type Options struct {
-	Scope     tally.Scope // counters of outcomes; default none
-	Queue     int         // most waiting requests per endpoint; default 64
-	BodyBytes int64       // largest request body; default 8 MiB
+	Scope        tally.Scope // metrics; disabled when nil
+	MaxQueued    int         // waiting requests per endpoint; default 64
+	MaxBodyBytes int64       // largest request body; default 8 MiB
 }
 
-// Forwarder admits and sends requests. It is safe for concurrent use.
+// Forwarder admits requests and forwards them to the endpoints. It is safe for
+// concurrent use.
 type Forwarder struct {
-	options  Options
-	counters map[headers.Result]tally.Counter
-	reasons  map[headers.Cause]tally.Counter
-	retries  tally.Counter
-	silent   tally.Counter
+	options           Options
+	outcomes          map[headers.Outcome]tally.Counter
+	rejections        map[headers.Reason]tally.Counter
+	retries           tally.Counter
+	silentConnections tally.Counter
 
 	mu        sync.Mutex
 	endpoints map[units.ServiceName]*endpoint
 	draining  bool
-	inFlight  sync.WaitGroup // entered only with mu held and while not draining
+	inFlight  sync.WaitGroup // incremented only while mu is held and draining is false
 }
 
 // New returns a Forwarder without endpoints.
@@ -43,28 +44,30 @@
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
-	if o.Queue == 0 {
-		o.Queue = 64
+	if o.MaxQueued == 0 {
+		o.MaxQueued = 64
 	}
-	if o.BodyBytes == 0 {
-		o.BodyBytes = 8 << 20
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = 8 << 20
 	}
 	f := &Forwarder{
 		options: o, endpoints: make(map[units.ServiceName]*endpoint),
-		counters: make(map[headers.Result]tally.Counter), reasons: make(map[headers.Cause]tally.Counter),
-		retries: o.Scope.Counter("forwardRetries"), silent: o.Scope.Counter("silentConnections"),
+		outcomes: make(map[headers.Outcome]tally.Counter), rejections: make(map[headers.Reason]tally.Counter),
+		retries: o.Scope.Counter("forwardRetries"), silentConnections: o.Scope.Counter("silentConnections"),
 	}
-	for _, r := range []headers.Result{headers.Done, headers.NotRun, headers.Unknown} {
-		f.counters[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
+	for _, r := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
+		f.outcomes[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
 	}
-	for _, c := range []headers.Cause{headers.Leaving, headers.Overload, headers.TooLate, headers.NoEndpoint, headers.NoConnect, headers.Malformed} {
-		f.reasons[c] = o.Scope.Tagged(map[string]string{"reason": string(c)}).Counter("rejected")
+	for _, c := range []headers.Reason{headers.Leaving, headers.Overload, headers.DeadlineExceeded, headers.NoEndpoint, headers.NoConnection, headers.Malformed} {
+		f.rejections[c] = o.Scope.Tagged(map[string]string{"reason": string(c)}).Counter("rejected")
 	}
 	return f
 }
 
-// Reports describes the endpoints for the next heartbeat.
-func (f *Forwarder) Reports() []*wire.EndpointReport {
+// EndpointReports returns the state of the endpoints for the next heartbeat. It
+// closes endpoints that are gone, and deletes them when they are idle and have
+// not announced themselves for a minute.
+func (f *Forwarder) EndpointReports() []*wire.EndpointReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -74,7 +77,7 @@
 		reports = append(reports, r)
 		if r.State == wire.EndpointState_ENDPOINT_STATE_GONE {
 			e.admission.close()
-			if now.Sub(e.announced) > time.Minute && r.Busy == 0 {
+			if now.Sub(e.announcedAt) > time.Minute && r.Busy == 0 {
 				delete(f.endpoints, name)
 			}
 		}
@@ -102,8 +105,9 @@
 	}
 }
 
-// enter finds the endpoint for a request and counts the request as in flight.
-func (f *Forwarder) enter(service units.ServiceName) (*endpoint, headers.Cause) {
+// beginRequest returns the service's endpoint and counts the request as in
+// flight, or returns the reason to reject the request.
+func (f *Forwarder) beginRequest(service units.ServiceName) (*endpoint, headers.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[service]
@@ -112,54 +116,54 @@
 		return nil, headers.Leaving
 	case e == nil:
 		return nil, headers.NoEndpoint
-	case e.current(time.Now()) != wire.EndpointState_ENDPOINT_STATE_READY:
+	case e.stateAt(time.Now()) != wire.EndpointState_ENDPOINT_STATE_READY:
 		return nil, headers.Leaving
 	}
 	f.inFlight.Add(1)
 	return e, ""
 }
 
-func (f *Forwarder) reject(w http.ResponseWriter, status int, cause headers.Cause) {
-	f.counters[headers.NotRun].Inc(1)
-	f.reasons[cause].Inc(1)
-	headers.Reject(w, status, cause, string(cause))
+func (f *Forwarder) reject(w http.ResponseWriter, status int, reason headers.Reason) {
+	f.outcomes[headers.NotRun].Inc(1)
+	f.rejections[reason].Inc(1)
+	headers.WriteRejection(w, status, reason, string(reason))
 }
 
-// defaultTime bounds a request whose entry process gave no deadline.
 const (
-	defaultTime = 10 * time.Second
-	maxTime     = time.Hour
+	// defaultTimeout applies to a request without a deadline header.
+	defaultTimeout = 10 * time.Second
+	maxTimeout     = time.Hour
 )
 
 // ServeHTTP serves /services/{service}/{path...} on the sessions of entry
 // processes.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	service, uri, err := headers.Target(r.RequestURI)
-	left, deadlineErr := headers.TimeLeft(r.Header, defaultTime, maxTime)
-	idempotent, idempotentErr := headers.IsIdempotent(r.Method, r.Header)
+	service, uri, err := headers.ParseTarget(r.RequestURI)
+	timeout, deadlineErr := headers.ParseTimeout(r.Header, defaultTimeout, maxTimeout)
+	idempotent, idempotentErr := headers.ParseIdempotent(r.Method, r.Header)
 	if err != nil || deadlineErr != nil || idempotentErr != nil {
 		f.reject(w, http.StatusBadRequest, headers.Malformed)
 		return
 	}
-	deadline := time.Now().Add(left)
+	deadline := time.Now().Add(timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	e, cause := f.enter(service)
+	e, reason := f.beginRequest(service)
 	if e == nil {
-		f.reject(w, http.StatusServiceUnavailable, cause)
+		f.reject(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	defer f.inFlight.Done()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.options.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.options.MaxBodyBytes))
 	if err != nil {
 		f.reject(w, http.StatusRequestEntityTooLarge, headers.Malformed)
 		return
 	}
-	if cause := e.admission.acquire(ctx, headers.PriorityOf(r.Header), deadline); cause != "" {
-		f.reject(w, http.StatusServiceUnavailable, cause)
+	if reason := e.admission.acquire(ctx, headers.ParsePriority(r.Header), deadline); reason != "" {
+		f.reject(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	c := &call{forwarder: f, endpoint: e, in: r, uri: uri, body: body, idempotent: idempotent, deadline: deadline}
-	defer func() { e.admission.release(c.served) }()
+	defer func() { e.admission.release(c.serviceTime) }()
 	c.run(ctx, w)
 }
--- a/internal/gateway/measure_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -12,21 +12,21 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// offer runs one load and fails on wrong answers.
-func offer(b *testing.B, o load.Options) *load.Report {
+// runLoad runs one load and fails the benchmark on incorrect responses.
+func runLoad(b *testing.B, o load.Options) *load.Report {
 	b.Helper()
 	r, err := load.Run(context.Background(), o)
 	if err != nil {
 		b.Fatal(err)
 	}
 	if len(r.Faults) > 0 {
-		b.Fatalf("answers failed their checks: %v", r.Faults)
+		b.Fatalf("incorrect responses: %v", r.Faults)
 	}
 	return r
 }
 
-// BenchmarkAddedLatency compares requests through entry and agent with direct
-// ones at the same rate, in one run. Run with -benchtime 1x.
+// BenchmarkAddedLatency compares requests through entry process and agent with
+// direct requests at the same rate, in one run. Run it with -benchtime 1x.
 func BenchmarkAddedLatency(b *testing.B) {
 	e := newEntry(b, gateway.Options{})
 	a := newAgent(b, 1, endpoint.Options{ServiceTime: 2 * time.Millisecond}, e)
@@ -41,7 +41,7 @@
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
 				target.Rate, target.Time, target.InFlight, target.BodyBytes, target.NonIdempotent = 500, 5*time.Second, 64, 256, 0.5
-				r := offer(b, target)
+				r := runLoad(b, target)
 				b.ReportMetric(float64(r.Done.Median.Microseconds()), "p50-us")
 				b.ReportMetric(float64(r.Done.P99.Microseconds()), "p99-us")
 				b.ReportMetric(float64(r.Outcomes["done"])/float64(r.Planned), "done-share")
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkOverload offers the capacity of two endpoints and twice of it.
+// BenchmarkOverload offers once and twice the capacity of two endpoints.
 func BenchmarkOverload(b *testing.B) {
 	const serviceTime = 10 * time.Millisecond
 	for _, c := range []struct {
@@ -64,7 +64,7 @@
 			}
 			capacity := 2 * 8 / serviceTime.Seconds()
 			for range b.N {
-				r := offer(b, load.Options{
+				r := runLoad(b, load.Options{
 					Targets: []string{e.url}, Service: "desk", Rate: capacity * c.factor, Time: 5 * time.Second,
 					InFlight: 512, BodyBytes: 256, Deadline: 50 * time.Millisecond, NonIdempotent: 0.5,
 				})
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -19,131 +19,133 @@
 // maxAttempts bounds the endpoints tried one after the other for a request.
 const maxAttempts = 4
 
-// answer is the result of one or more attempts.
-type answer struct {
-	outcome headers.Result
-	cause   headers.Cause // with NotRun
-	free    bool          // a retry costs no endpoint anything: leaving or not sent
-	status  int
-	header  http.Header
-	length  int64         // declared by the endpoint, -1 for none
-	body    []byte        // the whole body, or its beginning when rest is set
-	rest    io.ReadCloser // what follows body in a large response
-	cancel  context.CancelFunc
-	hedge   bool
+// result is the outcome of one or more attempts.
+type result struct {
+	outcome       headers.Outcome
+	reason        headers.Reason // set when outcome is NotRun
+	freeRetry     bool           // a retry adds no load: the endpoint is leaving or nothing was sent
+	status        int
+	header        http.Header
+	contentLength int64         // as declared by the endpoint; -1 if it is not
+	body          []byte        // the whole body, or its beginning when remainder is set
+	remainder     io.ReadCloser // the rest of a large response after body
+	cancel        context.CancelFunc
+	hedge         bool
 }
 
-// discard releases what the answer holds; the attempt is over afterwards.
-func (a *answer) discard() {
-	if a.cancel != nil {
-		a.cancel()
+// release frees the resources of the result and ends its attempt.
+func (res *result) release() {
+	if res.cancel != nil {
+		res.cancel()
 	}
-	if a.rest != nil {
-		a.rest.Close()
+	if res.remainder != nil {
+		res.remainder.Close()
 	}
 }
 
-// call sends the request until an answer is whole or another attempt is not
-// allowed. A request that is not idempotent goes on only after proof that it
-// did not run.
-func (g *Gateway) call(ctx context.Context, in *inbound) *answer {
+// execute sends the request until a whole response has arrived or no further
+// attempt is allowed. A request that is not idempotent is retried only after
+// proof that it did not run.
+func (g *Gateway) execute(ctx context.Context, in *inbound) *result {
 	var tried []*routing.Endpoint
 	unknown := false
-	cause := headers.NoEndpoint
+	reason := headers.NoEndpoint
 	for range maxAttempts {
 		choice := g.choose(in, tried)
 		if choice == nil {
 			break
 		}
-		if cause == headers.Overload && slices.Contains(tried, choice.Endpoint) {
+		if reason == headers.Overload && slices.Contains(tried, choice.Endpoint) {
 			choice.End(routing.Cancelled, time.Now())
-			break // every endpoint has refused
+			break // every endpoint has rejected the request
 		}
 		tried = append(tried, choice.Endpoint)
-		a := g.attempt(ctx, in, choice, &tried)
-		if a.outcome == headers.Done {
-			return a
+		res := g.attemptWithHedge(ctx, in, choice, &tried)
+		if res.outcome == headers.Done {
+			return res
 		}
-		a.discard()
-		unknown = unknown || a.outcome == headers.Unknown
-		if a.outcome == headers.NotRun {
-			cause = a.cause
+		res.release()
+		unknown = unknown || res.outcome == headers.Unknown
+		if res.outcome == headers.NotRun {
+			reason = res.reason
 		}
-		if ctx.Err() != nil || (a.outcome == headers.Unknown && !in.idempotent) {
+		if ctx.Err() != nil || (res.outcome == headers.Unknown && !in.idempotent) {
 			break
 		}
-		if !a.free && !g.budget.Withdraw() {
+		if !res.freeRetry && !g.budget.Withdraw() {
 			break
 		}
-		g.counters.retries.Inc(1)
+		g.metrics.retries.Inc(1)
 	}
 	if unknown {
-		return &answer{outcome: headers.Unknown}
+		return &result{outcome: headers.Unknown}
 	}
-	return &answer{outcome: headers.NotRun, cause: cause}
+	return &result{outcome: headers.NotRun, reason: reason}
 }
 
 func (g *Gateway) choose(in *inbound, tried []*routing.Endpoint) *routing.Choice {
 	return g.options.Table.Choose(routing.Request{Service: in.service, Idempotent: in.idempotent, Avoid: tried}, time.Now())
 }
 
-// attempt sends the request to the choice, and for an idempotent request to a
-// second endpoint when the first is slow.
-func (g *Gateway) attempt(ctx context.Context, in *inbound, choice *routing.Choice, tried *[]*routing.Endpoint) *answer {
+// attemptWithHedge sends the request to the chosen endpoint. An idempotent
+// request is also sent to a second endpoint when the first is slow.
+func (g *Gateway) attemptWithHedge(ctx context.Context, in *inbound, choice *routing.Choice, tried *[]*routing.Endpoint) *result {
 	if !in.idempotent {
-		return g.send(ctx, in, choice)
+		return g.sendAttempt(ctx, in, choice)
 	}
-	answers := make(chan *answer, 2)
+	results := make(chan *result, 2)
 	launch := func(c *routing.Choice, hedge bool) context.CancelFunc {
 		attemptCtx, cancel := context.WithCancel(ctx)
-		g.attempts.Go(func() {
-			a := g.send(attemptCtx, in, c)
-			a.hedge = hedge
-			answers <- a
+		g.backgroundAttempts.Go(func() {
+			res := g.sendAttempt(attemptCtx, in, c)
+			res.hedge = hedge
+			results <- res
 		})
 		return cancel
 	}
 	cancels := []context.CancelFunc{launch(choice, false)}
 	timer := time.NewTimer(choice.HedgeDelay(time.Now()))
 	defer timer.Stop()
-	unknown := false // an attempt that lost may have run
+	unknown := false // an earlier attempt may have run
 	for pending := 1; ; {
 		select {
 		case <-timer.C:
-			second := g.hedge(in, *tried)
+			second := g.chooseHedge(in, *tried)
 			if second == nil {
 				continue
 			}
 			*tried = append(*tried, second.Endpoint)
 			cancels = append(cancels, launch(second, true))
 			pending++
-		case a := <-answers:
+		case res := <-results:
 			pending--
-			if a.outcome != headers.Done && pending > 0 {
-				unknown = unknown || a.outcome == headers.Unknown
-				a.discard()
+			if res.outcome != headers.Done && pending > 0 {
+				unknown = unknown || res.outcome == headers.Unknown
+				res.release()
 				continue
 			}
-			a = a.after(unknown)
-			if a.hedge && a.outcome == headers.Done {
-				g.counters.hedgesWon.Inc(1)
+			res = res.withEarlierUnknown(unknown)
+			if res.hedge && res.outcome == headers.Done {
+				g.metrics.hedgesWon.Inc(1)
 			}
-			return g.settle(a, answers, pending, cancels)
+			return g.cancelLosers(res, results, pending, cancels)
 		}
 	}
 }
 
-// after returns the answer of the last attempt in view of those before it: when
-// one of them may have run, a refusal of the last proves nothing.
-func (a *answer) after(unknown bool) *answer {
-	if unknown && a.outcome == headers.NotRun {
-		a.outcome, a.cause, a.free = headers.Unknown, "", false
+// withEarlierUnknown adjusts the result of the last attempt for the attempts
+// before it: when one of them may have run, a rejection of the last attempt
+// does not prove that the request did not run.
+func (res *result) withEarlierUnknown(unknown bool) *result {
+	if unknown && res.outcome == headers.NotRun {
+		res.outcome, res.reason, res.freeRetry = headers.Unknown, "", false
 	}
-	return a
+	return res
 }
 
-// hedge chooses a second endpoint when the budget allows one and there is one.
-func (g *Gateway) hedge(in *inbound, tried []*routing.Endpoint) *routing.Choice {
+// chooseHedge chooses a second endpoint. It returns nil when there is none or
+// the retry budget is exhausted.
+func (g *Gateway) chooseHedge(in *inbound, tried []*routing.Endpoint) *routing.Choice {
 	second := g.choose(in, tried)
 	if second == nil {
 		return nil
@@ -152,25 +154,25 @@
 		second.End(routing.Cancelled, time.Now())
 		return nil
 	}
-	g.counters.hedges.Inc(1)
+	g.metrics.hedges.Inc(1)
 	return second
 }
 
-// settle gives up the attempts that lost. The winner's attempt goes on until
-// its body has been passed on.
-func (g *Gateway) settle(winner *answer, answers <-chan *answer, pending int, cancels []context.CancelFunc) *answer {
-	lost := 0
+// cancelLosers cancels the attempts that lost and returns the winner, whose
+// attempt continues until its body has been copied to the caller.
+func (g *Gateway) cancelLosers(winner *result, results <-chan *result, pending int, cancels []context.CancelFunc) *result {
+	winnerIndex := 0
 	if winner.hedge {
-		lost = 1
+		winnerIndex = 1
 	}
-	own := winner.cancel
+	cancelAttempt := winner.cancel
 	for i, cancel := range cancels {
-		if (i == 1) == (lost == 1) {
-			winning := cancel
+		if (i == 1) == (winnerIndex == 1) {
+			cancelWinner := cancel
 			winner.cancel = func() {
-				winning()
-				if own != nil {
-					own()
+				cancelWinner()
+				if cancelAttempt != nil {
+					cancelAttempt()
 				}
 			}
 			continue
@@ -178,42 +180,42 @@
 		cancel()
 	}
 	if pending > 0 {
-		g.attempts.Go(func() { (<-answers).discard() })
+		g.backgroundAttempts.Go(func() { (<-results).release() })
 	}
 	return winner
 }
 
-// send makes one attempt and classifies its answer.
-func (g *Gateway) send(ctx context.Context, in *inbound, choice *routing.Choice) *answer {
+// sendAttempt makes one attempt and classifies its outcome.
+func (g *Gateway) sendAttempt(ctx context.Context, in *inbound, choice *routing.Choice) *result {
 	ctx, cancel := context.WithCancel(ctx)
-	response, err := choice.RoundTrip(g.outbound(ctx, in))
+	response, err := choice.RoundTrip(g.newAgentRequest(ctx, in))
 	if err != nil {
 		cancel()
-		return failed(ctx, choice, err)
+		return classifyError(ctx, choice, err)
 	}
-	a := g.receive(response, in)
-	a.cancel = cancel
+	res := g.readResponse(response, in)
+	res.cancel = cancel
 	now := time.Now()
 	switch {
-	case a.outcome == headers.Done && a.status >= http.StatusInternalServerError:
+	case res.outcome == headers.Done && res.status >= http.StatusInternalServerError:
 		choice.End(routing.Failed, now)
-	case a.outcome == headers.Done:
+	case res.outcome == headers.Done:
 		choice.End(routing.Succeeded, now)
-	case a.outcome == headers.NotRun && a.cause == headers.Leaving:
-		a.free = true
+	case res.outcome == headers.NotRun && res.reason == headers.Leaving:
+		res.freeRetry = true
 		choice.End(routing.Leaving, now)
-	case a.outcome == headers.NotRun && a.cause != headers.NoConnect:
+	case res.outcome == headers.NotRun && res.reason != headers.NoConnection:
 		choice.End(routing.Rejected, now)
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		choice.End(routing.Cancelled, now)
 	default:
 		choice.End(routing.Failed, now)
 	}
-	return a
+	return res
 }
 
-// failed classifies an attempt without a response.
-func failed(ctx context.Context, choice *routing.Choice, err error) *answer {
+// classifyError classifies an attempt that failed without a response.
+func classifyError(ctx context.Context, choice *routing.Choice, err error) *result {
 	now := time.Now()
 	notSent := fault.Is(err, link.NotSent)
 	switch {
@@ -227,13 +229,13 @@
 		choice.End(routing.Failed, now)
 	}
 	if notSent {
-		return &answer{outcome: headers.NotRun, cause: headers.NoConnect, free: true}
+		return &result{outcome: headers.NotRun, reason: headers.NoConnection, freeRetry: true}
 	}
-	return &answer{outcome: headers.Unknown}
+	return &result{outcome: headers.Unknown}
 }
 
-// outbound is the request as the agent gets it.
-func (g *Gateway) outbound(ctx context.Context, in *inbound) *http.Request {
+// newAgentRequest returns the request in the form that is sent to the agent.
+func (g *Gateway) newAgentRequest(ctx context.Context, in *inbound) *http.Request {
 	source := in.request
 	target := *source.URL
 	target.Scheme, target.Host = "http", "link"
@@ -244,51 +246,51 @@
 	if len(in.body) > 0 {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(in.body)), int64(len(in.body))
 	}
-	headers.Copy(r.Header, source.Header)
+	headers.CopyEndToEnd(r.Header, source.Header)
 	if source.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = nil // net/http would add its own
 	}
-	left := max(time.Millisecond, in.deadline.Remaining(time.Now()))
-	r.Header[headers.Deadline] = []string{left.Round(time.Microsecond).String()}
-	r.Header[headers.Idempotent] = []string{strconv.FormatBool(in.idempotent)}
-	r.Header[headers.Priority] = []string{strconv.Itoa(int(in.priority))}
+	remaining := max(time.Millisecond, in.deadline.Remaining(time.Now()))
+	r.Header[headers.DeadlineHeader] = []string{remaining.Round(time.Microsecond).String()}
+	r.Header[headers.IdempotentHeader] = []string{strconv.FormatBool(in.idempotent)}
+	r.Header[headers.PriorityHeader] = []string{strconv.Itoa(int(in.priority))}
 	return r.WithContext(ctx)
 }
 
-// receive reads the response up to the buffer limit. Only a response that an
-// agent marked as done is one of the endpoint.
-func (g *Gateway) receive(response *http.Response, in *inbound) *answer {
-	a := &answer{status: response.StatusCode, header: response.Header, length: response.ContentLength}
-	switch headers.Result(response.Header.Get(headers.Outcome)) {
+// readResponse reads the response up to the buffer limit. Only a response that
+// an agent marked as done comes from the endpoint.
+func (g *Gateway) readResponse(response *http.Response, in *inbound) *result {
+	res := &result{status: response.StatusCode, header: response.Header, contentLength: response.ContentLength}
+	switch headers.Outcome(response.Header.Get(headers.OutcomeHeader)) {
 	case headers.Done:
-		a.outcome = headers.Done
+		res.outcome = headers.Done
 	case headers.NotRun:
 		response.Body.Close()
-		a.outcome, a.cause = headers.NotRun, headers.Cause(response.Header.Get(headers.Reason))
-		return a
+		res.outcome, res.reason = headers.NotRun, headers.Reason(response.Header.Get(headers.ReasonHeader))
+		return res
 	default:
 		response.Body.Close()
-		a.outcome = headers.Unknown
-		return a
+		res.outcome = headers.Unknown
+		return res
 	}
-	body, err := readUpTo(response, g.options.WholeBytes)
+	body, err := readUpTo(response, g.options.ResponseBufferBytes)
 	switch {
 	case err != nil:
 		response.Body.Close()
-		a.outcome = headers.Unknown
-	case int64(len(body)) > g.options.WholeBytes:
-		a.body, a.rest = body, response.Body
+		res.outcome = headers.Unknown
+	case int64(len(body)) > g.options.ResponseBufferBytes:
+		res.body, res.remainder = body, response.Body
 	default:
 		response.Body.Close()
-		a.body = body
-		if a.length < 0 && headers.BodyAllowed(in.request.Method, a.status) {
-			a.length = int64(len(body))
+		res.body = body
+		if res.contentLength < 0 && headers.BodyAllowed(in.request.Method, res.status) {
+			res.contentLength = int64(len(body))
 		}
 	}
-	return a
+	return res
 }
 
-// readUpTo reads at most one byte more than limit.
+// readUpTo reads at most limit+1 bytes of the body.
 func readUpTo(response *http.Response, limit int64) ([]byte, error) {
 	if n := response.ContentLength; n >= 0 && n <= limit && response.Request.Method != http.MethodHead {
 		body := make([]byte, n)
@@ -298,45 +300,47 @@
 	return io.ReadAll(io.LimitReader(response.Body, limit+1))
 }
 
-func (g *Gateway) reject(w http.ResponseWriter, status int, cause headers.Cause, text string) {
-	g.counters.outcomes[headers.NotRun].Inc(1)
-	headers.Reject(w, status, cause, text)
+func (g *Gateway) reject(w http.ResponseWriter, status int, reason headers.Reason, text string) {
+	g.metrics.outcomes[headers.NotRun].Inc(1)
+	headers.WriteRejection(w, status, reason, text)
 }
 
-// write passes the answer to the caller. A large response that is cut in the
-// middle aborts the caller's connection, because the status has been sent.
-func (g *Gateway) write(w http.ResponseWriter, in *inbound, a *answer) {
-	switch a.outcome {
+// writeResult writes the result to the caller. When the rest of a large
+// response is truncated it aborts the caller's connection, because the status
+// has already been sent.
+func (g *Gateway) writeResult(w http.ResponseWriter, in *inbound, res *result) {
+	switch res.outcome {
 	case headers.NotRun:
-		g.reject(w, http.StatusServiceUnavailable, a.cause, string(a.cause))
+		g.reject(w, http.StatusServiceUnavailable, res.reason, string(res.reason))
 		return
 	case headers.Unknown:
-		g.counters.outcomes[headers.Unknown].Inc(1)
-		headers.Lose(w, "no whole response in time; the request may have been executed")
+		g.metrics.outcomes[headers.Unknown].Inc(1)
+		headers.WriteUnknownOutcome(w, "no whole response in time; the request may have been executed")
 		return
 	}
 	h := w.Header()
-	headers.Copy(h, a.header)
-	h[headers.Outcome] = []string{string(headers.Done)}
-	if a.length >= 0 && a.status != http.StatusNoContent {
-		h["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
+	headers.CopyEndToEnd(h, res.header)
+	h[headers.OutcomeHeader] = []string{string(headers.Done)}
+	if res.contentLength >= 0 && res.status != http.StatusNoContent {
+		h["Content-Length"] = []string{strconv.FormatInt(res.contentLength, 10)}
 	}
-	w.WriteHeader(a.status)
-	if len(a.body) > 0 && headers.BodyAllowed(in.request.Method, a.status) {
-		_, _ = w.Write(a.body) // a caller that left needs no response
+	w.WriteHeader(res.status)
+	if len(res.body) > 0 && headers.BodyAllowed(in.request.Method, res.status) {
+		_, _ = w.Write(res.body) // an error means that the caller has disconnected
 	}
-	if a.rest != nil {
-		g.stream(w, a)
+	if res.remainder != nil {
+		g.copyRemainder(w, res)
 	}
-	g.counters.outcomes[headers.Done].Inc(1)
+	g.metrics.outcomes[headers.Done].Inc(1)
 }
 
-// stream copies the rest of a large response. The caller must keep reading.
-func (g *Gateway) stream(w http.ResponseWriter, a *answer) {
+// copyRemainder copies the rest of a large response. Each write must finish
+// within writeTimeout.
+func (g *Gateway) copyRemainder(w http.ResponseWriter, res *result) {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, 64<<10)
 	for {
-		n, err := a.rest.Read(buffer)
+		n, err := res.remainder.Read(buffer)
 		if n > 0 {
 			_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := w.Write(buffer[:n]); err != nil {
@@ -348,8 +352,8 @@
 			return
 		}
 		if err != nil {
-			g.counters.cut.Inc(1)
-			g.counters.outcomes[headers.Unknown].Inc(1)
+			g.metrics.truncated.Inc(1)
+			g.metrics.outcomes[headers.Unknown].Inc(1)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -17,8 +17,9 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// naiveGateway goes round robin, retries on any error and passes on what it
-// has read. It shows that the fault histories below can break the guarantees.
+// naiveGateway distributes requests round robin, retries after any error and
+// returns whatever it has read. It shows that the fault histories of this file
+// can break the guarantees.
 type naiveGateway struct {
 	endpoints []string
 	next      atomic.Int64
@@ -46,20 +47,20 @@
 		for _, name := range []string{endpoint.RequestID, endpoint.WholeCheck} {
 			w.Header().Set(name, response.Header.Get(name))
 		}
-		w.Header().Set(headers.Outcome, string(headers.Done))
+		w.Header().Set(headers.OutcomeHeader, string(headers.Done))
 		_, _ = w.Write(data)
 		return
 	}
-	headers.Reject(w, http.StatusServiceUnavailable, headers.Overload, "no endpoint answered")
+	headers.WriteRejection(w, http.StatusServiceUnavailable, headers.Overload, "no endpoint answered")
 }
 
-// step is one request of a history and what happens to its first attempt.
+// step is one request of a history and the fault of its first attempt.
 type step struct {
 	Fault      string
 	Idempotent bool
 }
 
-var historyOf = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
+var historyGenerator = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	return step{
 		Fault:      rapid.SampledFrom([]string{"", "", "resetBefore", "resetAfter", "truncated", "silent", "slow", "duplicate", "error"}).Draw(t, "fault"),
 		Idempotent: rapid.Bool().Draw(t, "idempotent"),
@@ -69,20 +70,20 @@
 // violations counts broken guarantees by name.
 type violations map[string]int
 
-// play sends the history one request after the other and compares what the
-// caller was told with what the endpoints executed.
-func play(t *testing.T, url string, history []step, executed func() map[string]int) violations {
+// runHistory sends the requests of the history one after the other and compares
+// the outcomes that the caller received with the executions at the endpoints.
+func runHistory(t *testing.T, url string, history []step, executed func() map[string]int) violations {
 	t.Helper()
 	found := violations{}
 	c := newClient(t)
-	outcomes := map[string]headers.Result{}
+	outcomes := map[string]headers.Outcome{}
 	for i, s := range history {
 		id := fmt.Sprintf("%d-%s", i, s.Fault)
-		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.Idempotent, fmt.Sprint(s.Idempotent),
-			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.Deadline, "200ms")
+		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, fmt.Sprint(s.Idempotent),
+			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.DeadlineHeader, "200ms")
 		outcomes[id] = r.outcome
-		if r.outcome == headers.Done && r.status == http.StatusOK && r.check(id) != "" {
-			found["truncated or foreign answer passed on"]++
+		if r.outcome == headers.Done && r.status == http.StatusOK && r.verify(id) != "" {
+			found["truncated or mismatched response returned"]++
 		}
 	}
 	counts := executed()
@@ -98,12 +99,12 @@
 	return found
 }
 
-// Guards, on the same fault histories, against the violations that the naive
-// gateway shows.
+// Runs the same fault histories against the naive gateway, which violates the
+// guarantees, and against the product, which must not.
 func TestHistoriesAgainstNaiveGateway(t *testing.T) {
 	all := violations{}
 	for seed := range 3 {
-		history := historyOf.Example(seed + 1)
+		history := historyGenerator.Example(seed + 1)
 		naive := &naiveGateway{client: &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{}}}
 		e := newEntry(t, gateway.Options{})
 		var productEndpoints, naiveEndpoints []*endpoint.Endpoint
@@ -114,24 +115,24 @@
 			naive.endpoints = append(naive.endpoints, "http://"+own.Address())
 		}
 		server := httptest.NewServer(naive)
-		for name, n := range play(t, server.URL, history, sum(naiveEndpoints)) {
+		for name, n := range runHistory(t, server.URL, history, sumExecuted(naiveEndpoints)) {
 			all[name] += n
 		}
 		server.Close()
 		naive.client.CloseIdleConnections()
-		if got := play(t, e.url, history, sum(productEndpoints)); len(got) != 0 {
+		if got := runHistory(t, e.url, history, sumExecuted(productEndpoints)); len(got) != 0 {
 			t.Errorf("seed %d: the product violates %v", seed+1, got)
 		}
 	}
 	t.Logf("the naive gateway violates %v", all)
-	for _, name := range []string{"truncated or foreign answer passed on", "non-idempotent request executed twice", "executed request reported as not run"} {
+	for _, name := range []string{"truncated or mismatched response returned", "non-idempotent request executed twice", "executed request reported as not run"} {
 		if all[name] == 0 {
-			t.Errorf("the histories do not show the naive gateway violating %q; they prove nothing about it", name)
+			t.Errorf("the naive gateway does not violate %q on these histories, so they do not test it", name)
 		}
 	}
 }
 
-func sum(endpoints []*endpoint.Endpoint) func() map[string]int {
+func sumExecuted(endpoints []*endpoint.Endpoint) func() map[string]int {
 	return func() map[string]int {
 		total := map[string]int{}
 		for _, e := range endpoints {
@@ -143,24 +144,24 @@
 	}
 }
 
-// Guards against a second execution when the hop between entry and agent
-// breaks or goes silent while requests are in flight.
-func TestBrokenHopRunsRequestsAtMostOnce(t *testing.T) {
+// Guards against a second execution when the connection between entry process
+// and agent breaks or goes silent while requests are in flight.
+func TestBrokenConnectionRunsRequestsAtMostOnce(t *testing.T) {
 	for _, fault := range []string{"silent", "closed"} {
 		e := newEntry(t, gateway.Options{})
-		hop := newHop(t, e)
-		broken := newAgentVia(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond}, hop.address, e)
+		proxy := newFaultyProxy(t, e)
+		broken := newAgentThrough(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond}, proxy.address, e)
 		healthy := newAgent(t, 2, endpoint.Options{ServiceTime: 100 * time.Millisecond}, e)
 		c := newClient(t)
 		results := make(chan response, 8)
 		for i := range 8 {
 			go func() {
 				id := fmt.Sprint(i)
-				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Deadline, "5s")
+				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "5s")
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
-		hop.inject(fault)
+		proxy.inject(fault)
 		done := 0
 		for range 8 {
 			if r := <-results; r.outcome == headers.Done {
@@ -169,7 +170,7 @@
 				t.Errorf("%s: got outcome %q, error %v", fault, r.outcome, r.err)
 			}
 		}
-		for id, n := range sum([]*endpoint.Endpoint{broken.endpoint, healthy.endpoint})() {
+		for id, n := range sumExecuted([]*endpoint.Endpoint{broken.endpoint, healthy.endpoint})() {
 			if n != 1 {
 				t.Errorf("%s: request %s executed %d times, want 1", fault, id, n)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway serves the requests of callers at an entry process: it
-// admits them, chooses endpoints, retries and hedges where that is safe, and
-// passes on whole responses only.
+// Package gateway serves the requests of callers at an entry process: it admits
+// them, chooses endpoints, retries and hedges where that is safe, and returns
+// whole responses only.
 package gateway
 
 import (
@@ -23,25 +23,25 @@
 
 // Options configures a Gateway. Zero fields take the defaults.
 type Options struct {
-	Table        *routing.Table
-	Document     func() *environment.Document // current document; nil result rejects every request
-	Scope        tally.Scope                  // counters; default none
-	Limit        int                          // most requests at a time; default 4096
-	ServiceLimit int                          // most requests of one service at a time; default 2048
-	BodyBytes    int64                        // largest request body; default 1 MiB
-	WholeBytes   int64                        // largest response read completely before it is passed on; default 1 MiB
-	DefaultTime  time.Duration                // deadline of a request without one; default 10 s
-	MaxTime      time.Duration                // longest deadline; default 5 min
+	Table               *routing.Table
+	Document            func() *environment.Document // returns the current document; while it returns nil, every request is rejected
+	Scope               tally.Scope                  // metrics; disabled when nil
+	MaxRequests         int                          // concurrent requests; default 4096
+	MaxServiceRequests  int                          // concurrent requests of one service; default 2048
+	MaxBodyBytes        int64                        // largest request body; default 1 MiB
+	ResponseBufferBytes int64                        // responses up to this size are buffered whole before they are returned; default 1 MiB
+	DefaultTimeout      time.Duration                // for a request without a deadline; default 10 s
+	MaxTimeout          time.Duration                // longer deadlines are shortened to it; default 5 min
 }
 
-func (o *Options) defaults() {
+func (o *Options) setDefaults() {
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
 	for _, n := range []struct {
 		field *int
 		value int
-	}{{&o.Limit, 4096}, {&o.ServiceLimit, 2048}} {
+	}{{&o.MaxRequests, 4096}, {&o.MaxServiceRequests, 2048}} {
 		if *n.field == 0 {
 			*n.field = n.value
 		}
@@ -49,58 +49,58 @@
 	for _, n := range []struct {
 		field *int64
 		value int64
-	}{{&o.BodyBytes, 1 << 20}, {&o.WholeBytes, 1 << 20}} {
+	}{{&o.MaxBodyBytes, 1 << 20}, {&o.ResponseBufferBytes, 1 << 20}} {
 		if *n.field == 0 {
 			*n.field = n.value
 		}
 	}
-	if o.DefaultTime == 0 {
-		o.DefaultTime = 10 * time.Second
+	if o.DefaultTimeout == 0 {
+		o.DefaultTimeout = 10 * time.Second
 	}
-	if o.MaxTime == 0 {
-		o.MaxTime = 5 * time.Minute
+	if o.MaxTimeout == 0 {
+		o.MaxTimeout = 5 * time.Minute
 	}
 }
 
 // Gateway is the HTTP handler for callers. It is safe for concurrent use.
 type Gateway struct {
-	options  Options
-	counters counters
-	budget   *routing.Budget
-	active   atomic.Int64
-	draining atomic.Bool
-	services sync.Map       // units.ServiceName -> *service
-	attempts sync.WaitGroup // losing hedges that are being given up
+	options            Options
+	metrics            metrics
+	budget             *routing.RetryBudget
+	active             atomic.Int64
+	draining           atomic.Bool
+	services           sync.Map       // units.ServiceName -> *service
+	backgroundAttempts sync.WaitGroup // attempts of idempotent requests; those that lost are ending
 }
 
-// service is the state of one service at this entry process.
-type service struct {
+// serviceState is the state of one service at this entry process.
+type serviceState struct {
 	active atomic.Int64
 	load   atomic.Pointer[loadSample]
 }
 
-// loadSample keeps a summary of the service's endpoints for loadAge, because
-// summing up a thousand endpoints for each request is too expensive.
+// loadSample caches a summary of the service's endpoints for maxLoadAge,
+// because summarizing a thousand endpoints for each request is too expensive.
 type loadSample struct {
 	load routing.Load
 	at   time.Time
 }
 
-const loadAge = 10 * time.Millisecond
+const maxLoadAge = 10 * time.Millisecond
 
 // New returns a Gateway.
 func New(o Options) *Gateway {
-	o.defaults()
-	return &Gateway{options: o, counters: newCounters(o.Scope), budget: routing.NewBudget()}
+	o.setDefaults()
+	return &Gateway{options: o, metrics: newMetrics(o.Scope), budget: routing.NewRetryBudget()}
 }
 
-// Limits of the caller listener: a header block and the time to read it.
+// Limits of the server for callers.
 const (
 	maxHeaderBytes = 32 << 10
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	bodyTimeout    = 10 * time.Second
-	writeTimeout   = 30 * time.Second // for each part of a large response
+	writeTimeout   = 30 * time.Second // for each write of a large response
 	maxHeaders     = 100
 )
 
@@ -115,29 +115,30 @@
 // Ready reports whether the load balancer should send requests here.
 func (g *Gateway) Ready() bool { return !g.draining.Load() }
 
-// Shutdown ends the service of callers without cutting off a request. It turns
-// readiness off, serves for notice, in which the load balancer goes elsewhere,
-// then stops server and waits until every request has been answered or ctx
-// ends. Responses meanwhile ask callers to close their connections, so that no
-// request meets a connection that is being closed. The links must stay open
-// until Shutdown returns.
-func (g *Gateway) Shutdown(ctx context.Context, server *http.Server, notice time.Duration) {
+// Shutdown stops serving callers without interrupting a request. It turns
+// readiness off and keeps serving for drainDelay, in which the load balancer
+// redirects new requests. Then it stops server and waits until every request
+// has been answered or ctx ends. During the delay, responses ask callers to
+// close their connections, so that no request is sent on a connection that is
+// being closed. The sessions to the agents must stay open until Shutdown
+// returns.
+func (g *Gateway) Shutdown(ctx context.Context, server *http.Server, drainDelay time.Duration) {
 	g.draining.Store(true)
-	timer := time.NewTimer(notice)
+	timer := time.NewTimer(drainDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if server.Shutdown(ctx) == nil {
-		g.attempts.Wait()
+		g.backgroundAttempts.Wait()
 	}
 }
 
 // ServeHTTP serves /services/{service}/{path...}.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	g.counters.requests.Inc(1)
+	g.metrics.requests.Inc(1)
 	if g.draining.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
@@ -146,13 +147,13 @@
 		g.reject(w, status, headers.Malformed, err.Error())
 		return
 	}
-	s := g.service(in.service)
+	s := g.serviceState(in.service)
 	defer s.active.Add(-1)
 	defer g.active.Add(-1)
 	perService, total := s.active.Add(1), g.active.Add(1)
-	if cause := g.shed(s, in, perService, total, start); cause != "" {
-		g.counters.shed.Inc(1)
-		g.reject(w, http.StatusServiceUnavailable, cause, string(cause))
+	if reason := g.checkLimits(s, in, perService, total, start); reason != "" {
+		g.metrics.shed.Inc(1)
+		g.reject(w, http.StatusServiceUnavailable, reason, string(reason))
 		return
 	}
 	if status, err := g.readBody(w, r, in); err != nil {
@@ -162,48 +163,49 @@
 	ctx, cancel := context.WithDeadline(r.Context(), in.deadline.At)
 	defer cancel()
 	g.budget.Deposit()
-	a := g.call(ctx, in)
-	defer a.discard()
-	g.write(w, in, a)
-	g.counters.latency.RecordDuration(time.Since(start))
+	res := g.execute(ctx, in)
+	defer res.release()
+	g.writeResult(w, in, res)
+	g.metrics.latency.RecordDuration(time.Since(start))
 }
 
-func (g *Gateway) service(name units.ServiceName) *service {
+func (g *Gateway) serviceState(name units.ServiceName) *serviceState {
 	if s, ok := g.services.Load(name); ok {
-		return s.(*service)
+		return s.(*serviceState)
 	}
-	s, _ := g.services.LoadOrStore(name, &service{})
-	return s.(*service)
+	s, _ := g.services.LoadOrStore(name, &serviceState{})
+	return s.(*serviceState)
 }
 
-// shares are the parts of the limits that each priority may fill, so that the
-// rest is left to higher ones.
-var shares = map[units.Priority]float64{
+// priorityShares are the fractions of MaxRequests that the requests of each
+// priority may fill. The rest is reserved for higher priorities.
+var priorityShares = map[units.Priority]float64{
 	units.PriorityLow: 0.6, units.PriorityNormal: 0.75, units.PriorityHigh: 0.9, units.PriorityUrgent: 1,
 }
 
-// shed decides whether the request is rejected at once: at a limit, or when
-// the requests before it leave no time until its deadline.
-func (g *Gateway) shed(s *service, in *inbound, perService, total int64, now time.Time) headers.Cause {
-	share := shares[in.priority]
-	if float64(total) > share*float64(g.options.Limit) || perService > int64(g.options.ServiceLimit) {
+// checkLimits returns a reason to reject the request at once: a limit is
+// reached, no endpoint is eligible, or the requests ahead of it leave too
+// little time until its deadline. An empty reason admits the request.
+func (g *Gateway) checkLimits(s *serviceState, in *inbound, perService, total int64, now time.Time) headers.Reason {
+	share := priorityShares[in.priority]
+	if float64(total) > share*float64(g.options.MaxRequests) || perService > int64(g.options.MaxServiceRequests) {
 		return headers.Overload
 	}
 	sample := s.load.Load()
-	if sample == nil || now.Sub(sample.at) > loadAge {
+	if sample == nil || now.Sub(sample.at) > maxLoadAge {
 		sample = &loadSample{load: g.options.Table.Load(in.service, now), at: now}
 		s.load.Store(sample)
 	}
-	switch wait := sample.load.Wait(); {
+	switch wait := sample.load.EstimatedWait(); {
 	case sample.load.Endpoints == 0:
 		return headers.NoEndpoint
-	case wait > 0 && !in.deadline.Allows(wait+sample.load.Latency, now):
+	case wait > 0 && !in.deadline.CanFinish(wait+sample.load.MinLatency, now):
 		return headers.Overload
 	}
 	return ""
 }
 
-// inbound is a caller's request that passed the checks.
+// inbound is a caller's request that passed validation.
 type inbound struct {
 	request    *http.Request
 	service    units.ServiceName
@@ -221,9 +223,10 @@
 	errTruncated = errors.New("request body truncated")
 )
 
-// parse checks everything but the body.
+// parse validates everything but the body. On an error it also returns the HTTP
+// status.
 func (g *Gateway) parse(r *http.Request, now time.Time) (*inbound, int, error) {
-	name, _, err := headers.Target(r.RequestURI)
+	name, _, err := headers.ParseTarget(r.RequestURI)
 	if err != nil {
 		return nil, http.StatusNotFound, err
 	}
@@ -231,11 +234,11 @@
 	if document == nil || document.Service(name) == nil {
 		return nil, http.StatusNotFound, errNoService
 	}
-	left, err := headers.TimeLeft(r.Header, g.options.DefaultTime, g.options.MaxTime)
+	timeout, err := headers.ParseTimeout(r.Header, g.options.DefaultTimeout, g.options.MaxTimeout)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	idempotent, err := headers.IsIdempotent(r.Method, r.Header)
+	idempotent, err := headers.ParseIdempotent(r.Method, r.Header)
 	switch {
 	case err != nil:
 		return nil, http.StatusBadRequest, err
@@ -243,17 +246,17 @@
 		return nil, http.StatusBadRequest, errUpgrade
 	case len(r.Header) > maxHeaders:
 		return nil, http.StatusRequestHeaderFieldsTooLarge, errHeaders
-	case r.ContentLength > g.options.BodyBytes:
+	case r.ContentLength > g.options.MaxBodyBytes:
 		return nil, http.StatusRequestEntityTooLarge, errBody
 	}
 	return &inbound{
 		request: r, service: name, priority: document.Service(name).Priority, idempotent: idempotent,
-		deadline: routing.Deadline{At: now.Add(left)},
+		deadline: routing.Deadline{At: now.Add(timeout)},
 	}, 0, nil
 }
 
-// readBody reads the body completely, so that a retry can send it again and a
-// caller that stops sending holds no endpoint.
+// readBody reads the whole body, so that a retry can send it again and a caller
+// that stops sending does not occupy an endpoint.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, in *inbound) (int, error) {
 	if r.ContentLength == 0 {
 		return 0, nil
@@ -262,7 +265,7 @@
 	// Without support for deadlines the server's own timeouts remain.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.options.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.options.MaxBodyBytes))
 	in.body = body
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,19 +22,19 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http lingers 500 ms on a connection after a request that was too
-	// large, longer than goleak waits; it then ends by itself.
+	// After a request that is too large, net/http keeps the connection for 500 ms,
+	// which is longer than goleak waits. The goroutine then ends by itself.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// response is what a caller saw.
+// response is what a caller received.
 type response struct {
 	status  int
-	outcome headers.Result
-	reason  headers.Cause
+	outcome headers.Outcome
+	reason  headers.Reason
 	header  http.Header
 	body    []byte
-	err     error // the response is not whole
+	err     error // set if the response is not whole
 }
 
 func newClient(t testing.TB) *http.Client {
@@ -51,31 +51,33 @@
 	for i := 0; i < len(pairs); i += 2 {
 		r.Header.Set(pairs[i], pairs[i+1])
 	}
-	answer, err := c.Do(r)
+	reply, err := c.Do(r)
 	if err != nil {
 		return response{err: err}
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
-	return response{answer.StatusCode, headers.Result(answer.Header.Get(headers.Outcome)), headers.Cause(answer.Header.Get(headers.Reason)), answer.Header, data, err}
+	defer reply.Body.Close()
+	data, err := io.ReadAll(reply.Body)
+	return response{reply.StatusCode, headers.Outcome(reply.Header.Get(headers.OutcomeHeader)), headers.Reason(reply.Header.Get(headers.ReasonHeader)), reply.Header, data, err}
 }
 
-// check reports why a response with outcome done is not the whole answer to
-// request id.
-func (r *response) check(id string) string {
+// verify returns why a response with outcome done is not the whole response to
+// request id, or an empty string.
+func (r *response) verify(id string) string {
 	switch {
 	case r.err != nil:
 		return r.err.Error()
 	case r.header.Get(endpoint.RequestID) != id:
-		return "answer of request " + r.header.Get(endpoint.RequestID)
+		return "response to request " + r.header.Get(endpoint.RequestID)
 	case r.header.Get(endpoint.WholeCheck) != fmt.Sprintf("%016x", xxhash.Sum64(r.body)):
 		return "body is not whole"
 	}
 	return ""
 }
 
-func TestContractOfRequests(t *testing.T) {
-	e := newEntry(t, gateway.Options{BodyBytes: 1000})
+// Checks the status and the outcome header of valid, invalid and oversized
+// requests.
+func TestRequestOutcomes(t *testing.T) {
+	e := newEntry(t, gateway.Options{MaxBodyBytes: 1000})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 200}, e)
 	c := newClient(t)
 	big := strings.Repeat("x", 1001)
@@ -84,7 +86,7 @@
 		body               io.Reader
 		pairs              []string
 		status             int
-		outcome            headers.Result
+		outcome            headers.Outcome
 	}{
 		{"get", "GET", "/services/desk/a/b?c=d", nil, nil, 200, headers.Done},
 		{"head", "HEAD", "/services/desk/", nil, nil, 200, headers.Done},
@@ -93,9 +95,9 @@
 		{"endpoint error", "GET", "/services/desk/", nil, []string{"Fault", "error"}, 500, headers.Done},
 		{"unknown service", "GET", "/services/none/", nil, nil, 404, headers.NotRun},
 		{"other path", "GET", "/other", nil, nil, 404, headers.NotRun},
-		{"malformed deadline", "GET", "/services/desk/", nil, []string{headers.Deadline, "soon"}, 400, headers.NotRun},
-		{"negative deadline", "GET", "/services/desk/", nil, []string{headers.Deadline, "-1s"}, 400, headers.NotRun},
-		{"malformed idempotent", "GET", "/services/desk/", nil, []string{headers.Idempotent, "maybe"}, 400, headers.NotRun},
+		{"malformed deadline", "GET", "/services/desk/", nil, []string{headers.DeadlineHeader, "soon"}, 400, headers.NotRun},
+		{"negative deadline", "GET", "/services/desk/", nil, []string{headers.DeadlineHeader, "-1s"}, 400, headers.NotRun},
+		{"malformed idempotent", "GET", "/services/desk/", nil, []string{headers.IdempotentHeader, "maybe"}, 400, headers.NotRun},
 		{"upgrade", "GET", "/services/desk/", nil, []string{"Upgrade", "websocket", "Connection", "Upgrade"}, 400, headers.NotRun},
 		{"body too large", "POST", "/services/desk/", strings.NewReader(big), nil, 413, headers.NotRun},
 		{"chunked body too large", "POST", "/services/desk/", io.MultiReader(strings.NewReader(big)), nil, 413, headers.NotRun},
@@ -109,17 +111,18 @@
 }
 
 // Guards against a second execution of a request that must run at most once,
-// against truncated answers that look whole, and against a notRun that is wrong.
-func TestFaultsOfEndpoint(t *testing.T) {
+// against truncated responses that look whole, and against an outcome notRun
+// for a request that ran. Each fault occurs at the endpoint.
+func TestEndpointFaults(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{}, e)
 	b := newAgent(t, 2, endpoint.Options{}, e)
 	c := newClient(t)
 	for _, test := range []struct {
 		fault     string
-		outcome   headers.Result // of the non-idempotent request
+		outcome   headers.Outcome // of the non-idempotent request
 		executed  int
-		different headers.Result // of the idempotent request when it differs
+		different headers.Outcome // of the idempotent request when it differs
 	}{
 		{"", headers.Done, 1, ""},
 		{"resetBefore", headers.Unknown, 0, ""},
@@ -132,8 +135,8 @@
 	} {
 		for _, method := range []string{"GET", "POST"} {
 			id := test.fault + method
-			r := send(c, method, e.url+"/services/desk/", strings.NewReader("body"), headers.Idempotent, "false",
-				"Idempotency-Key", id, endpoint.RequestID, id, endpoint.FaultName, test.fault, headers.Deadline, "300ms")
+			r := send(c, method, e.url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, "false",
+				"Idempotency-Key", id, endpoint.RequestID, id, endpoint.FaultName, test.fault, headers.DeadlineHeader, "300ms")
 			if r.outcome != test.outcome || r.err != nil {
 				t.Errorf("%s: got outcome %q, status %d, error %v; want %q", id, r.outcome, r.status, r.err, test.outcome)
 			}
@@ -145,24 +148,25 @@
 	}
 }
 
-// Guards against a planned stop that cuts off a request, and against notRun
-// answers about requests that an endpoint executed.
+// Guards against a planned stop of an endpoint, an agent or an entry process
+// that interrupts a request, and against an outcome notRun for a request that
+// an endpoint executed.
 func TestPlannedStopsCutOffNoRequest(t *testing.T) {
 	for _, kind := range []string{"endpoint", "agent", "entry"} {
 		t.Run(kind, func(t *testing.T) {
 			e := newEntry(t, gateway.Options{})
-			// As long as an entry process gives a balancer by default: a client
-			// that has seen readiness on may get its processor time much later.
-			e.notice = 3 * time.Second
+			// The default drain delay of an entry process. A client that has seen
+			// readiness on may be scheduled much later.
+			e.drainDelay = 3 * time.Second
 			agents := []*agentProcess{}
 			for i := range 3 {
 				agents = append(agents, newAgent(t, i, endpoint.Options{ServiceTime: 2 * time.Millisecond}, e))
 			}
 			c := newClient(t)
-			var sent, done, refused atomic.Int64
+			var sent, done, rejected atomic.Int64
 			var stopped atomic.Bool
 			var wait sync.WaitGroup
-			answers := sync.Map{}
+			outcomes := sync.Map{}
 			for worker := range 12 {
 				wait.Go(func() {
 					// The load balancer stops sending when readiness is off.
@@ -170,12 +174,12 @@
 						id := fmt.Sprint(worker, "-", i)
 						r := send(c, "POST", e.url+"/services/desk/", bytes.NewReader([]byte(id)), endpoint.RequestID, id)
 						sent.Add(1)
-						answers.Store(id, r.outcome)
+						outcomes.Store(id, r.outcome)
 						switch {
-						case r.outcome == headers.Done && r.check(id) == "":
+						case r.outcome == headers.Done && r.verify(id) == "":
 							done.Add(1)
 						case r.outcome == headers.NotRun:
-							refused.Add(1)
+							rejected.Add(1)
 						default:
 							t.Errorf("%s: got outcome %q, error %v", id, r.outcome, r.err)
 						}
@@ -201,7 +205,7 @@
 					executed[id] += n
 				}
 			}
-			answers.Range(func(id, outcome any) bool {
+			outcomes.Range(func(id, outcome any) bool {
 				want := 1
 				if outcome == headers.NotRun {
 					want = 0
@@ -211,30 +215,30 @@
 				}
 				return true
 			})
-			if refused.Load() > 0 {
-				t.Errorf("got %d of %d requests refused, want none while two endpoints are ready", refused.Load(), sent.Load())
+			if rejected.Load() > 0 {
+				t.Errorf("got %d of %d requests rejected, want none while two endpoints are ready", rejected.Load(), sent.Load())
 			}
 		})
 	}
 }
 
-// Guards against a large response that is cut in the middle and ends normally
-// for the caller, and against large responses that arrive changed.
+// Guards against a large response that is truncated but ends normally for the
+// caller, and against large responses that arrive altered.
 func TestLargeResponses(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 5 << 20}, e)
 	c := newClient(t)
-	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestID, "1"); r.outcome != headers.Done || r.check("1") != "" {
-		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.check("1"))
+	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestID, "1"); r.outcome != headers.Done || r.verify("1") != "" {
+		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.verify("1"))
 	}
 	for _, method := range []string{"GET", "POST"} {
 		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultName, "truncated"); r.err == nil {
-			t.Errorf("%s: got a normal end after %d bytes of a truncated response", method, len(r.body))
+			t.Errorf("%s: got a normal end of a truncated response after %d bytes", method, len(r.body))
 		}
 	}
 }
 
-// Guards against answers of a hedge that lost reaching a caller, and against
+// Guards against responses of a losing hedge that reach a caller, and against
 // hedges of requests that must run at most once.
 func TestHedges(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
@@ -245,9 +249,9 @@
 	for _, idempotent := range []string{"true", "false"} {
 		for i := range 60 {
 			id := fmt.Sprint(idempotent, i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Idempotent, idempotent)
-			if r.outcome != headers.Done || r.check(id) != "" {
-				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.check(id))
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.IdempotentHeader, idempotent)
+			if r.outcome != headers.Done || r.verify(id) != "" {
+				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.verify(id))
 			}
 			if n := a.endpoint.Executed()[id] + b.endpoint.Executed()[id]; idempotent == "false" && n != 1 {
 				t.Errorf("%s: executed %d times, want 1", id, n)
@@ -260,11 +264,11 @@
 	}
 }
 
-// Guards against slots that stay taken for callers that have left.
+// Guards against slots that stay occupied after their caller has disconnected.
 func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: time.Hour}, e)
-	busy := func() int32 { return a.forwarder.Reports()[0].Busy }
+	busy := func() int32 { return a.forwarder.EndpointReports()[0].Busy }
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, "POST", e.url+"/services/desk/", strings.NewReader("body"))
 	if err != nil {
@@ -282,35 +286,36 @@
 	}
 	for tries := 0; busy() > 0; tries++ {
 		if tries == 10_000 {
-			t.Fatal("the slot is still taken")
+			t.Fatal("the slot is still occupied after the caller disconnected")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards against limits that do not hold, and against refusals that take as
-// long as the work: with one slot taken, what cannot end in time is refused.
-func TestLimitsRefuse(t *testing.T) {
-	e := newEntry(t, gateway.Options{ServiceLimit: 6})
+// Guards against limits that are not enforced, and against rejections that take
+// as long as the work: while the only slot is busy, requests that cannot finish
+// in time are rejected at once.
+func TestLimitsReject(t *testing.T) {
+	e := newEntry(t, gateway.Options{MaxServiceRequests: 6})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond, Slots: 1}, e)
 	c := newClient(t)
-	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // teaches the service time
+	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // sets the estimate of the service time
 	var wait sync.WaitGroup
-	var done, refused atomic.Int64
+	var done, rejected atomic.Int64
 	for i := range 12 {
 		wait.Go(func() {
 			id := fmt.Sprint(i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.Deadline, "250ms")
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "250ms")
 			switch {
 			case r.outcome == headers.Done:
 				done.Add(1)
 			case r.outcome == headers.NotRun && r.status == http.StatusServiceUnavailable && a.endpoint.Executed()[id] == 0:
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
 	wait.Wait()
-	if done.Load() < 1 || refused.Load() < 6 || done.Load()+refused.Load() < 11 {
-		t.Errorf("got %d done, %d truly refused of 12; want at least 1, 6 and nearly all", done.Load(), refused.Load())
+	if done.Load() < 1 || rejected.Load() < 6 || done.Load()+rejected.Load() < 11 {
+		t.Errorf("got %d done, %d rejected without execution of 12; want at least 1, 6 and nearly all", done.Load(), rejected.Load())
 	}
 }
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -6,13 +6,13 @@
 	"wasabihill.example/wasabihill/internal/headers"
 )
 
-// A request was answered as not run although its first attempt, whose outcome
-// was unknown, had run: the refusal of the hedge hid it.
-func TestRefusedHedgeHidesNoUnknownOutcome(t *testing.T) {
+// Guards against an outcome notRun for a request whose first attempt had run
+// with an unknown outcome: the rejection of the hedge replaced that outcome.
+func TestRejectedHedgeKeepsUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		unknown bool
-		last    headers.Result
-		want    headers.Result
+		last    headers.Outcome
+		want    headers.Outcome
 	}{
 		{true, headers.NotRun, headers.Unknown},
 		{true, headers.Unknown, headers.Unknown},
@@ -20,12 +20,12 @@
 		{false, headers.NotRun, headers.NotRun},
 	}
 	for _, c := range cases {
-		a := (&answer{outcome: c.last, free: true}).after(c.unknown)
+		a := (&result{outcome: c.last, freeRetry: true}).withEarlierUnknown(c.unknown)
 		if a.outcome != c.want {
-			t.Errorf("unknown before %t, last %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
+			t.Errorf("earlier attempt unknown %t, last attempt %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
 		}
-		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.free {
-			t.Error("an unknown outcome counts as free of charge, want it to draw on the retry budget")
+		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.freeRetry {
+			t.Error("an unknown outcome allows a free retry, want it to use the retry budget")
 		}
 	}
 }
--- a/internal/gateway/system_test.go
+++ b/internal/gateway/helpers_test.go
@@ -21,7 +21,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// heartbeatInterval is shorter than the product's, for faster tests.
+// heartbeatInterval is shorter than the product's to speed up the tests.
 const heartbeatInterval = 50 * time.Millisecond
 
 var document = &environment.Document{
@@ -31,23 +31,23 @@
 
 // entryProcess is the request path of an entry process.
 type entryProcess struct {
-	gateway *gateway.Gateway
-	table   *routing.Table
-	links   *link.Listener
-	server  *http.Server
-	url     string
-	notice  time.Duration // between readiness off and the close of the listener
-	stop    func()
+	gateway    *gateway.Gateway
+	table      *routing.Table
+	links      *link.Listener
+	server     *http.Server
+	url        string
+	drainDelay time.Duration // between readiness off and closing the listener
+	stop       func()
 }
 
 func newEntry(t testing.TB, o gateway.Options) *entryProcess {
 	t.Helper()
-	e := &entryProcess{notice: 50 * time.Millisecond, table: routing.New(routing.Settings{Domain: "a", Region: "r"})}
+	e := &entryProcess{drainDelay: 50 * time.Millisecond, table: routing.New(routing.Settings{Domain: "a", Region: "r"})}
 	e.table.SetDocument(document, time.Now())
 	o.Table, o.Document = e.table, func() *environment.Document { return document }
 	e.gateway = gateway.New(o)
 	heartbeat := link.Handle(func(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
-		e.table.Observe(units.WorkerID(h.Worker), link.FromContext(ctx), h, time.Now())
+		e.table.RecordHeartbeat(units.WorkerID(h.Worker), link.SessionFromContext(ctx), h, time.Now())
 		return &wire.HeartbeatReply{}, nil
 	})
 	e.links = &link.Listener{Address: "127.0.0.1:0", Handler: heartbeat}
@@ -68,7 +68,7 @@
 	e.stop = sync.OnceFunc(func() {
 		stop, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
-		e.gateway.Shutdown(stop, e.server, e.notice)
+		e.gateway.Shutdown(stop, e.server, e.drainDelay)
 		cancel()
 		e.links.Shutdown(stop)
 		wait.Wait()
@@ -81,16 +81,17 @@
 type agentProcess struct {
 	forwarder *forward.Forwarder
 	endpoint  *endpoint.Endpoint
-	leave     func() // the endpoint leaves as on SIGTERM
-	stop      func() // planned stop of the agent
+	leave     func() // stops the endpoint as on SIGTERM
+	stop      func() // performs a planned stop of the agent
 }
 
 func newAgent(t testing.TB, index int, o endpoint.Options, entries ...*entryProcess) *agentProcess {
-	return newAgentVia(t, index, o, "", entries...)
+	return newAgentThrough(t, index, o, "", entries...)
 }
 
-// newAgentVia dials via, when given, instead of the entry processes.
-func newAgentVia(t testing.TB, index int, o endpoint.Options, via string, entries ...*entryProcess) *agentProcess {
+// newAgentThrough connects to the address through, if given, instead of to the
+// entry processes.
+func newAgentThrough(t testing.TB, index int, o endpoint.Options, through string, entries ...*entryProcess) *agentProcess {
 	t.Helper()
 	a := &agentProcess{forwarder: forward.New(forward.Options{})}
 	announcements, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,7 +110,7 @@
 	go func() { defer close(left); _ = a.endpoint.Run(endpointCtx) }()
 	a.leave = func() { leave(); <-left }
 	mux := http.NewServeMux()
-	mux.Handle(headers.Prefix, a.forwarder)
+	mux.Handle(headers.ServicePathPrefix, a.forwarder)
 	ctx, cancel := context.WithCancel(context.Background())
 	var sessions []*link.Session
 	for _, e := range entries {
@@ -118,21 +119,21 @@
 			t.Fatal(err)
 		}
 		target := address.String()
-		if via != "" {
-			target = via
+		if through != "" {
+			target = through
 		}
 		s, err := link.Dial(ctx, target, mux)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sessions = append(sessions, s)
-		wait.Go(func() { a.beat(ctx, fmt.Sprint("worker-", index), s) })
+		wait.Go(func() { a.sendHeartbeats(ctx, fmt.Sprint("worker-", index), s) })
 	}
 	a.stop = sync.OnceFunc(func() {
 		stop, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
 		a.forwarder.Drain(stop)
-		time.Sleep(2 * heartbeatInterval) // entry processes hear that the agent leaves
+		time.Sleep(2 * heartbeatInterval) // entry processes receive the leaving state
 		cancel()
 		for _, s := range sessions {
 			s.Shutdown(stop)
@@ -143,18 +144,18 @@
 	})
 	t.Cleanup(a.stop)
 	for _, e := range entries {
-		before := e.table.Eligible("desk", time.Now())
+		before := e.table.CountEligible("desk", time.Now())
 		deadline := time.Now().Add(5 * time.Second)
-		for e.table.Eligible("desk", time.Now()) == before && time.Now().Before(deadline) {
+		for e.table.CountEligible("desk", time.Now()) == before && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return a
 }
 
-func (a *agentProcess) beat(ctx context.Context, worker string, s *link.Session) {
+func (a *agentProcess) sendHeartbeats(ctx context.Context, worker string, s *link.Session) {
 	for ctx.Err() == nil {
-		h := &wire.Heartbeat{Worker: worker, FailureDomain: "a", Region: "r", Endpoints: a.forwarder.Reports()}
+		h := &wire.Heartbeat{Worker: worker, FailureDomain: "a", Region: "r", Endpoints: a.forwarder.EndpointReports()}
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		_ = s.Call(call, "/link/heartbeat", h, &wire.HeartbeatReply{})
 		cancel()
@@ -165,21 +166,22 @@
 	}
 }
 
-// hop is the connection between an agent and an entry process, with faults.
-type hop struct {
+// faultyProxy relays the connection between an agent and an entry process and
+// injects faults.
+type faultyProxy struct {
 	address string
 	silent  atomic.Bool
 	mu      sync.Mutex
 	conns   []net.Conn
 }
 
-func newHop(t *testing.T, e *entryProcess) *hop {
+func newFaultyProxy(t *testing.T, e *entryProcess) *faultyProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hop{address: l.Addr().String()}
+	h := &faultyProxy{address: l.Addr().String()}
 	entry, err := e.links.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -187,20 +189,20 @@
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		for range 16 {
-			near, err := l.Accept()
+			agentConn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", entry.String())
+			entryConn, err := net.Dial("tcp", entry.String())
 			if err != nil {
-				near.Close()
+				agentConn.Close()
 				return
 			}
 			h.mu.Lock()
-			h.conns = append(h.conns, near, far)
+			h.conns = append(h.conns, agentConn, entryConn)
 			h.mu.Unlock()
-			wait.Go(func() { h.copy(near, far) })
-			wait.Go(func() { h.copy(far, near) })
+			wait.Go(func() { h.copy(agentConn, entryConn) })
+			wait.Go(func() { h.copy(entryConn, agentConn) })
 		}
 	})
 	t.Cleanup(func() {
@@ -211,7 +213,7 @@
 	return h
 }
 
-func (h *hop) copy(to, from net.Conn) {
+func (h *faultyProxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -225,7 +227,7 @@
 }
 
 // inject makes the connections silent or closes them.
-func (h *hop) inject(fault string) {
+func (h *faultyProxy) inject(fault string) {
 	if fault == "silent" {
 		h.silent.Store(true)
 		return
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -7,40 +7,44 @@
 	"time"
 )
 
+// Checks that ParseTarget returns either an error or a valid service name and
+// path for any URI.
 func FuzzTarget(f *testing.F) {
 	for _, s := range []string{"/services/desk/a?b", "/services/desk", "/services//", "/services/%2e/x", "http://h/services/a"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, uri string) {
-		name, rest, err := Target(uri)
+		name, rest, err := ParseTarget(uri)
 		if err != nil {
 			return
 		}
-		if name == "" || strings.ContainsAny(string(name), "/?%") || !strings.HasPrefix(rest, "/") || !strings.HasPrefix(uri, Prefix+string(name)) {
+		if name == "" || strings.ContainsAny(string(name), "/?%") || !strings.HasPrefix(rest, "/") || !strings.HasPrefix(uri, ServicePathPrefix+string(name)) {
 			t.Fatalf("%q: got service %q, rest %q", uri, name, rest)
 		}
 	})
 }
 
+// Checks that invalid header values yield an error or a default within the
+// limits, and that hop-by-hop headers are not copied.
 func FuzzHeaders(f *testing.F) {
 	f.Add("250ms", "true", "4", "close, X-A")
 	f.Add("-1h", "TRUE", "99999999999", "")
 	f.Add("9999999h", "", "", ",,")
 	f.Fuzz(func(t *testing.T, deadline, idempotent, priority, connection string) {
-		h := http.Header{Deadline: {deadline}, Idempotent: {idempotent}, Priority: {priority}, "Connection": {connection}, "X-A": {"1"}}
-		if d, err := TimeLeft(h, time.Second, time.Minute); err == nil && (d <= 0 || d > time.Minute) {
+		h := http.Header{DeadlineHeader: {deadline}, IdempotentHeader: {idempotent}, PriorityHeader: {priority}, "Connection": {connection}, "X-A": {"1"}}
+		if d, err := ParseTimeout(h, time.Second, time.Minute); err == nil && (d <= 0 || d > time.Minute) {
 			t.Fatalf("deadline %q: got %v", deadline, d)
 		}
-		if _, err := IsIdempotent("POST", h); err == nil && idempotent != "true" && idempotent != "false" {
+		if _, err := ParseIdempotent("POST", h); err == nil && idempotent != "true" && idempotent != "false" {
 			t.Fatalf("idempotent %q was accepted", idempotent)
 		}
-		if p := PriorityOf(h); p < 1 || p > 4 {
+		if p := ParsePriority(h); p < 1 || p > 4 {
 			t.Fatalf("priority %q: got %v", priority, p)
 		}
 		c := make(http.Header)
-		Copy(c, h)
-		if c[Deadline] != nil || c["Connection"] != nil {
-			t.Fatalf("got %v, want no headers of this hop", c)
+		CopyEndToEnd(c, h)
+		if c[DeadlineHeader] != nil || c["Connection"] != nil {
+			t.Fatalf("got %v, want no hop-by-hop headers", c)
 		}
 	})
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -22,51 +22,53 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Agent is the process beside a runner. Set the exported fields before Run.
+// Agent is the process that controls one runner on the same machine. Set the
+// exported fields before Run.
 type Agent struct {
-	Settings   *Settings
-	Store      durable.Store
-	Controller *runner.Controller
-	Heartbeats http.Handler // takes the runner's announcements
-	Scope      tally.Scope  // nil counts nothing
+	Settings         *Settings
+	Store            durable.Store
+	Controller       *runner.Controller
+	HeartbeatHandler http.Handler // serves the runner's heartbeats
+	Scope            tally.Scope  // nil disables metrics
 
 	mu         sync.Mutex
 	term       uint64
 	attachment uint64
 	session    *link.Session
-	meters     meters
-	news       chan struct{} // holds a token when the leader must hear something
+	metrics    metrics
+	changed    chan struct{} // holds a token while there are changes to report
 	ctx        context.Context
 }
 
-// Run serves the runner and the leader until ctx ends. Runs go on: their lease
-// outlives a restart of the agent.
+// Run serves the runner and the leader until ctx ends. It does not stop the
+// runs: their lease outlives a restart of the agent.
 func (a *Agent) Run(ctx context.Context) error {
-	a.news = make(chan struct{}, 1)
-	a.meters = newMeters(a.Scope)
+	a.changed = make(chan struct{}, 1)
+	a.metrics = newMetrics(a.Scope)
 	a.Controller.OnChange = a.notify
 	group, ctx := errgroup.WithContext(ctx)
 	a.ctx = ctx
-	heartbeats, err := net.Listen("tcp", a.Settings.Heartbeats)
+	heartbeats, err := net.Listen("tcp", a.Settings.HeartbeatAddress)
 	if err != nil {
 		return err
 	}
-	group.Go(func() error { return serve(ctx, heartbeats, a.Heartbeats) })
+	group.Go(func() error { return serve(ctx, heartbeats, a.HeartbeatHandler) })
 	group.Go(func() error {
 		offset, err := register(ctx, a.Store, RoleAgent, a.Settings.Name, a.Settings.advertisedAddress())
 		if err != nil {
-			return ignoreEnd(ctx, err)
+			return ignoreCancelled(ctx, err)
 		}
 		a.Controller.BaseToken = runner.FencingToken(offset + 1)
 		listener := &link.Listener{Address: a.Settings.sessionAddress(), Handler: a.routes()}
 		group.Go(func() error { return runListener(ctx, listener) })
-		group.Go(func() error { return a.report(ctx) })
+		group.Go(func() error { return a.runReports(ctx) })
 		return a.Controller.Run(ctx)
 	})
-	return ignoreEnd(ctx, group.Wait())
+	return ignoreCancelled(ctx, group.Wait())
 }
 
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreCancelled returns nil once ctx has ended, and err before that.
+func ignoreCancelled(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -75,30 +77,32 @@
 
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(pathAttach, link.Handle(a.attach))
-	mux.HandleFunc(pathOrders, link.Handle(a.orders))
+	mux.HandleFunc(pathAttach, link.Handle(a.handleAttach))
+	mux.HandleFunc(pathOrders, link.Handle(a.handleOrders))
 	return mux
 }
 
-// attach makes the caller the leader that this agent reports to, unless it
-// knows a later one.
-func (a *Agent) attach(ctx context.Context, in *wire.Attach) (*wire.OrdersReply, error) {
+// handleAttach makes the caller the leader that this agent reports to. It
+// rejects a term before the current one, and within the current term an
+// attachment number that is not higher than the current one.
+func (a *Agent) handleAttach(ctx context.Context, in *wire.Attach) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	if in.GetTerm() < a.term || in.GetTerm() == a.term && in.GetAttachment() <= a.attachment {
 		a.mu.Unlock()
 		return nil, fault.New("attach", link.Rejected, "term %d is in force", a.term)
 	}
 	a.term, a.attachment = in.GetTerm(), in.GetAttachment()
-	a.session = link.FromContext(ctx)
+	a.session = link.SessionFromContext(ctx)
 	a.mu.Unlock()
-	klog.InfoS("attached", "leader", in.GetLeader(), "term", in.GetTerm(), "attachment", in.GetAttachment())
+	klog.InfoS("attached to the leader", "leader", in.GetLeader(), "term", in.GetTerm(), "attachment", in.GetAttachment())
 	a.notify()
 	return &wire.OrdersReply{}, nil
 }
 
-// orders admits what the attached leader has decided. Holding the lock means
-// that no order of an earlier attachment is admitted after a later attach.
-func (a *Agent) orders(_ context.Context, in *wire.Orders) (*wire.OrdersReply, error) {
+// handleOrders applies the orders of the attached leader. It holds the lock
+// throughout, so that no order of an earlier attachment is applied after a
+// later attach.
+func (a *Agent) handleOrders(_ context.Context, in *wire.Orders) (*wire.OrdersReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if in.GetTerm() != a.term || in.GetAttachment() != a.attachment {
@@ -118,7 +122,7 @@
 		}
 		a.Controller.CompleteRun(startFromWire(id, s))
 	}
-	a.meters.orders(len(in.GetStarts()), len(in.GetStops()))
+	a.metrics.countOrders(len(in.GetStarts()), len(in.GetStops()))
 	for _, s := range in.GetStops() {
 		id, err := workflow.ParseTaskID(s.GetTask())
 		if err != nil {
@@ -126,7 +130,7 @@
 		}
 		a.Controller.Stop(a.ctx, id, workflow.Attempt(s.GetAttempt()))
 	}
-	a.suggest(in.GetPairs())
+	a.setEstimates(in.GetPairs())
 	a.Controller.MarkRecorded(in.GetRecordedBornUnixMs(), in.GetRecorded())
 	return &wire.OrdersReply{Sequence: a.Controller.LastReportSequence()}, nil
 }
@@ -139,10 +143,10 @@
 	}
 }
 
-// dropSession forgets a session that has ended, and ends one on which the
-// leader no longer takes reports, so that it attaches again.
-func (a *Agent) dropSession(session *link.Session, refused bool) {
-	if refused {
+// dropSession clears the session if it is ending. A session on which the leader
+// rejects reports is closed first, so that the leader attaches again.
+func (a *Agent) dropSession(session *link.Session, rejected bool) {
+	if rejected {
 		session.Close()
 	}
 	a.mu.Lock()
@@ -152,7 +156,7 @@
 	}
 }
 
-func (a *Agent) suggest(pairs []*wire.PairEstimate) {
+func (a *Agent) setEstimates(pairs []*wire.PairEstimate) {
 	if len(pairs) == 0 {
 		return
 	}
@@ -165,28 +169,29 @@
 
 func (a *Agent) notify() {
 	select {
-	case a.news <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
-// report tells the leader everything, at once when there is news.
-func (a *Agent) report(ctx context.Context) error {
-	timer := time.NewTimer(reportEvery)
+// runReports sends the complete state to the leader, at each interval and
+// immediately after a change.
+func (a *Agent) runReports(ctx context.Context) error {
+	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.news:
+		case <-a.changed:
 		case <-timer.C:
 		}
-		timer.Reset(reportEvery)
-		a.reportOnce(ctx)
+		timer.Reset(reportInterval)
+		a.sendReport(ctx)
 	}
 }
 
-func (a *Agent) reportOnce(ctx context.Context) {
+func (a *Agent) sendReport(ctx context.Context) {
 	a.mu.Lock()
 	session, attachment := a.session, a.attachment
 	a.mu.Unlock()
@@ -195,38 +200,39 @@
 	}
 	report, rejections := a.Controller.Report()
 	report.Attachment = attachment
-	ctx, cancel := context.WithTimeout(ctx, sessionCall)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := bootclock.Now()
 	reply := &wire.ReportReply{}
 	if err := session.Call(ctx, pathReport, report, reply); err != nil {
-		a.meters.unanswered()
-		klog.InfoS("report is not answered", "err", err)
+		a.metrics.countFailedCall()
+		klog.InfoS("report to the leader failed", "err", err)
 		a.dropSession(session, fault.Is(err, link.Rejected))
 		return
 	}
-	a.meters.report(len(report.GetEnded()), rejections)
+	a.metrics.countReport(len(report.GetEnded()), rejections)
 	a.Controller.DropRejections(rejections)
 	if reply.GetGranted() {
-		a.Controller.ExtendGrant(sent.Add(grantFor))
+		a.Controller.ExtendGrant(sent.Add(grantDuration))
 	}
-	a.suggest(reply.GetPairs())
+	a.setEstimates(reply.GetPairs())
 	a.Controller.MarkRecorded(reply.GetRecordedBornUnixMs(), reply.GetRecorded())
 }
 
-// runListener accepts sessions until ctx ends, then ends them.
+// runListener accepts sessions until ctx ends, then shuts them down.
 func runListener(ctx context.Context, listener *link.Listener) error {
 	err := listener.Run(ctx)
-	ending, cancel := context.WithTimeout(context.Background(), sessionEnd)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), sessionShutdownTimeout)
 	defer cancel()
-	listener.Shutdown(ending)
+	listener.Shutdown(shutdownCtx)
 	return err
 }
 
-// sessionEnd bounds the end of the sessions of a process that stops.
-const sessionEnd = 300 * time.Millisecond
+// sessionShutdownTimeout bounds the shutdown of all sessions when the process
+// stops.
+const sessionShutdownTimeout = 300 * time.Millisecond
 
-// serve answers HTTP requests until ctx ends.
+// serve handles HTTP requests on listener until ctx ends.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
@@ -241,6 +247,6 @@
 	// headerTimeout frees a connection whose request header never completes.
 	headerTimeout = 3 * time.Second
 	// idleTimeout exceeds the interval of heartbeats and readiness checks, so
-	// that their connections are used again.
+	// that their connections are reused.
 	idleTimeout = 15 * time.Second
 )
--- a/internal/node/agentlink.go
+++ b/internal/node/agentconn.go
@@ -21,22 +21,24 @@
 const (
 	// dialTimeout bounds a connection attempt to an agent or the leader.
 	dialTimeout = 700 * time.Millisecond
-	// redialPause follows a session that failed.
-	redialPause = 200 * time.Millisecond
+	// redialDelay is the pause between the end of a session and the next dial.
+	redialDelay = 200 * time.Millisecond
 )
 
-// agentLink is the leader's session to one agent. Its fields are owned by the
-// goroutine that owns the tables.
-type agentLink struct {
+// agentConn is the leader's connection to one agent. Only the goroutine that
+// runs the scheduler accesses its mutable fields.
+type agentConn struct {
 	worker     units.WorkerID
 	address    string
 	stop       context.CancelFunc
 	attachment uint64
-	session    *link.Session // nil while there is none
+	session    *link.Session // nil while disconnected
 }
 
-// connect keeps a session to an agent.
-func (l *leader) connect(m member) {
+// connectAgent starts a goroutine that keeps a session to the agent open. It
+// replaces an earlier connection to the same worker and continues its
+// attachment numbers.
+func (l *leader) connectAgent(m member) {
 	id := units.WorkerID(m.name)
 	attachment := uint64(0)
 	if old := l.agents[id]; old != nil {
@@ -44,21 +46,22 @@
 		attachment = old.attachment
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	a := &agentLink{worker: id, address: m.address, stop: stop, attachment: attachment}
+	a := &agentConn{worker: id, address: m.address, stop: stop, attachment: attachment}
 	l.agents[id] = a
 	l.group.Go(func() error {
 		for ctx.Err() == nil {
-			l.attachOnce(ctx, a)
-			pause.Jittered(ctx, redialPause)
+			l.runAttachment(ctx, a)
+			pause.Jittered(ctx, redialDelay)
 		}
 		return nil
 	})
 }
 
-// attachOnce opens a session, attaches and returns when the session has ended.
-func (l *leader) attachOnce(ctx context.Context, a *agentLink) {
+// runAttachment opens a session, attaches to the agent and returns when the
+// session has ended.
+func (l *leader) runAttachment(ctx context.Context, a *agentConn) {
 	attachment := make(chan uint64, 1)
-	if !l.event(func() {
+	if !l.enqueue(func() {
 		a.attachment++
 		attachment <- a.attachment
 	}) {
@@ -74,12 +77,12 @@
 	session, err := link.Dial(dialCtx, a.address, l.agentRoutes(a, number))
 	cancel()
 	if err != nil {
-		klog.V(1).InfoS("agent can't be reached", "worker", a.worker, "address", a.address, "err", err)
+		klog.V(1).InfoS("failed to connect to agent", "worker", a.worker, "address", a.address, "err", err)
 		return
 	}
 	defer session.Close()
-	l.event(func() { l.attached(a, session) })
-	callCtx, cancel := context.WithTimeout(ctx, sessionCall)
+	l.enqueue(func() { l.agentAttached(a, session) })
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	err = session.Call(callCtx, pathAttach, &wire.Attach{Term: uint64(l.term), Leader: l.settings.Name, Attachment: number}, &wire.OrdersReply{})
 	cancel()
 	if err == nil {
@@ -90,49 +93,50 @@
 		}
 	}
 	klog.InfoS("session to agent ended", "worker", a.worker, "attachment", number, "err", err)
-	l.event(func() { l.detached(a, session) })
+	l.enqueue(func() { l.agentDetached(a, session) })
 }
 
-// current reports whether a is the link in use; an agent that came back at
-// another address has a newer one.
-func (l *leader) current(a *agentLink) bool { return l.agents[a.worker] == a }
+// isCurrent reports whether a is the connection in use. An agent that returned
+// at another address has a newer one.
+func (l *leader) isCurrent(a *agentConn) bool { return l.agents[a.worker] == a }
 
-func (l *leader) attached(a *agentLink, session *link.Session) {
-	if !l.current(a) {
+func (l *leader) agentAttached(a *agentConn, session *link.Session) {
+	if !l.isCurrent(a) {
 		return
 	}
 	a.session = session
 	l.scheduler.Attach(a.worker, now())
 }
 
-func (l *leader) detached(a *agentLink, session *link.Session) {
-	if !l.current(a) || a.session != session {
+func (l *leader) agentDetached(a *agentConn, session *link.Session) {
+	if !l.isCurrent(a) || a.session != session {
 		return
 	}
 	a.session = nil
 	l.scheduler.Detach(a.worker)
 }
 
-func (l *leader) agentRoutes(a *agentLink, attachment uint64) http.Handler {
+func (l *leader) agentRoutes(a *agentConn, attachment uint64) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathReport, link.Handle(func(ctx context.Context, in *wire.WorkerReport) (*wire.ReportReply, error) {
-		return l.report(ctx, a, attachment, in)
+		return l.handleReport(ctx, a, attachment, in)
 	}))
 	return mux
 }
 
-// report takes over an agent's report. The answer lets the agent's runs go on.
-func (l *leader) report(ctx context.Context, a *agentLink, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
+// handleReport passes an agent's report to the scheduler. A granted reply lets
+// the agent's runs continue.
+func (l *leader) handleReport(ctx context.Context, a *agentConn, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
 	answer := make(chan *wire.ReportReply, 1)
-	l.event(func() {
-		if in.GetAttachment() != attachment || a.attachment != attachment || !l.current(a) {
+	l.enqueue(func() {
+		if in.GetAttachment() != attachment || a.attachment != attachment || !l.isCurrent(a) {
 			answer <- nil
 			return
 		}
 		at := now()
-		l.meters.report(len(in.GetEnded()), len(in.GetRejected()))
+		l.metrics.countReport(len(in.GetEnded()), len(in.GetRejected()))
 		l.scheduler.ApplyReport(a.worker, in, at)
-		granted := l.leads()
+		granted := l.isLeading()
 		if granted {
 			l.scheduler.ExtendLease(a.worker, in, at)
 		}
@@ -148,35 +152,35 @@
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 	}
-	return nil, errEndedTerm
+	return nil, errTermEnded
 }
 
-var errEndedTerm = fault.New("report", link.Rejected, "the term has ended")
+var errTermEnded = fault.New("report", link.Rejected, "the term has ended")
 
-// send passes orders to an agent in the background.
-func (l *leader) send(orders scheduler.Orders) {
+// sendOrders sends orders to an agent in the background.
+func (l *leader) sendOrders(orders scheduler.Orders) {
 	a := l.agents[orders.Worker]
 	if a == nil || a.session == nil {
 		return
 	}
-	l.meters.orders(len(orders.Starts), len(orders.Stops))
+	l.metrics.countOrders(len(orders.Starts), len(orders.Stops))
 	session, message := a.session, ordersToWire(orders)
 	message.Term, message.Attachment = uint64(l.term), a.attachment
 	go func() {
-		ctx, cancel := context.WithTimeout(l.ctx, sessionCall)
+		ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 		defer cancel()
 		reply := &wire.OrdersReply{}
 		if err := session.Call(ctx, pathOrders, message, reply); err != nil {
-			l.meters.unanswered()
-			klog.InfoS("orders are not answered; the session is replaced", "worker", orders.Worker, "err", err)
-			session.Close() // a new attachment shows which orders were carried out
+			l.metrics.countFailedCall()
+			klog.InfoS("sending orders to the agent failed; replacing the session", "worker", orders.Worker, "err", err)
+			session.Close() // the reports of a new attachment show which orders were applied
 			return
 		}
 		tasks := make([]workflow.TaskID, len(orders.Starts))
 		for i, s := range orders.Starts {
 			tasks[i] = s.Task
 		}
-		l.event(func() {
+		l.enqueue(func() {
 			if a.session == session {
 				l.scheduler.ConfirmStarts(orders.Worker, tasks, reply.GetSequence())
 			}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -21,48 +21,49 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// Entry is a process that takes requests of clients. Set the exported fields
-// before Run.
+// Entry is a process that serves client requests and may be elected leader. Set
+// the exported fields before Run.
 type Entry struct {
 	Settings *Settings
 	Store    durable.Store
 	Feed     *operations.Feed
-	Scope    tally.Scope // nil counts nothing
-	Advisor  Advisor     // nil when there is no service that gives advice
-	// Clients and Readiness serve the platform's interfaces.
-	Clients   func(*Entry) http.Handler
-	Readiness func(*Entry) http.Handler
+	Scope    tally.Scope // nil disables metrics
+	Advisor  Advisor     // nil when the deployment has no advice service
+	// ClientHandler and ReadinessHandler return the handlers of the platform's
+	// interfaces.
+	ClientHandler    func(*Entry) http.Handler
+	ReadinessHandler func(*Entry) http.Handler
 
 	elector *leadership.Elector
-	meters  meters
-
-	mu       sync.Mutex
-	leading  *leader       // nil while this process does not lead
-	session  *link.Session // to the leader, nil while there is none
-	target   leadership.Leader
-	peers    map[string]string // address of each other entry process by name
-	stopping bool
+	metrics metrics
+
+	mu          sync.Mutex
+	leader      *leader       // nil while this process does not lead
+	session     *link.Session // to the leader; nil while disconnected
+	knownLeader leadership.Leader
+	peers       map[string]string // address of each other entry process by name
+	stopping    bool
 }
 
 // Run serves until ctx ends, then finishes the requests in flight.
 func (e *Entry) Run(ctx context.Context) error {
 	e.peers = make(map[string]string)
-	e.meters = newMeters(e.Scope)
+	e.metrics = newMetrics(e.Scope)
 	e.elector = e.newElector()
-	clients, err := net.Listen("tcp", e.Settings.Clients)
+	clients, err := net.Listen("tcp", e.Settings.ClientAddress)
 	if err != nil {
 		return err
 	}
-	readiness, err := net.Listen("tcp", e.Settings.Readiness)
+	readiness, err := net.Listen("tcp", e.Settings.ReadinessAddress)
 	if err != nil {
 		return err
 	}
-	// Parts outlive ctx until the requests in flight are answered.
-	parts, stopParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopParts()
-	group, parts := errgroup.WithContext(parts)
-	e.runParts(parts, group, readiness)
-	server := &http.Server{Handler: e.Clients(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	// The components outlive ctx until the requests in flight are answered.
+	components, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopComponents()
+	group, components := errgroup.WithContext(components)
+	e.startComponents(components, group, readiness)
+	server := &http.Server{Handler: e.ClientHandler(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	group.Go(func() error {
 		if err := server.Serve(clients); err != http.ErrServerClosed {
 			return err
@@ -73,66 +74,67 @@
 		select {
 		case <-ctx.Done():
 			e.shutdown(server)
-			stopParts()
-		case <-parts.Done():
+			stopComponents()
+		case <-components.Done():
 			server.Close()
 		}
 		return nil
 	})
-	defer e.unfollow()
-	return ignoreEnd(ctx, group.Wait())
+	defer e.closeLeaderSession()
+	return ignoreCancelled(ctx, group.Wait())
 }
 
 func (e *Entry) newElector() *leadership.Elector {
 	return &leadership.Elector{
 		Store: e.Store, Name: e.Settings.Name, Address: e.Settings.advertisedAddress(), FirstStart: e.Settings.FirstStart,
-		ClaimDelay: e.Settings.claimHandicap(), RunLeader: e.lead, OnChange: e.follow, RequestPromises: e.askSupport,
-		LeaderExited: e.leaderHasEnded, Connected: e.connected,
+		ClaimDelay: e.Settings.claimDelay(), RunLeader: e.lead, OnChange: e.followLeader, RequestPromises: e.requestSupport,
+		LeaderExited: e.leaderProcessEnded, Connected: e.connected,
 	}
 }
 
-// runParts starts everything besides the requests of clients.
-func (e *Entry) runParts(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
+// startComponents starts everything except the server for client requests.
+func (e *Entry) startComponents(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
 	listener := &link.Listener{Address: e.Settings.sessionAddress(), Handler: e.routes()}
 	group.Go(func() error { return runListener(ctx, listener) })
 	group.Go(func() error { return e.Feed.Run(ctx) })
-	group.Go(func() error { return serve(ctx, readiness, e.Readiness(e)) })
+	group.Go(func() error { return serve(ctx, readiness, e.ReadinessHandler(e)) })
 	group.Go(func() error {
-		followMembers(ctx, e.Store, e.member)
+		followMembers(ctx, e.Store, e.handleMember)
 		return nil
 	})
 	group.Go(func() error {
 		if _, err := register(ctx, e.Store, RoleEntry, e.Settings.Name, e.Settings.advertisedAddress()); err != nil {
-			return ignoreEnd(ctx, err)
+			return ignoreCancelled(ctx, err)
 		}
 		return e.elector.Run(ctx)
 	})
 }
 
 const (
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes bounds the header of a client request.
 	maxHeaderBytes = 16 << 10
-	// rotationTime is how long clients may still open connections after the
-	// readiness check has failed.
-	rotationTime = 2500 * time.Millisecond
-	// stopReserve is kept of the time to stop for the end of the process.
-	stopReserve = 1500 * time.Millisecond
+	// drainDelay is how long clients may still open connections after the
+	// readiness check has started to fail.
+	drainDelay = 2500 * time.Millisecond
+	// exitReserve is the part of the stop timeout that is kept for the exit of
+	// the process after the requests in flight.
+	exitReserve = 1500 * time.Millisecond
 )
 
-// shutdown turns readiness off, waits until no new connections come, and
-// finishes the requests in flight.
+// shutdown makes the readiness check fail, waits until clients stop opening
+// connections and finishes the requests in flight.
 func (e *Entry) shutdown(server *http.Server) {
 	e.mu.Lock()
 	e.stopping = true
 	e.mu.Unlock()
 	klog.InfoS("stopping", "node", e.Settings.Name)
 	server.SetKeepAlivesEnabled(false)
-	deadline := time.Now().Add(e.Settings.StopWithin - stopReserve)
-	time.Sleep(min(rotationTime, time.Until(deadline)))
+	deadline := time.Now().Add(e.Settings.StopTimeout - exitReserve)
+	time.Sleep(min(drainDelay, time.Until(deadline)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		klog.InfoS("requests in flight were cut off", "err", err)
+		klog.InfoS("stop timeout expired with requests in flight", "err", err)
 	}
 }
 
@@ -143,65 +145,68 @@
 	if e.stopping || e.Feed.State().Configuration == nil {
 		return false
 	}
-	return e.leading != nil || e.session != nil
+	return e.leader != nil || e.session != nil
 }
 
-// lead runs the scheduler while this process leads.
+// lead runs the scheduler for the term. It returns when this process no longer
+// leads.
 func (e *Entry) lead(ctx context.Context, term leadership.Term) {
 	l := &leader{
 		term: term, settings: e.Settings, store: e.Store, feed: e.Feed, advisor: e.Advisor,
-		leads:  func() bool { return e.elector.Leads(term) },
-		meters: e.meters, events: make(chan func(), eventQueue),
+		isLeading: func() bool { return e.elector.Leads(term) },
+		metrics:   e.metrics, events: make(chan func(), eventQueueSize),
 	}
 	l.group, l.ctx = errgroup.WithContext(ctx)
-	e.Feed.SetOnChange(func(state operations.State) { l.event(func() { l.scheduler.SetOperatorState(state) }) })
-	e.meters.leading()
-	e.setLeading(l)
-	defer e.setLeading(nil)
-	if err := l.run(); !ended(ctx, err) {
-		klog.ErrorS(err, "leader has failed", "term", term)
+	e.Feed.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperatorState(state) }) })
+	e.metrics.countTerm()
+	e.setLeader(l)
+	defer e.setLeader(nil)
+	if err := l.run(); !isTermEnd(ctx, err) {
+		klog.ErrorS(err, "leader failed; the term ends", "term", term)
 	}
 }
 
-func (e *Entry) setLeading(l *leader) {
+func (e *Entry) setLeader(l *leader) {
 	e.mu.Lock()
-	e.leading = l
+	e.leader = l
 	e.mu.Unlock()
 }
 
-// follow connects to the leader.
-func (e *Entry) follow(leader leadership.Leader) {
+// followLeader replaces the session to the previous leader by one to the given
+// leader.
+func (e *Entry) followLeader(leader leadership.Leader) {
 	e.mu.Lock()
-	e.target = leader
-	old := e.session
+	e.knownLeader = leader
+	previous := e.session
 	e.session = nil
 	e.mu.Unlock()
-	if old != nil {
-		old.Close()
+	if previous != nil {
+		previous.Close()
 	}
 	if leader.Name != e.Settings.Name {
-		go e.keepSession(leader)
+		go e.maintainSession(leader)
 	}
 }
 
-// unfollow ends the session to the leader.
-func (e *Entry) unfollow() {
+// closeLeaderSession closes the session to the leader and prevents another one.
+func (e *Entry) closeLeaderSession() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.target = leadership.Leader{}
+	e.knownLeader = leadership.Leader{}
 	if e.session != nil {
 		e.session.Close()
 	}
 }
 
-// keepSession dials the leader until another one is known.
-func (e *Entry) keepSession(leader leadership.Leader) {
-	for e.follows(leader) {
+// maintainSession keeps a session to the leader open until another leader is
+// known.
+func (e *Entry) maintainSession(leader leadership.Leader) {
+	for e.isKnownLeader(leader) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		session, err := link.Dial(ctx, leader.Address, nil)
 		cancel()
 		if err != nil {
-			time.Sleep(redialPause)
+			time.Sleep(redialDelay)
 			continue
 		}
 		klog.InfoS("connected to the leader", "leader", leader.Name, "term", leader.Term)
@@ -211,20 +216,20 @@
 		}
 		<-session.Done()
 		e.dropSession(session)
-		time.Sleep(redialPause)
+		time.Sleep(redialDelay)
 	}
 }
 
-func (e *Entry) follows(leader leadership.Leader) bool {
+func (e *Entry) isKnownLeader(leader leadership.Leader) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.target == leader
+	return e.knownLeader == leader
 }
 
 func (e *Entry) useSession(leader leadership.Leader, session *link.Session) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.target != leader {
+	if e.knownLeader != leader {
 		return false
 	}
 	e.session = session
@@ -236,73 +241,76 @@
 	defer e.mu.Unlock()
 	if e.session == session {
 		e.session = nil
-		klog.InfoS("connection to the leader is lost", "leader", e.target.Name)
+		klog.InfoS("connection to the leader is lost", "leader", e.knownLeader.Name)
 	}
 }
 
-// Serve answers a request of a client: as the leader, or through its session.
+// Serve answers a client request, locally when this process leads and otherwise
+// through the session to the leader.
 func (e *Entry) Serve(ctx context.Context, r Request) Reply {
 	begin := time.Now()
-	reply := e.answer(ctx, r)
-	e.meters.request(r.Verb, reply.Outcome, time.Since(begin))
+	reply := e.handleRequest(ctx, r)
+	e.metrics.recordRequest(r.Verb, reply.Outcome, time.Since(begin))
 	return reply
 }
 
-func (e *Entry) answer(ctx context.Context, r Request) Reply {
+func (e *Entry) handleRequest(ctx context.Context, r Request) Reply {
 	e.mu.Lock()
-	leading, session := e.leading, e.session
+	local, session := e.leader, e.session
 	e.mu.Unlock()
-	if leading != nil {
-		return leading.serve(ctx, r)
+	if local != nil {
+		return local.handleRequest(ctx, r)
 	}
 	if session == nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "no leader is connected"}
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "no leader is connected"}
 	}
 	message := &wire.ClientCall{Verb: string(r.Verb), JobId: string(r.ID), Queue: string(r.Queue)}
 	if r.Job != nil {
-		message.Job = workflow.ToWire(r.Job, r.Rule)
+		message.Job = workflow.ToWire(r.Job, r.Policy)
 	}
 	reply := &wire.ClientReply{}
 	if err := session.Call(ctx, pathClient, message, reply); err != nil {
-		return failedCall(r, err)
+		return replyFailedCall(r, err)
 	}
 	return replyFromWire(reply)
 }
 
-// failedCall answers for a call to the leader that failed: nothing has
-// happened only when the call never left this process.
-func failedCall(r Request, err error) Reply {
-	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: err.Error()}
+// replyFailedCall returns the reply to a client whose call to the leader
+// failed. Only a call that was not sent certainly had no effect.
+func replyFailedCall(r Request, err error) Reply {
+	reply := Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: err.Error()}
 	if !fault.Is(err, link.NotSent) && (r.Verb == Submit || r.Verb == Cancel) {
-		reply.Outcome = Undecided
+		reply.Outcome = Unknown
 	}
 	return reply
 }
 
 func (e *Entry) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(pathClient, link.Handle(e.client))
-	mux.HandleFunc(pathSupport, link.Handle(e.support))
-	mux.HandleFunc(pathVacancy, link.Handle(e.vacancy))
+	mux.HandleFunc(pathClient, link.Handle(e.handleClient))
+	mux.HandleFunc(pathSupport, link.Handle(e.handleSupport))
+	mux.HandleFunc(pathVacancy, link.Handle(e.handleVacancy))
 	return mux
 }
 
-// client answers a request that another entry process passes on.
-func (e *Entry) client(ctx context.Context, in *wire.ClientCall) (*wire.ClientReply, error) {
+// handleClient answers a request that another entry process forwards.
+func (e *Entry) handleClient(ctx context.Context, in *wire.ClientCall) (*wire.ClientReply, error) {
 	e.mu.Lock()
-	leading := e.leading
+	local := e.leader
 	e.mu.Unlock()
-	if leading == nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "not the leader"}.toWire(), nil
+	if local == nil {
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "not the leader"}.toWire(), nil
 	}
 	r := Request{Verb: Verb(in.GetVerb()), Queue: workflow.QueueName(in.GetQueue()), ID: workflow.JobID(in.GetJobId())}
 	if in.GetJob() != nil {
-		r.Job, r.Rule = workflow.FromWire(in.GetJob())
+		r.Job, r.Policy = workflow.FromWire(in.GetJob())
 	}
-	return leading.serve(ctx, r).toWire(), nil
+	return local.handleRequest(ctx, r).toWire(), nil
 }
 
-func (e *Entry) vacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
+// handleVacancy reports whether this process leads the given term or has just
+// claimed it. Otherwise the process renounces that term.
+func (e *Entry) handleVacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
 	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.ConfirmOrRenounce(leadership.Term(in.GetTerm()))}, nil
 }
 
@@ -310,11 +318,13 @@
 func (e *Entry) connected() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leading != nil || e.session != nil
+	return e.leader != nil || e.session != nil
 }
 
-// leaderHasEnded asks the leader's machine whether another process runs there.
-func (e *Entry) leaderHasEnded(ctx context.Context, leader leadership.Leader) bool {
+// leaderProcessEnded queries the process at the leader's address whether it leads
+// the leader's term. It returns true when a process of that name answers that
+// it does not, as after a restart, and false without an answer.
+func (e *Entry) leaderProcessEnded(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
 	session, err := link.Dial(ctx, leader.Address, nil)
@@ -329,8 +339,8 @@
 	return reply.GetName() == leader.Name && !reply.GetLeads()
 }
 
-// member keeps the addresses of the other entry processes.
-func (e *Entry) member(m member) {
+// handleMember updates the addresses of the other entry processes.
+func (e *Entry) handleMember(m member) {
 	if m.role != RoleEntry || m.name == e.Settings.Name {
 		return
 	}
@@ -343,13 +353,15 @@
 	e.peers[m.name] = m.address
 }
 
-func (e *Entry) support(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
+func (e *Entry) handleSupport(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
 	promised, reachable, known := e.elector.Promise(leadership.Term(in.GetTerm()))
 	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
 }
 
-// askSupport asks every other entry process not to claim the leadership.
-func (e *Entry) askSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
+// requestSupport requests from every other entry process a promise not to claim the
+// leadership. It returns when the promises expire, and false unless every
+// process promised.
+func (e *Entry) requestSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
 	e.mu.Lock()
 	addresses := make([]string, 0, len(e.peers))
 	for _, address := range e.peers {
@@ -361,7 +373,7 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, address := range addresses {
-		group.Go(func() error { return e.askPeer(ctx, address, term) })
+		group.Go(func() error { return e.requestPeerSupport(ctx, address, term) })
 	}
 	if err := group.Wait(); err != nil {
 		klog.InfoS("leadership is not supported", "term", term, "err", err)
@@ -370,7 +382,7 @@
 	return sent.Add(leadership.PromiseDuration), true
 }
 
-func (e *Entry) askPeer(ctx context.Context, address string, term leadership.Term) error {
+func (e *Entry) requestPeerSupport(ctx context.Context, address string, term leadership.Term) error {
 	session, err := link.Dial(ctx, address, nil)
 	if err != nil {
 		return err
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -20,50 +20,52 @@
 )
 
 const (
-	// idleTick is the interval of the rules without an event; due times and
-	// leases that end are noticed this late at most.
-	idleTick = 100 * time.Millisecond
-	// eventQueue holds what arrives while the rules run.
-	eventQueue = 1024
-	// The rules rest after each run for ruleRest times as long as it took, so that
-	// events gather while more happens than the rules can follow one by one.
-	// Below shortestRest the wake-up costs more than the rest saves; longestRest
-	// bounds what a start waits.
-	ruleRest     = 3
-	shortestRest = time.Millisecond
-	longestRest  = 20 * time.Millisecond
-	// expireEvery is the interval at which finished jobs are deleted.
-	expireEvery = 5 * time.Second
-	// unavailableRetry is when clients return while there is no leader; a
-	// takeover takes about as long.
-	unavailableRetry = time.Second
+	// idleInterval is the interval at which the rules run without an event. It
+	// bounds the delay with which due times and expired leases are detected.
+	idleInterval = 100 * time.Millisecond
+	// eventQueueSize bounds the events that are queued while the rules run.
+	eventQueueSize = 1024
+	// After each run of the rules the loop pauses for rulePauseFactor times the
+	// duration of the run, so that events accumulate when they arrive faster
+	// than the rules can process them one by one. A pause below minRulePause is
+	// skipped, because the wake-up would cost more than the pause saves;
+	// maxRulePause bounds the delay of a start.
+	rulePauseFactor = 3
+	minRulePause    = time.Millisecond
+	maxRulePause    = 20 * time.Millisecond
+	// expireInterval is the interval at which records of finished jobs are
+	// deleted.
+	expireInterval = 5 * time.Second
+	// unavailableRetryAfter is the delay before clients retry while there is no
+	// leader. A failover takes about as long.
+	unavailableRetryAfter = time.Second
 )
 
-// leader runs the scheduler for one term. One goroutine owns the tables; the
+// leader runs the scheduler for one term. One goroutine runs the scheduler; the
 // others send it events.
 type leader struct {
-	term     leadership.Term
-	settings *Settings
-	store    durable.Store
-	feed     *operations.Feed
-	leads    func() bool // this process has authority for the term now
-	advisor  Advisor
+	term      leadership.Term
+	settings  *Settings
+	store     durable.Store
+	feed      *operations.Feed
+	isLeading func() bool // reports whether this process holds the leadership now
+	advisor   Advisor
 
-	meters    meters
-	events    chan func()
-	scheduler *scheduler.Scheduler
-	writer    *jobstore.Writer
-	agents    map[units.WorkerID]*agentLink
-	pending   map[workflow.JobID]*submission
-	cancels   []cancellation
-	group     *errgroup.Group
-	ctx       context.Context
+	metrics       metrics
+	events        chan func()
+	scheduler     *scheduler.Scheduler
+	writer        *jobstore.Writer
+	agents        map[units.WorkerID]*agentConn
+	pending       map[workflow.JobID]*submission
+	cancellations []cancellation
+	group         *errgroup.Group
+	ctx           context.Context
 }
 
-// submission is a job whose record is on its way to the store.
+// submission is a job whose record is being written to the store.
 type submission struct{ waiters []chan Reply }
 
-// cancellation is a cancelled job whose record is on its way.
+// cancellation is a cancelled job whose record is being written to the store.
 type cancellation struct {
 	flush  uint64
 	waiter chan Reply
@@ -71,10 +73,10 @@
 
 func now() scheduler.Timestamp { return scheduler.Timestamp{Boot: bootclock.Now(), Wall: time.Now()} }
 
-// run leads until ctx ends or a later term has taken over.
+// run leads until ctx ends or a later term has begun.
 func (l *leader) run() error {
 	ctx := l.ctx
-	l.agents = make(map[units.WorkerID]*agentLink)
+	l.agents = make(map[units.WorkerID]*agentConn)
 	l.pending = make(map[workflow.JobID]*submission)
 	l.writer = jobstore.New(l.store, uint64(l.term))
 	if err := l.recover(ctx); err != nil {
@@ -85,7 +87,7 @@
 	return l.group.Wait()
 }
 
-// recover reads the records of the earlier terms.
+// recover restores the scheduler from the records of the earlier terms.
 func (l *leader) recover(ctx context.Context) error {
 	begin := time.Now()
 	if err := l.writer.Fence(ctx); err != nil {
@@ -96,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	l.scheduler = scheduler.New(grantFor+grantMargin, l.settings.KeepFinished)
+	l.scheduler = scheduler.New(grantDuration+grantMargin, l.settings.FinishedJobRetention)
 	l.scheduler.SetOperatorState(l.feed.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
@@ -108,13 +110,13 @@
 	for _, m := range members {
 		if m.role == RoleAgent && m.address != "" {
 			l.scheduler.RecoverWorker(units.WorkerID(m.name), now())
-			l.connect(m)
+			l.connectAgent(m)
 		}
 	}
 	klog.InfoS("leader is ready", "term", l.term, "records", len(items), "members", len(members),
 		"fence", fenced.Sub(begin), "total", time.Since(begin))
 	l.group.Go(func() error {
-		followMembers(ctx, l.store, func(m member) { l.event(func() { l.member(m) }) })
+		followMembers(ctx, l.store, func(m member) { l.enqueue(func() { l.handleMember(m) }) })
 		return nil
 	})
 	return nil
@@ -133,13 +135,13 @@
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		pause.Jittered(ctx, storePause)
+		pause.Jittered(ctx, storeRetryDelay)
 	}
 }
 
-// event hands fn to the goroutine that owns the tables. It reports false when
-// the leader has ended.
-func (l *leader) event(fn func()) bool {
+// enqueue queues fn for the goroutine that runs the scheduler. It returns false
+// when the leader has ended.
+func (l *leader) enqueue(fn func()) bool {
 	select {
 	case l.events <- fn:
 		return true
@@ -148,23 +150,23 @@
 	}
 }
 
-// loop runs events and then, once, the rules over the tables.
+// loop applies events and runs the rules until ctx ends.
 func (l *leader) loop(ctx context.Context) error {
-	timer := time.NewTimer(idleTick)
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
-	expire := time.Now()
+	lastExpire := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case fn := <-l.events:
 			fn()
-			l.drain()
+			l.runQueuedEvents()
 		case <-timer.C:
 		}
-		timer.Reset(idleTick)
-		if time.Since(expire) > expireEvery {
-			expire = time.Now()
+		timer.Reset(idleInterval)
+		if time.Since(lastExpire) > expireInterval {
+			lastExpire = time.Now()
 			if records := l.scheduler.RemoveExpired(now()); len(records) > 0 {
 				l.writer.Write(records, nil)
 			}
@@ -173,14 +175,14 @@
 		if err := l.tick(); err != nil {
 			return err
 		}
-		if rest := min(ruleRest*time.Since(begin), longestRest); rest >= shortestRest {
-			pause.For(ctx, rest)
+		if delay := min(rulePauseFactor*time.Since(begin), maxRulePause); delay >= minRulePause {
+			pause.For(ctx, delay)
 		}
 	}
 }
 
-// drain runs the events that have gathered.
-func (l *leader) drain() {
+// runQueuedEvents runs the events that are queued now.
+func (l *leader) runQueuedEvents() {
 	for {
 		select {
 		case fn := <-l.events:
@@ -191,67 +193,70 @@
 	}
 }
 
-// tick runs the rules, writes what has changed and sends the orders.
+// tick runs the scheduler's rules, writes the changed records and sends the
+// orders.
 func (l *leader) tick() error {
 	at := now()
 	l.scheduler.Tick(at, l.mayStart(at))
-	l.meters.rules(bootclock.Now().Sub(at.Boot))
+	l.metrics.recordRules(bootclock.Now().Sub(at.Boot))
 	records, flush, err := l.scheduler.Flush()
 	if err != nil {
 		return err
 	}
 	if flush != 0 {
 		l.writer.Write(records, func() {
-			l.meters.flush(bootclock.Now().Sub(at.Boot))
-			l.event(func() { l.committed(flush) })
+			l.metrics.recordFlush(bootclock.Now().Sub(at.Boot))
+			l.enqueue(func() { l.flushCommitted(flush) })
 		})
 	}
-	if !l.leads() {
+	if !l.isLeading() {
 		return nil
 	}
 	for _, orders := range l.scheduler.TakeOrders() {
-		l.send(orders)
+		l.sendOrders(orders)
 	}
-	l.ask(at)
+	l.requestAdvice(at)
 	return nil
 }
 
-// mayStart reports whether a task may start now: this process leads, and the
-// operators' records are known up to a moment ago.
+// mayStart reports whether tasks may start now: this process leads, and its
+// copy of the operators' records is recent.
 func (l *leader) mayStart(at scheduler.Timestamp) bool {
 	current, ok := l.feed.Current()
-	return ok && l.leads() && at.Boot.Sub(current) < evidenceFor
+	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
 
-func (l *leader) committed(flush uint64) {
+// flushCommitted records that the flush is durable and answers the
+// cancellations that it covers.
+func (l *leader) flushCommitted(flush uint64) {
 	l.scheduler.CommitFlush(flush)
-	for len(l.cancels) > 0 && l.cancels[0].flush <= flush {
-		l.cancels[0].waiter <- Reply{Outcome: Found}
-		l.cancels = l.cancels[1:]
+	for len(l.cancellations) > 0 && l.cancellations[0].flush <= flush {
+		l.cancellations[0].waiter <- Reply{Outcome: Found}
+		l.cancellations = l.cancellations[1:]
 	}
 }
 
-// member takes note of a process that has joined or left.
-func (l *leader) member(m member) {
+// handleMember connects to an agent that has registered or changed its address.
+func (l *leader) handleMember(m member) {
 	if m.role != RoleAgent {
 		return
 	}
 	id := units.WorkerID(m.name)
 	if m.address == "" {
-		return // an agent that has left comes back, or its leases end
+		return // the agent registers again, or its leases expire
 	}
 	if known := l.agents[id]; known != nil && known.address == m.address {
 		return
 	}
 	l.scheduler.AddWorker(id, now())
-	l.connect(m)
+	l.connectAgent(m)
 }
 
-// serve answers a request of a client.
-func (l *leader) serve(ctx context.Context, r Request) Reply {
+// handleRequest answers a client request.
+func (l *leader) handleRequest(ctx context.Context, r Request) Reply {
 	answer := make(chan Reply, 1)
-	if !l.event(func() { l.handle(r, answer) }) {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leader has ended"}
+	if !l.enqueue(func() { l.processRequest(r, answer) }) {
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 	}
 	select {
 	case reply := <-answer:
@@ -260,24 +265,24 @@
 	case <-l.ctx.Done():
 	}
 	if r.Verb == Submit || r.Verb == Cancel {
-		return Reply{Outcome: Undecided, Reason: "the store has not answered"}
+		return Reply{Outcome: Unknown, Reason: "the store has not answered"}
 	}
-	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leader has ended"}
+	return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 }
 
-// handle runs in the goroutine that owns the tables.
-func (l *leader) handle(r Request, answer chan Reply) {
-	if !l.leads() {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "leadership is not certain"}
+// processRequest must be called in the goroutine that runs the scheduler.
+func (l *leader) processRequest(r Request, answer chan Reply) {
+	if !l.isLeading() {
+		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leadership is not certain"}
 		return
 	}
 	switch r.Verb {
 	case Submit:
 		l.submit(r, answer)
-	case Look:
+	case Lookup:
 		state, known := l.scheduler.JobState(r.ID)
 		if !known {
-			answer <- l.unknownJob(r.ID)
+			answer <- l.replyUnknownJob(r.ID)
 			return
 		}
 		answer <- Reply{Outcome: Found, State: state}
@@ -288,13 +293,13 @@
 	}
 }
 
-// unknownJob answers for a job without a durable record; one whose record is
-// on its way may exist in a moment.
-func (l *leader) unknownJob(id workflow.JobID) Reply {
+// replyUnknownJob returns the reply for a job without a durable record. A job
+// whose record is being written may exist soon.
+func (l *leader) replyUnknownJob(id workflow.JobID) Reply {
 	if l.pending[id] != nil {
-		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
+		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 	}
-	return Reply{Outcome: NoJob}
+	return Reply{Outcome: JobNotFound}
 }
 
 func (l *leader) submit(r Request, answer chan Reply) {
@@ -308,24 +313,24 @@
 		return
 	}
 	if l.writer.Stalled() {
-		answer <- Reply{Outcome: Refused, RetryAfter: unavailableRetry, Reason: "store does not answer"}
+		answer <- Reply{Outcome: Rejected, RetryAfter: unavailableRetryAfter, Reason: "store does not answer"}
 		return
 	}
-	value, err := workflow.Encode(r.Job, r.Rule)
+	value, err := workflow.Encode(r.Job, r.Policy)
 	if err != nil {
-		answer <- Reply{Outcome: Refused, Reason: err.Error()}
+		answer <- Reply{Outcome: Rejected, Reason: err.Error()}
 		return
 	}
 	s := &submission{waiters: []chan Reply{answer}}
 	l.pending[id] = s
 	record := durable.Record{Key: scheduler.JobKey(id), Value: value}
-	l.writer.Write([]durable.Record{record}, func() { l.event(func() { l.accepted(r, s) }) })
+	l.writer.Write([]durable.Record{record}, func() { l.enqueue(func() { l.jobAccepted(r, s) }) })
 }
 
-func (l *leader) accepted(r Request, s *submission) {
+func (l *leader) jobAccepted(r Request, s *submission) {
 	delete(l.pending, r.ID)
-	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Rule.Priority, "steps", r.Job.Summary())
-	l.scheduler.Accept(r.Job, r.Rule, now())
+	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Policy.Priority, "steps", r.Job.Summary())
+	l.scheduler.Accept(r.Job, r.Policy, now())
 	for _, waiter := range s.waiters {
 		waiter <- Reply{Outcome: Accepted}
 	}
@@ -333,22 +338,22 @@
 
 func (l *leader) cancel(r Request, answer chan Reply) {
 	if l.pending[r.ID] != nil {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetry, Reason: "job is being accepted"}
+		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 		return
 	}
 	if !l.scheduler.HasJob(r.ID) {
-		answer <- Reply{Outcome: NoJob}
+		answer <- Reply{Outcome: JobNotFound}
 		return
 	}
 	flush := l.scheduler.Cancel(r.ID, now())
 	if flush == 0 {
-		answer <- Reply{Outcome: Found} // final already, or cancelled before
+		answer <- Reply{Outcome: Found} // already final, or cancelled before
 		return
 	}
-	l.cancels = append(l.cancels, cancellation{flush, answer})
+	l.cancellations = append(l.cancellations, cancellation{flush, answer})
 }
 
-// ended reports whether err only says that the term is over.
-func ended(ctx context.Context, err error) bool {
+// isTermEnd reports whether err is nil or results from the end of the term.
+func isTermEnd(ctx context.Context, err error) bool {
 	return err == nil || ctx.Err() != nil || fault.Is(err, durable.Fenced)
 }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -36,7 +36,7 @@
 		return &requestPath{
 			Gateway: gateway.New(gateway.Options{
 				Table: table, Document: document, Scope: scope,
-				Limit: s.Limits.CallerRequests, BodyBytes: int64(s.Limits.CallerBody), MaxTime: s.Limits.CallerTimeout,
+				MaxRequests: s.Limits.CallerRequests, MaxBodyBytes: int64(s.Limits.CallerBody), MaxTimeout: s.Limits.CallerTimeout,
 			}),
 			table: table, sessions: make(map[*link.Session]struct{}),
 		}
@@ -48,7 +48,7 @@
 
 // Observe implements entry.Requests.
 func (p *requestPath) Observe(worker units.WorkerID, session *link.Session, beat entry.Beat) {
-	p.table.Observe(worker, session, beat.Message, beat.At)
+	p.table.RecordHeartbeat(worker, session, beat.Message, beat.At)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, known := p.sessions[session]; known {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -7,20 +7,21 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Result tells Choice.End how a request ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results of a request.
+// Results of an attempt.
 const (
 	Succeeded Result = iota // a whole response arrived
 	Failed                  // no whole response, or a server error
-	Rejected                // the agent proved that the request did not run
+	Rejected                // the agent confirmed that the request did not run
 	Leaving                 // like Rejected, because the endpoint is leaving
 	NotSent                 // no byte was sent; the session is ending
-	Cancelled               // given up here: the caller left or a hedge won
+	Cancelled               // cancelled by this process: the caller disconnected or another attempt won
 )
 
-// Choice is an endpoint chosen for one attempt. End must be called once.
+// Choice is an endpoint chosen for one attempt. The caller must call End
+// exactly once.
 type Choice struct {
 	Endpoint *Endpoint
 	session  Session
@@ -31,11 +32,11 @@
 // RoundTrip sends the attempt to the endpoint's agent.
 func (c *Choice) RoundTrip(r *http.Request) (*http.Response, error) { return c.session.RoundTrip(r) }
 
-// Request describes the attempt to choose for.
+// Request describes the attempt to choose an endpoint for.
 type Request struct {
 	Service    units.ServiceName
 	Idempotent bool
-	Avoid      []*Endpoint // tried before; chosen only when nothing else is left
+	Avoid      []*Endpoint // already tried; chosen only when every other eligible endpoint is ejected
 }
 
 func (r *Request) avoids(e *Endpoint) bool {
@@ -47,67 +48,70 @@
 	return false
 }
 
-// samples bounds the random draws for two candidates before a scan.
-const samples = 8
+// maxDraws bounds the random draws for two candidates. When they find none,
+// Choose scans all endpoints.
+const maxDraws = 8
 
-// Choose picks an endpoint for the request, or returns nil when none is
-// eligible.
+// Choose returns an endpoint for the request, or nil when none is eligible. It
+// takes the better of two random candidates.
 func (t *Table) Choose(r Request, now time.Time) *Choice {
 	all := t.endpoints(r.Service)
 	if len(all) == 0 {
 		return nil
 	}
-	if e := t.dueProbe(all, &r, now); e != nil {
-		return e.choose(now, true)
+	if e := t.chooseProbe(all, &r, now); e != nil {
+		return e.newChoice(now, true)
 	}
 	var best, fallback *Endpoint
 	candidates := 0
-	for i := 0; i < samples && candidates < 2; i++ {
-		random := t.settings.Random()
-		e := all[random%uint64(len(all))]
+	for i := 0; i < maxDraws && candidates < 2; i++ {
+		draw := t.settings.Random()
+		e := all[draw%uint64(len(all))]
 		if !e.eligible(now) || e.ejected.Load() || e == best || r.avoids(e) {
 			continue
 		}
-		// Part of the draws passes over an endpoint in slow start.
-		if float64(random>>40)/(1<<24) > e.share(now) {
-			fallback = better(fallback, e, now)
+		// An endpoint in slow start is skipped in part of the draws.
+		if float64(draw>>40)/(1<<24) > e.trafficShare(now) {
+			fallback = lowerScore(fallback, e, now)
 			continue
 		}
-		best = better(best, e, now)
+		best = lowerScore(best, e, now)
 		candidates++
 	}
 	if best == nil {
 		best = fallback
 	}
 	if best == nil {
-		best = t.scan(all, &r, now)
+		best = t.chooseByScan(all, &r, now)
 	}
 	if best == nil {
 		return nil
 	}
-	return best.choose(now, false)
+	return best.newChoice(now, false)
 }
 
-func better(a, b *Endpoint, now time.Time) *Endpoint {
+// lowerScore returns the endpoint with the lower score. a may be nil.
+func lowerScore(a, b *Endpoint, now time.Time) *Endpoint {
 	if a == nil || b.score(now) < a.score(now) {
 		return b
 	}
 	return a
 }
 
-// dueProbe draws one endpoint and lets the request probe it when it is ejected
-// and due, so that at most a small share of requests are probes.
-func (t *Table) dueProbe(all []*Endpoint, r *Request, now time.Time) *Endpoint {
+// chooseProbe draws one endpoint and returns it when it is ejected and due for
+// a probe. With a single draw, at most a small share of the requests are
+// probes.
+func (t *Table) chooseProbe(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	e := all[t.settings.Random()%uint64(len(all))]
-	if e.ejected.Load() && e.eligible(now) && !r.avoids(e) && e.claimProbe(r.Idempotent, now) {
+	if e.ejected.Load() && e.eligible(now) && !r.avoids(e) && e.tryBeginProbe(r.Idempotent, now) {
 		return e
 	}
 	return nil
 }
 
-// scan looks at every endpoint: the best one in service, else one that was
-// avoided, else an ejected one.
-func (t *Table) scan(all []*Endpoint, r *Request, now time.Time) *Endpoint {
+// chooseByScan scans every endpoint. It returns the best one that is neither
+// ejected nor avoided, else the best avoided one, else the best ejected one.
+func (t *Table) chooseByScan(all []*Endpoint, r *Request, now time.Time) *Endpoint {
 	var ranks [3]*Endpoint
 	for _, e := range all {
 		if !e.eligible(now) {
@@ -119,7 +123,7 @@
 		} else if r.avoids(e) {
 			rank = 1
 		}
-		ranks[rank] = better(ranks[rank], e, now)
+		ranks[rank] = lowerScore(ranks[rank], e, now)
 	}
 	for _, e := range ranks {
 		if e != nil {
@@ -129,7 +133,7 @@
 	return nil
 }
 
-func (e *Endpoint) choose(now time.Time, probe bool) *Choice {
+func (e *Endpoint) newChoice(now time.Time, probe bool) *Choice {
 	e.outstanding.Add(1)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,40 +145,40 @@
 	e := c.Endpoint
 	e.outstanding.Add(-1)
 	if result == Leaving || result == NotSent {
-		e.withdraw(c.session)
+		e.markUnusable(c.session)
 	}
 	e.mu.Lock()
 	eject := false
 	switch result {
 	case Succeeded:
-		e.measure(now.Sub(c.start), now)
-		e.outlying(false)
+		e.recordLatency(now.Sub(c.start), now)
+		e.recordResult(false)
 	case Failed:
-		e.measure(now.Sub(c.start), now)
-		eject = e.outlying(true)
+		e.recordLatency(now.Sub(c.start), now)
+		eject = e.recordResult(true)
 	case Cancelled:
 		// The response would have taken at least this long.
-		if d := now.Sub(c.start); d > e.expectedLocked(now) {
-			e.measure(d, now)
+		if d := now.Sub(c.start); d > e.expectedLatencyLocked(now) {
+			e.recordLatency(d, now)
 		}
 	}
 	returned := false
 	if c.probe {
-		returned = e.endProbe(result, now)
+		returned = e.recordProbe(result, now)
 		eject = false
 	}
 	e.mu.Unlock()
 	if returned {
-		e.startSlowly(now)
+		e.beginSlowStart(now)
 	}
 	if eject && !e.ejected.Load() {
 		e.table.eject(e, now)
 	}
 }
 
-// withdraw stops the use of the endpoint until its next heartbeat, unless a
-// newer session has taken over.
-func (e *Endpoint) withdraw(session Session) {
+// markUnusable excludes the endpoint until its next heartbeat, unless a newer
+// session has replaced session.
+func (e *Endpoint) markUnusable(session Session) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.session == session {
@@ -182,29 +186,30 @@
 	}
 }
 
-// endProbe reports whether the endpoint returns. Rejections say nothing about
-// its health.
-func (e *Endpoint) endProbe(result Result, now time.Time) bool {
+// recordProbe records the result of a probe and reports whether the endpoint
+// returns to service. Rejections do not count, because they say nothing about
+// its health. The caller holds e.mu.
+func (e *Endpoint) recordProbe(result Result, now time.Time) bool {
 	if !e.ejected.Load() {
 		return false
 	}
-	e.probing = false
+	e.probeInFlight = false
 	switch result {
 	case Succeeded:
-		e.probes++
+		e.successfulProbes++
 	case Failed:
 		e.eject(now)
 	}
-	if e.probes < probesToReturn {
+	if e.successfulProbes < probesToReadmit {
 		return false
 	}
-	e.probes, e.ejections = 0, max(0, e.ejections-1)
+	e.successfulProbes, e.ejections = 0, max(0, e.ejections-1)
 	e.ejected.Store(false)
 	return true
 }
 
-// eject ejects e unless half of the eligible endpoints are ejected already: a
-// fault that hits most of them is not theirs.
+// eject ejects e, unless that would eject more than half of the eligible
+// endpoints: a fault that affects most of them has another cause.
 func (t *Table) eject(e *Endpoint, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,24 +231,25 @@
 	e.mu.Unlock()
 }
 
-// Load describes a service for admission at the entry process.
+// Load summarizes the eligible endpoints of a service for admission control at
+// the entry process.
 type Load struct {
-	Endpoints int           // eligible
-	Slots     int64         // of those
-	Requests  int64         // waiting or running there
-	Latency   time.Duration // lowest expected one
+	Endpoints  int           // number of eligible endpoints
+	Slots      int64         // slots of the eligible endpoints
+	Requests   int64         // waiting or running at the eligible endpoints
+	MinLatency time.Duration // lowest expected latency
 }
 
-// Wait estimates how long a new request waits for a slot.
-func (l Load) Wait() time.Duration {
+// EstimatedWait estimates how long a new request waits for a slot.
+func (l Load) EstimatedWait() time.Duration {
 	excess := l.Requests + 1 - l.Slots
 	if excess <= 0 || l.Slots == 0 {
 		return 0
 	}
-	return time.Duration(float64(excess) / float64(l.Slots) * float64(l.Latency))
+	return time.Duration(float64(excess) / float64(l.Slots) * float64(l.MinLatency))
 }
 
-// Load sums up the eligible endpoints of the service.
+// Load returns the summary of the service's eligible endpoints.
 func (t *Table) Load(service units.ServiceName, now time.Time) Load {
 	var l Load
 	for _, e := range t.endpoints(service) {
@@ -252,18 +258,18 @@
 		}
 		l.Endpoints++
 		l.Slots += e.slots.Load()
-		l.Requests += e.outstanding.Load() + e.others.Load()
-		if d := e.expected(now); l.Latency == 0 || d < l.Latency {
-			l.Latency = d
+		l.Requests += e.outstanding.Load() + e.otherRequests.Load()
+		if d := e.expectedLatency(now); l.MinLatency == 0 || d < l.MinLatency {
+			l.MinLatency = d
 		}
 	}
 	return l
 }
 
-// HedgeDelay is the time after which an idempotent attempt deserves a second
-// one: three times the expected latency, at least 2 ms, which few healthy
-// responses exceed.
+// HedgeDelay returns the time after which an idempotent attempt is hedged:
+// three times the expected latency plus the locality cost, at least 2 ms. Few
+// healthy responses take longer.
 func (c *Choice) HedgeDelay(now time.Time) time.Duration {
-	distance := time.Duration(c.Endpoint.distance.Load())
-	return max(2*time.Millisecond, 3*c.Endpoint.expected(now)+distance)
+	localityCost := time.Duration(c.Endpoint.localityCost.Load())
+	return max(2*time.Millisecond, 3*c.Endpoint.expectedLatency(now)+localityCost)
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing chooses the endpoint for each request of a caller. It holds
-// what heartbeats and earlier requests have told about every endpoint, and
-// decides with the time and the random source that it is given.
+// Package routing chooses the endpoint for each request of a caller. It keeps
+// the results of heartbeats and earlier requests for every endpoint, and uses
+// only the time and the random source that it is given.
 //
-// Reading is lock-free apart from the statistics of the endpoint concerned:
-// the set of endpoints changes rarely and is replaced as a whole.
+// Reads take no locks except for the statistics of the endpoint concerned: the
+// set of endpoints changes rarely and is replaced as a whole.
 package routing
 
 import (
@@ -19,32 +19,32 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Session carries requests to an agent; *link.Session is one.
+// Session carries requests to an agent. *link.Session implements it.
 type Session interface{ http.RoundTripper }
 
-// Settings are the constants of routing. Zero fields take the defaults.
+// Settings configures a Table. Zero fields take the defaults.
 type Settings struct {
 	Domain units.DomainName // failure domain of this process
 	Region units.RegionName // region of this process
-	// Costs are added to the expected latency of an endpoint.
-	SameRegionCost  time.Duration // other domain of the region; default 8 ms, a round trip
-	OtherRegionCost time.Duration // default 50 ms
-	Fresh           time.Duration // oldest heartbeat of an eligible endpoint; default 2 s
-	Ejection        time.Duration // first ejection; doubles each time up to 30 s; default 1 s
-	SlowStart       time.Duration // time until a returning endpoint takes its full share; default 10 s
-	Random          func() uint64 // safe for concurrent use; default math/rand/v2
+	// Costs are added to the expected latency of an endpoint in another domain.
+	SameRegionCost   time.Duration // other domain of the same region; default 8 ms, a round trip
+	OtherRegionCost  time.Duration // default 50 ms
+	HeartbeatTimeout time.Duration // maximum heartbeat age of an eligible endpoint; default 2 s
+	BaseEjectionTime time.Duration // duration of the first ejection; doubles each time up to 30 s; default 1 s
+	SlowStartWindow  time.Duration // time until a new or returning endpoint takes its full share; default 10 s
+	Random           func() uint64 // safe for concurrent use; default math/rand/v2
 }
 
-func (s *Settings) defaults() {
+func (s *Settings) setDefaults() {
 	for _, d := range []struct {
 		field *time.Duration
 		value time.Duration
 	}{
 		{&s.SameRegionCost, 8 * time.Millisecond},
 		{&s.OtherRegionCost, 50 * time.Millisecond},
-		{&s.Fresh, 2 * time.Second},
-		{&s.Ejection, time.Second},
-		{&s.SlowStart, 10 * time.Second},
+		{&s.HeartbeatTimeout, 2 * time.Second},
+		{&s.BaseEjectionTime, time.Second},
+		{&s.SlowStartWindow, 10 * time.Second},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
@@ -59,52 +59,52 @@
 type Table struct {
 	settings Settings
 	origin   time.Time // times are kept relative to it, on the monotonic clock
-	sets     atomic.Pointer[map[units.ServiceName]*set]
-	stall    stall
+	sets     atomic.Pointer[map[units.ServiceName]*endpointSet]
+	stall    stallDetector
 
 	mu       sync.Mutex // guards changes of membership, document and ejections
 	document *environment.Document
 	workers  map[units.WorkerID]*worker
 }
 
-// worker groups the endpoints that one agent reports.
+// worker holds the endpoints that one agent reports.
 type worker struct {
-	epoch     uint64
-	seen      time.Time
-	session   Session
-	domain    units.DomainName
-	region    units.RegionName
-	draining  bool
-	endpoints map[units.ServiceName]*Endpoint
+	epoch         uint64
+	lastHeartbeat time.Time
+	session       Session
+	domain        units.DomainName
+	region        units.RegionName
+	draining      bool
+	endpoints     map[units.ServiceName]*Endpoint
 }
 
-// set is the immutable list of a service's endpoints.
-type set struct{ endpoints []*Endpoint }
+// endpointSet is the immutable list of a service's endpoints.
+type endpointSet struct{ endpoints []*Endpoint }
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	s.defaults()
+	s.setDefaults()
 	t := &Table{settings: s, origin: time.Now(), workers: make(map[units.WorkerID]*worker)}
-	t.sets.Store(&map[units.ServiceName]*set{})
+	t.sets.Store(&map[units.ServiceName]*endpointSet{})
 	return t
 }
 
-// SetDocument applies the state of failure domains and drained workers.
+// SetDocument applies the states of failure domains and drained workers.
 func (t *Table) SetDocument(d *environment.Document, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.document = d
 	for id, w := range t.workers {
 		for _, e := range w.endpoints {
-			t.admit(id, w, e, now)
+			t.updateUsable(id, w, e, now)
 		}
 	}
 }
 
-// Observe records a heartbeat that arrived over session. While a newer epoch of
-// the worker sends heartbeats, those of an older one are ignored: they come from
-// an agent that was paused and has been replaced.
-func (t *Table) Observe(id units.WorkerID, session Session, h *wire.Heartbeat, now time.Time) {
+// RecordHeartbeat records a heartbeat that arrived over session. While a newer
+// epoch of the worker sends heartbeats, those of an older epoch are ignored:
+// they come from an agent that was paused and has been replaced.
+func (t *Table) RecordHeartbeat(id units.WorkerID, session Session, h *wire.Heartbeat, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.workers[id]
@@ -112,10 +112,10 @@
 		w = &worker{endpoints: make(map[units.ServiceName]*Endpoint)}
 		t.workers[id] = w
 	}
-	if h.Epoch < w.epoch && session != w.session && now.Sub(w.seen) <= t.settings.Fresh {
+	if h.Epoch < w.epoch && session != w.session && now.Sub(w.lastHeartbeat) <= t.settings.HeartbeatTimeout {
 		return
 	}
-	w.epoch, w.seen = h.Epoch, now
+	w.epoch, w.lastHeartbeat = h.Epoch, now
 	w.session, w.domain, w.region = session, units.DomainName(h.FailureDomain), units.RegionName(h.Region)
 	w.draining = h.Draining
 	changed := false
@@ -129,8 +129,8 @@
 			w.endpoints[name] = e
 			changed = true
 		}
-		e.observe(r, session, t.distance(w), now)
-		t.admit(id, w, e, now)
+		e.applyReport(r, session, t.localityCost(w), now)
+		t.updateUsable(id, w, e, now)
 	}
 	for name := range w.endpoints {
 		if !reported[name] {
@@ -139,37 +139,37 @@
 		}
 	}
 	if changed {
-		t.rebuild()
+		t.rebuildSets()
 	}
 }
 
-// Remove forgets the worker's endpoints when session is the one that its last
-// heartbeat came over; a newer session keeps them.
+// Remove deletes the worker's endpoints if its last heartbeat came over
+// session. After a heartbeat over a newer session it has no effect.
 func (t *Table) Remove(id units.WorkerID, session Session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w := t.workers[id]; w != nil && w.session == session {
 		delete(t.workers, id)
-		t.rebuild()
+		t.rebuildSets()
 	}
 }
 
-// admit decides whether the endpoint may get requests, heartbeat age aside. An
-// endpoint that becomes usable starts slowly.
-func (t *Table) admit(id units.WorkerID, w *worker, e *Endpoint, now time.Time) {
+// updateUsable decides whether the endpoint may receive requests, apart from
+// the age of its heartbeat. An endpoint that becomes usable begins slow start.
+func (t *Table) updateUsable(id units.WorkerID, w *worker, e *Endpoint, now time.Time) {
 	usable := !w.draining && wire.EndpointState(e.state.Load()) == wire.EndpointState_ENDPOINT_STATE_READY
 	if t.document != nil {
 		usable = usable && !t.document.DomainIsOut(w.domain) && !t.document.IsDrained(id)
 	}
 	if usable && !e.usable.Swap(true) {
-		e.startSlowly(now)
+		e.beginSlowStart(now)
 	} else if !usable {
 		e.usable.Store(false)
 	}
 }
 
-// distance is the extra latency of the worker's failure domain.
-func (t *Table) distance(w *worker) time.Duration {
+// localityCost returns the extra latency of the worker's failure domain.
+func (t *Table) localityCost(w *worker) time.Duration {
 	switch {
 	case w.domain == t.settings.Domain:
 		return 0
@@ -179,14 +179,14 @@
 	return t.settings.OtherRegionCost
 }
 
-// rebuild replaces the immutable sets after a change of membership.
-func (t *Table) rebuild() {
-	sets := make(map[units.ServiceName]*set)
+// rebuildSets replaces the immutable sets after a change of membership.
+func (t *Table) rebuildSets() {
+	sets := make(map[units.ServiceName]*endpointSet)
 	for _, w := range t.workers {
 		for name, e := range w.endpoints {
 			s := sets[name]
 			if s == nil {
-				s = &set{}
+				s = &endpointSet{}
 				sets[name] = s
 			}
 			s.endpoints = append(s.endpoints, e)
@@ -195,7 +195,7 @@
 	t.sets.Store(&sets)
 }
 
-// Run ticks until ctx ends.
+// Run calls Tick every TickInterval until ctx ends.
 func (t *Table) Run(ctx context.Context) error {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -209,9 +209,9 @@
 	}
 }
 
-// Tick tells the table that this process runs. It is expected every
+// Tick records that this process is running. It must be called every
 // TickInterval.
-func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.Fresh)) }
+func (t *Table) Tick(now time.Time) { t.stall.tick(t.since(now), int64(t.settings.HeartbeatTimeout)) }
 
 func (t *Table) since(now time.Time) int64 { return int64(now.Sub(t.origin)) }
 
@@ -222,8 +222,9 @@
 	return nil
 }
 
-// Eligible counts the endpoints of the service that may get requests now.
-func (t *Table) Eligible(service units.ServiceName, now time.Time) int {
+// CountEligible returns the number of the service's endpoints that may receive
+// requests now.
+func (t *Table) CountEligible(service units.ServiceName, now time.Time) int {
 	n := 0
 	for _, e := range t.endpoints(service) {
 		if e.eligible(now) {
