--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -86,16 +86,16 @@
 	LinkAddress string // IP:port on which other agents request leases
 	// AdvertisedLinkAddress is what other agents dial; empty means LinkAddress.
 	AdvertisedLinkAddress string
-	Process               string // name of this process; empty means "agent/" + WorkerID
+	ProcessName           string // name of this process; empty means "agent/" + WorkerID
 
 	Worker          workerapi.Worker
-	Entries         []string                                    // seed addresses of entry processes
+	EntryAddresses  []string                                    // seed addresses of entry processes
 	RequestHandler  http.Handler                                // serves /services/ on every session; may be nil
 	EndpointReports func() []*wire.EndpointReport               // may be nil
 	ParseDocument   func([]byte) (*environment.Document, error) // nil means environment.Parse
 	Guard           *guard.Controller                           // nil switches the control loop off
 	OverQuota       func(units.TeamName) bool                   // may be nil
-	Document        func(*environment.Document)                 // called with each newer document; may be nil
+	OnDocument      func(*environment.Document)                 // called with each newer document; may be nil
 
 	// OmitUnchanged leaves the fields that describe the worker (domain, rack,
 	// region, link address, capacity, process) out of a heartbeat once the entry
@@ -103,14 +103,14 @@
 	// them; the first heartbeat of a session and of an epoch carries them all.
 	OmitUnchanged bool
 
-	// Metrics gets a counter per kind of event; nil means none.
-	Metrics tally.Scope
+	// MetricsScope gets a counter per kind of event; nil means none.
+	MetricsScope tally.Scope
 
-	// Events records a change of state; may be nil. It must not block.
-	Events func(kind, subject, text string)
-	// Caused is told which event of another process the next event of a subject
+	// RecordEvent records a change of state; may be nil. It must not block.
+	RecordEvent func(kind, subject, text string)
+	// RecordCause is told which event of another process the next event of a subject
 	// follows; may be nil.
-	Caused func(subject, event string)
+	RecordCause func(subject, event string)
 	// PendingEvents returns events for the next heartbeat, and
 	// AcknowledgeEvents drops those up to a sequence; either may be nil.
 	PendingEvents     func() []*wire.Event
@@ -172,7 +172,7 @@
 		cancel()
 		return fault.Wrap("run", Listen, err)
 	}
-	for _, address := range a.Entries {
+	for _, address := range a.EntryAddresses {
 		a.addEntry(address, true)
 	}
 	a.acquire(true)
@@ -195,11 +195,11 @@
 		lessees:     make(map[units.WorkerID]*lessee),
 		entries:     make(map[string]*entry),
 	}
-	if a.Process == "" {
-		a.Process = "agent/" + string(a.WorkerID)
+	if a.ProcessName == "" {
+		a.ProcessName = "agent/" + string(a.WorkerID)
 	}
-	if a.Metrics == nil {
-		a.Metrics = tally.NoopScope
+	if a.MetricsScope == nil {
+		a.MetricsScope = tally.NoopScope
 	}
 	a.handler = a.routes()
 }
@@ -297,9 +297,9 @@
 }
 
 func (a *Agent) event(kind, subject, text string) {
-	a.Metrics.Counter(kind).Inc(1)
-	if a.Events != nil {
-		a.Events(kind, subject, text)
+	a.MetricsScope.Counter(kind).Inc(1)
+	if a.RecordEvent != nil {
+		a.RecordEvent(kind, subject, text)
 	}
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -103,7 +103,7 @@
 func realAgent(w *world, name string, access workerapi.Worker, g *gate) process {
 	a := &Agent{
 		WorkerID: units.WorkerID(name), Domain: domains[name], Rack: "rack", Region: "r", LinkAddress: "link/" + name,
-		Worker: access, Entries: []string{"entry"},
+		Worker: access, EntryAddresses: []string{"entry"},
 		EndpointReports: func() []*wire.EndpointReport {
 			return []*wire.EndpointReport{{Service: "desk", State: wire.EndpointState_ENDPOINT_STATE_READY, Slots: 8}}
 		},
@@ -115,7 +115,7 @@
 			return func(context.Context) {}, nil
 		},
 	}
-	a.Events = func(kind, subject, text string) {
+	a.RecordEvent = func(kind, subject, text string) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.events = append(w.events, fmt.Sprintf("%s %s %s %s %s", time.Now().Format("05.000"), name, kind, subject, text))
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -58,8 +58,8 @@
 		a.config.document, a.config.offset = document, offset
 		a.config.raw, a.config.author = reply.ConfigDocument, reply.ConfigAuthor
 		a.event("configurationApplied", string(document.Environment), "")
-		if a.Document != nil {
-			a.Document(document)
+		if a.OnDocument != nil {
+			a.OnDocument(document)
 		}
 		a.evacuate(time.Now())
 	}
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -160,7 +160,7 @@
 		server := httptest.NewServer(worker.NewHandler(core))
 		servers = append(servers, server)
 		a := &Agent{
-			WorkerID: core.Name, Domain: "a", Rack: "rack-1", Region: "pwani", LinkAddress: "127.0.0.1:0", OmitUnchanged: lean, Entries: addresses,
+			WorkerID: core.Name, Domain: "a", Rack: "rack-1", Region: "pwani", LinkAddress: "127.0.0.1:0", OmitUnchanged: lean, EntryAddresses: addresses,
 			Worker: &workerapi.Client{BaseURL: server.URL, HTTP: &http.Client{Transport: workerapi.DefaultTransport()}},
 			EndpointReports: func() []*wire.EndpointReport {
 				return []*wire.EndpointReport{{Service: "desk", State: wire.EndpointState_ENDPOINT_STATE_READY, Slots: 8, Connections: 64, LatencyMicroseconds: 18000}}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -37,7 +37,7 @@
 	}
 	if full || !e.described || !a.OmitUnchanged {
 		h.FailureDomain, h.Rack, h.Region, h.LinkAddress = string(a.Domain), string(a.Rack), string(a.Region), cmp.Or(a.AdvertisedLinkAddress, a.LinkAddress)
-		h.Process, h.Capacity = a.Process, wire.FromResources(a.capacity)
+		h.Process, h.Capacity = a.ProcessName, wire.FromResources(a.capacity)
 	}
 	if e.wantConfig {
 		h.ConfigDocument, h.ConfigAuthor = a.config.raw, a.config.author
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -75,8 +75,8 @@
 // launch decides on one attempt or queues it. A known attempt gets the answer
 // it got before.
 func (a *Agent) launch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
-	if a.Caused != nil {
-		a.Caused(request.GetTask().Task().String(), request.GetCause())
+	if a.RecordCause != nil {
+		a.RecordCause(request.GetTask().Task().String(), request.GetCause())
 	}
 	now := time.Now()
 	name, number := request.GetTask().Task(), units.Attempt(request.GetTask().GetAttempt())
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -279,7 +279,7 @@
 	go listener.Run(serving)
 	started, finish := make(chan struct{}), make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	a := &Agent{WorkerID: "w1", Domain: "a", LinkAddress: net.JoinHostPort("127.0.0.1", "0"), Entries: []string{address.String()},
+	a := &Agent{WorkerID: "w1", Domain: "a", LinkAddress: net.JoinHostPort("127.0.0.1", "0"), EntryAddresses: []string{address.String()},
 		Worker: &worker.Core{Name: "w1", Capacity: units.Resources{Processors: 1000}},
 		RequestHandler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			close(started)
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -96,7 +96,7 @@
 func (a *Agent) hold() (workerapi.Holder, workerapi.Table, time.Time, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, workerTimeout)
 	defer cancel()
-	holder, err := a.Worker.Hold(ctx, a.Process)
+	holder, err := a.Worker.Hold(ctx, a.ProcessName)
 	if err != nil {
 		return holder, workerapi.Table{}, time.Time{}, err
 	}
--- a/internal/capacity/agents.go
+++ b/internal/capacity/agents.go
@@ -38,7 +38,7 @@
 			parsed.Add(1)
 			return environment.Parse("configuration", text)
 		}
-		a.Document = func(*environment.Document) {
+		a.OnDocument = func(*environment.Document) {
 			documents.Add(1)
 			last.Store(time.Now().UnixNano())
 		}
@@ -76,7 +76,7 @@
 	name := workerName(i)
 	return &agent.Agent{
 		WorkerID: name, Domain: domains[i%len(domains)], Rack: units.RackName(fmt.Sprintf("rack-%03d", i/3)), Region: region(i),
-		LinkAddress: "127.0.0.1:0", Entries: s.Entries, Guard: &guard.Controller{}, OmitUnchanged: true,
+		LinkAddress: "127.0.0.1:0", EntryAddresses: s.Entries, Guard: &guard.Controller{}, OmitUnchanged: true,
 		Worker: &workerapi.Client{BaseURL: "http://" + s.Workers + "/" + string(name), HTTP: &http.Client{
 			Transport: &http.Transport{MaxIdleConnsPerHost: workerConnections, IdleConnTimeout: time.Minute}}},
 		EndpointReports: func() []*wire.EndpointReport {
--- a/internal/capacity/entries.go
+++ b/internal/capacity/entries.go
@@ -89,7 +89,7 @@
 		},
 	}
 	e := process.NewEntry(s, scope)
-	e.DrainFor = time.Millisecond
+	e.DrainDelay = time.Millisecond
 	return e
 }
 
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -29,7 +29,7 @@
 		Backend: backend{e}, Environment: e.Settings.Environment,
 		OperatorToken: e.Settings.OperatorToken, TeamTokens: e.Settings.TeamTokens,
 		Requests: limits.AdminRequests, Body: limits.AdminBody, HeaderBytes: limits.HeaderBytes, Timeout: limits.AdminTimeout,
-		Scope: e.Scope, MetricsHandler: e.Metrics,
+		Scope: e.MetricsScope, MetricsHandler: e.MetricsHandler,
 	}
 }
 
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -82,7 +82,7 @@
 }
 
 func newControl(e *Entry) *control {
-	s := e.Scope.SubScope("entry")
+	s := e.MetricsScope.SubScope("entry")
 	return &control{
 		Entry:      e,
 		workers:    make(map[units.WorkerID]*workerRow),
--- a/internal/entry/document.go
+++ b/internal/entry/document.go
@@ -51,8 +51,8 @@
 	}
 	v.document = document
 	e.document.Store(&v)
-	if e.requests != nil {
-		e.requests.Update(document)
+	if e.requestServer != nil {
+		e.requestServer.SetDocument(document)
 	}
 	klog.InfoS("document in force", "environment", e.Settings.Environment, "version", v.offset, "author", v.author)
 	e.event("config", "inForce", string(e.Settings.Environment), fmt.Sprintf("version %d by %s", v.offset, v.author), "")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -45,16 +45,16 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Requests is the path of callers' requests as the entry process needs it.
-type Requests interface {
+// RequestServer is the path of callers' requests as the entry process needs it.
+type RequestServer interface {
 	// Server returns the server of the callers' listener.
 	Server() *http.Server
 	// Run watches this process for stalls until ctx ends.
 	Run(ctx context.Context) error
-	// Observe takes over an agent's view of its endpoints.
-	Observe(worker units.WorkerID, session *link.Session, beat Beat)
-	// Update takes over a new document.
-	Update(d *environment.Document)
+	// ObserveHeartbeat takes over an agent's view of its endpoints.
+	ObserveHeartbeat(worker units.WorkerID, session *link.Session, beat ReceivedHeartbeat)
+	// SetDocument takes over a new document.
+	SetDocument(d *environment.Document)
 	// Shutdown turns readiness off, serves for notice, and then stops server
 	// without cutting off a request.
 	Shutdown(ctx context.Context, server *http.Server, notice time.Duration)
@@ -62,35 +62,35 @@
 
 // Entry is the entry process. Set the exported fields before Run.
 type Entry struct {
-	Settings *settings.Entry
-	Log      logservice.Service
-	Requests func(e *Entry) Requests // builds the request path; nil serves no callers
-	Scope    tally.Scope             // nil for none
-	Metrics  http.Handler            // serves /metrics; nil for none
-	// DrainFor is how long readiness is off before listeners close on a planned
+	Settings         *settings.Entry
+	Log              logservice.Service
+	NewRequestServer func(e *Entry) RequestServer // builds the request path; nil serves no callers
+	MetricsScope     tally.Scope                  // nil for none
+	MetricsHandler   http.Handler                 // serves /metrics; nil for none
+	// DrainDelay is how long readiness is off before listeners close on a planned
 	// stop, so that the platform's balancer stops choosing this process first.
-	DrainFor time.Duration
-
-	prepared     sync.Once
-	runID        string
-	recorder     *timeline.Recorder
-	collector    *timeline.Collector
-	causes       timeline.Causes
-	config       *stream.Follower[*configuration.State]
-	members      *stream.Follower[*roster.Roster]
-	jobs         *stream.Follower[*ledger.Ledger]
-	writers      struct{ config, members, jobs *stream.Writer }
-	publisher    *configuration.Publisher
-	agents       *link.Listener
-	requests     Requests
-	calls        chan func(*control)
-	document     atomic.Pointer[version]
-	refresh      sync.Mutex   // of examined, unreadable, and of putting a document in force
-	examined     units.Offset // newest version that has been looked at
-	unreadable   units.Offset // newest version that did not pass the check of this program
-	owners       atomic.Pointer[owners]
-	draining     atomic.Bool
-	descriptions descriptions
+	DrainDelay time.Duration
+
+	prepared      sync.Once
+	runID         string
+	recorder      *timeline.Recorder
+	collector     *timeline.Collector
+	causes        timeline.Causes
+	config        *stream.Follower[*configuration.State]
+	members       *stream.Follower[*roster.Roster]
+	jobs          *stream.Follower[*ledger.Ledger]
+	writers       struct{ config, members, jobs *stream.Writer }
+	publisher     *configuration.Publisher
+	agents        *link.Listener
+	requestServer RequestServer
+	calls         chan func(*control)
+	document      atomic.Pointer[version]
+	refresh       sync.Mutex   // of examined, unreadable, and of putting a document in force
+	examined      units.Offset // newest version that has been looked at
+	unreadable    units.Offset // newest version that did not pass the check of this program
+	owners        atomic.Pointer[owners]
+	draining      atomic.Bool
+	descriptions  descriptions
 }
 
 // version is the document in force with the offset that numbers it.
@@ -122,11 +122,11 @@
 	var id [6]byte
 	_, _ = rand.Read(id[:])
 	e.runID = string(e.Settings.ID) + "-" + hex.EncodeToString(id[:])
-	if e.Scope == nil {
-		e.Scope = tally.NoopScope
+	if e.MetricsScope == nil {
+		e.MetricsScope = tally.NoopScope
 	}
-	if e.DrainFor == 0 {
-		e.DrainFor = drainFor
+	if e.DrainDelay == 0 {
+		e.DrainDelay = drainFor
 	}
 	e.recorder = timeline.NewRecorder(e.runID, e.Settings.Limits.TimelineEvents, time.Now)
 	e.collector = timeline.NewCollector(e.Settings.Limits.TimelineEvents)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -89,7 +89,7 @@
 				CallerAddress: freeAddress(t), AdminAddress: freeAddress(t), LinkAddress: link, AdvertisedLinkAddress: link,
 				Limits: settings.EntryLimits{TimelineEvents: 1000},
 			},
-			Log: c.log, DrainFor: 10 * time.Millisecond,
+			Log: c.log, DrainDelay: 10 * time.Millisecond,
 		}
 		e.prepare() // the test asks the process before Run has begun
 		c.entries = append(c.entries, run(t, e))
@@ -128,7 +128,7 @@
 	domain := units.DomainName([]string{"a", "b", "c"}[i%3])
 	return &agent.Agent{
 		WorkerID: core.Name, Domain: domain, Rack: units.RackName(domain), Region: "r",
-		LinkAddress: freeAddress(c.t).String(), Worker: core, Entries: seeds, OmitUnchanged: true,
+		LinkAddress: freeAddress(c.t).String(), Worker: core, EntryAddresses: seeds, OmitUnchanged: true,
 	}
 }
 
@@ -235,7 +235,7 @@
 	c.workers[0].SetFaults(worker.Faults{Unreachable: true}) // the instance is gone
 	c.agents[0].stop()
 	c.agents[1].stop()
-	seeds := c.agents[1].part.Entries
+	seeds := c.agents[1].part.EntryAddresses
 	c.agents[1] = run(t, c.newAgent(c.workers[1], 1, seeds))
 	c.eventually("the job completes", func() bool { return c.state(id) == "completed" })
 	c.checkRuns()
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -10,10 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Beat is a heartbeat with the local time of its arrival.
-type Beat struct {
-	Message *wire.Heartbeat
-	At      time.Time
+// ReceivedHeartbeat is a heartbeat with the local time of its arrival.
+type ReceivedHeartbeat struct {
+	Message    *wire.Heartbeat
+	ReceivedAt time.Time
 }
 
 // heartbeat answers POST /link/heartbeat.
@@ -23,8 +23,8 @@
 	e.collect(m.GetEvents())
 	session := link.FromContext(ctx)
 	e.descriptions.complete(m, session)
-	if e.requests != nil && session != nil {
-		e.requests.Observe(units.WorkerID(m.GetWorker()), session, Beat{Message: m, At: now})
+	if e.requestServer != nil && session != nil {
+		e.requestServer.ObserveHeartbeat(units.WorkerID(m.GetWorker()), session, ReceivedHeartbeat{Message: m, ReceivedAt: now})
 	}
 	reply := &wire.HeartbeatReply{Entry: string(e.Settings.ID)}
 	if err := e.do(ctx, func(c *control) { c.observe(m, session, now); c.answer(m, reply, now) }); err != nil {
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -21,12 +21,12 @@
 const snapshotEvery = 20_000
 
 // Run serves until ctx ends, then stops gracefully: readiness goes off, the
-// process leaves the members, listeners close after DrainFor, requests in
+// process leaves the members, listeners close after DrainDelay, requests in
 // flight are answered, and sessions end last.
 func (e *Entry) Run(ctx context.Context) error {
 	e.prepare()
-	if e.Requests != nil {
-		e.requests = e.Requests(e)
+	if e.NewRequestServer != nil {
+		e.requestServer = e.NewRequestServer(e)
 	}
 	callers, err := listen(e.Settings.CallerAddress.String())
 	if err != nil {
@@ -50,8 +50,8 @@
 	e.follow(serving, group)
 	group.Go(func() error { return newControl(e).run(serving) })
 	group.Go(func() error { return e.agents.Run(serving) })
-	if e.requests != nil {
-		group.Go(func() error { return e.requests.Run(serving) })
+	if e.requestServer != nil {
+		group.Go(func() error { return e.requestServer.Run(serving) })
 	}
 	callerServer := e.callerServer()
 	adminServer := administration.NewServer(e.administrationConfig()).HTTPServer()
@@ -113,8 +113,8 @@
 }
 
 func (e *Entry) callerServer() *http.Server {
-	if e.requests != nil {
-		return e.requests.Server()
+	if e.requestServer != nil {
+		return e.requestServer.Server()
 	}
 	return &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: 5 * time.Second}
 }
@@ -125,13 +125,13 @@
 	e.event("entry", "draining", string(e.Settings.ID), "", "")
 	ctx, cancel := context.WithTimeout(ctx, stopWithin)
 	defer cancel()
-	leave, cancelLeave := context.WithTimeout(ctx, e.DrainFor)
+	leave, cancelLeave := context.WithTimeout(ctx, e.DrainDelay)
 	if _, err := e.writers.members.Append(leave, roster.EncodeEntryLeft(e.Settings.ID)); err != nil {
 		klog.InfoS("the planned stop was not recorded", "err", err)
 	}
 	cancelLeave()
-	if e.requests != nil {
-		e.requests.Shutdown(ctx, callers, e.DrainFor)
+	if e.requestServer != nil {
+		e.requestServer.Shutdown(ctx, callers, e.DrainDelay)
 	} else if err := callers.Shutdown(ctx); err != nil {
 		klog.InfoS("requests were still in flight at the end of the planned stop", "err", err)
 	}
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -98,19 +98,19 @@
 	var causes timeline.Causes
 	a := &agent.Agent{
 		WorkerID: s.Worker, Domain: s.FailureDomain, Rack: s.Rack, Region: s.Region,
-		LinkAddress: s.LinkAddress.String(), AdvertisedLinkAddress: s.AdvertisedLinkAddress.String(), Process: recorder.Process(),
+		LinkAddress: s.LinkAddress.String(), AdvertisedLinkAddress: s.AdvertisedLinkAddress.String(), ProcessName: recorder.Process(),
 		Worker: &workerapi.Client{
 			BaseURL: "http://" + s.WorkerAddress.String(),
 			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workerConnections, IdleConnTimeout: time.Minute}},
 		},
 		RequestHandler: forwarder, EndpointReports: forwarder.Reports, Guard: &guard.Controller{},
 		OmitUnchanged: true,
-		Events: func(kind, subject, text string) {
+		RecordEvent: func(kind, subject, text string) {
 			changes.Inc(1)
 			klog.InfoS("agent event", "kind", kind, "subject", subject, "text", text)
 			causes.Note(subject, recorder.Record("worker", kind, subject, text, causes.Latest(subject)))
 		},
-		Caused: causes.Note,
+		RecordCause: causes.Note,
 		PendingEvents: func() []*wire.Event {
 			return timeline.ToWire(recorder.After(acknowledged.Load(), eventsPerHeartbeat))
 		},
@@ -119,7 +119,7 @@
 		ObserveClock:      recorder.Observe,
 	}
 	for _, e := range s.Entries {
-		a.Entries = append(a.Entries, e.String())
+		a.EntryAddresses = append(a.EntryAddresses, e.String())
 	}
 	return a
 }
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -50,14 +50,14 @@
 	scope, metrics, closer := administration.NewMetrics(string(s.ID))
 	defer closer.Close()
 	e := NewEntry(s, scope)
-	e.Metrics, e.DrainFor = metrics, drainFor
+	e.MetricsHandler, e.DrainDelay = metrics, drainFor
 	return interruptible(ctx, e.Run)
 }
 
 // NewEntry connects the parts of an entry process.
 func NewEntry(s *settings.Entry, scope tally.Scope) *entry.Entry {
 	return &entry.Entry{
-		Settings: s, Scope: scope, Requests: requests(s, scope),
+		Settings: s, MetricsScope: scope, NewRequestServer: requests(s, scope),
 		Log: &logservice.Client{
 			BaseURL: "http://" + s.LogAddress.String(),
 			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: logConnections, IdleConnTimeout: time.Minute}},
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -26,8 +26,8 @@
 	sessions map[*link.Session]struct{}
 }
 
-func requests(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.Requests {
-	return func(e *entry.Entry) entry.Requests {
+func requests(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
+	return func(e *entry.Entry) entry.RequestServer {
 		table := routing.New(routing.Settings{Domain: s.FailureDomain, Region: s.Region})
 		document := func() *environment.Document {
 			d, _ := e.Document()
@@ -43,12 +43,12 @@
 	}
 }
 
-// Run implements entry.Requests.
+// Run implements entry.RequestServer.
 func (p *requestPath) Run(ctx context.Context) error { return p.table.Run(ctx) }
 
-// Observe implements entry.Requests.
-func (p *requestPath) Observe(worker units.WorkerID, session *link.Session, beat entry.Beat) {
-	p.table.Observe(worker, session, beat.Message, beat.At)
+// ObserveHeartbeat implements entry.RequestServer.
+func (p *requestPath) ObserveHeartbeat(worker units.WorkerID, session *link.Session, beat entry.ReceivedHeartbeat) {
+	p.table.Observe(worker, session, beat.Message, beat.ReceivedAt)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, known := p.sessions[session]; known {
@@ -64,5 +64,5 @@
 	}()
 }
 
-// Update implements entry.Requests.
-func (p *requestPath) Update(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
+// SetDocument implements entry.RequestServer.
+func (p *requestPath) SetDocument(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
