--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,29 +31,29 @@
 	leaseMargin   = leases.Margin
 	// freshness is how old the evidence of the tail of config may be when a
 	// task starts.
-	freshness = 2500 * time.Millisecond
+	maxConfigAge = 2500 * time.Millisecond
 	// startGrace bounds how long after the evidence ends a start that was sent
 	// in time may still take effect; freshness plus startGrace stays below 3 s.
-	startGrace = 400 * time.Millisecond
+	startGracePeriod = 400 * time.Millisecond
 	// workerTimeout bounds a call to the worker beside the agent.
-	workerTimeout = time.Second
+	workerCallTimeout = time.Second
 	// tickInterval is the resolution of every deadline of the control loop.
 	tickInterval = 100 * time.Millisecond
 	// tableInterval is how often the worker's task table is read when nothing
 	// asks for it sooner.
-	tableInterval = 500 * time.Millisecond
+	tablePollInterval = 500 * time.Millisecond
 	// confirmWindow is how old the last proof may be that the worker still
 	// obeys this epoch when the agent grants a lease. It is below leaseMargin:
 	// the lessees of a replaced epoch count as expired leaseDuration plus
 	// leaseMargin after the replacement, and no grant may outlast that.
-	confirmWindow = 900 * time.Millisecond
+	maxConfirmationAge = 900 * time.Millisecond
 	// retryInterval spaces repeated calls for one task.
 	retryInterval = 300 * time.Millisecond
 	// drainTimeout bounds the wait for requests in flight on a planned stop.
 	drainTimeout = 20 * time.Second
 	// leaveNotice lets every entry hear that the agent is leaving before its
 	// sessions refuse requests.
-	leaveNotice = 1200 * time.Millisecond
+	drainNotice = 1200 * time.Millisecond
 )
 
 // Kind tells failures of an agent apart.
@@ -130,34 +130,34 @@
 	group   sync.WaitGroup // goroutines started by spawn
 	handler http.Handler
 
-	parsed   parsedDocument
-	draining atomic.Bool // sessions are ended by drain, not by their owners
+	lastParsed       parsedDocument
+	drainingSessions atomic.Bool // sessions are ended by drain, not by their owners
 	state
 }
 
 // state is owned by the control loop.
 type state struct {
-	origin   time.Time
-	epoch    units.Epoch
-	capacity units.Resources
-	adopted  bool // the table of this epoch has been read; nothing is admitted before
-	leaving  bool // a planned stop is under way
-	failure  error
-
-	tasks    map[units.Task]*task
-	memory   memory
-	services map[units.ServiceName]units.Resources // reservations that count as committed
+	startedAt time.Time
+	epoch     units.Epoch
+	capacity  units.Resources
+	adopted   bool // the table of this epoch has been read; nothing is admitted before
+	stopping  bool // a planned stop is under way
+	runError  error
+
+	tasks        map[units.Task]*task
+	decisions    launchDecisions
+	reservations map[units.ServiceName]units.Resources // reservations that count as committed
 	// serviceSeen holds when the endpoint of each service last announced itself.
-	serviceSeen map[units.ServiceName]time.Time
-	endpoints   []*wire.EndpointReport
-	failures    failures
-	worker      workerState
-	config      config
-	lease       lease
-	lessees     map[units.WorkerID]*lessee
-	entries     map[string]*entry
-	logSince    time.Time // the log has been reachable since; zero while it is not
-	guarded     guardState
+	endpointSeenAt    map[units.ServiceName]time.Time
+	offeredEndpoints  []*wire.EndpointReport
+	failures          failureRecord
+	worker            workerState
+	config            configState
+	lease             leaseState
+	lessees           map[units.WorkerID]*lessee
+	entries           map[string]*entry
+	logReachableSince time.Time // the log has been reachable since; zero while it is not
+	guardState        guardState
 }
 
 // Run acquires the worker and acts until ctx ends or a newer epoch holds the
@@ -175,25 +175,25 @@
 	for _, address := range a.EntryAddresses {
 		a.addEntry(address, true)
 	}
-	a.acquire(true)
+	a.acquireWorker(true)
 	a.loop(ctx)
 	a.drain(stop)
 	cancel()
 	close(a.done)
 	a.group.Wait()
-	return a.failure
+	return a.runError
 }
 
 func (a *Agent) init() {
 	a.inbox = make(chan func(), 64)
 	a.done = make(chan struct{})
 	a.state = state{
-		origin:      time.Now(),
-		tasks:       make(map[units.Task]*task),
-		services:    make(map[units.ServiceName]units.Resources),
-		serviceSeen: make(map[units.ServiceName]time.Time),
-		lessees:     make(map[units.WorkerID]*lessee),
-		entries:     make(map[string]*entry),
+		startedAt:      time.Now(),
+		tasks:          make(map[units.Task]*task),
+		reservations:   make(map[units.ServiceName]units.Resources),
+		endpointSeenAt: make(map[units.ServiceName]time.Time),
+		lessees:        make(map[units.WorkerID]*lessee),
+		entries:        make(map[string]*entry),
 	}
 	if a.ProcessName == "" {
 		a.ProcessName = "agent/" + string(a.WorkerID)
@@ -208,7 +208,7 @@
 func (a *Agent) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for a.failure == nil {
+	for a.runError == nil {
 		select {
 		case fn := <-a.inbox:
 			fn()
@@ -223,10 +223,10 @@
 // drain tells the entries that the agent leaves, then lets the sessions finish
 // their requests. The loop runs on meanwhile, so that leases are renewed.
 func (a *Agent) drain(stopListener func(context.Context)) {
-	a.leaving = true
+	a.stopping = true
 	a.event("agentLeaving", string(a.WorkerID), "waiting for requests in flight")
-	if a.failure == nil {
-		notice, cancel := context.WithTimeout(a.ctx, leaveNotice)
+	if a.runError == nil {
+		notice, cancel := context.WithTimeout(a.ctx, drainNotice)
 		a.loop(notice)
 		cancel()
 	}
@@ -234,7 +234,7 @@
 	defer cancel()
 	finished, finish := context.WithCancel(a.ctx)
 	sessions := a.openSessions()
-	a.draining.Store(true)
+	a.drainingSessions.Store(true)
 	a.spawn(func() {
 		defer finish()
 		var wait sync.WaitGroup
@@ -245,12 +245,12 @@
 		wait.Wait()
 	})
 	a.loop(finished)
-	a.discard(finished) // a fenced agent decides nothing
+	a.discardInbox(finished) // a fenced agent decides nothing
 	a.lease.end()
 }
 
 // discard empties the inbox without acting.
-func (a *Agent) discard(ctx context.Context) {
+func (a *Agent) discardInbox(ctx context.Context) {
 	for {
 		select {
 		case <-a.inbox:
@@ -263,7 +263,7 @@
 // tick brings every part up to now. Parts read the clock they are given, so
 // that one tick decides on one instant.
 func (a *Agent) tick(now time.Time) {
-	a.pollEndpoints(now)
+	a.updateEndpoints(now)
 	a.tickLog(now)
 	a.tickLease(now)
 	a.tickLessees(now)
@@ -271,7 +271,7 @@
 	a.evacuate(now)
 	a.tickStandbys(now)
 	a.tickGuard(now)
-	a.driveAll(now)
+	a.reconcileAll(now)
 	a.dropEntries(now)
 }
 
@@ -290,8 +290,8 @@
 
 // fence stops the agent: a newer epoch holds the worker.
 func (a *Agent) fence(cause error) {
-	if a.failure == nil {
-		a.failure = fault.Wrap("run", Fenced, cause)
+	if a.runError == nil {
+		a.runError = fault.Wrap("run", Fenced, cause)
 		a.event("agentFenced", string(a.WorkerID), cause.Error())
 	}
 }
@@ -329,7 +329,7 @@
 
 // ask runs fn on the control loop and returns its result. When ctx ends first,
 // fn may still run later; its result is dropped.
-func ask[T any](ctx context.Context, a *Agent, fn func() (T, error)) (T, error) {
+func runOnLoop[T any](ctx context.Context, a *Agent, fn func() (T, error)) (T, error) {
 	type answer struct {
 		value T
 		err   error
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -14,19 +14,19 @@
 
 // call runs one command for t on the worker and hands the error to done on the
 // control loop. Answers to an epoch that the agent no longer uses are dropped.
-func (a *Agent) call(t *task, fn func(callContext) error, done func(error)) {
-	t.busy = true
+func (a *Agent) callWorker(t *task, fn func(callContext) error, done func(error)) {
+	t.callInFlight = true
 	epoch := a.epoch
 	a.spawn(func() {
-		ctx, cancel := context.WithTimeout(a.ctx, workerTimeout)
+		ctx, cancel := context.WithTimeout(a.ctx, workerCallTimeout)
 		defer cancel()
 		err := fn(ctx)
 		a.post(func() {
-			t.busy = false
+			t.callInFlight = false
 			switch {
 			case epoch != a.epoch:
 			case fault.Is(err, workerapi.Fenced):
-				a.doubt()
+				a.handleFencedCall()
 			default:
 				done(err)
 			}
@@ -34,8 +34,8 @@
 	})
 }
 
-func (a *Agent) retry(t *task) {
-	t.tries++
+func (a *Agent) scheduleRetry(t *task) {
+	t.failedCalls++
 	t.retryAt = time.Now().Add(retryInterval)
 }
 
@@ -44,51 +44,51 @@
 // extends it.
 func (a *Agent) callStart(t *task, now time.Time) {
 	until := a.startDeadline()
-	t.startEnd = a.worker.clockAt(until)
-	t.move(starting, now)
+	t.startValidUntil = a.worker.workerClockAt(until)
+	t.setPhase(phaseStarting, now)
 	request := workerapi.StartRequest{
 		Epoch: a.epoch, Task: t.name, Attempt: t.attempt, Kind: t.spec.GetJobKind(), Size: t.size,
-		RunTime: time.Duration(t.spec.GetRunMilliseconds()) * time.Millisecond, LeaseUntil: t.startEnd,
-		Checkpoint: t.spec.GetCheckpoint(), Standby: t.holder != "", Label: label(t),
+		RunTime: time.Duration(t.spec.GetRunMilliseconds()) * time.Millisecond, LeaseUntil: t.startValidUntil,
+		Checkpoint: t.spec.GetCheckpoint(), Standby: t.holder != "", Label: encodeLabel(t),
 	}
-	a.call(t, func(ctx callContext) error {
+	a.callWorker(t, func(ctx callContext) error {
 		if !time.Now().Before(until) {
 			return fault.New("start", workerapi.Conflict, "evidence ended before the call")
 		}
 		return a.Worker.Start(ctx, request)
-	}, func(err error) { a.startAnswered(t, err) })
+	}, func(err error) { a.handleStartResult(t, err) })
 }
 
-func (a *Agent) startAnswered(t *task, err error) {
+func (a *Agent) handleStartResult(t *task, err error) {
 	now := time.Now()
 	switch {
-	case t.phase != starting: // the task table was faster
+	case t.phase != phaseStarting: // the task table was faster
 	case err == nil:
-		a.started(t, now)
-	case definite(err):
+		a.recordStart(t, now)
+	case isRejection(err):
 		a.refuse(t, err.Error())
 	default:
-		t.move(unresolved, now)
+		t.setPhase(phaseStartUnknown, now)
 	}
 	a.worker.pollSoon = true
 }
 
 // definite reports whether the worker has said that the call had no effect.
-func definite(err error) bool {
+func isRejection(err error) bool {
 	return fault.Is(err, workerapi.Conflict) || fault.Is(err, workerapi.Full) || fault.Is(err, workerapi.Invalid) || fault.Is(err, workerapi.NotFound)
 }
 
 // started records that the worker holds the attempt.
-func (a *Agent) started(t *task, now time.Time) {
+func (a *Agent) recordStart(t *task, now time.Time) {
 	a.worker.renewSoon = true
 	if t.holder != "" && t.activateAs == 0 {
-		t.move(standby, now)
+		t.setPhase(phaseStandby, now)
 		return
 	}
-	t.move(running, now)
-	t.share = 1
-	t.outcomeNow(wire.Outcome_OUTCOME_STARTED, now)
-	t.answer(wire.Outcome_OUTCOME_STARTED, "")
+	t.setPhase(phaseRunning, now)
+	t.processorShare = 1
+	t.setOutcome(wire.Outcome_OUTCOME_STARTED, now)
+	t.sendResult(wire.Outcome_OUTCOME_STARTED, "")
 	a.event("taskStarted", t.name.String(), string(a.WorkerID))
 }
 
@@ -96,10 +96,10 @@
 // shows whether it took effect.
 func (a *Agent) callActivate(t *task, now time.Time) {
 	epoch, from, as, until := a.epoch, t.attempt, t.activateAs, a.lease.deadlineAt(now)
-	if len(t.results) > 0 {
+	if len(t.resultChannels) > 0 {
 		until = a.startDeadline() // launched by an entry, under the rules of a start
 	}
-	a.call(t, func(ctx callContext) error {
+	a.callWorker(t, func(ctx callContext) error {
 		if !time.Now().Before(until) {
 			return fault.New("activate", workerapi.Unknown, "lease ended before the call")
 		}
@@ -107,17 +107,17 @@
 	}, func(err error) {
 		a.worker.pollSoon = true
 		if err != nil {
-			a.retry(t)
+			a.scheduleRetry(t)
 			return
 		}
-		a.activated(t, as)
+		a.recordActivation(t, as)
 	})
 }
 
-func (a *Agent) activated(t *task, as units.Attempt) {
-	if t.phase == standby {
-		t.attempt, t.holder, t.activateAs, t.startFirst = as, "", 0, true
-		a.started(t, time.Now())
+func (a *Agent) recordActivation(t *task, as units.Attempt) {
+	if t.phase == phaseStandby {
+		t.attempt, t.holder, t.activateAs, t.startUnrecorded = as, "", 0, true
+		a.recordStart(t, time.Now())
 	}
 }
 
@@ -125,26 +125,26 @@
 // and the name of the checkpoint.
 func (a *Agent) callCheckpoint(t *task) {
 	epoch := a.epoch
-	a.call(t, func(ctx callContext) error {
+	a.callWorker(t, func(ctx callContext) error {
 		_, err := a.Worker.Checkpoint(ctx, epoch, t.name, t.attempt, true)
 		return err
-	}, func(error) { a.retry(t); a.worker.pollSoon = true })
+	}, func(error) { a.scheduleRetry(t); a.worker.pollSoon = true })
 }
 
 func (a *Agent) callStop(t *task) {
 	epoch := a.epoch
-	a.call(t, func(ctx callContext) error {
+	a.callWorker(t, func(ctx callContext) error {
 		return a.Worker.Stop(ctx, epoch, t.name, t.attempt)
-	}, func(error) { a.retry(t); a.worker.pollSoon = true })
+	}, func(error) { a.scheduleRetry(t); a.worker.pollSoon = true })
 }
 
 func (a *Agent) callThrottle(t *task, share float64) {
 	epoch := a.epoch
-	a.call(t, func(ctx callContext) error {
+	a.callWorker(t, func(ctx callContext) error {
 		return a.Worker.Throttle(ctx, epoch, t.name, t.attempt, share)
 	}, func(err error) {
 		if err == nil {
-			t.share = share
+			t.processorShare = share
 		}
 	})
 }
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -10,7 +10,7 @@
 )
 
 // config is the newest document and the evidence of its freshness.
-type config struct {
+type configState struct {
 	document   *environment.Document
 	offset     units.Offset // of document; never falls
 	raw        []byte       // document as it was received, for an entry that lags behind
@@ -31,17 +31,17 @@
 
 // parse returns the document that has that offset, which names its contents.
 func (a *Agent) parse(offset uint64, data []byte) (*environment.Document, error) {
-	a.parsed.mu.Lock()
-	defer a.parsed.mu.Unlock()
-	if offset != 0 && offset == a.parsed.offset {
-		return a.parsed.document, a.parsed.err
+	a.lastParsed.mu.Lock()
+	defer a.lastParsed.mu.Unlock()
+	if offset != 0 && offset == a.lastParsed.offset {
+		return a.lastParsed.document, a.lastParsed.err
 	}
 	parse := a.ParseDocument
 	if parse == nil {
 		parse = func(text []byte) (*environment.Document, error) { return environment.Parse("configuration", text) }
 	}
 	document, err := parse(data)
-	a.parsed.offset, a.parsed.document, a.parsed.err = offset, document, err
+	a.lastParsed.offset, a.lastParsed.document, a.lastParsed.err = offset, document, err
 	return document, err
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	staleness := time.Duration(min(reply.ConfigStalenessMilliseconds, 1<<30)) * time.Millisecond
-	if until := sent.Add(freshness - staleness); until.After(a.config.freshUntil) {
+	if until := sent.Add(maxConfigAge - staleness); until.After(a.config.freshUntil) {
 		a.config.freshUntil = until
 	}
 }
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -40,7 +40,7 @@
 func TestDocumentIsSentToEntryThatAsks(t *testing.T) {
 	text := []byte("document")
 	a := &Agent{}
-	a.config = config{offset: 7, raw: text, author: "operator"}
+	a.config = configState{offset: 7, raw: text, author: "operator"}
 	e := &entry{}
 	for _, want := range []bool{false, true, false} {
 		e.wantConfig = want
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -105,7 +105,7 @@
 			e.listedAt = now
 			continue
 		}
-		if !a.leaving {
+		if !a.stopping {
 			a.addEntry(l.Address, false)
 		}
 	}
@@ -149,7 +149,7 @@
 // reportsTo reports whether a heartbeat to e carries the report of t.
 func (a *Agent) reportsTo(e *entry, t *task, now time.Time) bool {
 	first := a.launcher(t, now)
-	return first == nil || first == e || now.Sub(t.reportSince) > reportElsewhere
+	return first == nil || first == e || now.Sub(t.reportPendingSince) > reportElsewhere
 }
 
 // beatAfterEnd sends the end of a task early to the entry that launched it; the
@@ -210,7 +210,7 @@
 			if a.beatUntilSilent(ctx, e, session) {
 				backoff = firstBackoff
 			}
-			if a.draining.Load() {
+			if a.drainingSessions.Load() {
 				return // drain ends the session when its requests are answered
 			}
 			session.Close()
@@ -263,7 +263,7 @@
 func (a *Agent) beatOnce(ctx context.Context, e *entry, session Session) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	b, err := ask(ctx, a, func() (beat, error) {
+	b, err := runOnLoop(ctx, a, func() (beat, error) {
 		b := beat{sent: time.Now(), interval: max(heartbeatInterval, heartbeatSpacing*time.Duration(len(a.entries)))}
 		b.message, b.reports = a.compose(e, b.sent)
 		return b, nil
@@ -280,7 +280,7 @@
 	if len(reply.ConfigDocument) > 0 {
 		document, parseErr = a.parse(reply.ConfigOffset, reply.ConfigDocument)
 	}
-	_, err = ask(ctx, a, func() (struct{}, error) {
+	_, err = runOnLoop(ctx, a, func() (struct{}, error) {
 		a.applyReply(e, reply, document, parseErr, b.sent, b.reports)
 		return struct{}{}, nil
 	})
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -32,7 +32,7 @@
 			}
 			launcher := a.entries["entry-0"]
 			launcher.answeredAt = now.Add(-c.launcherAnswered)
-			row := &task{launchedBy: "entry-0", reportSince: now.Add(-c.reportedAt)}
+			row := &task{launchedBy: "entry-0", reportPendingSince: now.Add(-c.reportedAt)}
 			if got := a.reportsTo(launcher, row, now); got != c.wantLauncher {
 				t.Errorf("launcher: got %t, want %t", got, c.wantLauncher)
 			}
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -10,23 +10,23 @@
 const (
 	// failuresInRow is how many attempts in a row of different jobs must fail
 	// before the worker, not the jobs, is suspected.
-	failuresInRow = 5
+	maxConsecutiveFailures = 5
 	// firstPause and longestPause bound how long a suspected worker gets
 	// nothing; every further failure doubles the pause.
-	firstPause   = 30 * time.Second
-	longestPause = 10 * time.Minute
+	minSuspectBackoff = 30 * time.Second
+	maxSuspectBackoff = 10 * time.Minute
 )
 
 // failures is the worker's failure record.
-type failures struct {
-	jobs  []units.JobID // of the latest failures in a row, distinct
-	pause time.Duration
-	until time.Time
+type failureRecord struct {
+	jobs           []units.JobID // of the latest failures in a row, distinct
+	backoff        time.Duration
+	suspectedUntil time.Time
 }
 
-func (f *failures) ended(job units.JobID, outcome wire.Outcome, now time.Time) {
+func (f *failureRecord) record(job units.JobID, outcome wire.Outcome, now time.Time) {
 	if outcome == wire.Outcome_OUTCOME_COMPLETED {
-		*f = failures{}
+		*f = failureRecord{}
 	}
 	if outcome != wire.Outcome_OUTCOME_FAILED {
 		return
@@ -37,12 +37,12 @@
 		}
 	}
 	f.jobs = append(f.jobs, job)
-	if len(f.jobs) >= failuresInRow {
-		f.pause = min(max(2*f.pause, firstPause), longestPause)
-		f.until = now.Add(f.pause)
+	if len(f.jobs) >= maxConsecutiveFailures {
+		f.backoff = min(max(2*f.backoff, minSuspectBackoff), maxSuspectBackoff)
+		f.suspectedUntil = now.Add(f.backoff)
 		// One more failure after the pause suspects the worker again.
-		f.jobs = append(f.jobs[:0:0], f.jobs[len(f.jobs)-failuresInRow+1:]...)
+		f.jobs = append(f.jobs[:0:0], f.jobs[len(f.jobs)-maxConsecutiveFailures+1:]...)
 	}
 }
 
-func (f *failures) suspected(now time.Time) bool { return now.Before(f.until) }
+func (f *failureRecord) suspected(now time.Time) bool { return now.Before(f.suspectedUntil) }
--- a/internal/agent/guarding.go
+++ b/internal/agent/guarding.go
@@ -13,25 +13,25 @@
 
 type guardState struct {
 	tickAt    time.Time
-	latencies map[units.ServiceName]latency
+	latencies map[units.ServiceName]latencySample
 }
 
 // latency is a reported latency and when it last changed: an unchanged value
 // means that no request was served, which is not a new measurement.
-type latency struct {
-	value time.Duration
-	at    time.Time
+type latencySample struct {
+	value     time.Duration
+	changedAt time.Time
 }
 
 // tickGuard runs the control loop that protects the endpoints.
 func (a *Agent) tickGuard(now time.Time) {
-	if a.Guard == nil || a.config.document == nil || !a.adopted || now.Sub(a.guarded.tickAt) < guardInterval {
+	if a.Guard == nil || a.config.document == nil || !a.adopted || now.Sub(a.guardState.tickAt) < guardInterval {
 		return
 	}
-	a.guarded.tickAt = now
+	a.guardState.tickAt = now
 	for _, action := range a.Guard.Tick(a.guardInputs(now)) {
 		t := a.tasks[action.Task]
-		if t == nil || t.attempt != action.Attempt || t.phase != running || t.intent != keep || t.busy {
+		if t == nil || t.attempt != action.Attempt || t.phase != phaseRunning || t.intent != intentKeep || t.callInFlight {
 			continue
 		}
 		if action.Verb == guard.Evict {
@@ -45,42 +45,42 @@
 func (a *Agent) guardInputs(now time.Time) guard.Inputs {
 	document := a.config.document
 	in := guard.Inputs{Now: now, Enabled: document.Guards.Enabled, Ratio: document.Guards.LatencyRatio}
-	for _, report := range a.endpoints {
+	for _, report := range a.offeredEndpoints {
 		name := units.ServiceName(report.Service)
 		service := document.Service(name)
 		if service == nil || report.LatencyMicroseconds <= 0 {
 			continue
 		}
-		measured := a.measured(name, time.Duration(report.LatencyMicroseconds)*time.Microsecond, now)
-		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, Measured: measured.at})
+		measured := a.latencyOf(name, time.Duration(report.LatencyMicroseconds)*time.Microsecond, now)
+		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, Measured: measured.changedAt})
 	}
 	for _, t := range a.tasks {
-		if t.phase != running || !t.isBatch() || t.intent != keep {
+		if t.phase != phaseRunning || !t.isBatch() || t.intent != intentKeep {
 			continue
 		}
 		in.Tasks = append(in.Tasks, guard.Task{
 			Task: t.name, Attempt: t.attempt, Kind: units.JobKind(t.spec.GetJobKind()), Priority: t.priority(),
 			OverQuota: a.OverQuota != nil && a.OverQuota(units.TeamName(t.spec.GetTeam())),
-			Share:     t.share, Usage: t.usage.Processors, Measured: t.usageAt,
+			Share:     t.processorShare, Usage: t.usage.Processors, Measured: t.usageMeasuredAt,
 		})
 	}
 	return in
 }
 
-func (a *Agent) measured(name units.ServiceName, value time.Duration, now time.Time) latency {
-	if a.guarded.latencies == nil {
-		a.guarded.latencies = make(map[units.ServiceName]latency)
+func (a *Agent) latencyOf(name units.ServiceName, value time.Duration, now time.Time) latencySample {
+	if a.guardState.latencies == nil {
+		a.guardState.latencies = make(map[units.ServiceName]latencySample)
 	}
-	known := a.guarded.latencies[name]
+	known := a.guardState.latencies[name]
 	if known.value != value {
-		known = latency{value, now}
-		a.guarded.latencies[name] = known
+		known = latencySample{value, now}
+		a.guardState.latencies[name] = known
 	}
 	return known
 }
 
 // interference returns what the guard has learned since the given version.
-func (a *Agent) interference(since uint64) ([]*wire.Interference, uint64) {
+func (a *Agent) interferenceSince(since uint64) ([]*wire.Interference, uint64) {
 	if a.Guard == nil {
 		return nil, since
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -22,7 +22,7 @@
 // sentReport identifies what a heartbeat carried: an acknowledgement counts
 // only for the outcome that was in the heartbeat it answers.
 type sentReport struct {
-	attempt attempt
+	attempt attemptID
 	outcome wire.Outcome
 }
 
@@ -33,7 +33,7 @@
 	h := &wire.Heartbeat{
 		Worker: string(a.WorkerID), Epoch: uint64(a.epoch),
 		Clock: a.clock(), ConfigOffset: uint64(a.config.offset), RunningFull: full,
-		Draining: a.leaving || a.evacuation() != "", Endpoints: a.reports(),
+		Draining: a.stopping || a.evacuationReason() != "", Endpoints: a.endpointsToReport(),
 	}
 	if full || !e.described || !a.OmitUnchanged {
 		h.FailureDomain, h.Rack, h.Region, h.LinkAddress = string(a.Domain), string(a.Rack), string(a.Region), cmp.Or(a.AdvertisedLinkAddress, a.LinkAddress)
@@ -46,11 +46,11 @@
 		h.Epoch, h.Capacity = 0, nil
 		return h, nil
 	}
-	h.Committed, h.Evictable = wire.FromResources(a.committed()), wire.FromResources(a.evictable())
+	h.Committed, h.Evictable = wire.FromResources(a.committedResources()), wire.FromResources(a.evictableResources())
 	h.LeaseTerm, h.LeaseValid, h.Registered = uint64(a.lease.term), a.lease.valid(now), a.lease.registered
 	h.WantsLessor = a.lease.wants
 	h.Expiries = a.expiries(now)
-	h.Interference, e.composed = a.interference(e.interference)
+	h.Interference, e.composed = a.interferenceSince(e.interference)
 	if e.rank == 0 && a.PendingEvents != nil {
 		h.Events = a.PendingEvents()
 	}
@@ -64,7 +64,7 @@
 func (a *Agent) runningRefs(now time.Time) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, t := range a.tasks {
-		if (t.phase != ended || a.heldBack(t, now)) && (t.holder == "" || t.activateAs != 0) {
+		if (t.phase != phaseEnded || a.heldBack(t, now)) && (t.holder == "" || t.activateAs != 0) {
 			refs = append(refs, t.ref())
 		}
 	}
@@ -75,36 +75,36 @@
 func (a *Agent) addReports(e *entry, h *wire.Heartbeat, now time.Time) []sentReport {
 	var pending []*task
 	for _, t := range a.tasks {
-		if t.phase != running && t.phase != ended || t.silent || t.acknowledged || a.heldBack(t, now) || !a.reportsTo(e, t, now) {
+		if t.phase != phaseRunning && t.phase != phaseEnded || t.suppressReport || t.acknowledged || a.heldBack(t, now) || !a.reportsTo(e, t, now) {
 			continue
 		}
 		pending = append(pending, t)
 	}
 	slices.SortFunc(pending, func(x, y *task) int {
-		return cmp.Or(x.reportSince.Compare(y.reportSince), cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
+		return cmp.Or(x.reportPendingSince.Compare(y.reportPendingSince), cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
 	})
 	pending = pending[:min(len(pending), maxReports)]
 	sent := make([]sentReport, len(pending))
 	for i, t := range pending {
-		sent[i] = sentReport{attempt{t.name, t.attempt}, t.reported()}
-		h.Reports = append(h.Reports, t.report())
+		sent[i] = sentReport{attemptID{t.name, t.attempt}, t.outcomeToReport()}
+		h.Reports = append(h.Reports, t.newReport())
 	}
 	return sent
 }
 
 func (a *Agent) heldBack(t *task, now time.Time) bool {
-	if t.isBatch() || t.reported() != wire.Outcome_OUTCOME_EXPIRED {
+	if t.isBatch() || t.outcomeToReport() != wire.Outcome_OUTCOME_EXPIRED {
 		return false
 	}
-	return now.Sub(t.since) < watcherHold || a.logSince.IsZero() || now.Sub(a.logSince) < watcherHold
+	return now.Sub(t.phaseSince) < watcherHold || a.logReachableSince.IsZero() || now.Sub(a.logReachableSince) < watcherHold
 }
 
-func (t *task) report() *wire.TaskReport {
-	r := &wire.TaskReport{Task: t.ref(), Outcome: t.reported()}
-	if t.phase == ended && !t.startFirst {
-		r.Checkpoint, r.Reason, r.RunMilliseconds = t.checkpoint, t.reason, t.ran.Milliseconds()
-		if !t.peak.IsZero() {
-			r.Used = wire.FromResources(t.peak)
+func (t *task) newReport() *wire.TaskReport {
+	r := &wire.TaskReport{Task: t.ref(), Outcome: t.outcomeToReport()}
+	if t.phase == phaseEnded && !t.startUnrecorded {
+		r.Checkpoint, r.Reason, r.RunMilliseconds = t.checkpoint, t.reason, t.runTime.Milliseconds()
+		if !t.peakUsage.IsZero() {
+			r.Used = wire.FromResources(t.peakUsage)
 		}
 	}
 	return r
@@ -136,13 +136,13 @@
 
 func (a *Agent) acknowledgeReports(acknowledged []*wire.TaskRef, reports []sentReport, now time.Time) {
 	for _, ref := range acknowledged {
-		key := attempt{ref.Task(), units.Attempt(ref.GetAttempt())}
+		key := attemptID{ref.Task(), units.Attempt(ref.GetAttempt())}
 		t := a.tasks[key.task]
-		if t == nil || t.attempt != key.number || !slices.Contains(reports, sentReport{key, t.reported()}) {
+		if t == nil || t.attempt != key.number || !slices.Contains(reports, sentReport{key, t.outcomeToReport()}) {
 			continue
 		}
-		t.startFirst, t.acknowledged = false, t.reported() == t.outcome
-		a.drive(t, now)
+		t.startUnrecorded, t.acknowledged = false, t.outcomeToReport() == t.outcome
+		a.reconcile(t, now)
 	}
 }
 
@@ -154,9 +154,9 @@
 func (a *Agent) tickLog(now time.Time) {
 	switch {
 	case !a.logReachable(now):
-		a.logSince = time.Time{}
-	case a.logSince.IsZero():
-		a.logSince = now
+		a.logReachableSince = time.Time{}
+	case a.logReachableSince.IsZero():
+		a.logReachableSince = now
 	}
 }
 
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -13,13 +13,13 @@
 const (
 	// launchWait bounds how long a launch request is held open; tasks that are
 	// undecided by then are left out of the reply and the entry repeats them.
-	launchWait = 1500 * time.Millisecond
+	launchReplyTimeout = 1500 * time.Millisecond
 	// patience is how long a launch waits for room, a lease or fresh evidence
 	// before it is refused, so that an entry can place the task elsewhere.
-	patience = 3 * time.Second
+	launchTimeout = 3 * time.Second
 	// leaseReserve is the least time left on the agent's lease for a start: a
 	// shorter one would likely end before the next renewal.
-	leaseReserve = time.Second
+	minRemainingLease = time.Second
 	// maxTasks bounds a request and the rows that wait for a decision.
 	maxTasks = 4096
 )
@@ -30,20 +30,20 @@
 		return nil, fault.New("launch", NotReady, "%d tasks in one request", len(l.Tasks))
 	}
 	results := make(chan *wire.LaunchResult, len(l.Tasks))
-	reply, err := ask(ctx, a, func() (*wire.LaunchReply, error) {
+	reply, err := runOnLoop(ctx, a, func() (*wire.LaunchReply, error) {
 		a.observeClock(l.Clock)
-		if err := a.ready(l); err != nil {
+		if err := a.checkLaunchable(l); err != nil {
 			return nil, err
 		}
 		for _, task := range l.Tasks {
-			a.launch(l, task, results)
+			a.handleLaunch(l, task, results)
 		}
 		return &wire.LaunchReply{Clock: a.clock()}, nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(launchWait)
+	timer := time.NewTimer(launchReplyTimeout)
 	defer timer.Stop()
 	for len(reply.Results) < len(l.Tasks) {
 		select {
@@ -60,11 +60,11 @@
 
 // ready reports why no launch can be decided now. It is not a refusal: nothing
 // is remembered and the entry repeats the launch.
-func (a *Agent) ready(l *wire.Launch) error {
+func (a *Agent) checkLaunchable(l *wire.Launch) error {
 	switch {
 	case l.Worker != string(a.WorkerID):
 		return fault.New("launch", NotReady, "this is worker %s, not %s", a.WorkerID, l.Worker)
-	case !a.adopted || a.failure != nil:
+	case !a.adopted || a.runError != nil:
 		return fault.New("launch", NotReady, "worker %s is not held", a.WorkerID)
 	case units.Epoch(l.Epoch) > a.epoch:
 		return fault.New("launch", NotReady, "epoch %d is newer than %d", l.Epoch, a.epoch)
@@ -74,7 +74,7 @@
 
 // launch decides on one attempt or queues it. A known attempt gets the answer
 // it got before.
-func (a *Agent) launch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
+func (a *Agent) handleLaunch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
 	if a.RecordCause != nil {
 		a.RecordCause(request.GetTask().Task().String(), request.GetCause())
 	}
@@ -82,106 +82,106 @@
 	name, number := request.GetTask().Task(), units.Attempt(request.GetTask().GetAttempt())
 	t := a.tasks[name]
 	if t != nil && t.holder != "" {
-		if a.launchStandby(l, t, number, results, now) {
+		if a.handleStandbyLaunch(l, t, number, results, now) {
 			return
 		}
 		t = a.tasks[name]
 	}
 	if t != nil && t.attempt == number {
 		t.launchedBy = l.Entry
-		a.repeat(t, results)
+		a.answerRepeatedLaunch(t, results)
 		return
 	}
 	candidate := &task{name: name, attempt: number, spec: request.GetSpec(), size: request.GetSpec().GetSize().Units(),
-		mayEvict: request.MayEvict, giveUp: now.Add(patience), launchedBy: l.Entry, results: []chan<- *wire.LaunchResult{results}}
+		mayEvict: request.MayEvict, launchDeadline: now.Add(launchTimeout), launchedBy: l.Entry, resultChannels: []chan<- *wire.LaunchResult{results}}
 	if candidate.spec == nil {
 		candidate.spec = &wire.TaskSpec{}
 	}
-	if s, ok := a.memory.answer(name, number); ok {
-		candidate.answer(s.outcome, s.reason)
+	if s, ok := a.decisions.lookup(name, number); ok {
+		candidate.sendResult(s.outcome, s.reason)
 		return
 	}
 	if units.Epoch(l.Epoch) != a.epoch {
 		return // it may have run under the older epoch; the end of that releases it
 	}
-	if a.memory.superseded(name, number) || t != nil && t.attempt > number {
+	if a.decisions.superseded(name, number) || t != nil && t.attempt > number {
 		return // nothing certain is known about an attempt this old
 	}
-	if t != nil && t.phase != ended {
+	if t != nil && t.phase != phaseEnded {
 		// A newer attempt was assigned, so this one has been released.
-		t.intent, t.reason, t.silent = stop, "superseded", true
-		a.drive(t, now)
+		t.intent, t.reason, t.suppressReport = intentStop, "superseded", true
+		a.reconcile(t, now)
 		return
 	}
-	if reason := a.never(candidate); reason != "" {
+	if reason := a.permanentRefusal(candidate); reason != "" {
 		a.refuse(candidate, reason)
 		return
 	}
-	candidate.move(waiting, now)
+	candidate.setPhase(phasePending, now)
 	a.tasks[name] = candidate
-	a.drive(candidate, now)
+	a.reconcile(candidate, now)
 }
 
 // repeat answers a launch of an attempt that the agent has a row of.
-func (a *Agent) repeat(t *task, results chan<- *wire.LaunchResult) {
+func (a *Agent) answerRepeatedLaunch(t *task, results chan<- *wire.LaunchResult) {
 	switch t.phase {
-	case ended:
-		if s, ok := a.memory.answer(t.name, t.attempt); ok {
+	case phaseEnded:
+		if s, ok := a.decisions.lookup(t.name, t.attempt); ok {
 			results <- &wire.LaunchResult{Task: t.ref(), Outcome: s.outcome, Reason: s.reason}
 		}
-	case running:
+	case phaseRunning:
 		results <- &wire.LaunchResult{Task: t.ref(), Outcome: wire.Outcome_OUTCOME_STARTED}
 	default:
-		t.results = append(t.results, results)
-		if len(t.results) > maxRepeats {
-			t.results = t.results[1:]
+		t.resultChannels = append(t.resultChannels, results)
+		if len(t.resultChannels) > maxLaunchCallers {
+			t.resultChannels = t.resultChannels[1:]
 		}
 	}
 }
 
 // maxRepeats bounds the callers that wait for one undecided launch.
-const maxRepeats = 16
+const maxLaunchCallers = 16
 
 // never returns why the attempt will never start here, or "".
-func (a *Agent) never(t *task) string {
+func (a *Agent) permanentRefusal(t *task) string {
 	if t.attempt == 0 || t.size.Processors < 0 || t.size.Memory < 0 || t.size.Accelerators < 0 || t.spec.GetRunMilliseconds() < 0 {
 		return "malformed task"
 	}
 	if len(a.tasks) >= maxTasks {
 		return "too many tasks"
 	}
-	return a.closed(t)
+	return a.refusalReason(t)
 }
 
 // closed returns why the worker takes no work like t at present, or "".
-func (a *Agent) closed(t *task) string {
+func (a *Agent) refusalReason(t *task) string {
 	now := time.Now()
 	switch {
-	case a.leaving:
+	case a.stopping:
 		return "the agent is stopping"
 	case a.config.document != nil && a.config.document.DomainIsOut(a.Domain):
 		return fmt.Sprintf("failure domain %s is out of service", a.Domain)
 	case a.config.document != nil && a.config.document.IsDrained(a.WorkerID):
 		return fmt.Sprintf("worker %s is drained", a.WorkerID)
-	case !t.size.Fits(a.capacity.Sub(a.reserved())):
+	case !t.size.Fits(a.capacity.Sub(a.reservedResources())):
 		return fmt.Sprintf("larger than worker %s", a.WorkerID)
 	case a.failures.suspected(now):
-		return fmt.Sprintf("%d tasks in a row of different jobs failed here", failuresInRow)
+		return fmt.Sprintf("%d tasks in a row of different jobs failed here", maxConsecutiveFailures)
 	}
 	return ""
 }
 
 // admit starts a waiting task once it has a lease, fresh evidence and room.
 func (a *Agent) admit(t *task, now time.Time) {
-	if reason := a.closed(t); reason != "" {
+	if reason := a.refusalReason(t); reason != "" {
 		a.refuse(t, reason)
 		return
 	}
-	reason := a.unready(now)
+	reason := a.startBlocker(now)
 	if reason == "" {
-		if !t.size.Fits(a.capacity.Sub(a.committed())) {
+		if !t.size.Fits(a.capacity.Sub(a.committedResources())) {
 			reason = "no room"
-			if !t.mayEvict || !a.evictFor(t, now) {
+			if !t.mayEvict || !a.evictForTask(t, now) {
 				a.refuse(t, reason)
 				return
 			}
@@ -190,19 +190,19 @@
 			return
 		}
 	}
-	if !now.Before(t.giveUp) {
+	if !now.Before(t.launchDeadline) {
 		a.refuse(t, reason)
 	}
 }
 
 // unready returns what is missing for any start at present, or "".
-func (a *Agent) unready(now time.Time) string {
+func (a *Agent) startBlocker(now time.Time) string {
 	switch {
 	case !a.adopted:
 		return "the worker is not held"
 	case !a.lease.registered:
 		return "the epoch is not registered"
-	case a.lease.deadlineAt(now).Sub(now) < leaseReserve:
+	case a.lease.deadlineAt(now).Sub(now) < minRemainingLease:
 		return "no valid lease"
 	case a.awaitsEndpoint(now):
 		return "the endpoint has not announced itself yet"
@@ -214,7 +214,7 @@
 
 // startDeadline is when a start that is sent now must have taken effect.
 func (a *Agent) startDeadline() time.Time {
-	until := a.config.freshUntil.Add(startGrace)
+	until := a.config.freshUntil.Add(startGracePeriod)
 	if lease := a.lease.deadlineAt(time.Now()); lease.Before(until) {
 		return lease
 	}
@@ -225,11 +225,11 @@
 // epoch, and remembers it.
 func (a *Agent) refuse(t *task, reason string) {
 	if t.holder == "" { // an attempt admitted as a standby runs elsewhere
-		a.memory.remember(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
+		a.decisions.record(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
 	}
 	if a.tasks[t.name] == t {
 		delete(a.tasks, t.name)
 	}
-	t.answer(wire.Outcome_OUTCOME_REFUSED, reason)
+	t.sendResult(wire.Outcome_OUTCOME_REFUSED, reason)
 	a.event("taskRefused", t.name.String(), reason)
 }
--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -29,7 +29,7 @@
 )
 
 // lease is the agent's own lease. The agent acts only before its deadline.
-type lease struct {
+type leaseState struct {
 	held          time.Time // when the epoch was acquired
 	registered    bool      // an entry has seen the registration of this epoch
 	term          units.Term
@@ -53,14 +53,14 @@
 }
 
 // deadlineAt is until when the agent may act.
-func (l *lease) deadlineAt(now time.Time) time.Time {
+func (l *leaseState) deadlineAt(now time.Time) time.Time {
 	if l.unbounded {
 		return now.Add(leaseDuration)
 	}
 	return l.deadline
 }
 
-func (l *lease) valid(now time.Time) bool { return l.deadlineAt(now).After(now) }
+func (l *leaseState) valid(now time.Time) bool { return l.deadlineAt(now).After(now) }
 
 // leaseFor returns the deadline to renew the worker's task leases up to.
 func (a *Agent) leaseFor(now time.Time) time.Time { return a.lease.deadlineAt(now) }
@@ -74,7 +74,7 @@
 	}
 	if reply.Expired {
 		a.event("epochExpired", string(a.WorkerID), "the epoch is recorded as expired")
-		a.acquire(false)
+		a.acquireWorker(false)
 		return
 	}
 	if !l.registered {
@@ -234,7 +234,7 @@
 }
 
 // end closes the session to the lessor.
-func (l *lease) end() {
+func (l *leaseState) end() {
 	if l.session != nil {
 		l.session.Close()
 		l.session = nil
--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -69,7 +69,7 @@
 // that its epoch is in force, and the worker has just confirmed it. Its own
 // lease is not needed: an expiry by chain waits for leases.GrantRight.
 func (a *Agent) mayGrant(now time.Time) bool {
-	return a.adopted && a.failure == nil && now.Before(a.lease.mayGrant) && now.Sub(a.worker.confirmed) < confirmWindow
+	return a.adopted && a.runError == nil && now.Before(a.lease.mayGrant) && now.Sub(a.worker.epochConfirmedAt) < maxConfirmationAge
 }
 
 // inForce reports whether this agent may run tasks of a lessee: it may grant,
@@ -91,7 +91,7 @@
 
 // serveLease answers POST /link/lease.
 func (a *Agent) serveLease(ctx context.Context, request *wire.LeaseRequest) (*wire.LeaseReply, error) {
-	return ask(ctx, a, func() (*wire.LeaseReply, error) {
+	return runOnLoop(ctx, a, func() (*wire.LeaseReply, error) {
 		a.observeClock(request.Clock)
 		reason := a.grant(request, time.Now())
 		return &wire.LeaseReply{Granted: reason == "", Reason: reason, Clock: a.clock()}, nil
--- a/internal/agent/memory.go
+++ b/internal/agent/memory.go
@@ -9,69 +9,71 @@
 
 // maxSettled bounds the memory: at the target's peak of one start a second per
 // worker it spans four hours, far longer than a launch is resent.
-const maxSettled = 16384
+const maxDecisions = 16384
 
 // memory remembers what was answered about attempts that may not start (again)
 // under this epoch: a repeated or late launch gets the same answer, which keeps
 // a rejection true.
-type memory struct {
-	answers map[attempt]settled
-	order   []attempt // oldest first
-	highest map[units.Task]units.Attempt
+type launchDecisions struct {
+	byAttempt map[attemptID]decision
+	order     []attemptID // oldest first
+	highest   map[units.Task]units.Attempt
 }
 
-type attempt struct {
+type attemptID struct {
 	task   units.Task
 	number units.Attempt
 }
 
-type settled struct {
+type decision struct {
 	outcome wire.Outcome // STARTED or REFUSED
 	reason  string
 	at      time.Time
 }
 
-func (m *memory) reset() { *m = memory{} }
+func (m *launchDecisions) reset() { *m = launchDecisions{} }
 
 // remember settles an attempt. The first answer stands.
-func (m *memory) remember(t units.Task, number units.Attempt, outcome wire.Outcome, reason string) {
-	if m.answers == nil {
-		m.answers = make(map[attempt]settled)
+func (m *launchDecisions) record(t units.Task, number units.Attempt, outcome wire.Outcome, reason string) {
+	if m.byAttempt == nil {
+		m.byAttempt = make(map[attemptID]decision)
 		m.highest = make(map[units.Task]units.Attempt)
 	}
-	key := attempt{t, number}
-	if _, ok := m.answers[key]; ok {
+	key := attemptID{t, number}
+	if _, ok := m.byAttempt[key]; ok {
 		return
 	}
-	if len(m.order) >= maxSettled {
+	if len(m.order) >= maxDecisions {
 		oldest := m.order[0]
 		m.order = m.order[1:]
-		delete(m.answers, oldest)
+		delete(m.byAttempt, oldest)
 		if m.highest[oldest.task] == oldest.number {
 			delete(m.highest, oldest.task)
 		}
 	}
-	m.answers[key] = settled{outcome, reason, time.Now()}
+	m.byAttempt[key] = decision{outcome, reason, time.Now()}
 	m.order = append(m.order, key)
 	m.highest[t] = max(m.highest[t], number)
 }
 
-func (m *memory) answer(t units.Task, number units.Attempt) (settled, bool) {
-	s, ok := m.answers[attempt{t, number}]
+func (m *launchDecisions) lookup(t units.Task, number units.Attempt) (decision, bool) {
+	s, ok := m.byAttempt[attemptID{t, number}]
 	return s, ok
 }
 
 // superseded reports whether a higher attempt of the task is settled.
-func (m *memory) superseded(t units.Task, number units.Attempt) bool { return number < m.highest[t] }
+func (m *launchDecisions) superseded(t units.Task, number units.Attempt) bool {
+	return number < m.highest[t]
+}
 
-func (m *memory) knows(t units.Task, number units.Attempt) bool {
-	_, ok := m.answer(t, number)
+func (m *launchDecisions) contains(t units.Task, number units.Attempt) bool {
+	_, ok := m.lookup(t, number)
 	return ok
 }
 
 // settledBefore reports whether the attempt was settled before the instant; a
 // table read sent later that still lists it shows a run that must end.
-func (m *memory) settledBefore(t units.Task, number units.Attempt, sent time.Time) bool {
-	s, ok := m.answer(t, number)
+func (m *launchDecisions) decidedBefore(t units.Task, number units.Attempt, sent time.Time) bool {
+	s, ok := m.lookup(t, number)
 	return ok && s.at.Before(sent)
 }
--- a/internal/agent/reservation.go
+++ b/internal/agent/reservation.go
@@ -12,17 +12,17 @@
 	// keepReservation holds the room of an endpoint that has gone for the next
 	// one, which takes its processors when it starts, whoever has them then. A
 	// replaced endpoint is back within minutes.
-	keepReservation = 5 * time.Minute
+	reservationRetention = 5 * time.Minute
 	// announceGrace is how long a new agent admits nothing while no endpoint
 	// has announced itself: an endpoint beside it does so every second.
-	announceGrace = 2 * time.Second
+	announceGracePeriod = 2 * time.Second
 )
 
 // pollEndpoints reads the endpoints beside the agent and keeps their
 // reservations. An endpoint without a reservation is left out of heartbeats,
 // so that the worker is never committed beyond its capacity: batch makes room
 // for it first.
-func (a *Agent) pollEndpoints(now time.Time) {
+func (a *Agent) updateEndpoints(now time.Time) {
 	if a.EndpointReports == nil {
 		return
 	}
@@ -30,26 +30,26 @@
 	for _, report := range a.EndpointReports() {
 		name := units.ServiceName(report.GetService())
 		if report.GetState() != wire.EndpointState_ENDPOINT_STATE_GONE {
-			a.serviceSeen[name] = now
+			a.endpointSeenAt[name] = now
 			if !a.reserve(name, now) {
 				continue
 			}
 		}
 		offered = append(offered, report)
 	}
-	if isLeaving(offered) && !isLeaving(a.endpoints) {
+	if anyLeaving(offered) && !anyLeaving(a.offeredEndpoints) {
 		a.beatEarly()
 	}
-	a.endpoints = offered
-	for name := range a.services {
-		if now.Sub(a.serviceSeen[name]) > keepReservation {
-			delete(a.services, name)
-			delete(a.serviceSeen, name)
+	a.offeredEndpoints = offered
+	for name := range a.reservations {
+		if now.Sub(a.endpointSeenAt[name]) > reservationRetention {
+			delete(a.reservations, name)
+			delete(a.endpointSeenAt, name)
 		}
 	}
 }
 
-func isLeaving(reports []*wire.EndpointReport) bool {
+func anyLeaving(reports []*wire.EndpointReport) bool {
 	return slices.ContainsFunc(reports, func(r *wire.EndpointReport) bool {
 		return r.GetState() == wire.EndpointState_ENDPOINT_STATE_LEAVING
 	})
@@ -58,48 +58,48 @@
 // awaitsEndpoint reports whether an endpoint beside a new agent may not have
 // announced itself yet, so that its room must not be given away.
 func (a *Agent) awaitsEndpoint(now time.Time) bool {
-	return a.EndpointReports != nil && len(a.services) == 0 && now.Sub(a.origin) < announceGrace
+	return a.EndpointReports != nil && len(a.reservations) == 0 && now.Sub(a.startedAt) < announceGracePeriod
 }
 
 // reserve commits the resources of the service's endpoint, or changes them
 // after the document has changed, once they fit.
 func (a *Agent) reserve(name units.ServiceName, now time.Time) bool {
-	held, ok := a.services[name]
+	held, ok := a.reservations[name]
 	if !a.adopted || a.config.document == nil {
 		return ok
 	}
 	service := a.config.document.Service(name)
 	if service == nil {
-		delete(a.services, name)
+		delete(a.reservations, name)
 		return false
 	}
 	if ok && held == service.PerEndpoint {
 		return true
 	}
 	more := service.PerEndpoint.Sub(held)
-	if more.Fits(a.capacity.Sub(a.committed())) {
-		a.services[name] = service.PerEndpoint
+	if more.Fits(a.capacity.Sub(a.committedResources())) {
+		a.reservations[name] = service.PerEndpoint
 		return true
 	}
-	a.makeRoom(more, service.Priority, "evicted for service "+string(name), now)
+	a.evictToFit(more, service.Priority, "evicted for service "+string(name), now)
 	return ok
 }
 
 // reserved sums the reservations of services.
-func (a *Agent) reserved() units.Resources {
+func (a *Agent) reservedResources() units.Resources {
 	var sum units.Resources
-	for _, r := range a.services {
+	for _, r := range a.reservations {
 		sum = sum.Add(r)
 	}
 	return sum
 }
 
 // reports returns the endpoints to offer; all are leaving during a planned stop.
-func (a *Agent) reports() []*wire.EndpointReport {
-	if !a.leaving {
-		return a.endpoints
+func (a *Agent) endpointsToReport() []*wire.EndpointReport {
+	if !a.stopping {
+		return a.offeredEndpoints
 	}
-	leaving := slices.Clone(a.endpoints)
+	leaving := slices.Clone(a.offeredEndpoints)
 	for i, report := range leaving {
 		leaving[i] = &wire.EndpointReport{
 			Service: report.Service, State: wire.EndpointState_ENDPOINT_STATE_LEAVING, Slots: report.Slots,
--- a/internal/agent/reservation_test.go
+++ b/internal/agent/reservation_test.go
@@ -19,7 +19,7 @@
 	a.adopted, a.capacity = true, units.Resources{Processors: 32000, Memory: 64 * units.GiB}
 	size := units.Resources{Processors: 8000, Memory: 8 * units.GiB}
 	a.config.document = &environment.Document{Services: []environment.Service{{Name: "desk", PerEndpoint: size}}}
-	start := a.origin
+	start := a.startedAt
 	for _, c := range []struct {
 		name  string
 		at    time.Duration
@@ -31,15 +31,15 @@
 		{"ready", 1500 * time.Millisecond, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
 		{"gone for a minute", time.Minute, wire.EndpointState_ENDPOINT_STATE_GONE, size, false},
 		{"back", 2 * time.Minute, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
-		{"gone for good", 2*time.Minute + keepReservation + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
+		{"gone for good", 2*time.Minute + reservationRetention + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
 	} {
 		reports = nil
 		if c.state != 0 {
 			reports = []*wire.EndpointReport{{Service: "desk", State: c.state}}
 		}
 		now := start.Add(c.at)
-		a.pollEndpoints(now)
-		if got := a.committed(); got != c.want {
+		a.updateEndpoints(now)
+		if got := a.committedResources(); got != c.want {
 			t.Errorf("%s: committed: got %s, want %s", c.name, got, c.want)
 		}
 		if got := a.awaitsEndpoint(now); got != c.waits {
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -212,9 +212,9 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, 5e9).Draw(rt, "pause")))
 			read := workerapi.Clock(now.Sub(origin) + ahead)
 			now = now.Add(time.Duration(rapid.Int64Range(0, 2e9).Draw(rt, "delay")))
-			w.observe(read, now)
+			w.observeClock(read, now)
 			deadline := now.Add(leaseDuration)
-			if got, latest := w.clockAt(deadline), workerapi.Clock(deadline.Sub(origin)+ahead); got > latest {
+			if got, latest := w.workerClockAt(deadline), workerapi.Clock(deadline.Sub(origin)+ahead); got > latest {
 				rt.Fatalf("deadline on the worker: got %v, want at most %v", got, latest)
 			}
 		}
--- a/internal/agent/standby.go
+++ b/internal/agent/standby.go
@@ -9,7 +9,7 @@
 
 // forgetStandby is how long a standby is kept that no entry lists. It spans
 // the lag between two entries, so that they do not undo each other's list.
-const forgetStandby = 10 * time.Second
+const standbyRetention = 10 * time.Second
 
 // applyStandbys admits the standbys that an entry lists. They are committed
 // beforehand, so that activating one needs neither the log nor room.
@@ -17,20 +17,20 @@
 	for _, s := range listed {
 		name, number := s.GetTask().Task(), units.Attempt(s.GetTask().GetAttempt())
 		t := a.tasks[name]
-		if t != nil && t.phase == standby && t.activateAs == 0 && number >= t.attempt {
-			t.holder, t.holderEnd, t.mentioned = units.WorkerID(s.Holder), units.Epoch(s.HolderEpoch), now
-			t.runAfter(number)
+		if t != nil && t.phase == phaseStandby && t.activateAs == 0 && number >= t.attempt {
+			t.holder, t.holderEpoch, t.listedAt = units.WorkerID(s.Holder), units.Epoch(s.HolderEpoch), now
+			t.setHolderAttempt(number)
 			continue
 		}
-		if t != nil || a.evacuation() != "" || a.leaving || a.memory.superseded(name, number) || a.memory.knows(name, number) {
+		if t != nil || a.evacuationReason() != "" || a.stopping || a.decisions.superseded(name, number) || a.decisions.contains(name, number) {
 			continue
 		}
-		t = &task{name: name, attempt: number, spec: s.GetSpec(), size: s.GetSpec().GetSize().Units(), mentioned: now,
-			holder: units.WorkerID(s.Holder), holderEnd: units.Epoch(s.HolderEpoch), giveUp: now.Add(patience)}
+		t = &task{name: name, attempt: number, spec: s.GetSpec(), size: s.GetSpec().GetSize().Units(), listedAt: now,
+			holder: units.WorkerID(s.Holder), holderEpoch: units.Epoch(s.HolderEpoch), launchDeadline: now.Add(launchTimeout)}
 		if t.spec == nil || t.holder == "" {
 			continue
 		}
-		if a.unready(now) != "" || !t.size.Fits(a.capacity.Sub(a.committed())) {
+		if a.startBlocker(now) != "" || !t.size.Fits(a.capacity.Sub(a.committedResources())) {
 			continue // listed again in the next reply
 		}
 		a.tasks[name] = t
@@ -40,29 +40,29 @@
 
 // runAfter notes that the holder runs a later attempt than the standby was
 // admitted under. The worker keeps the attempt it knows until activation.
-func (t *task) runAfter(number units.Attempt) { t.holderAttempt = max(t.holderAttempt, number) }
+func (t *task) setHolderAttempt(number units.Attempt) { t.holderAttempt = max(t.holderAttempt, number) }
 
 // next is the attempt that follows the one the holder runs.
-func (t *task) next() units.Attempt { return max(t.attempt, t.holderAttempt) + 1 }
+func (t *task) nextAttempt() units.Attempt { return max(t.attempt, t.holderAttempt) + 1 }
 
 // launchStandby handles the launch of an attempt whose standby is here. It
 // reports false when the launch must be handled like any other.
-func (a *Agent) launchStandby(l *wire.Launch, t *task, number units.Attempt, results chan<- *wire.LaunchResult, now time.Time) bool {
+func (a *Agent) handleStandbyLaunch(l *wire.Launch, t *task, number units.Attempt, results chan<- *wire.LaunchResult, now time.Time) bool {
 	switch {
-	case t.phase == ended:
+	case t.phase == phaseEnded:
 		return false
-	case number <= t.attempt && t.activateAs == 0 && t.phase == standby:
+	case number <= t.attempt && t.activateAs == 0 && t.phase == phaseStandby:
 		return true // the holder's attempt; nothing is known about it here
-	case t.phase != standby || t.intent != keep:
+	case t.phase != phaseStandby || t.intent != intentKeep:
 		return true // undecided; the entry repeats the launch
 	case units.Epoch(l.Epoch) != a.epoch || t.activateAs != 0 && t.activateAs != number:
 		return true
-	case a.unready(now) != "":
+	case a.startBlocker(now) != "":
 		return true
 	}
 	t.activateAs = number
-	t.results = append(t.results, results)
-	a.drive(t, now)
+	t.resultChannels = append(t.resultChannels, results)
+	a.reconcile(t, now)
 	return true
 }
 
@@ -71,17 +71,17 @@
 // runs the next attempt. It drops standbys that are no longer listed.
 func (a *Agent) tickStandbys(now time.Time) {
 	for _, t := range a.tasks {
-		if t.phase != standby || t.intent != keep || t.activateAs != 0 {
+		if t.phase != phaseStandby || t.intent != intentKeep || t.activateAs != 0 {
 			continue
 		}
 		l := a.lessees[t.holder]
-		if l != nil && l.epoch == t.holderEnd && l.attested && !l.disclosed && l.stillOurs(now) && a.logDown(now) && a.inForce(now) {
-			t.activateAs = t.next()
+		if l != nil && l.epoch == t.holderEpoch && l.attested && !l.disclosed && l.stillOurs(now) && a.logDown(now) && a.inForce(now) {
+			t.activateAs = t.nextAttempt()
 			a.event("standbyActivated", t.name.String(), "the holder's lease expired while the log is unreachable")
 			continue
 		}
-		if now.Sub(t.mentioned) > forgetStandby && a.logReachable(now) {
-			t.intent, t.reason = stop, "no longer a standby"
+		if now.Sub(t.listedAt) > standbyRetention && a.logReachable(now) {
+			t.intent, t.reason = intentStop, "no longer a standby"
 		}
 	}
 }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -15,61 +15,61 @@
 // fold, so it is obeyed under any epoch, and an attempt not yet seen is
 // remembered: its launch may still be on the way.
 func (a *Agent) serveStop(ctx context.Context, s *wire.Stop) (*wire.StopReply, error) {
-	return ask(ctx, a, func() (*wire.StopReply, error) {
+	return runOnLoop(ctx, a, func() (*wire.StopReply, error) {
 		a.observeClock(s.Clock)
 		if s.Worker != string(a.WorkerID) || !a.adopted || len(s.Tasks) > maxTasks {
 			return nil, fault.New("stop", NotReady, "worker %s is not held here", s.Worker)
 		}
 		for _, ref := range s.Tasks {
-			a.stop(ref, s.Reason)
+			a.stopAttempt(ref, s.Reason)
 		}
 		return &wire.StopReply{Clock: a.clock()}, nil
 	})
 }
 
-func (a *Agent) stop(ref *wire.TaskRef, reason string) {
+func (a *Agent) stopAttempt(ref *wire.TaskRef, reason string) {
 	now := time.Now()
 	name, number := ref.Task(), units.Attempt(ref.GetAttempt())
 	t := a.tasks[name]
 	switch {
 	case t == nil || t.attempt != number && t.activateAs != number:
-		a.memory.remember(name, number, wire.Outcome_OUTCOME_REFUSED, "stopped before it was launched: "+reason)
+		a.decisions.record(name, number, wire.Outcome_OUTCOME_REFUSED, "stopped before it was launched: "+reason)
 		if t == nil {
 			// The entry repeats the stop until the end is reported.
-			absent := &task{name: name, attempt: number, spec: &wire.TaskSpec{}, reason: reason, noRow: true, phase: ended, since: now}
-			absent.outcomeNow(wire.Outcome_OUTCOME_STOPPED, now)
+			absent := &task{name: name, attempt: number, spec: &wire.TaskSpec{}, reason: reason, notOnWorker: true, phase: phaseEnded, phaseSince: now}
+			absent.setOutcome(wire.Outcome_OUTCOME_STOPPED, now)
 			a.tasks[name] = absent
 		}
-	case t.phase == waiting:
+	case t.phase == phasePending:
 		a.refuse(t, "stopped before it was started: "+reason)
-	case t.phase != ended:
-		t.intent, t.reason, t.tries = stop, reason, 0
-		a.drive(t, now)
+	case t.phase != phaseEnded:
+		t.intent, t.reason, t.failedCalls = intentStop, reason, 0
+		a.reconcile(t, now)
 	}
 }
 
 // evictFor makes room for t: it evicts the batch tasks of lower priority that
 // free enough, lowest priority first, then those that lose the least work. It
 // reports whether there will be room.
-func (a *Agent) evictFor(t *task, now time.Time) bool {
-	return a.makeRoom(t.size, t.priority(), "evicted for "+t.name.String(), now)
+func (a *Agent) evictForTask(t *task, now time.Time) bool {
+	return a.evictToFit(t.size, t.priority(), "evicted for "+t.name.String(), now)
 }
 
 // makeRoom evicts batch tasks below the given priority until size fits, and
 // reports whether it will. Nothing is evicted when it cannot fit.
-func (a *Agent) makeRoom(size units.Resources, below units.Priority, reason string, now time.Time) bool {
-	room := a.capacity.Sub(a.committed())
+func (a *Agent) evictToFit(size units.Resources, below units.Priority, reason string, now time.Time) bool {
+	room := a.capacity.Sub(a.committedResources())
 	var victims []*task
 	for _, t := range a.tasks {
 		switch {
-		case t.phase == running && t.intent != keep:
+		case t.phase == phaseRunning && t.intent != intentKeep:
 			room = room.Add(t.size) // on its way out
-		case t.phase == running && t.isBatch() && t.priority() < below:
+		case t.phase == phaseRunning && t.isBatch() && t.priority() < below:
 			victims = append(victims, t)
 		}
 	}
 	slices.SortFunc(victims, func(x, y *task) int {
-		return cmp.Or(cmp.Compare(x.priority(), y.priority()), y.since.Compare(x.since),
+		return cmp.Or(cmp.Compare(x.priority(), y.priority()), y.phaseSince.Compare(x.phaseSince),
 			cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
 	})
 	needed := 0
@@ -86,36 +86,36 @@
 }
 
 func (a *Agent) evict(t *task, reason string, now time.Time) {
-	if t.intent != keep {
+	if t.intent != intentKeep {
 		return
 	}
-	t.intent, t.reason, t.tries = evict, reason, 0
+	t.intent, t.reason, t.failedCalls = intentEvict, reason, 0
 	a.event("taskEvicted", t.name.String(), reason)
-	a.drive(t, now)
+	a.reconcile(t, now)
 }
 
 // evacuate empties the worker while its domain is out or operators drain it.
 func (a *Agent) evacuate(now time.Time) {
-	reason := a.evacuation()
+	reason := a.evacuationReason()
 	if reason == "" || !a.adopted {
 		return
 	}
 	for _, t := range a.tasks {
 		switch t.phase {
-		case waiting:
+		case phasePending:
 			a.refuse(t, reason)
-		case standby:
-			if t.intent == keep {
-				t.intent, t.reason = stop, reason
+		case phaseStandby:
+			if t.intent == intentKeep {
+				t.intent, t.reason = intentStop, reason
 			}
-		case running:
+		case phaseRunning:
 			a.evict(t, reason, now)
 		}
 	}
 }
 
 // evacuation returns why the worker must be empty, or "".
-func (a *Agent) evacuation() string {
+func (a *Agent) evacuationReason() string {
 	document := a.config.document
 	switch {
 	case document == nil:
@@ -129,10 +129,10 @@
 }
 
 // evictable sums what batch below urgent is committed to.
-func (a *Agent) evictable() units.Resources {
+func (a *Agent) evictableResources() units.Resources {
 	var sum units.Resources
 	for _, t := range a.tasks {
-		if t.phase == running && t.isBatch() && t.priority() < units.PriorityUrgent {
+		if t.phase == phaseRunning && t.isBatch() && t.priority() < units.PriorityUrgent {
 			sum = sum.Add(t.size)
 		}
 	}
