--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -246,7 +246,7 @@
 	})
 	a.loop(finished)
 	a.discardInbox(finished) // a fenced agent decides nothing
-	a.lease.end()
+	a.lease.closeSession()
 }
 
 // discard empties the inbox without acting.
@@ -264,7 +264,7 @@
 // that one tick decides on one instant.
 func (a *Agent) tick(now time.Time) {
 	a.updateEndpoints(now)
-	a.tickLog(now)
+	a.trackLogReachability(now)
 	a.tickLease(now)
 	a.tickLessees(now)
 	a.tickWorker(now)
@@ -272,7 +272,7 @@
 	a.tickStandbys(now)
 	a.tickGuard(now)
 	a.reconcileAll(now)
-	a.dropEntries(now)
+	a.removeGoneEntries(now)
 }
 
 // post hands fn to the control loop. It reports false when the loop has ended.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,26 +22,26 @@
 type process interface{ Run(context.Context) error }
 
 // world is three workers, one per failure domain, their agents and the platform.
-type world struct {
-	t        *testing.T
-	mu       sync.Mutex // guards the maps below and events
-	ctx      context.Context
-	network  *entries.Network
-	platform *entries.Platform
-	cores    map[string]*worker.Core
-	gates    map[string]*gate
-	agents   map[string]process
-	errors   map[string]chan error
-	variant  func(*world, string, workerapi.Worker, *gate) process
-	events   []string
+type simulation struct {
+	t            *testing.T
+	mu           sync.Mutex // guards the maps below and events
+	ctx          context.Context
+	network      *entries.Network
+	platform     *entries.Platform
+	cores        map[string]*worker.Core
+	processGates map[string]*gate
+	agents       map[string]process
+	errors       map[string]chan error
+	newProcess   func(*simulation, string, workerapi.Worker, *gate) process
+	events       []string
 }
 
 var domains = map[string]units.DomainName{"w1": "a", "w2": "b", "w3": "c"}
 
-func newWorld(t *testing.T, ctx context.Context, seed uint64, noise float64) *world {
+func newSimulation(t *testing.T, ctx context.Context, seed uint64, noise float64) *simulation {
 	n := entries.NewNetwork(ctx, seed, noise)
-	w := &world{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, gates: map[string]*gate{}, agents: map[string]process{},
-		errors: map[string]chan error{}, variant: realAgent}
+	w := &simulation{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, processGates: map[string]*gate{}, agents: map[string]process{},
+		errors: map[string]chan error{}, newProcess: newRealAgent}
 	w.platform = entries.NewPlatform(seed, n)
 	for name := range domains {
 		w.cores[name] = &worker.Core{Name: units.WorkerID(name), Capacity: units.Resources{Processors: 8000, Memory: 16 * units.GiB}, UsageLag: 2 * time.Second}
@@ -49,25 +49,25 @@
 	return w
 }
 
-func (w *world) start(names ...string) {
+func (w *simulation) start(names ...string) {
 	for _, name := range names {
 		g := newGate()
-		process := w.variant(w, name, &gatedWorker{Worker: w.cores[name], gate: g}, g)
+		process := w.newProcess(w, name, &gatedWorker{Worker: w.cores[name], gate: g}, g)
 		failed := make(chan error, 1)
 		w.mu.Lock()
-		w.gates[name], w.agents[name], w.errors[name] = g, process, failed
+		w.processGates[name], w.agents[name], w.errors[name] = g, process, failed
 		w.mu.Unlock()
 		go func() { failed <- process.Run(w.ctx) }()
 	}
 }
 
 // dial connects a process to an entry or to another agent.
-func (w *world) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
-	if err := g.pass(); err != nil {
+func (w *simulation) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
+	if err := g.wait(); err != nil {
 		return nil, err
 	}
 	if address == "entry" {
-		return gatedSession{w.network.Connect(name, "entry", w.platform.Accept(gated(g, handler))), g}, nil
+		return gatedSession{w.network.Connect(name, "entry", w.platform.Accept(gateHandler(g, handler))), g}, nil
 	}
 	s, err := w.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
 	if err != nil {
@@ -77,9 +77,9 @@
 }
 
 // gated serves nothing while the process is paused or dead.
-func gated(g *gate, handler http.Handler) http.Handler {
+func gateHandler(g *gate, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if g.pass() == nil {
+		if g.wait() == nil {
 			handler.ServeHTTP(w, r)
 		}
 	})
@@ -91,16 +91,16 @@
 }
 
 func (s gatedSession) Call(ctx context.Context, path string, message, reply Message) error {
-	if err := s.pass(); err != nil {
+	if err := s.wait(); err != nil {
 		return err
 	}
 	if err := s.Session.Call(ctx, path, message, reply); err != nil {
 		return err
 	}
-	return s.pass()
+	return s.wait()
 }
 
-func realAgent(w *world, name string, access workerapi.Worker, g *gate) process {
+func newRealAgent(w *simulation, name string, access workerapi.Worker, g *gate) process {
 	a := &Agent{
 		WorkerID: units.WorkerID(name), Domain: domains[name], Rack: "rack", Region: "r", LinkAddress: "link/" + name,
 		Worker: access, EntryAddresses: []string{"entry"},
@@ -111,7 +111,7 @@
 			return w.dial(name, g, address, handler)
 		},
 		Listen: func(_ context.Context, address string, handler http.Handler) (func(context.Context), error) {
-			w.network.Serve(address, gated(g, handler))
+			w.network.Serve(address, gateHandler(g, handler))
 			return func(context.Context) {}, nil
 		},
 	}
@@ -123,13 +123,13 @@
 	return a
 }
 
-func batch(run time.Duration, cores units.Millicores) *wire.TaskSpec {
+func newBatchSpec(run time.Duration, cores units.Millicores) *wire.TaskSpec {
 	return &wire.TaskSpec{Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: wire.Priority_PRIORITY_NORMAL, JobKind: "cut", Team: "moulds",
 		RunMilliseconds: run.Milliseconds(), Size: wire.FromResources(units.Resources{Processors: cores, Memory: units.GiB})}
 }
 
 // pauseLoop stops everything the process does for d, like SIGSTOP.
-func (w *world) pauseLoop(name string, d time.Duration) {
+func (w *simulation) pauseProcess(name string, d time.Duration) {
 	process, g := w.current(name)
 	if a, ok := process.(*Agent); ok {
 		go a.post(func() { time.Sleep(d) })
@@ -138,20 +138,20 @@
 }
 
 // restart kills the process at once and starts its successor.
-func (w *world) restart(name string) {
+func (w *simulation) restart(name string) {
 	_, g := w.current(name)
 	g.kill()
 	w.start(name)
 }
 
-func (w *world) current(name string) (process, *gate) {
+func (w *simulation) current(name string) (process, *gate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.agents[name], w.gates[name]
+	return w.agents[name], w.processGates[name]
 }
 
 // check returns every violated guarantee.
-func (w *world) check() []string {
+func (w *simulation) violations() []string {
 	var runs []worker.Run
 	for _, c := range w.cores {
 		runs = append(runs, c.Runs()...)
@@ -160,7 +160,7 @@
 }
 
 // settle waits, at most for limit, until every batch task has ended.
-func (w *world) settle(limit time.Duration) bool {
+func (w *simulation) waitForBatchTasks(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		if w.platform.Done() {
 			return true
@@ -170,13 +170,13 @@
 }
 
 // simulate runs a scenario in fake time and returns the violations.
-func simulate(t *testing.T, seed uint64, noise float64, scenario func(*world)) (problems []string) {
+func simulate(t *testing.T, seed uint64, noise float64, scenario func(*simulation)) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(t, ctx, seed, noise)
+		w := newSimulation(t, ctx, seed, noise)
 		go w.platform.Dispatch(ctx)
 		scenario(w)
-		problems = w.check()
+		problems = w.violations()
 		if t.Failed() || len(problems) > 0 {
 			for _, e := range w.events {
 				t.Log(e)
@@ -188,7 +188,7 @@
 	return problems
 }
 
-func wantNone(t *testing.T, problems []string) {
+func expectNoViolations(t *testing.T, problems []string) {
 	t.Helper()
 	for _, p := range problems {
 		t.Error(p)
@@ -197,12 +197,12 @@
 
 // Guards against an agent that does not get tasks from launch to end.
 func TestTasksComplete(t *testing.T) {
-	wantNone(t, simulate(t, 1, 0, func(w *world) {
+	expectNoViolations(t, simulate(t, 1, 0, func(w *simulation) {
 		w.start("w1", "w2", "w3")
 		for i := range uint32(12) {
-			w.platform.Submit(i, batch(5*time.Second, 2000))
+			w.platform.Submit(i, newBatchSpec(5*time.Second, 2000))
 		}
-		if !w.settle(time.Minute) {
+		if !w.waitForBatchTasks(time.Minute) {
 			w.t.Error("tasks are unfinished after a minute")
 		}
 		for name, core := range w.cores {
@@ -216,9 +216,9 @@
 
 // Guards against an agent that goes on after a newer epoch holds its worker.
 func TestSecondAgentFencesTheFirst(t *testing.T) {
-	wantNone(t, simulate(t, 2, 0, func(w *world) {
+	expectNoViolations(t, simulate(t, 2, 0, func(w *simulation) {
 		w.start("w1", "w2", "w3")
-		w.platform.Submit(0, batch(30*time.Second, 2000))
+		w.platform.Submit(0, newBatchSpec(30*time.Second, 2000))
 		time.Sleep(5 * time.Second)
 		first := w.errors["w1"]
 		w.start("w1")
@@ -230,16 +230,16 @@
 		case <-time.After(5 * time.Second):
 			w.t.Error("first agent still acts 5 s after the second took over")
 		}
-		if !w.settle(time.Minute) {
+		if !w.waitForBatchTasks(time.Minute) {
 			w.t.Error("the task is unfinished after a minute")
 		}
 	}))
 }
 
 // killAfter ends the process right after the next such operation took effect.
-func (w *world) killAfter(name, op string) {
+func (w *simulation) killAfter(name, op string) {
 	process, _ := w.current(name)
 	if a, ok := process.(*Agent); ok {
-		a.Worker.(*gatedWorker).armKill(op)
+		a.Worker.(*gatedWorker).setKillAfter(op)
 	}
 }
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -44,7 +44,7 @@
 	e := &entry{}
 	for _, want := range []bool{false, true, false} {
 		e.wantConfig = want
-		h, _ := a.compose(e, time.Now())
+		h, _ := a.composeHeartbeat(e, time.Now())
 		if got := string(h.GetConfigDocument()) == string(text) && h.GetConfigAuthor() == "operator"; got != want {
 			t.Errorf("got document sent %t, want %t", got, want)
 		}
--- a/internal/agent/cost_test.go
+++ b/internal/agent/cost_test.go
@@ -24,38 +24,38 @@
 )
 
 // costEntry is the least an entry does: it accepts everything and answers.
-type costEntry struct {
-	mu      sync.Mutex
-	listed  map[string]time.Time
-	agents  int
-	address map[string]string // link address of each agent, through a relay
-	relay   func(string) string
-	backs   map[string]*link.Session
-	all     []*wire.EntryAddress
-	lean    bool // lists the entries only when the agent asks anew
+type minimalEntry struct {
+	mu           sync.Mutex
+	listedAt     map[string]time.Time
+	agents       int
+	agentAddress map[string]string // link address of each agent, through a relay
+	relay        func(string) string
+	sessions     map[string]*link.Session
+	entryList    []*wire.EntryAddress
+	lean         bool // lists the entries only when the agent asks anew
 }
 
-func (e *costEntry) heartbeat(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
+func (e *minimalEntry) heartbeat(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.backs[h.Worker] = link.FromContext(ctx)
-	if e.address[h.Worker] == "" && h.Epoch != 0 {
-		e.address[h.Worker] = e.relay(h.LinkAddress)
+	e.sessions[h.Worker] = link.FromContext(ctx)
+	if e.agentAddress[h.Worker] == "" && h.Epoch != 0 {
+		e.agentAddress[h.Worker] = e.relay(h.LinkAddress)
 	}
 	var number int
 	fmt.Sscanf(h.Worker, "worker-%d", &number)
 	lessor := fmt.Sprintf("worker-%d", (number+1)%e.agents)
 	lessee := fmt.Sprintf("worker-%d", (number+e.agents-1)%e.agents)
 	reply := &wire.HeartbeatReply{Entry: "entry-1", Clock: h.Clock, ConfigOffset: 1, LogReachable: true}
-	if !e.lean || h.RunningFull || e.listed[h.Worker].Before(time.Now().Add(-10*time.Second)) {
-		reply.Entries, e.listed[h.Worker] = e.all, time.Now()
+	if !e.lean || h.RunningFull || e.listedAt[h.Worker].Before(time.Now().Add(-10*time.Second)) {
+		reply.Entries, e.listedAt[h.Worker] = e.entryList, time.Now()
 	}
 	if h.ConfigOffset == 0 {
 		reply.ConfigDocument = entries.NewPlatform(0, nil).Document()
 	}
-	if e.address[lessor] != "" && h.Epoch != 0 {
-		reply.RegisteredEpoch, reply.LeaseTerm, reply.Lessor, reply.LessorEpoch, reply.LessorAddress = h.Epoch, 1, lessor, h.Epoch, e.address[lessor]
-		reply.Lessees = []*wire.Lessee{{Worker: lessee, Epoch: h.Epoch, Term: 1, Address: e.address[lessee]}}
+	if e.agentAddress[lessor] != "" && h.Epoch != 0 {
+		reply.RegisteredEpoch, reply.LeaseTerm, reply.Lessor, reply.LessorEpoch, reply.LessorAddress = h.Epoch, 1, lessor, h.Epoch, e.agentAddress[lessor]
+		reply.Lessees = []*wire.Lessee{{Worker: lessee, Epoch: h.Epoch, Term: 1, Address: e.agentAddress[lessee]}}
 	}
 	for _, r := range h.Reports {
 		reply.ReportsAcknowledged = append(reply.ReportsAcknowledged, r.Task)
@@ -64,15 +64,15 @@
 }
 
 // counter relays TCP connections and counts their payload in both directions.
-type counter struct {
+type byteCounter struct {
 	bytes atomic.Int64
 	ctx   context.Context
 	b     *testing.B
 }
 
-func (c *counter) Write(p []byte) (int, error) { c.bytes.Add(int64(len(p))); return len(p), nil }
+func (c *byteCounter) Write(p []byte) (int, error) { c.bytes.Add(int64(len(p))); return len(p), nil }
 
-func (c *counter) relay(target string) string {
+func (c *byteCounter) relay(target string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.b.Fatal(err)
@@ -99,11 +99,11 @@
 
 // startEntries serves n entries and returns their addresses and the entry that
 // knows the agents' sessions.
-func startEntries(b *testing.B, ctx context.Context, n, agents int, lean bool, relay func(string) string) ([]string, []*costEntry) {
+func startEntries(b *testing.B, ctx context.Context, n, agents int, lean bool, relay func(string) string) ([]string, []*minimalEntry) {
 	var addresses []string
-	var all []*costEntry
+	var all []*minimalEntry
 	for range n {
-		e := &costEntry{agents: agents, lean: lean, listed: map[string]time.Time{}, address: map[string]string{}, relay: relay, backs: map[string]*link.Session{}}
+		e := &minimalEntry{agents: agents, lean: lean, listedAt: map[string]time.Time{}, agentAddress: map[string]string{}, relay: relay, sessions: map[string]*link.Session{}}
 		mux := http.NewServeMux()
 		mux.HandleFunc("POST /link/heartbeat", link.Handle(e.heartbeat))
 		listener := &link.Listener{Address: "127.0.0.1:0", Handler: mux}
@@ -117,7 +117,7 @@
 	}
 	for _, e := range all {
 		for i, address := range addresses {
-			e.all = append(e.all, &wire.EntryAddress{Entry: fmt.Sprintf("entry-%d", i), Address: address})
+			e.entryList = append(e.entryList, &wire.EntryAddress{Entry: fmt.Sprintf("entry-%d", i), Address: address})
 		}
 	}
 	return addresses, all
@@ -146,12 +146,12 @@
 
 func steadyState(b *testing.B, agents, entries int, counted, lean bool) {
 	ctx, cancel := context.WithCancel(context.Background())
-	count := &counter{ctx: ctx, b: b}
+	count := &byteCounter{ctx: ctx, b: b}
 	relay := func(address string) string { return address }
 	if counted {
 		relay = count.relay
 	}
-	before := heap()
+	before := heapInUse()
 	addresses, fakes := startEntries(b, ctx, entries, agents, lean, relay)
 	var running sync.WaitGroup
 	var servers []*httptest.Server
@@ -177,7 +177,7 @@
 	bytes, cpu = count.bytes.Load()-bytes, processorTime()-cpu
 	b.ReportMetric(float64(bytes)/window.Seconds()/float64(agents), "B/s/agent")
 	b.ReportMetric(100*cpu.Seconds()/window.Seconds()/float64(agents), "%core/agent")
-	b.ReportMetric(float64(heap()-before)/float64(agents)/1e6, "MB/agent")
+	b.ReportMetric(float64(heapInUse()-before)/float64(agents)/1e6, "MB/agent")
 	b.ReportMetric(float64(started)/float64(agents), "tasks/agent")
 	cancel()
 	for _, s := range servers {
@@ -188,14 +188,14 @@
 }
 
 // launchTen launches ten tasks on every agent and returns how many started.
-func launchTen(b *testing.B, ctx context.Context, e *costEntry) (started int) {
+func launchTen(b *testing.B, ctx context.Context, e *minimalEntry) (started int) {
 	e.mu.Lock()
-	backs := maps.Clone(e.backs)
+	backs := maps.Clone(e.sessions)
 	e.mu.Unlock()
 	for name, session := range backs {
 		l := &wire.Launch{Worker: name, Epoch: 1}
 		for i := range uint32(10) {
-			l.Tasks = append(l.Tasks, &wire.LaunchTask{Task: &wire.TaskRef{Job: "job-20261204-0017-" + name, Index: i, Attempt: 1}, Spec: batch(time.Hour, 1000)})
+			l.Tasks = append(l.Tasks, &wire.LaunchTask{Task: &wire.TaskRef{Job: "job-20261204-0017-" + name, Index: i, Attempt: 1}, Spec: newBatchSpec(time.Hour, 1000)})
 		}
 		reply := &wire.LaunchReply{}
 		calling, cancel := context.WithTimeout(ctx, 3*time.Second)
@@ -212,7 +212,7 @@
 	return started
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -22,22 +22,22 @@
 	// average. Above four entries each gets them less often, twelve every 1.3 s:
 	// at full rate they cost more than twice the traffic that a node may use, and
 	// an endpoint stays eligible while an entry hears of it within 2 s.
-	heartbeatSpacing = 110 * time.Millisecond
+	minHeartbeatSpacing = 110 * time.Millisecond
 	// fewEntries is up to how many entries every one of them gets each report
 	// at once.
-	fewEntries = 5
+	maxBroadcastEntries = 5
 	// heartbeatTimeout is when a silent session is given up and redialled.
 	heartbeatTimeout = 1500 * time.Millisecond
-	firstBackoff     = 100 * time.Millisecond
+	minRedialBackoff = 100 * time.Millisecond
 	// longestBackoff lets an agent find a returned entry within its lease.
-	longestBackoff = 3 * time.Second
+	maxRedialBackoff = 3 * time.Second
 	// forgetEntry is how long an entry that is neither a seed nor listed nor
 	// answering is kept; entries count as dead after 15 s themselves, and need
 	// not list the live ones in every reply.
-	forgetEntry = 35 * time.Second
-	maxEntries  = 64
+	entryRetention = 35 * time.Second
+	maxEntries     = 64
 	// urgentInterval is the least time between heartbeats that are sent early.
-	urgentInterval = 100 * time.Millisecond
+	earlyHeartbeatDelay = 100 * time.Millisecond
 )
 
 // entry is one entry process that the agent keeps a session with.
@@ -47,19 +47,19 @@
 	seed    bool
 	rank    int // by hash of worker and address, 0 first to get what must be acted on
 	cancel  context.CancelFunc
-	early   chan struct{} // asks for a heartbeat before the interval is over
+	wake    chan struct{} // asks for a heartbeat before the interval is over
 
-	session      Session
-	listedAt     time.Time
-	answeredAt   time.Time // send time of the last heartbeat that was answered
-	logReachable bool
-	logRead      time.Time // when the entry last read the tail of the log, at the earliest
-	wantRunning  bool      // the next heartbeat lists all running tasks
-	wantConfig   bool      // the next heartbeat carries the document
-	sentRunning  bool      // the heartbeat that is out lists them
-	described    bool      // has answered a heartbeat with the fields that rarely change
-	interference uint64    // version that the entry has
-	composed     uint64    // version in the heartbeat that is out
+	session                 Session
+	listedAt                time.Time
+	answeredAt              time.Time // send time of the last heartbeat that was answered
+	logReachable            bool
+	logReadAt               time.Time // when the entry last read the tail of the log, at the earliest
+	wantRunning             bool      // the next heartbeat lists all running tasks
+	wantConfig              bool      // the next heartbeat carries the document
+	runningListSent         bool      // the heartbeat that is out lists them
+	descriptionAcknowledged bool      // has answered a heartbeat with the fields that rarely change
+	interferenceVersion     uint64    // version that the entry has
+	interferenceSent        uint64    // version in the heartbeat that is out
 }
 
 // addEntry starts the goroutine that keeps a session with the address.
@@ -68,10 +68,10 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
-	e := &entry{address: address, seed: seed, cancel: cancel, early: make(chan struct{}, 1), listedAt: time.Now()}
+	e := &entry{address: address, seed: seed, cancel: cancel, wake: make(chan struct{}, 1), listedAt: time.Now()}
 	a.entries[address] = e
 	a.rankEntries(time.Now())
-	a.spawn(func() { a.keepSession(ctx, e) })
+	a.spawn(func() { a.maintainSession(ctx, e) })
 }
 
 // rankEntries orders the entries by rendezvous hashing, those that answer first.
@@ -81,27 +81,27 @@
 		ordered = append(ordered, e)
 	}
 	silent := func(e *entry) int {
-		if now.Sub(e.answeredAt) < recent {
+		if now.Sub(e.answeredAt) < maxAnswerAge {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(ordered, func(x, y *entry) int {
-		return cmp.Or(cmp.Compare(silent(x), silent(y)), cmp.Compare(a.hash(y), a.hash(x)), cmp.Compare(x.address, y.address))
+		return cmp.Or(cmp.Compare(silent(x), silent(y)), cmp.Compare(a.rendezvousWeight(y), a.rendezvousWeight(x)), cmp.Compare(x.address, y.address))
 	})
 	for i, e := range ordered {
 		e.rank = i
 	}
 }
 
-func (a *Agent) hash(e *entry) uint64 {
+func (a *Agent) rendezvousWeight(e *entry) uint64 {
 	return xxhash.Sum64String(string(a.WorkerID) + "\x00" + e.address)
 }
 
 // learnEntries takes in the live entries that a reply lists.
-func (a *Agent) learnEntries(listed []*wire.EntryAddress, now time.Time) {
+func (a *Agent) updateEntries(listed []*wire.EntryAddress, now time.Time) {
 	for _, l := range listed {
-		if e := a.known(l, now); e != nil {
+		if e := a.findEntry(l, now); e != nil {
 			e.listedAt = now
 			continue
 		}
@@ -114,15 +114,15 @@
 // beatEarly sends a heartbeat to every entry without waiting for the interval:
 // the end of a task frees room that the entries can use at once, and an endpoint
 // that leaves must get no new requests.
-func (a *Agent) beatEarly() {
+func (a *Agent) requestHeartbeats() {
 	for _, e := range a.entries {
-		e.beatSoon()
+		e.requestHeartbeat()
 	}
 }
 
-func (e *entry) beatSoon() {
+func (e *entry) requestHeartbeat() {
 	select {
-	case e.early <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
@@ -130,16 +130,16 @@
 // reportElsewhere is how long the report of a task goes only to the entry that
 // launched it. Others act on a report only after 3 s, and sent to all twelve
 // entries the reports of one start a second cost more than the heartbeats.
-const reportElsewhere = 2 * time.Second
+const launcherOnlyPeriod = 2 * time.Second
 
 // launcher returns the entry that launched the task, or nil when all entries
 // are to hear of it: there are few, or that one has not answered recently.
-func (a *Agent) launcher(t *task, now time.Time) *entry {
-	if len(a.entries) <= fewEntries || t.launchedBy == "" {
+func (a *Agent) launchingEntry(t *task, now time.Time) *entry {
+	if len(a.entries) <= maxBroadcastEntries || t.launchedBy == "" {
 		return nil
 	}
 	for _, e := range a.entries {
-		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < recent {
+		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < maxAnswerAge {
 			return e
 		}
 	}
@@ -147,30 +147,30 @@
 }
 
 // reportsTo reports whether a heartbeat to e carries the report of t.
-func (a *Agent) reportsTo(e *entry, t *task, now time.Time) bool {
-	first := a.launcher(t, now)
-	return first == nil || first == e || now.Sub(t.reportPendingSince) > reportElsewhere
+func (a *Agent) shouldReport(e *entry, t *task, now time.Time) bool {
+	first := a.launchingEntry(t, now)
+	return first == nil || first == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
 }
 
 // beatAfterEnd sends the end of a task early to the entry that launched it; the
 // others learn of the free room with their next heartbeat.
-func (a *Agent) beatAfterEnd(t *task, now time.Time) {
-	first := a.launcher(t, now)
+func (a *Agent) requestHeartbeatAfterEnd(t *task, now time.Time) {
+	first := a.launchingEntry(t, now)
 	if first == nil {
-		a.beatEarly()
+		a.requestHeartbeats()
 		return
 	}
-	first.beatSoon()
+	first.requestHeartbeat()
 }
 
 // known returns the row of a listed entry: by its address, or by its name where
 // a seed address reaches it under another one.
-func (a *Agent) known(l *wire.EntryAddress, now time.Time) *entry {
+func (a *Agent) findEntry(l *wire.EntryAddress, now time.Time) *entry {
 	if e := a.entries[l.Address]; e != nil {
 		return e
 	}
 	for _, e := range a.entries {
-		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < recent {
+		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < maxAnswerAge {
 			return e
 		}
 	}
@@ -178,9 +178,9 @@
 }
 
 // dropEntries ends the sessions of entries that are gone.
-func (a *Agent) dropEntries(now time.Time) {
+func (a *Agent) removeGoneEntries(now time.Time) {
 	for address, e := range a.entries {
-		if !e.seed && now.Sub(e.listedAt) > forgetEntry && now.Sub(e.answeredAt) > forgetEntry {
+		if !e.seed && now.Sub(e.listedAt) > entryRetention && now.Sub(e.answeredAt) > entryRetention {
 			e.cancel()
 			delete(a.entries, address)
 		}
@@ -200,15 +200,15 @@
 
 // keepSession dials the entry with backoff and jitter and sends heartbeats
 // until ctx ends.
-func (a *Agent) keepSession(ctx context.Context, e *entry) {
-	backoff := firstBackoff
+func (a *Agent) maintainSession(ctx context.Context, e *entry) {
+	backoff := minRedialBackoff
 	for ctx.Err() == nil {
 		dialing, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		session, err := a.dial(dialing, e.address)
 		cancel()
 		if err == nil {
-			if a.beatUntilSilent(ctx, e, session) {
-				backoff = firstBackoff
+			if a.sendHeartbeats(ctx, e, session) {
+				backoff = minRedialBackoff
 			}
 			if a.drainingSessions.Load() {
 				return // drain ends the session when its requests are answered
@@ -218,14 +218,16 @@
 		if !pause.For(ctx, backoff/2+rand.N(backoff)) {
 			return
 		}
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxRedialBackoff)
 	}
 }
 
 // beatUntilSilent sends heartbeats on one session until one is not answered, and reports
 // whether any was.
-func (a *Agent) beatUntilSilent(ctx context.Context, e *entry, session Session) (answered bool) {
-	if !a.post(func() { e.session, e.wantRunning, e.described, e.interference = session, true, false, 0 }) {
+func (a *Agent) sendHeartbeats(ctx context.Context, e *entry, session Session) (answered bool) {
+	if !a.post(func() {
+		e.session, e.wantRunning, e.descriptionAcknowledged, e.interferenceVersion = session, true, false, 0
+	}) {
 		return false
 	}
 	defer a.post(func() {
@@ -233,8 +235,8 @@
 			e.session = nil
 		}
 	})
-	for ctx.Err() == nil && !closed(session.Done()) {
-		interval, err := a.beatOnce(ctx, e, session)
+	for ctx.Err() == nil && !isClosed(session.Done()) {
+		interval, err := a.sendHeartbeat(ctx, e, session)
 		if err != nil && !fault.Is(err, link.Rejected) {
 			return answered
 		}
@@ -242,8 +244,8 @@
 		timer := time.NewTimer(interval - interval/10 + rand.N(interval/5))
 		select {
 		case <-timer.C:
-		case <-e.early:
-			pause.For(ctx, urgentInterval)
+		case <-e.wake:
+			pause.For(ctx, earlyHeartbeatDelay)
 		case <-session.Done():
 		case <-ctx.Done():
 		}
@@ -253,19 +255,19 @@
 }
 
 // beat is one heartbeat on its way.
-type beat struct {
+type outgoingHeartbeat struct {
 	message  *wire.Heartbeat
 	reports  []sentReport
 	sent     time.Time
 	interval time.Duration // until the next one
 }
 
-func (a *Agent) beatOnce(ctx context.Context, e *entry, session Session) (time.Duration, error) {
+func (a *Agent) sendHeartbeat(ctx context.Context, e *entry, session Session) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	b, err := runOnLoop(ctx, a, func() (beat, error) {
-		b := beat{sent: time.Now(), interval: max(heartbeatInterval, heartbeatSpacing*time.Duration(len(a.entries)))}
-		b.message, b.reports = a.compose(e, b.sent)
+	b, err := runOnLoop(ctx, a, func() (outgoingHeartbeat, error) {
+		b := outgoingHeartbeat{sent: time.Now(), interval: max(heartbeatInterval, minHeartbeatSpacing*time.Duration(len(a.entries)))}
+		b.message, b.reports = a.composeHeartbeat(e, b.sent)
 		return b, nil
 	})
 	if err != nil {
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-type quietSession struct{ Session }
+type stubSession struct{ Session }
 
 // Guards against a report that reaches no entry because the one that launched
 // the task is gone, and against reports to every one of many entries.
@@ -18,25 +18,25 @@
 		launcherAnswered, reportedAt time.Duration // ago
 		wantLauncher, wantOthers     bool
 	}{
-		{"few entries", fewEntries, 0, 0, true, true},
+		{"few entries", maxBroadcastEntries, 0, 0, true, true},
 		{"many entries", 12, 0, 0, true, false},
-		{"unacknowledged for long", 12, 0, reportElsewhere + time.Millisecond, true, true},
-		{"launcher silent", 12, recent, 0, true, true},
+		{"unacknowledged for long", 12, 0, launcherOnlyPeriod + time.Millisecond, true, true},
+		{"launcher silent", 12, maxAnswerAge, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := &Agent{}
 			a.entries = make(map[string]*entry)
 			for i := range c.entries {
 				name := fmt.Sprint("entry-", i)
-				a.entries[name] = &entry{name: name, session: quietSession{}, answeredAt: now}
+				a.entries[name] = &entry{name: name, session: stubSession{}, answeredAt: now}
 			}
 			launcher := a.entries["entry-0"]
 			launcher.answeredAt = now.Add(-c.launcherAnswered)
 			row := &task{launchedBy: "entry-0", reportPendingSince: now.Add(-c.reportedAt)}
-			if got := a.reportsTo(launcher, row, now); got != c.wantLauncher {
+			if got := a.shouldReport(launcher, row, now); got != c.wantLauncher {
 				t.Errorf("launcher: got %t, want %t", got, c.wantLauncher)
 			}
-			if got := a.reportsTo(a.entries["entry-1"], row, now); got != c.wantOthers {
+			if got := a.shouldReport(a.entries["entry-1"], row, now); got != c.wantOthers {
 				t.Errorf("another entry: got %t, want %t", got, c.wantOthers)
 			}
 		})
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-var errLost = errors.New("lost")
+var errProcessKilled = errors.New("lost")
 
 // gate stands between a process and everything outside: while it is closed,
 // calls wait, as they do in a process that is paused between a decision and
@@ -29,15 +29,15 @@
 	return g
 }
 
-func (g *gate) pass() error {
+func (g *gate) wait() error {
 	for {
 		g.mu.Lock()
 		open, killed := g.open, g.killed
 		g.mu.Unlock()
 		if killed {
-			return errLost
+			return errProcessKilled
 		}
-		if closed(open) {
+		if isClosed(open) {
 			return nil
 		}
 		<-open
@@ -64,20 +64,20 @@
 type gatedWorker struct {
 	workerapi.Worker
 	*gate
-	killAfter atomic.Pointer[string] // operation after whose effect the process dies
+	killAfterOp atomic.Pointer[string] // operation after whose effect the process dies
 }
 
-func (w *gatedWorker) armKill(op string) { w.killAfter.Store(&op) }
+func (w *gatedWorker) setKillAfter(op string) { w.killAfterOp.Store(&op) }
 
 func (w *gatedWorker) do(op string, call func() error) error {
-	if err := w.pass(); err != nil {
+	if err := w.wait(); err != nil {
 		return fault.Wrap(op, workerapi.Unknown, err)
 	}
 	err := call()
-	if last := w.killAfter.Load(); last != nil && *last == op {
+	if last := w.killAfterOp.Load(); last != nil && *last == op {
 		w.kill()
 	}
-	if lost := w.pass(); lost != nil {
+	if lost := w.wait(); lost != nil {
 		return fault.Wrap(op, workerapi.Unknown, lost)
 	}
 	return err
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -14,10 +14,10 @@
 // counted from its end and from when the log was reachable again. The lessor may
 // have activated the standby as the next attempt while the log was unreachable;
 // its report must be recorded before anyone assigns that attempt elsewhere.
-const watcherHold = 10 * time.Second
+const watcherReportDelay = 10 * time.Second
 
 // maxReports bounds a heartbeat; the rest follows in the next one.
-const maxReports = 256
+const maxReportsPerHeartbeat = 256
 
 // sentReport identifies what a heartbeat carried: an acknowledgement counts
 // only for the outcome that was in the heartbeat it answers.
@@ -27,15 +27,15 @@
 }
 
 // compose builds the heartbeat for one entry.
-func (a *Agent) compose(e *entry, now time.Time) (*wire.Heartbeat, []sentReport) {
+func (a *Agent) composeHeartbeat(e *entry, now time.Time) (*wire.Heartbeat, []sentReport) {
 	full := e.wantRunning && a.adopted
-	e.sentRunning = full
+	e.runningListSent = full
 	h := &wire.Heartbeat{
 		Worker: string(a.WorkerID), Epoch: uint64(a.epoch),
 		Clock: a.clock(), ConfigOffset: uint64(a.config.offset), RunningFull: full,
 		Draining: a.stopping || a.evacuationReason() != "", Endpoints: a.endpointsToReport(),
 	}
-	if full || !e.described || !a.OmitUnchanged {
+	if full || !e.descriptionAcknowledged || !a.OmitUnchanged {
 		h.FailureDomain, h.Rack, h.Region, h.LinkAddress = string(a.Domain), string(a.Rack), string(a.Region), cmp.Or(a.AdvertisedLinkAddress, a.LinkAddress)
 		h.Process, h.Capacity = a.ProcessName, wire.FromResources(a.capacity)
 	}
@@ -48,9 +48,9 @@
 	}
 	h.Committed, h.Evictable = wire.FromResources(a.committedResources()), wire.FromResources(a.evictableResources())
 	h.LeaseTerm, h.LeaseValid, h.Registered = uint64(a.lease.term), a.lease.valid(now), a.lease.registered
-	h.WantsLessor = a.lease.wants
-	h.Expiries = a.expiries(now)
-	h.Interference, e.composed = a.interferenceSince(e.interference)
+	h.WantsLessor = a.lease.lessorRequested
+	h.Expiries = a.reportableExpiries(now)
+	h.Interference, e.interferenceSent = a.interferenceSince(e.interferenceVersion)
 	if e.rank == 0 && a.PendingEvents != nil {
 		h.Events = a.PendingEvents()
 	}
@@ -64,7 +64,7 @@
 func (a *Agent) runningRefs(now time.Time) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, t := range a.tasks {
-		if (t.phase != phaseEnded || a.heldBack(t, now)) && (t.holder == "" || t.activateAs != 0) {
+		if (t.phase != phaseEnded || a.isReportDelayed(t, now)) && (t.holder == "" || t.activateAs != 0) {
 			refs = append(refs, t.ref())
 		}
 	}
@@ -75,7 +75,7 @@
 func (a *Agent) addReports(e *entry, h *wire.Heartbeat, now time.Time) []sentReport {
 	var pending []*task
 	for _, t := range a.tasks {
-		if t.phase != phaseRunning && t.phase != phaseEnded || t.suppressReport || t.acknowledged || a.heldBack(t, now) || !a.reportsTo(e, t, now) {
+		if t.phase != phaseRunning && t.phase != phaseEnded || t.suppressReport || t.acknowledged || a.isReportDelayed(t, now) || !a.shouldReport(e, t, now) {
 			continue
 		}
 		pending = append(pending, t)
@@ -83,7 +83,7 @@
 	slices.SortFunc(pending, func(x, y *task) int {
 		return cmp.Or(x.reportPendingSince.Compare(y.reportPendingSince), cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
 	})
-	pending = pending[:min(len(pending), maxReports)]
+	pending = pending[:min(len(pending), maxReportsPerHeartbeat)]
 	sent := make([]sentReport, len(pending))
 	for i, t := range pending {
 		sent[i] = sentReport{attemptID{t.name, t.attempt}, t.outcomeToReport()}
@@ -92,11 +92,11 @@
 	return sent
 }
 
-func (a *Agent) heldBack(t *task, now time.Time) bool {
+func (a *Agent) isReportDelayed(t *task, now time.Time) bool {
 	if t.isBatch() || t.outcomeToReport() != wire.Outcome_OUTCOME_EXPIRED {
 		return false
 	}
-	return now.Sub(t.phaseSince) < watcherHold || a.logReachableSince.IsZero() || now.Sub(a.logReachableSince) < watcherHold
+	return now.Sub(t.phaseSince) < watcherReportDelay || a.logReachableSince.IsZero() || now.Sub(a.logReachableSince) < watcherReportDelay
 }
 
 func (t *task) newReport() *wire.TaskReport {
@@ -114,11 +114,11 @@
 func (a *Agent) applyReply(e *entry, reply *wire.HeartbeatReply, document *environment.Document, parseErr error, sent time.Time, reports []sentReport) {
 	now := time.Now()
 	e.name, e.answeredAt, e.logReachable = reply.Entry, sent, reply.LogReachable
-	e.logRead = sent.Add(-time.Duration(min(max(reply.ConfigStalenessMilliseconds, 0), 1<<30)) * time.Millisecond)
-	e.interference = e.composed
-	e.described = e.described || e.sentRunning
+	e.logReadAt = sent.Add(-time.Duration(min(max(reply.ConfigStalenessMilliseconds, 0), 1<<30)) * time.Millisecond)
+	e.interferenceVersion = e.interferenceSent
+	e.descriptionAcknowledged = e.descriptionAcknowledged || e.runningListSent
 	e.wantConfig = reply.WantConfig
-	e.wantRunning = reply.WantRunning || e.wantRunning && !e.sentRunning
+	e.wantRunning = reply.WantRunning || e.wantRunning && !e.runningListSent
 	a.observeClock(reply.Clock)
 	a.acknowledgeReports(reply.ReportsAcknowledged, reports, now)
 	a.acknowledgeExpiries(reply.ExpiriesAcknowledged)
@@ -131,7 +131,7 @@
 		a.applyLessees(reply.Lessees, sent, now)
 	}
 	a.applyStandbys(reply.Standbys, now)
-	a.learnEntries(reply.Entries, now)
+	a.updateEntries(reply.Entries, now)
 }
 
 func (a *Agent) acknowledgeReports(acknowledged []*wire.TaskRef, reports []sentReport, now time.Time) {
@@ -148,10 +148,10 @@
 
 // recent is how old an answer of an entry may be to say something about the
 // log now.
-const recent = 2 * time.Second
+const maxAnswerAge = 2 * time.Second
 
 // tickLog notes since when the log has been reachable without a break.
-func (a *Agent) tickLog(now time.Time) {
+func (a *Agent) trackLogReachability(now time.Time) {
 	switch {
 	case !a.logReachable(now):
 		a.logReachableSince = time.Time{}
@@ -163,12 +163,12 @@
 // logJustRead is how old the newest read of the log may be that shows that the
 // log answers now. A follower at the tail reads several times a second; that
 // the log is unreachable shows only after 3 s.
-const logJustRead = time.Second
+const maxLogReadAge = time.Second
 
 // logAnswers reports whether an entry has just read the log.
-func (a *Agent) logAnswers(now time.Time) bool {
+func (a *Agent) logReadRecently(now time.Time) bool {
 	for _, e := range a.entries {
-		if !e.answeredAt.IsZero() && now.Sub(e.logRead) < logJustRead {
+		if !e.answeredAt.IsZero() && now.Sub(e.logReadAt) < maxLogReadAge {
 			return true
 		}
 	}
@@ -176,15 +176,17 @@
 }
 
 // logReachable reports whether an entry has recently said that it reaches the log.
-func (a *Agent) logReachable(now time.Time) bool { return a.anyEntry(now, true) }
+func (a *Agent) logReachable(now time.Time) bool { return a.anyRecentEntry(now, true) }
 
 // logDown reports whether entries answer and none of them reaches the log. It
 // is false without answers: then nothing is known.
-func (a *Agent) logDown(now time.Time) bool { return a.anyEntry(now, false) && !a.anyEntry(now, true) }
+func (a *Agent) logUnreachable(now time.Time) bool {
+	return a.anyRecentEntry(now, false) && !a.anyRecentEntry(now, true)
+}
 
-func (a *Agent) anyEntry(now time.Time, reachable bool) bool {
+func (a *Agent) anyRecentEntry(now time.Time, reachable bool) bool {
 	for _, e := range a.entries {
-		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < recent && e.logReachable == reachable {
+		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxAnswerAge && e.logReachable == reachable {
 			return true
 		}
 	}
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -28,81 +28,81 @@
 }
 
 // fault is one entry of a generated history.
-type event struct {
-	kind string
-	name string // worker
-	op   string
-	at   time.Duration
-	long time.Duration
+type faultEvent struct {
+	kind     string
+	worker   string // worker
+	op       string
+	at       time.Duration
+	duration time.Duration
 }
 
-func (e event) String() string {
-	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.name, e.op, e.at, e.long)
+func (e faultEvent) String() string {
+	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.worker, e.op, e.at, e.duration)
 }
 
 // injections carry out the events.
-var injections = map[string]func(*world, event){
+var faultInjections = map[string]func(*simulation, faultEvent){
 	// pause stops the process, possibly past its lease, and wakes it.
-	"pause": func(w *world, e event) { w.pauseLoop(e.name, e.long) },
+	"pause": func(w *simulation, e faultEvent) { w.pauseProcess(e.worker, e.duration) },
 	// kill ends the process right after an operation took effect on the
 	// worker and starts its successor later.
-	"kill": func(w *world, e event) {
-		w.killAfter(e.name, e.op)
-		time.Sleep(e.long)
-		w.restart(e.name)
+	"kill": func(w *simulation, e faultEvent) {
+		w.killAfter(e.worker, e.op)
+		time.Sleep(e.duration)
+		w.restart(e.worker)
 	},
 	// double starts a second agent while the first goes on.
-	"double": func(w *world, e event) { w.start(e.name) },
-	"cutFromEntries": func(w *world, e event) {
-		w.network.SetCut(e.name, "entry", true)
-		time.Sleep(e.long)
-		w.network.SetCut(e.name, "entry", false)
+	"double": func(w *simulation, e faultEvent) { w.start(e.worker) },
+	"cutFromEntries": func(w *simulation, e faultEvent) {
+		w.network.SetCut(e.worker, "entry", true)
+		time.Sleep(e.duration)
+		w.network.SetCut(e.worker, "entry", false)
 	},
-	"isolate": func(w *world, e event) {
+	"isolate": func(w *simulation, e faultEvent) {
 		others := []string{"w1", "w2", "w3", "entry"}
 		for _, o := range others {
-			w.network.SetCut(e.name, o, true)
+			w.network.SetCut(e.worker, o, true)
 		}
-		time.Sleep(e.long)
+		time.Sleep(e.duration)
 		for _, o := range others {
-			w.network.SetCut(e.name, o, false)
+			w.network.SetCut(e.worker, o, false)
 		}
 	},
-	"logDown": func(w *world, e event) {
+	"logDown": func(w *simulation, e faultEvent) {
 		w.platform.SetLog(false)
-		time.Sleep(e.long)
+		time.Sleep(e.duration)
 		w.platform.SetLog(true)
 	},
 	// domainOut takes a domain out while the entries cannot read it, and lets
 	// new tasks arrive meanwhile: so many that some are assigned to the domain.
-	"domainOut": func(w *world, e event) {
+	"domainOut": func(w *simulation, e faultEvent) {
 		w.platform.Freeze(true)
-		w.platform.Publish([]string{string(domains[e.name])}, nil)
+		w.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(4 * time.Second)
 		for i := range uint32(tasksWhileOut) {
-			w.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, batch(2*time.Second, 1000))
+			w.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, newBatchSpec(2*time.Second, 1000))
 		}
-		time.Sleep(e.long)
+		time.Sleep(e.duration)
 		w.platform.Freeze(false)
-		w.platform.Publish([]string{string(domains[e.name])}, nil)
+		w.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(5 * time.Second)
 		w.platform.Publish(nil, nil)
 	},
 	// replace puts a new instance in the place of the worker.
-	"replace": func(w *world, e event) { w.cores[e.name].Restart() },
+	"replace": func(w *simulation, e faultEvent) { w.cores[e.worker].Restart() },
 	// drain empties a worker for a while.
-	"drain": func(w *world, e event) {
-		w.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.name)})
-		time.Sleep(e.long)
+	"drain": func(w *simulation, e faultEvent) {
+		w.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.worker)})
+		time.Sleep(e.duration)
 		w.platform.Publish(nil, nil)
 	},
-	"loseReplies": func(w *world, e event) {
-		w.cores[e.name].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
+	"loseReplies": func(w *simulation, e faultEvent) {
+		w.cores[e.worker].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
 	},
-	"slowWorker": func(w *world, e event) {
-		w.cores[e.name].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
-		time.Sleep(e.long)
-		w.cores[e.name].SetFaults(worker.Faults{})
+	"slowWorker": func(w *simulation, e faultEvent) {
+		w.cores[e.worker].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
+		time.Sleep(e.duration)
+		w.cores[e.worker].SetFaults(worker.Faults{})
 	},
 }
 
@@ -111,39 +111,39 @@
 // the domain nothing.
 const tasksWhileOut = 30
 
-func drawHistory(rt *rapid.T) []event {
+func drawHistory(rt *rapid.T) []faultEvent {
 	kinds := []string{"pause", "kill", "double", "cutFromEntries", "isolate", "logDown", "loseReplies", "slowWorker", "domainOut", "drain", "replace"}
-	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) event {
-		return event{
-			kind: rapid.SampledFrom(kinds).Draw(rt, "kind"),
-			name: rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(rt, "worker"),
-			op:   rapid.SampledFrom([]string{"start", "tasks", "forget", "renew"}).Draw(rt, "op"),
-			at:   time.Duration(rapid.IntRange(3000, 40000).Draw(rt, "at")) * time.Millisecond,
-			long: time.Duration(rapid.IntRange(200, 25000).Draw(rt, "for")) * time.Millisecond,
+	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) faultEvent {
+		return faultEvent{
+			kind:     rapid.SampledFrom(kinds).Draw(rt, "kind"),
+			worker:   rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(rt, "worker"),
+			op:       rapid.SampledFrom([]string{"start", "tasks", "forget", "renew"}).Draw(rt, "op"),
+			at:       time.Duration(rapid.IntRange(3000, 40000).Draw(rt, "at")) * time.Millisecond,
+			duration: time.Duration(rapid.IntRange(200, 25000).Draw(rt, "for")) * time.Millisecond,
 		}
 	}), 1, 6).Draw(rt, "history")
 }
 
 // play runs a history over ten tasks and two watchers, heals everything, and
 // returns the violations.
-func play(t *testing.T, history []event, seed uint64, noise float64, variant func(*world) func(*world)) []string {
-	return simulate(t, seed, noise, func(w *world) {
+func runHistory(t *testing.T, history []faultEvent, seed uint64, noise float64, variant func(*simulation) func(*simulation)) []string {
+	return simulate(t, seed, noise, func(w *simulation) {
 		healed := variant(w)
 		w.start("w1", "w2", "w3")
 		for i := range uint32(10) {
-			w.platform.Submit(i, batch(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
+			w.platform.Submit(i, newBatchSpec(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
 		}
 		for i := range uint32(2) {
-			watcher := batch(0, 500)
+			watcher := newBatchSpec(0, 500)
 			watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
 			w.platform.Submit(100+i, watcher)
 		}
 		ordered := slices.Clone(history)
-		slices.SortFunc(ordered, func(a, b event) int { return int(a.at - b.at) })
+		slices.SortFunc(ordered, func(a, b faultEvent) int { return int(a.at - b.at) })
 		start := time.Now()
 		for _, e := range ordered {
 			time.Sleep(e.at - time.Since(start))
-			go injections[e.kind](w, e)
+			go faultInjections[e.kind](w, e)
 		}
 		time.Sleep(70*time.Second - time.Since(start))
 		w.network.SetNoise(0)
@@ -158,9 +158,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		history := drawHistory(rt)
 		seed := rapid.Uint64().Draw(rt, "seed")
-		problems := play(t, history, seed, 0.1, func(*world) func(*world) {
-			return func(w *world) {
-				if !w.settle(2 * time.Minute) {
+		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
+			return func(w *simulation) {
+				if !w.waitForBatchTasks(2 * time.Minute) {
 					w.platform.Problem("tasks are unfinished two minutes after the faults ended")
 				}
 			}
--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -13,43 +13,43 @@
 const (
 	// leaseTimeout bounds one request; a silent session is then redialled
 	// within the same lease.
-	leaseTimeout = 1500 * time.Millisecond
+	leaseRequestTimeout = 1500 * time.Millisecond
 	// firstLessorWait and firstLessorSpread are how long a worker that registered
 	// when there was no other waits before it asks for a lessor. Until others have
 	// registered and asked one after the other, the entries can only make two
 	// workers each other's lessor, and those lose their leases together.
-	firstLessorWait   = time.Second
-	firstLessorSpread = 2 * time.Second
+	firstLessorDelay  = time.Second
+	firstLessorJitter = 2 * time.Second
 	// betterAfter is how long a term lasts before the agent changes a lessor
 	// that answers for a better one, so that entries which are behind do not
 	// make it change twice.
-	betterAfter = 3 * time.Second
+	minTermAge = 3 * time.Second
 	// leaseRetry spaces requests after one that was not granted.
-	leaseRetry = 400 * time.Millisecond
+	leaseRetryInterval = 400 * time.Millisecond
 )
 
 // lease is the agent's own lease. The agent acts only before its deadline.
 type leaseState struct {
-	held          time.Time // when the epoch was acquired
-	registered    bool      // an entry has seen the registration of this epoch
-	term          units.Term
-	lessor        units.WorkerID
-	lessorEpoch   units.Epoch
-	lessorAddress string
-	termSince     time.Time
+	epochAcquiredAt time.Time // when the epoch was acquired
+	registered      bool      // an entry has seen the registration of this epoch
+	term            units.Term
+	lessor          units.WorkerID
+	lessorEpoch     units.Epoch
+	lessorAddress   string
+	termStartedAt   time.Time
 
-	unbounded bool      // no other worker exists that could take over
-	askAt     time.Time // when to ask for the first lessor; zero while there is none
-	available bool      // an entry knows a worker that could be the lessor, or a better one
-	mayGrant  time.Time // until when this epoch may grant leases to others
-	deadline  time.Time // send time of the last granted request + leaseDuration
-	granted   time.Time // send time of the last granted request; zero for none in this term
-	wants     bool      // asked for another lessor; never renews in this term again
-	wantsFrom time.Time // when it asked
+	unbounded         bool      // no other worker exists that could take over
+	firstRequestAt    time.Time // when to ask for the first lessor; zero while there is none
+	lessorAvailable   bool      // an entry knows a worker that could be the lessor, or a better one
+	grantsUntil       time.Time // until when this epoch may grant leases to others
+	deadline          time.Time // send time of the last granted request + leaseDuration
+	lastGrantSentAt   time.Time // send time of the last granted request; zero for none in this term
+	lessorRequested   bool      // asked for another lessor; never renews in this term again
+	lessorRequestedAt time.Time // when it asked
 
-	requesting bool
-	nextAt     time.Time
-	session    Session
+	requestInFlight bool
+	nextRequestAt   time.Time
+	session         Session
 }
 
 // deadlineAt is until when the agent may act.
@@ -63,7 +63,7 @@
 func (l *leaseState) valid(now time.Time) bool { return l.deadlineAt(now).After(now) }
 
 // leaseFor returns the deadline to renew the worker's task leases up to.
-func (a *Agent) leaseFor(now time.Time) time.Time { return a.lease.deadlineAt(now) }
+func (a *Agent) taskLeaseDeadline(now time.Time) time.Time { return a.lease.deadlineAt(now) }
 
 // applyRegistration takes in what an entry has folded about this worker. An
 // entry that is behind reports a lower term, which is ignored.
@@ -81,9 +81,9 @@
 		l.registered = true
 		a.event("workerRegistered", string(a.WorkerID), "")
 	}
-	l.available = reply.LessorAvailable
-	if until := sent.Add(leases.GrantRight - leases.EvidenceAge); reply.LogReachable && until.After(l.mayGrant) {
-		l.mayGrant = until
+	l.lessorAvailable = reply.LessorAvailable
+	if until := sent.Add(leases.GrantRight - leases.EvidenceAge); reply.LogReachable && until.After(l.grantsUntil) {
+		l.grantsUntil = until
 	}
 	if term := units.Term(reply.LeaseTerm); term > l.term {
 		a.beginTerm(reply, term, now)
@@ -99,21 +99,21 @@
 // agents that have all lost their leases could never grant one again.
 func (a *Agent) beginTerm(reply *wire.HeartbeatReply, term units.Term, now time.Time) {
 	l := &a.lease
-	l.end()
+	l.closeSession()
 	switch {
 	case l.term == 0 && term == 1:
-		l.deadline = l.held.Add(leaseDuration)
-	case l.wants && term == l.term+1:
-		l.deadline = laterOf(l.deadline, l.wantsFrom.Add(leaseDuration))
+		l.deadline = l.epochAcquiredAt.Add(leaseDuration)
+	case l.lessorRequested && term == l.term+1:
+		l.deadline = later(l.deadline, l.lessorRequestedAt.Add(leaseDuration))
 	case l.unbounded:
 		// Only a request of this agent ends an unbounded lease, and asking
 		// has bounded it. Any other change is answered by stopping.
 		l.unbounded, l.deadline = false, now
 	}
-	l.term, l.termSince = term, now
+	l.term, l.termStartedAt = term, now
 	l.lessor, l.lessorEpoch, l.lessorAddress = units.WorkerID(reply.Lessor), units.Epoch(reply.LessorEpoch), reply.LessorAddress
-	l.wants, l.granted, l.nextAt = false, time.Time{}, now
-	l.requesting = false // an answer to a request of the former term is ignored
+	l.lessorRequested, l.lastGrantSentAt, l.nextRequestAt = false, time.Time{}, now
+	l.requestInFlight = false // an answer to a request of the former term is ignored
 	l.unbounded = l.lessor == ""
 	a.worker.renewSoon = true
 	a.event("lessorChanged", string(a.WorkerID), string(l.lessor))
@@ -127,57 +127,57 @@
 		return
 	}
 	if l.unbounded {
-		a.tickUnbounded(now)
+		a.tickUnboundedLease(now)
 		return
 	}
-	if l.wants {
+	if l.lessorRequested {
 		return
 	}
-	if l.available && now.Sub(l.termSince) > betterAfter && l.deadline.Sub(now) > leaseDuration/2 && a.logReachable(now) {
-		a.wantLessor(now)
+	if l.lessorAvailable && now.Sub(l.termStartedAt) > minTermAge && l.deadline.Sub(now) > leaseDuration/2 && a.logReachable(now) {
+		a.requestLessor(now)
 		return
 	}
-	since := l.granted
+	since := l.lastGrantSentAt
 	if since.IsZero() {
-		since = l.termSince
+		since = l.termStartedAt
 	}
 	if now.Sub(since) >= leaseDuration/2 && a.logReachable(now) {
-		a.wantLessor(now)
+		a.requestLessor(now)
 		return
 	}
-	if !l.requesting && !now.Before(l.nextAt) {
+	if !l.requestInFlight && !now.Before(l.nextRequestAt) {
 		a.requestLease()
 	}
 }
 
 // tickUnbounded asks for a lessor once another worker exists that can grant.
 // From then on the lease ends unless a lessor is assigned.
-func (a *Agent) tickUnbounded(now time.Time) {
+func (a *Agent) tickUnboundedLease(now time.Time) {
 	l := &a.lease
 	switch {
-	case !l.available && !a.hasLessees() || !a.logReachable(now):
-		l.askAt = time.Time{}
-	case l.askAt.IsZero():
-		l.askAt = now.Add(firstLessorWait + rand.N(firstLessorSpread))
-	case !now.Before(l.askAt):
+	case !l.lessorAvailable && !a.hasLessees() || !a.logReachable(now):
+		l.firstRequestAt = time.Time{}
+	case l.firstRequestAt.IsZero():
+		l.firstRequestAt = now.Add(firstLessorDelay + rand.N(firstLessorJitter))
+	case !now.Before(l.firstRequestAt):
 		l.unbounded, l.deadline = false, now.Add(leaseDuration)
-		a.wantLessor(now)
+		a.requestLessor(now)
 	}
 }
 
 // wantLessor stops renewing with the present lessor for good and asks for
 // another one. While the log is unreachable it would only give up the lessor
 // without a chance of another, so it is not called then.
-func (a *Agent) wantLessor(now time.Time) {
+func (a *Agent) requestLessor(now time.Time) {
 	l := &a.lease
-	l.wants, l.wantsFrom = true, now
-	a.beatEarly()
+	l.lessorRequested, l.lessorRequestedAt = true, now
+	a.requestHeartbeats()
 	a.event("lessorWanted", string(a.WorkerID), string(l.lessor))
 }
 
 func (a *Agent) requestLease() {
 	l := &a.lease
-	l.requesting = true
+	l.requestInFlight = true
 	request := &wire.LeaseRequest{
 		Worker: string(a.WorkerID), Epoch: uint64(a.epoch), Term: uint64(l.term),
 		Lessor: string(l.lessor), LessorEpoch: uint64(l.lessorEpoch), Clock: a.clock(),
@@ -193,8 +193,8 @@
 				return
 			}
 			a.lease.session = session
-			a.lease.requesting = false
-			a.leaseAnswered(sent, reply, err)
+			a.lease.requestInFlight = false
+			a.handleLeaseReply(sent, reply, err)
 		})
 		if !kept && session != nil {
 			session.Close()
@@ -205,9 +205,9 @@
 // callLessor sends one request, on a new session when there is none. A session
 // that did not answer is closed.
 func (a *Agent) callLessor(session Session, address string, request *wire.LeaseRequest) (Session, time.Time, *wire.LeaseReply, error) {
-	ctx, cancel := context.WithTimeout(a.ctx, leaseTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, leaseRequestTimeout)
 	defer cancel()
-	if session != nil && closed(session.Done()) {
+	if session != nil && isClosed(session.Done()) {
 		session = nil
 	}
 	if session == nil {
@@ -234,21 +234,21 @@
 }
 
 // end closes the session to the lessor.
-func (l *leaseState) end() {
+func (l *leaseState) closeSession() {
 	if l.session != nil {
 		l.session.Close()
 		l.session = nil
 	}
 }
 
-func laterOf(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -257,19 +257,19 @@
 	}
 }
 
-func (a *Agent) leaseAnswered(sent time.Time, reply *wire.LeaseReply, err error) {
+func (a *Agent) handleLeaseReply(sent time.Time, reply *wire.LeaseReply, err error) {
 	l := &a.lease
 	now := time.Now()
 	if err != nil || !reply.GetGranted() {
-		l.nextAt = now.Add(leaseRetry)
+		l.nextRequestAt = now.Add(leaseRetryInterval)
 		return
 	}
-	l.nextAt = sent.Add(leaseDuration / 4)
-	if l.wants {
+	l.nextRequestAt = sent.Add(leaseDuration / 4)
+	if l.lessorRequested {
 		return // the request for another lessor may be recorded already
 	}
 	if until := sent.Add(leaseDuration); until.After(l.deadline) {
-		l.deadline, l.granted = until, sent
+		l.deadline, l.lastGrantSentAt = until, sent
 	}
 	a.observeClock(reply.Clock)
 }
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -20,19 +20,19 @@
 // how old its configuration is. It shows that the checker sees what the agent
 // must not do.
 type naiveAgent struct {
-	world  *world
-	name   string
-	worker workerapi.Worker
-	gate   *gate
+	simulation *simulation
+	name       string
+	worker     workerapi.Worker
+	gate       *gate
 
 	mu      sync.Mutex
 	holder  workerapi.Holder
-	held    time.Time
+	heldAt  time.Time
 	session Session
 }
 
-func newNaive(w *world, name string, access workerapi.Worker, g *gate) process {
-	return &naiveAgent{world: w, name: name, worker: access, gate: g}
+func newNaiveAgent(w *simulation, name string, access workerapi.Worker, g *gate) process {
+	return &naiveAgent{simulation: w, name: name, worker: access, gate: g}
 }
 
 func (n *naiveAgent) Run(ctx context.Context) error {
@@ -42,7 +42,7 @@
 	mux.HandleFunc("POST /link/stop", link.Handle(func(context.Context, *wire.Stop) (*wire.StopReply, error) { return &wire.StopReply{}, nil }))
 	for ctx.Err() == nil {
 		if n.session == nil {
-			n.session, _ = n.world.dial(n.name, n.gate, "entry", mux)
+			n.session, _ = n.simulation.dial(n.name, n.gate, "entry", mux)
 		}
 		n.step(ctx)
 		time.Sleep(500 * time.Millisecond)
@@ -54,7 +54,7 @@
 	holder, err := n.worker.Hold(ctx, n.name)
 	if err == nil {
 		n.mu.Lock()
-		n.holder, n.held = holder, time.Now()
+		n.holder, n.heldAt = holder, time.Now()
 		n.mu.Unlock()
 	}
 }
@@ -63,7 +63,7 @@
 func (n *naiveAgent) lease() (units.Epoch, workerapi.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.holder.Epoch, n.holder.Clock + workerapi.Clock(time.Since(n.held)+leaseDuration)
+	return n.holder.Epoch, n.holder.Clock + workerapi.Clock(time.Since(n.heldAt)+leaseDuration)
 }
 
 func (n *naiveAgent) step(ctx context.Context) {
@@ -120,21 +120,21 @@
 func TestNaiveAgentIsCaught(t *testing.T) {
 	cases := []struct {
 		name   string
-		events []event
+		events []faultEvent
 		want   string // part of a violation
 	}{
-		{"pause past the lease", []event{{kind: "pause", name: "w1", at: 1500 * time.Millisecond, long: 20 * time.Second}}, "ran until"},
-		{"isolated past the lease", []event{{kind: "isolate", name: "w2", at: 1500 * time.Millisecond, long: 25 * time.Second}}, "ran until"},
-		{"lost replies of starts", []event{{kind: "loseReplies", name: "w1", op: "start", at: 0}, {kind: "loseReplies", name: "w2", op: "start", at: 0}, {kind: "loseReplies", name: "w3", op: "start", at: 0}}, "was refused but ran"},
-		{"domain out while cut off", []event{{kind: "domainOut", name: "w3", at: time.Second, long: 30 * time.Second}}, "after it was taken out"},
+		{"pause past the lease", []faultEvent{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, duration: 20 * time.Second}}, "ran until"},
+		{"isolated past the lease", []faultEvent{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, duration: 25 * time.Second}}, "ran until"},
+		{"lost replies of starts", []faultEvent{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
+		{"domain out while cut off", []faultEvent{{kind: "domainOut", worker: "w3", at: time.Second, duration: 30 * time.Second}}, "after it was taken out"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			wantNone(t, play(t, c.events, 7, 0, func(*world) func(*world) { return func(*world) {} }))
-			problems := play(t, c.events, 7, 0, func(w *world) func(*world) {
-				w.variant = newNaive
+			expectNoViolations(t, runHistory(t, c.events, 7, 0, func(*simulation) func(*simulation) { return func(*simulation) {} }))
+			problems := runHistory(t, c.events, 7, 0, func(w *simulation) func(*simulation) {
+				w.newProcess = newNaiveAgent
 				w.platform.Naive = true
-				return func(*world) {}
+				return func(*simulation) {}
 			})
 			all := strings.Join(problems, "\n")
 			if !strings.Contains(all, c.want) {
--- a/internal/agent/reservation.go
+++ b/internal/agent/reservation.go
@@ -38,7 +38,7 @@
 		offered = append(offered, report)
 	}
 	if anyLeaving(offered) && !anyLeaving(a.offeredEndpoints) {
-		a.beatEarly()
+		a.requestHeartbeats()
 	}
 	a.offeredEndpoints = offered
 	for name := range a.reservations {
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -25,10 +25,12 @@
 // Guards against leases that can never be granted again once every agent has
 // lost its own, and against agents that restart together.
 func TestAllLeasesLost(t *testing.T) {
-	for name, strike := range map[string]func(*world, string){
-		"isolated": func(w *world, name string) { injections["isolate"](w, event{name: name, long: 15 * time.Second}) },
-		"paused":   func(w *world, name string) { w.pauseLoop(name, 15*time.Second) },
-		"restarted": func(w *world, name string) {
+	for name, strike := range map[string]func(*simulation, string){
+		"isolated": func(w *simulation, name string) {
+			faultInjections["isolate"](w, faultEvent{worker: name, duration: 15 * time.Second})
+		},
+		"paused": func(w *simulation, name string) { w.pauseProcess(name, 15*time.Second) },
+		"restarted": func(w *simulation, name string) {
 			_, g := w.current(name)
 			g.kill()
 			time.Sleep(15 * time.Second)
@@ -36,15 +38,15 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantNone(t, simulate(t, 3, 0, func(w *world) {
+			expectNoViolations(t, simulate(t, 3, 0, func(w *simulation) {
 				w.start("w1", "w2", "w3")
 				time.Sleep(3 * time.Second)
 				for name := range domains {
 					go strike(w, name)
 				}
 				time.Sleep(16 * time.Second)
-				w.platform.Submit(0, batch(20*time.Second, 2000))
-				if !w.settle(45 * time.Second) {
+				w.platform.Submit(0, newBatchSpec(20*time.Second, 2000))
+				if !w.waitForBatchTasks(45 * time.Second) {
 					w.t.Error("a task of 20 s is unfinished after 45 s")
 				}
 			}))
@@ -55,8 +57,8 @@
 // Guards against a watcher that nobody runs while the log is down, and against
 // one that runs twice when the log returns.
 func TestStandbyTakesOverWhileTheLogIsDown(t *testing.T) {
-	wantNone(t, simulate(t, 4, 0, func(w *world) {
-		watcher := batch(0, 500)
+	expectNoViolations(t, simulate(t, 4, 0, func(w *simulation) {
+		watcher := newBatchSpec(0, 500)
 		watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
 		// The first two become each other's lessor, so the lessor of the third
 		// keeps its lease when the third dies.
@@ -76,7 +78,7 @@
 		}
 		w.platform.SetLog(false)
 		time.Sleep(3 * time.Second)
-		w.gates[holder].kill()
+		w.processGates[holder].kill()
 		died := time.Now()
 		for time.Since(died) < 12*time.Second {
 			time.Sleep(200 * time.Millisecond)
@@ -99,8 +101,8 @@
 }
 
 // alone is one agent whose messages a test sends by hand.
-func alone(t *testing.T, test func(w *world, send func(path string, message, reply Message) error)) {
-	wantNone(t, simulate(t, 5, 0, func(w *world) {
+func withSingleAgent(t *testing.T, test func(w *simulation, send func(path string, message, reply Message) error)) {
+	expectNoViolations(t, simulate(t, 5, 0, func(w *simulation) {
 		w.start("w1")
 		time.Sleep(3 * time.Second)
 		test(w, func(path string, message, reply Message) error {
@@ -111,7 +113,7 @@
 	}))
 }
 
-func launchOf(epoch uint64, mayEvict bool, index, attempt uint32, spec *wire.TaskSpec) *wire.Launch {
+func newLaunch(epoch uint64, mayEvict bool, index, attempt uint32, spec *wire.TaskSpec) *wire.Launch {
 	return &wire.Launch{Worker: "w1", Epoch: epoch, Tasks: []*wire.LaunchTask{
 		{Task: &wire.TaskRef{Job: "x", Index: index, Attempt: attempt}, Spec: spec, MayEvict: mayEvict}}}
 }
@@ -119,7 +121,7 @@
 // Guards against a message that is late, repeated, reordered or meant for
 // another epoch changing an answer that was given before.
 func TestAnswersStand(t *testing.T) {
-	alone(t, func(w *world, send func(string, Message, Message) error) {
+	withSingleAgent(t, func(w *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
 		if err := send("/link/stop", stop, &wire.StopReply{}); err != nil {
 			t.Fatal(err)
@@ -129,14 +131,14 @@
 			launch *wire.Launch
 			want   wire.Outcome // UNSPECIFIED for no answer
 		}{
-			{"first", launchOf(1, false, 0, 2, batch(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
-			{"repeated", launchOf(1, false, 0, 2, batch(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
-			{"lower attempt", launchOf(1, false, 0, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
-			{"stopped before", launchOf(1, false, 2, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
-			{"too large", launchOf(1, false, 3, 1, batch(time.Second, 9000)), wire.Outcome_OUTCOME_REFUSED},
-			{"too large, now small", launchOf(1, false, 3, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
-			{"older epoch", launchOf(0, false, 4, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
-			{"negative size", launchOf(1, false, 5, 1, batch(time.Second, -1)), wire.Outcome_OUTCOME_REFUSED},
+			{"first", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
+			{"repeated", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
+			{"lower attempt", newLaunch(1, false, 0, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
+			{"stopped before", newLaunch(1, false, 2, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"too large", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 9000)), wire.Outcome_OUTCOME_REFUSED},
+			{"too large, now small", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"older epoch", newLaunch(0, false, 4, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
+			{"negative size", newLaunch(1, false, 5, 1, newBatchSpec(time.Second, -1)), wire.Outcome_OUTCOME_REFUSED},
 		}
 		check := func(when string) {
 			for _, s := range steps {
@@ -154,7 +156,7 @@
 		check("at once")
 		time.Sleep(5 * time.Second) // the task has ended and is forgotten
 		check("later")
-		if err := send("/link/launch", launchOf(2, false, 6, 1, batch(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
+		if err := send("/link/launch", newLaunch(2, false, 6, 1, newBatchSpec(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
 			t.Error("launch of a newer epoch: got an answer, want an error")
 		}
 		if got := len(w.cores["w1"].Runs()); got != 1 {
@@ -166,19 +168,19 @@
 // Guards against an eviction that is not needed or hits the wrong task, and
 // against a start before the room is free.
 func TestEvictsLowerPriority(t *testing.T) {
-	alone(t, func(w *world, send func(string, Message, Message) error) {
+	withSingleAgent(t, func(w *simulation, send func(string, Message, Message) error) {
 		spec := func(p wire.Priority, cores units.Millicores) *wire.TaskSpec {
-			s := batch(time.Hour, cores)
+			s := newBatchSpec(time.Hour, cores)
 			s.Priority = p
 			return s
 		}
 		// One core of eight is reserved for the service.
 		launches := []*wire.Launch{
-			launchOf(1, false, 0, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
-			launchOf(1, false, 1, 1, spec(wire.Priority_PRIORITY_LOW, 3000)),
-			launchOf(1, true, 2, 1, spec(wire.Priority_PRIORITY_HIGH, 3000)),
-			launchOf(1, true, 3, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
-			launchOf(1, false, 4, 1, spec(wire.Priority_PRIORITY_URGENT, 2000)),
+			newLaunch(1, false, 0, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
+			newLaunch(1, false, 1, 1, spec(wire.Priority_PRIORITY_LOW, 3000)),
+			newLaunch(1, true, 2, 1, spec(wire.Priority_PRIORITY_HIGH, 3000)),
+			newLaunch(1, true, 3, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
+			newLaunch(1, false, 4, 1, spec(wire.Priority_PRIORITY_URGENT, 2000)),
 		}
 		var got []wire.Outcome
 		for _, l := range launches {
@@ -225,10 +227,10 @@
 func TestGuardThrottles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(t, ctx, 6, 0)
+		w := newSimulation(t, ctx, 6, 0)
 		reports, began := int64(0), time.Now()
-		w.variant = func(w *world, name string, access workerapi.Worker, g *gate) process {
-			a := realAgent(w, name, access, g).(*Agent)
+		w.newProcess = func(w *simulation, name string, access workerapi.Worker, g *gate) process {
+			a := newRealAgent(w, name, access, g).(*Agent)
 			a.Guard = &guard.Controller{}
 			a.EndpointReports = func() []*wire.EndpointReport {
 				reports++ // each report is a new measurement
@@ -244,7 +246,7 @@
 		w.start("w1")
 		go w.platform.Dispatch(ctx)
 		time.Sleep(8 * time.Second)
-		w.platform.Submit(0, batch(time.Hour, 2000))
+		w.platform.Submit(0, newBatchSpec(time.Hour, 2000))
 		throttled := false
 		for end := time.Now().Add(8 * time.Second); time.Now().Before(end) && !throttled; time.Sleep(100 * time.Millisecond) {
 			table, err := w.cores["w1"].Tasks(ctx)
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -76,7 +76,7 @@
 	}
 	a.tasks = make(map[units.Task]*task)
 	a.worker = workerState{origin: a.startedAt}
-	a.lease.end()
+	a.lease.closeSession()
 	a.lease = leaseState{}
 	a.lessees = make(map[units.WorkerID]*lessee)
 	a.spawn(func() {
@@ -111,7 +111,7 @@
 func (a *Agent) adoptTable(holder workerapi.Holder, table workerapi.Table, received time.Time, resume bool) {
 	a.epoch, a.capacity = holder.Epoch, holder.Capacity
 	a.decisions.reset()
-	a.lease.held = received
+	a.lease.epochAcquiredAt = received
 	a.worker.observeClock(table.Clock, received)
 	for _, row := range table.Tasks {
 		t := a.adoptRow(row, received)
@@ -121,7 +121,7 @@
 	}
 	a.adopted = true
 	for _, e := range a.entries {
-		e.wantRunning, e.described = true, false
+		e.wantRunning, e.descriptionAcknowledged = true, false
 	}
 	a.worker.pollSoon = true
 	a.event("workerHeld", string(a.WorkerID), fmt.Sprintf("epoch %d, %d tasks adopted", a.epoch, len(a.tasks)))
@@ -181,7 +181,7 @@
 	t.setOutcome(outcome, now)
 	a.decisions.record(t.name, t.attempt, wire.Outcome_OUTCOME_STARTED, "")
 	a.failures.record(t.name.Job, outcome, now)
-	a.beatAfterEnd(t, now)
+	a.requestHeartbeatAfterEnd(t, now)
 	a.event("taskEnded", t.name.String(), outcome.String())
 }
 
@@ -213,7 +213,7 @@
 	if !w.pollInFlight && (w.pollSoon || now.Sub(w.polledAt) >= tablePollInterval) {
 		a.pollTable(now)
 	}
-	if until := a.leaseFor(now); !w.renewInFlight && until.After(now) && (w.renewSoon || until.Sub(w.renewedUntil) >= leaseDuration/4) {
+	if until := a.taskLeaseDeadline(now); !w.renewInFlight && until.After(now) && (w.renewSoon || until.Sub(w.renewedUntil) >= leaseDuration/4) {
 		a.renewLeases(now, until)
 	}
 }
