--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -334,14 +334,14 @@
 		value T
 		err   error
 	}
-	answered := make(chan answer, 1)
+	results := make(chan answer, 1)
 	if a.post(func() {
 		value, err := fn()
-		answered <- answer{value, err}
+		results <- answer{value, err}
 	}) {
 		select {
-		case got := <-answered:
-			return got.value, got.err
+		case r := <-results:
+			return r.value, r.err
 		case <-ctx.Done():
 		case <-a.done:
 		}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -40,36 +40,36 @@
 
 func newSimulation(t *testing.T, ctx context.Context, seed uint64, noise float64) *simulation {
 	n := entries.NewNetwork(ctx, seed, noise)
-	w := &simulation{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, processGates: map[string]*gate{}, agents: map[string]process{},
+	sim := &simulation{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, processGates: map[string]*gate{}, agents: map[string]process{},
 		errors: map[string]chan error{}, newProcess: newRealAgent}
-	w.platform = entries.NewPlatform(seed, n)
+	sim.platform = entries.NewPlatform(seed, n)
 	for name := range domains {
-		w.cores[name] = &worker.Core{Name: units.WorkerID(name), Capacity: units.Resources{Processors: 8000, Memory: 16 * units.GiB}, UsageLag: 2 * time.Second}
+		sim.cores[name] = &worker.Core{Name: units.WorkerID(name), Capacity: units.Resources{Processors: 8000, Memory: 16 * units.GiB}, UsageLag: 2 * time.Second}
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) start(names ...string) {
+func (sim *simulation) start(names ...string) {
 	for _, name := range names {
 		g := newGate()
-		process := w.newProcess(w, name, &gatedWorker{Worker: w.cores[name], gate: g}, g)
+		process := sim.newProcess(sim, name, &gatedWorker{Worker: sim.cores[name], gate: g}, g)
 		failed := make(chan error, 1)
-		w.mu.Lock()
-		w.processGates[name], w.agents[name], w.errors[name] = g, process, failed
-		w.mu.Unlock()
-		go func() { failed <- process.Run(w.ctx) }()
+		sim.mu.Lock()
+		sim.processGates[name], sim.agents[name], sim.errors[name] = g, process, failed
+		sim.mu.Unlock()
+		go func() { failed <- process.Run(sim.ctx) }()
 	}
 }
 
 // dial connects a process to an entry or to another agent.
-func (w *simulation) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
+func (sim *simulation) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
 	if err := g.wait(); err != nil {
 		return nil, err
 	}
 	if address == "entry" {
-		return gatedSession{w.network.Connect(name, "entry", w.platform.Accept(gateHandler(g, handler))), g}, nil
+		return gatedSession{sim.network.Connect(name, "entry", sim.platform.Accept(gateHandler(g, handler))), g}, nil
 	}
-	s, err := w.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
+	s, err := sim.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	return s.wait()
 }
 
-func newRealAgent(w *simulation, name string, access workerapi.Worker, g *gate) process {
+func newRealAgent(sim *simulation, name string, access workerapi.Worker, g *gate) process {
 	a := &Agent{
 		WorkerID: units.WorkerID(name), Domain: domains[name], Rack: "rack", Region: "r", LinkAddress: "link/" + name,
 		Worker: access, EntryAddresses: []string{"entry"},
@@ -108,17 +108,17 @@
 			return []*wire.EndpointReport{{Service: "desk", State: wire.EndpointState_ENDPOINT_STATE_READY, Slots: 8}}
 		},
 		Dial: func(_ context.Context, address string, handler http.Handler) (Session, error) {
-			return w.dial(name, g, address, handler)
+			return sim.dial(name, g, address, handler)
 		},
 		Listen: func(_ context.Context, address string, handler http.Handler) (func(context.Context), error) {
-			w.network.Serve(address, gateHandler(g, handler))
+			sim.network.Serve(address, gateHandler(g, handler))
 			return func(context.Context) {}, nil
 		},
 	}
 	a.RecordEvent = func(kind, subject, text string) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.events = append(w.events, fmt.Sprintf("%s %s %s %s %s", time.Now().Format("05.000"), name, kind, subject, text))
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		sim.events = append(sim.events, fmt.Sprintf("%s %s %s %s %s", time.Now().Format("05.000"), name, kind, subject, text))
 	}
 	return a
 }
@@ -129,8 +129,8 @@
 }
 
 // pauseLoop stops everything the process does for d, like SIGSTOP.
-func (w *simulation) pauseProcess(name string, d time.Duration) {
-	process, g := w.current(name)
+func (sim *simulation) pauseProcess(name string, d time.Duration) {
+	process, g := sim.current(name)
 	if a, ok := process.(*Agent); ok {
 		go a.post(func() { time.Sleep(d) })
 	}
@@ -138,31 +138,31 @@
 }
 
 // restart kills the process at once and starts its successor.
-func (w *simulation) restart(name string) {
-	_, g := w.current(name)
+func (sim *simulation) restart(name string) {
+	_, g := sim.current(name)
 	g.kill()
-	w.start(name)
+	sim.start(name)
 }
 
-func (w *simulation) current(name string) (process, *gate) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.agents[name], w.processGates[name]
+func (sim *simulation) current(name string) (process, *gate) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.agents[name], sim.processGates[name]
 }
 
 // check returns every violated guarantee.
-func (w *simulation) violations() []string {
+func (sim *simulation) violations() []string {
 	var runs []worker.Run
-	for _, c := range w.cores {
+	for _, c := range sim.cores {
 		runs = append(runs, c.Runs()...)
 	}
-	return w.platform.Check(runs, domains)
+	return sim.platform.Check(runs, domains)
 }
 
 // settle waits, at most for limit, until every batch task has ended.
-func (w *simulation) waitForBatchTasks(limit time.Duration) bool {
+func (sim *simulation) waitForBatchTasks(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		if w.platform.Done() {
+		if sim.platform.Done() {
 			return true
 		}
 	}
@@ -173,12 +173,12 @@
 func simulate(t *testing.T, seed uint64, noise float64, scenario func(*simulation)) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newSimulation(t, ctx, seed, noise)
-		go w.platform.Dispatch(ctx)
-		scenario(w)
-		problems = w.violations()
+		sim := newSimulation(t, ctx, seed, noise)
+		go sim.platform.Dispatch(ctx)
+		scenario(sim)
+		problems = sim.violations()
 		if t.Failed() || len(problems) > 0 {
-			for _, e := range w.events {
+			for _, e := range sim.events {
 				t.Log(e)
 			}
 		}
@@ -197,18 +197,18 @@
 
 // Guards against an agent that does not get tasks from launch to end.
 func TestTasksComplete(t *testing.T) {
-	expectNoViolations(t, simulate(t, 1, 0, func(w *simulation) {
-		w.start("w1", "w2", "w3")
+	expectNoViolations(t, simulate(t, 1, 0, func(sim *simulation) {
+		sim.start("w1", "w2", "w3")
 		for i := range uint32(12) {
-			w.platform.Submit(i, newBatchSpec(5*time.Second, 2000))
+			sim.platform.Submit(i, newBatchSpec(5*time.Second, 2000))
 		}
-		if !w.waitForBatchTasks(time.Minute) {
-			w.t.Error("tasks are unfinished after a minute")
+		if !sim.waitForBatchTasks(time.Minute) {
+			sim.t.Error("tasks are unfinished after a minute")
 		}
-		for name, core := range w.cores {
+		for name, core := range sim.cores {
 			time.Sleep(2 * time.Second)
-			if table, _ := core.Tasks(w.ctx); len(table.Tasks) != 0 {
-				w.t.Errorf("worker %s: got %d rows left, want every ended task forgotten", name, len(table.Tasks))
+			if table, _ := core.Tasks(sim.ctx); len(table.Tasks) != 0 {
+				sim.t.Errorf("worker %s: got %d rows left, want every ended task forgotten", name, len(table.Tasks))
 			}
 		}
 	}))
@@ -216,29 +216,29 @@
 
 // Guards against an agent that goes on after a newer epoch holds its worker.
 func TestSecondAgentFencesTheFirst(t *testing.T) {
-	expectNoViolations(t, simulate(t, 2, 0, func(w *simulation) {
-		w.start("w1", "w2", "w3")
-		w.platform.Submit(0, newBatchSpec(30*time.Second, 2000))
+	expectNoViolations(t, simulate(t, 2, 0, func(sim *simulation) {
+		sim.start("w1", "w2", "w3")
+		sim.platform.Submit(0, newBatchSpec(30*time.Second, 2000))
 		time.Sleep(5 * time.Second)
-		first := w.errors["w1"]
-		w.start("w1")
+		first := sim.errors["w1"]
+		sim.start("w1")
 		select {
 		case err := <-first:
 			if !fault.Is(err, Fenced) {
-				w.t.Errorf("first agent: got %v, want kind %s", err, Fenced)
+				sim.t.Errorf("first agent: got %v, want kind %s", err, Fenced)
 			}
 		case <-time.After(5 * time.Second):
-			w.t.Error("first agent still acts 5 s after the second took over")
+			sim.t.Error("first agent still acts 5 s after the second took over")
 		}
-		if !w.waitForBatchTasks(time.Minute) {
-			w.t.Error("the task is unfinished after a minute")
+		if !sim.waitForBatchTasks(time.Minute) {
+			sim.t.Error("the task is unfinished after a minute")
 		}
 	}))
 }
 
 // killAfter ends the process right after the next such operation took effect.
-func (w *simulation) killAfter(name, op string) {
-	process, _ := w.current(name)
+func (sim *simulation) killAfter(name, op string) {
+	process, _ := sim.current(name)
 	if a, ok := process.(*Agent); ok {
 		a.Worker.(*gatedWorker).setKillAfter(op)
 	}
--- a/internal/agent/benchmark_test.go
+++ b/internal/agent/benchmark_test.go
@@ -190,9 +190,9 @@
 // launchTen launches ten tasks on every agent and returns how many started.
 func launchTen(b *testing.B, ctx context.Context, e *minimalEntry) (started int) {
 	e.mu.Lock()
-	backs := maps.Clone(e.sessions)
+	sessions := maps.Clone(e.sessions)
 	e.mu.Unlock()
-	for name, session := range backs {
+	for name, session := range sessions {
 		l := &wire.Launch{Worker: name, Epoch: 1}
 		for i := range uint32(10) {
 			l.Tasks = append(l.Tasks, &wire.LaunchTask{Task: &wire.TaskRef{Job: "job-20261204-0017-" + name, Index: i, Attempt: 1}, Spec: newBatchSpec(time.Hour, 1000)})
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -80,14 +80,14 @@
 	for _, e := range a.entries {
 		ordered = append(ordered, e)
 	}
-	silent := func(e *entry) int {
+	unresponsive := func(e *entry) int {
 		if now.Sub(e.answeredAt) < maxAnswerAge {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(ordered, func(x, y *entry) int {
-		return cmp.Or(cmp.Compare(silent(x), silent(y)), cmp.Compare(a.rendezvousWeight(y), a.rendezvousWeight(x)), cmp.Compare(x.address, y.address))
+		return cmp.Or(cmp.Compare(unresponsive(x), unresponsive(y)), cmp.Compare(a.rendezvousWeight(y), a.rendezvousWeight(x)), cmp.Compare(x.address, y.address))
 	})
 	for i, e := range ordered {
 		e.rank = i
@@ -148,19 +148,19 @@
 
 // reportsTo reports whether a heartbeat to e carries the report of t.
 func (a *Agent) shouldReport(e *entry, t *task, now time.Time) bool {
-	first := a.launchingEntry(t, now)
-	return first == nil || first == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
+	launcher := a.launchingEntry(t, now)
+	return launcher == nil || launcher == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
 }
 
 // beatAfterEnd sends the end of a task early to the entry that launched it; the
 // others learn of the free room with their next heartbeat.
 func (a *Agent) requestHeartbeatAfterEnd(t *task, now time.Time) {
-	first := a.launchingEntry(t, now)
-	if first == nil {
+	launcher := a.launchingEntry(t, now)
+	if launcher == nil {
 		a.requestHeartbeats()
 		return
 	}
-	first.requestHeartbeat()
+	launcher.requestHeartbeat()
 }
 
 // known returns the row of a listed entry: by its address, or by its name where
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -31,8 +31,8 @@
 	if outcome != wire.Outcome_OUTCOME_FAILED {
 		return
 	}
-	for _, known := range f.jobs {
-		if known == job {
+	for _, seen := range f.jobs {
+		if seen == job {
 			return
 		}
 	}
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -71,12 +71,12 @@
 	if a.guardState.latencies == nil {
 		a.guardState.latencies = make(map[units.ServiceName]latencySample)
 	}
-	known := a.guardState.latencies[name]
-	if known.value != value {
-		known = latencySample{value, now}
-		a.guardState.latencies[name] = known
+	sample := a.guardState.latencies[name]
+	if sample.value != value {
+		sample = latencySample{value, now}
+		a.guardState.latencies[name] = sample
 	}
-	return known
+	return sample
 }
 
 // interference returns what the guard has learned since the given version.
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -43,66 +43,66 @@
 // injections carry out the events.
 var faultInjections = map[string]func(*simulation, faultEvent){
 	// pause stops the process, possibly past its lease, and wakes it.
-	"pause": func(w *simulation, e faultEvent) { w.pauseProcess(e.worker, e.duration) },
+	"pause": func(sim *simulation, e faultEvent) { sim.pauseProcess(e.worker, e.duration) },
 	// kill ends the process right after an operation took effect on the
 	// worker and starts its successor later.
-	"kill": func(w *simulation, e faultEvent) {
-		w.killAfter(e.worker, e.op)
+	"kill": func(sim *simulation, e faultEvent) {
+		sim.killAfter(e.worker, e.op)
 		time.Sleep(e.duration)
-		w.restart(e.worker)
+		sim.restart(e.worker)
 	},
 	// double starts a second agent while the first goes on.
-	"double": func(w *simulation, e faultEvent) { w.start(e.worker) },
-	"cutFromEntries": func(w *simulation, e faultEvent) {
-		w.network.SetCut(e.worker, "entry", true)
+	"double": func(sim *simulation, e faultEvent) { sim.start(e.worker) },
+	"cutFromEntries": func(sim *simulation, e faultEvent) {
+		sim.network.SetCut(e.worker, "entry", true)
 		time.Sleep(e.duration)
-		w.network.SetCut(e.worker, "entry", false)
+		sim.network.SetCut(e.worker, "entry", false)
 	},
-	"isolate": func(w *simulation, e faultEvent) {
+	"isolate": func(sim *simulation, e faultEvent) {
 		others := []string{"w1", "w2", "w3", "entry"}
 		for _, o := range others {
-			w.network.SetCut(e.worker, o, true)
+			sim.network.SetCut(e.worker, o, true)
 		}
 		time.Sleep(e.duration)
 		for _, o := range others {
-			w.network.SetCut(e.worker, o, false)
+			sim.network.SetCut(e.worker, o, false)
 		}
 	},
-	"logDown": func(w *simulation, e faultEvent) {
-		w.platform.SetLog(false)
+	"logDown": func(sim *simulation, e faultEvent) {
+		sim.platform.SetLog(false)
 		time.Sleep(e.duration)
-		w.platform.SetLog(true)
+		sim.platform.SetLog(true)
 	},
 	// domainOut takes a domain out while the entries cannot read it, and lets
 	// new tasks arrive meanwhile: so many that some are assigned to the domain.
-	"domainOut": func(w *simulation, e faultEvent) {
-		w.platform.Freeze(true)
-		w.platform.Publish([]string{string(domains[e.worker])}, nil)
+	"domainOut": func(sim *simulation, e faultEvent) {
+		sim.platform.Freeze(true)
+		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(4 * time.Second)
 		for i := range uint32(tasksWhileOut) {
-			w.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, newBatchSpec(2*time.Second, 1000))
+			sim.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, newBatchSpec(2*time.Second, 1000))
 		}
 		time.Sleep(e.duration)
-		w.platform.Freeze(false)
-		w.platform.Publish([]string{string(domains[e.worker])}, nil)
+		sim.platform.Freeze(false)
+		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(5 * time.Second)
-		w.platform.Publish(nil, nil)
+		sim.platform.Publish(nil, nil)
 	},
 	// replace puts a new instance in the place of the worker.
-	"replace": func(w *simulation, e faultEvent) { w.cores[e.worker].Restart() },
+	"replace": func(sim *simulation, e faultEvent) { sim.cores[e.worker].Restart() },
 	// drain empties a worker for a while.
-	"drain": func(w *simulation, e faultEvent) {
-		w.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.worker)})
+	"drain": func(sim *simulation, e faultEvent) {
+		sim.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.worker)})
 		time.Sleep(e.duration)
-		w.platform.Publish(nil, nil)
+		sim.platform.Publish(nil, nil)
 	},
-	"loseReplies": func(w *simulation, e faultEvent) {
-		w.cores[e.worker].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
+	"loseReplies": func(sim *simulation, e faultEvent) {
+		sim.cores[e.worker].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
 	},
-	"slowWorker": func(w *simulation, e faultEvent) {
-		w.cores[e.worker].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
+	"slowWorker": func(sim *simulation, e faultEvent) {
+		sim.cores[e.worker].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
 		time.Sleep(e.duration)
-		w.cores[e.worker].SetFaults(worker.Faults{})
+		sim.cores[e.worker].SetFaults(worker.Faults{})
 	},
 }
 
@@ -126,28 +126,28 @@
 
 // play runs a history over ten tasks and two watchers, heals everything, and
 // returns the violations.
-func runHistory(t *testing.T, history []faultEvent, seed uint64, noise float64, variant func(*simulation) func(*simulation)) []string {
-	return simulate(t, seed, noise, func(w *simulation) {
-		healed := variant(w)
-		w.start("w1", "w2", "w3")
+func runHistory(t *testing.T, history []faultEvent, seed uint64, noise float64, setUp func(*simulation) func(*simulation)) []string {
+	return simulate(t, seed, noise, func(sim *simulation) {
+		afterFaults := setUp(sim)
+		sim.start("w1", "w2", "w3")
 		for i := range uint32(10) {
-			w.platform.Submit(i, newBatchSpec(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
+			sim.platform.Submit(i, newBatchSpec(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
 		}
 		for i := range uint32(2) {
 			watcher := newBatchSpec(0, 500)
 			watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
-			w.platform.Submit(100+i, watcher)
+			sim.platform.Submit(100+i, watcher)
 		}
 		ordered := slices.Clone(history)
 		slices.SortFunc(ordered, func(a, b faultEvent) int { return int(a.at - b.at) })
 		start := time.Now()
 		for _, e := range ordered {
 			time.Sleep(e.at - time.Since(start))
-			go faultInjections[e.kind](w, e)
+			go faultInjections[e.kind](sim, e)
 		}
 		time.Sleep(70*time.Second - time.Since(start))
-		w.network.SetNoise(0)
-		healed(w)
+		sim.network.SetNoise(0)
+		afterFaults(sim)
 	})
 }
 
@@ -159,9 +159,9 @@
 		history := drawHistory(rt)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
-			return func(w *simulation) {
-				if !w.waitForBatchTasks(2 * time.Minute) {
-					w.platform.Problem("tasks are unfinished two minutes after the faults ended")
+			return func(sim *simulation) {
+				if !sim.waitForBatchTasks(2 * time.Minute) {
+					sim.platform.Problem("tasks are unfinished two minutes after the faults ended")
 				}
 			}
 		})
--- a/internal/agent/lessee_test.go
+++ b/internal/agent/lessee_test.go
@@ -11,15 +11,15 @@
 )
 
 // silentSession answers no call.
-type silentSession struct{ done chan struct{} }
+type unresponsiveSession struct{ done chan struct{} }
 
-func (s silentSession) Call(ctx context.Context, _ string, _, _ Message) error {
+func (s unresponsiveSession) Call(ctx context.Context, _ string, _, _ Message) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (s silentSession) Done() <-chan struct{}    { return s.done }
-func (s silentSession) Close()                   {}
-func (s silentSession) Shutdown(context.Context) {}
+func (s unresponsiveSession) Done() <-chan struct{}    { return s.done }
+func (s unresponsiveSession) Close()                   {}
+func (s unresponsiveSession) Shutdown(context.Context) {}
 
 // Guards against a lessee that never asks its new lessor, because the request
 // to the old one, which is paused, is still out when the term changes. The
@@ -31,7 +31,7 @@
 		WorkerID: "worker-1",
 		Dial: func(_ context.Context, address string, _ http.Handler) (Session, error) {
 			dialled <- address
-			return silentSession{make(chan struct{})}, nil
+			return unresponsiveSession{make(chan struct{})}, nil
 		},
 	}
 	a.init()
--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -37,13 +37,13 @@
 func (a *Agent) applyLessees(listed []*wire.Lessee, sent, now time.Time) {
 	present := make(map[units.WorkerID]bool, len(listed))
 	for _, l := range listed {
-		known := a.lessees[units.WorkerID(l.Worker)]
+		current := a.lessees[units.WorkerID(l.Worker)]
 		epoch, term := units.Epoch(l.Epoch), units.Term(l.Term)
 		switch {
-		case known == nil || epoch > known.epoch || epoch == known.epoch && term > known.term:
+		case current == nil || epoch > current.epoch || epoch == current.epoch && term > current.term:
 			a.lessees[units.WorkerID(l.Worker)] = &lessee{worker: units.WorkerID(l.Worker), epoch: epoch, term: term, learnedAt: now, listedAt: sent}
-		case epoch == known.epoch && term == known.term:
-			known.listedAt = sent
+		case epoch == current.epoch && term == current.term:
+			current.listedAt = sent
 		default:
 			continue
 		}
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -31,8 +31,8 @@
 	session Session
 }
 
-func newNaiveAgent(w *simulation, name string, access workerapi.Worker, g *gate) process {
-	return &naiveAgent{simulation: w, name: name, worker: access, gate: g}
+func newNaiveAgent(sim *simulation, name string, access workerapi.Worker, g *gate) process {
+	return &naiveAgent{simulation: sim, name: name, worker: access, gate: g}
 }
 
 func (n *naiveAgent) Run(ctx context.Context) error {
@@ -74,20 +74,20 @@
 		return
 	}
 	epoch, until := n.lease()
-	beat := &wire.Heartbeat{Worker: n.name, Epoch: uint64(epoch), Capacity: wire.FromResources(n.holder.Capacity), RunningFull: true, Registered: true}
+	heartbeat := &wire.Heartbeat{Worker: n.name, Epoch: uint64(epoch), Capacity: wire.FromResources(n.holder.Capacity), RunningFull: true, Registered: true}
 	var names []units.Task
 	for _, t := range table.Tasks {
 		if t.State == workerapi.Running {
 			names = append(names, t.Task)
-			beat.Running = append(beat.Running, wire.NewTaskRef(t.Task, t.Attempt))
+			heartbeat.Running = append(heartbeat.Running, wire.NewTaskRef(t.Task, t.Attempt))
 		}
-		beat.Reports = append(beat.Reports, &wire.TaskReport{Task: wire.NewTaskRef(t.Task, t.Attempt), Outcome: naiveOutcome(t.State), Checkpoint: t.Checkpoint})
+		heartbeat.Reports = append(heartbeat.Reports, &wire.TaskReport{Task: wire.NewTaskRef(t.Task, t.Attempt), Outcome: naiveOutcome(t.State), Checkpoint: t.Checkpoint})
 	}
 	if _, err := n.worker.Renew(ctx, epoch, until, names); fault.Is(err, workerapi.Fenced) {
 		n.hold(ctx)
 	}
 	if n.session != nil {
-		_ = n.session.Call(ctx, "/link/heartbeat", beat, &wire.HeartbeatReply{})
+		_ = n.session.Call(ctx, "/link/heartbeat", heartbeat, &wire.HeartbeatReply{})
 	}
 }
 
@@ -131,9 +131,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			expectNoViolations(t, runHistory(t, c.events, 7, 0, func(*simulation) func(*simulation) { return func(*simulation) {} }))
-			problems := runHistory(t, c.events, 7, 0, func(w *simulation) func(*simulation) {
-				w.newProcess = newNaiveAgent
-				w.platform.Naive = true
+			problems := runHistory(t, c.events, 7, 0, func(sim *simulation) func(*simulation) {
+				sim.newProcess = newNaiveAgent
+				sim.platform.Naive = true
 				return func(*simulation) {}
 			})
 			all := strings.Join(problems, "\n")
--- a/internal/agent/reservation.go
+++ b/internal/agent/reservation.go
@@ -76,12 +76,12 @@
 	if ok && held == service.PerEndpoint {
 		return true
 	}
-	more := service.PerEndpoint.Sub(held)
-	if more.Fits(a.capacity.Sub(a.committedResources())) {
+	increase := service.PerEndpoint.Sub(held)
+	if increase.Fits(a.capacity.Sub(a.committedResources())) {
 		a.reservations[name] = service.PerEndpoint
 		return true
 	}
-	a.evictToFit(more, service.Priority, "evicted for service "+string(name), now)
+	a.evictToFit(increase, service.Priority, "evicted for service "+string(name), now)
 	return ok
 }
 
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -25,29 +25,29 @@
 // Guards against leases that can never be granted again once every agent has
 // lost its own, and against agents that restart together.
 func TestAllLeasesLost(t *testing.T) {
-	for name, strike := range map[string]func(*simulation, string){
-		"isolated": func(w *simulation, name string) {
-			faultInjections["isolate"](w, faultEvent{worker: name, duration: 15 * time.Second})
+	for name, injectFault := range map[string]func(*simulation, string){
+		"isolated": func(sim *simulation, name string) {
+			faultInjections["isolate"](sim, faultEvent{worker: name, duration: 15 * time.Second})
 		},
-		"paused": func(w *simulation, name string) { w.pauseProcess(name, 15*time.Second) },
-		"restarted": func(w *simulation, name string) {
-			_, g := w.current(name)
+		"paused": func(sim *simulation, name string) { sim.pauseProcess(name, 15*time.Second) },
+		"restarted": func(sim *simulation, name string) {
+			_, g := sim.current(name)
 			g.kill()
 			time.Sleep(15 * time.Second)
-			w.start(name)
+			sim.start(name)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			expectNoViolations(t, simulate(t, 3, 0, func(w *simulation) {
-				w.start("w1", "w2", "w3")
+			expectNoViolations(t, simulate(t, 3, 0, func(sim *simulation) {
+				sim.start("w1", "w2", "w3")
 				time.Sleep(3 * time.Second)
 				for name := range domains {
-					go strike(w, name)
+					go injectFault(sim, name)
 				}
 				time.Sleep(16 * time.Second)
-				w.platform.Submit(0, newBatchSpec(20*time.Second, 2000))
-				if !w.waitForBatchTasks(45 * time.Second) {
-					w.t.Error("a task of 20 s is unfinished after 45 s")
+				sim.platform.Submit(0, newBatchSpec(20*time.Second, 2000))
+				if !sim.waitForBatchTasks(45 * time.Second) {
+					sim.t.Error("a task of 20 s is unfinished after 45 s")
 				}
 			}))
 		})
@@ -57,58 +57,58 @@
 // Guards against a watcher that nobody runs while the log is down, and against
 // one that runs twice when the log returns.
 func TestStandbyTakesOverWhileTheLogIsDown(t *testing.T) {
-	expectNoViolations(t, simulate(t, 4, 0, func(w *simulation) {
+	expectNoViolations(t, simulate(t, 4, 0, func(sim *simulation) {
 		watcher := newBatchSpec(0, 500)
 		watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
 		// The first two become each other's lessor, so the lessor of the third
 		// keeps its lease when the third dies.
 		for _, name := range []string{"w1", "w2", "w3"} {
-			w.start(name)
+			sim.start(name)
 			time.Sleep(2 * time.Second)
 		}
-		w.platform.Publish(nil, []units.WorkerID{"w1", "w2"})
+		sim.platform.Publish(nil, []units.WorkerID{"w1", "w2"})
 		time.Sleep(2 * time.Second)
-		w.platform.Submit(0, watcher)
+		sim.platform.Submit(0, watcher)
 		time.Sleep(3 * time.Second)
-		w.platform.Publish(nil, nil)
+		sim.platform.Publish(nil, nil)
 		time.Sleep(5 * time.Second)
-		_, holder := w.platform.Attempt(units.Task{Job: "job"})
+		_, holder := sim.platform.Attempt(units.Task{Job: "job"})
 		if holder != "w3" {
-			w.t.Fatalf("the watcher runs on %q, want w3", holder)
+			sim.t.Fatalf("the watcher runs on %q, want w3", holder)
 		}
-		w.platform.SetLog(false)
+		sim.platform.SetLog(false)
 		time.Sleep(3 * time.Second)
-		w.processGates[holder].kill()
+		sim.processGates[holder].kill()
 		died := time.Now()
 		for time.Since(died) < 12*time.Second {
 			time.Sleep(200 * time.Millisecond)
-			for name, core := range w.cores {
+			for name, core := range sim.cores {
 				runs := core.Runs()
 				if name == holder || len(runs) == 0 {
 					continue
 				}
 				t.Logf("the standby runs %s after the holder died", runs[0].Start.Sub(died).Round(time.Millisecond))
-				w.platform.SetLog(true)
+				sim.platform.SetLog(true)
 				time.Sleep(20 * time.Second)
-				if attempt, now := w.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
-					w.t.Errorf("recorded: got attempt %d on %q, want %d on %s", attempt, now, runs[0].Attempt, name)
+				if attempt, now := sim.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
+					sim.t.Errorf("recorded: got attempt %d on %q, want %d on %s", attempt, now, runs[0].Attempt, name)
 				}
 				return
 			}
 		}
-		w.t.Error("nobody watches 12 s after the holder died")
+		sim.t.Error("nobody watches 12 s after the holder died")
 	}))
 }
 
 // alone is one agent whose messages a test sends by hand.
-func withSingleAgent(t *testing.T, test func(w *simulation, send func(path string, message, reply Message) error)) {
-	expectNoViolations(t, simulate(t, 5, 0, func(w *simulation) {
-		w.start("w1")
+func withSingleAgent(t *testing.T, test func(sim *simulation, send func(path string, message, reply Message) error)) {
+	expectNoViolations(t, simulate(t, 5, 0, func(sim *simulation) {
+		sim.start("w1")
 		time.Sleep(3 * time.Second)
-		test(w, func(path string, message, reply Message) error {
-			ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+		test(sim, func(path string, message, reply Message) error {
+			ctx, cancel := context.WithTimeout(sim.ctx, 5*time.Second)
 			defer cancel()
-			return w.network.Connect("entry", "w1", w.platform.Handler("w1")).Call(ctx, path, message, reply)
+			return sim.network.Connect("entry", "w1", sim.platform.Handler("w1")).Call(ctx, path, message, reply)
 		})
 	}))
 }
@@ -121,7 +121,7 @@
 // Guards against a message that is late, repeated, reordered or meant for
 // another epoch changing an answer that was given before.
 func TestAnswersStand(t *testing.T) {
-	withSingleAgent(t, func(w *simulation, send func(string, Message, Message) error) {
+	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
 		if err := send("/link/stop", stop, &wire.StopReply{}); err != nil {
 			t.Fatal(err)
@@ -159,7 +159,7 @@
 		if err := send("/link/launch", newLaunch(2, false, 6, 1, newBatchSpec(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
 			t.Error("launch of a newer epoch: got an answer, want an error")
 		}
-		if got := len(w.cores["w1"].Runs()); got != 1 {
+		if got := len(sim.cores["w1"].Runs()); got != 1 {
 			t.Errorf("got %d runs, want 1", got)
 		}
 	})
@@ -168,7 +168,7 @@
 // Guards against an eviction that is not needed or hits the wrong task, and
 // against a start before the room is free.
 func TestEvictsLowerPriority(t *testing.T) {
-	withSingleAgent(t, func(w *simulation, send func(string, Message, Message) error) {
+	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		spec := func(p wire.Priority, cores units.Millicores) *wire.TaskSpec {
 			s := newBatchSpec(time.Hour, cores)
 			s.Priority = p
@@ -194,7 +194,7 @@
 		if want := []wire.Outcome{started, started, started, refused, refused}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
-		for _, r := range w.cores["w1"].Runs() {
+		for _, r := range sim.cores["w1"].Runs() {
 			if evicted := r.State == workerapi.Checkpointed; evicted != (r.Task == "x/1") {
 				t.Errorf("task %s: got %s, want only x/1 checkpointed", r.Task, r.State)
 			}
@@ -227,10 +227,10 @@
 func TestGuardThrottles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newSimulation(t, ctx, 6, 0)
+		sim := newSimulation(t, ctx, 6, 0)
 		reports, began := int64(0), time.Now()
-		w.newProcess = func(w *simulation, name string, access workerapi.Worker, g *gate) process {
-			a := newRealAgent(w, name, access, g).(*Agent)
+		sim.newProcess = func(sim *simulation, name string, access workerapi.Worker, g *gate) process {
+			a := newRealAgent(sim, name, access, g).(*Agent)
 			a.Guard = &guard.Controller{}
 			a.EndpointReports = func() []*wire.EndpointReport {
 				reports++ // each report is a new measurement
@@ -242,14 +242,14 @@
 			}
 			return a
 		}
-		w.platform.EnableGuards()
-		w.start("w1")
-		go w.platform.Dispatch(ctx)
+		sim.platform.EnableGuards()
+		sim.start("w1")
+		go sim.platform.Dispatch(ctx)
 		time.Sleep(8 * time.Second)
-		w.platform.Submit(0, newBatchSpec(time.Hour, 2000))
+		sim.platform.Submit(0, newBatchSpec(time.Hour, 2000))
 		throttled := false
 		for end := time.Now().Add(8 * time.Second); time.Now().Before(end) && !throttled; time.Sleep(100 * time.Millisecond) {
-			table, err := w.cores["w1"].Tasks(ctx)
+			table, err := sim.cores["w1"].Tasks(ctx)
 			throttled = err == nil && len(table.Tasks) == 1 && table.Tasks[0].Throttle < 1
 		}
 		if !throttled {
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -58,12 +58,12 @@
 // makeRoom evicts batch tasks below the given priority until size fits, and
 // reports whether it will. Nothing is evicted when it cannot fit.
 func (a *Agent) evictToFit(size units.Resources, below units.Priority, reason string, now time.Time) bool {
-	room := a.capacity.Sub(a.committedResources())
+	free := a.capacity.Sub(a.committedResources())
 	var victims []*task
 	for _, t := range a.tasks {
 		switch {
 		case t.phase == phaseRunning && t.intent != intentKeep:
-			room = room.Add(t.size) // on its way out
+			free = free.Add(t.size) // on its way out
 		case t.phase == phaseRunning && t.isBatch() && t.priority() < below:
 			victims = append(victims, t)
 		}
@@ -73,10 +73,10 @@
 			cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
 	})
 	needed := 0
-	for ; needed < len(victims) && !size.Fits(room); needed++ {
-		room = room.Add(victims[needed].size)
+	for ; needed < len(victims) && !size.Fits(free); needed++ {
+		free = free.Add(victims[needed].size)
 	}
-	if !size.Fits(room) {
+	if !size.Fits(free) {
 		return false
 	}
 	for _, v := range victims[:needed] {
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -38,8 +38,8 @@
 func (w *workerState) observeClock(clock workerapi.Clock, received time.Time) {
 	bound := clock - workerapi.Clock(received.Sub(w.origin))
 	if !w.clockOffsetAt.IsZero() {
-		faded := w.clockOffset - workerapi.Clock(float64(received.Sub(w.clockOffsetAt))*maxClockDrift)
-		bound = max(bound, faded)
+		agedBound := w.clockOffset - workerapi.Clock(float64(received.Sub(w.clockOffsetAt))*maxClockDrift)
+		bound = max(bound, agedBound)
 	}
 	w.clockOffset, w.clockOffsetAt = bound, received
 }
