--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,10 +1,11 @@
-// Package agent is the process beside one worker and its endpoint. It is the
-// only one that admits work to that worker: it holds the worker's newest epoch,
-// renews the leases of its tasks while its own lease is valid, and reports to
-// every entry process.
+// Package agent implements the agent, the process that runs beside one worker
+// and its endpoint. Only the agent admits work to its worker: it holds the
+// worker's newest epoch (the fencing token), renews the leases of the worker's
+// tasks while its own lease is valid, and sends heartbeats to every entry process.
 //
-// One goroutine owns the control state. Calls to the worker and the network run
-// in goroutines of their own and report back as functions posted to it.
+// One goroutine, the control loop, owns the state. Calls to the worker and to
+// peers run in goroutines of their own and post their results to the control
+// loop as functions.
 package agent
 
 import (
@@ -29,47 +30,50 @@
 const (
 	leaseDuration = leases.Duration
 	leaseMargin   = leases.Margin
-	// freshness is how old the evidence of the tail of config may be when a
-	// task starts.
+	// maxConfigAge bounds the age of the last read at the tail of the config
+	// stream that a task may be started on.
 	maxConfigAge = 2500 * time.Millisecond
-	// startGrace bounds how long after the evidence ends a start that was sent
-	// in time may still take effect; freshness plus startGrace stays below 3 s.
+	// startGracePeriod bounds how long after the configuration has become stale a
+	// start that was sent in time may still take effect. The sum of maxConfigAge
+	// and startGracePeriod must stay below 3 s.
 	startGracePeriod = 400 * time.Millisecond
-	// workerTimeout bounds a call to the worker beside the agent.
+	// workerCallTimeout bounds one call to the worker.
 	workerCallTimeout = time.Second
-	// tickInterval is the resolution of every deadline of the control loop.
+	// tickInterval is the period of the control loop and hence the resolution of
+	// its deadlines.
 	tickInterval = 100 * time.Millisecond
-	// tableInterval is how often the worker's task table is read when nothing
-	// asks for it sooner.
+	// tablePollInterval is the period at which the worker's task table is read,
+	// unless an earlier read is requested.
 	tablePollInterval = 500 * time.Millisecond
-	// confirmWindow is how old the last proof may be that the worker still
-	// obeys this epoch when the agent grants a lease. It is below leaseMargin:
-	// the lessees of a replaced epoch count as expired leaseDuration plus
+	// maxConfirmationAge bounds the age of the last table read that showed this
+	// epoch on the worker when the agent grants a lease. It is below leaseMargin
+	// because the lessees of a replaced epoch count as expired leaseDuration plus
 	// leaseMargin after the replacement, and no grant may outlast that.
 	maxConfirmationAge = 900 * time.Millisecond
-	// retryInterval spaces repeated calls for one task.
+	// retryInterval is the delay before a failed call to the worker is repeated.
 	retryInterval = 300 * time.Millisecond
-	// drainTimeout bounds the wait for requests in flight on a planned stop.
+	// drainTimeout bounds the wait for requests in flight during a planned stop.
 	drainTimeout = 20 * time.Second
-	// leaveNotice lets every entry hear that the agent is leaving before its
-	// sessions refuse requests.
+	// drainNotice is the time between the announcement of a planned stop and the
+	// shutdown of the sessions. It lets a heartbeat reach every entry process
+	// before the sessions refuse requests.
 	drainNotice = 1200 * time.Millisecond
 )
 
-// Kind tells failures of an agent apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of Error.
 const (
 	Fenced   Kind = "fenced"   // a newer epoch holds the worker
 	Listen   Kind = "listen"   // the link address cannot be bound
-	NotReady Kind = "notReady" // the agent cannot decide yet; the caller repeats
+	NotReady Kind = "notReady" // the agent cannot decide at present; the caller retries
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Session is a connection to a peer; *link.Session implements it.
+// Session is a connection to a peer. *link.Session implements it.
 type Session interface {
 	Call(ctx context.Context, path string, message, reply Message) error
 	Done() <-chan struct{}
@@ -84,70 +88,70 @@
 	Rack        units.RackName
 	Region      units.RegionName
 	LinkAddress string // IP:port on which other agents request leases
-	// AdvertisedLinkAddress is what other agents dial; empty means LinkAddress.
+	// AdvertisedLinkAddress is the address that other agents dial; empty means LinkAddress.
 	AdvertisedLinkAddress string
-	ProcessName           string // name of this process; empty means "agent/" + WorkerID
+	ProcessName           string // name in events and heartbeats; empty means "agent/" + WorkerID
 
 	Worker          workerapi.Worker
 	EntryAddresses  []string                                    // seed addresses of entry processes
 	RequestHandler  http.Handler                                // serves /services/ on every session; may be nil
 	EndpointReports func() []*wire.EndpointReport               // may be nil
 	ParseDocument   func([]byte) (*environment.Document, error) // nil means environment.Parse
-	Guard           *guard.Controller                           // nil switches the control loop off
+	Guard           *guard.Controller                           // protects the latency of the endpoint; nil disables it
 	OverQuota       func(units.TeamName) bool                   // may be nil
-	OnDocument      func(*environment.Document)                 // called with each newer document; may be nil
+	OnDocument      func(*environment.Document)                 // called with each newly applied document; may be nil
 
-	// OmitUnchanged leaves the fields that describe the worker (domain, rack,
-	// region, link address, capacity, process) out of a heartbeat once the entry
-	// has answered one with them on the same session. Entries must then keep
-	// them; the first heartbeat of a session and of an epoch carries them all.
+	// OmitUnchanged omits the fields that describe the worker (domain, rack,
+	// region, link address, capacity, process) from a heartbeat once the entry
+	// process has answered one that had them on the same session. The entry process
+	// must then keep them. The first heartbeat of a session or epoch has them all.
 	OmitUnchanged bool
 
-	// MetricsScope gets a counter per kind of event; nil means none.
+	// MetricsScope receives a counter for each kind of event; nil means none.
 	MetricsScope tally.Scope
 
-	// RecordEvent records a change of state; may be nil. It must not block.
+	// RecordEvent is called at each change of state; may be nil. It must not block.
 	RecordEvent func(kind, subject, text string)
-	// RecordCause is told which event of another process the next event of a subject
-	// follows; may be nil.
+	// RecordCause sets the event of another process that caused the next event
+	// of the subject; may be nil.
 	RecordCause func(subject, event string)
-	// PendingEvents returns events for the next heartbeat, and
-	// AcknowledgeEvents drops those up to a sequence; either may be nil.
+	// PendingEvents returns the events to send with the next heartbeat, and
+	// AcknowledgeEvents drops those up to a sequence number; either may be nil.
 	PendingEvents     func() []*wire.Event
 	AcknowledgeEvents func(sequence uint64)
-	// Clock returns the hybrid logical clock, and ObserveClock takes in that of
-	// a peer; either may be nil.
+	// Clock returns the hybrid logical clock, and ObserveClock advances it to
+	// that of a peer; either may be nil.
 	Clock        func() int64
 	ObserveClock func(int64)
 
-	// Dial and Listen are the network; nil means package link over TCP.
+	// Dial and Listen replace the network in tests; nil means package link over TCP.
 	Dial   func(ctx context.Context, address string, handler http.Handler) (Session, error)
 	Listen func(ctx context.Context, address string, handler http.Handler) (stop func(context.Context), err error)
 
 	inbox   chan func()
-	done    chan struct{} // closed when the loop has ended
+	done    chan struct{} // closed when the control loop has ended
 	ctx     context.Context
 	group   sync.WaitGroup // goroutines started by spawn
 	handler http.Handler
 
 	lastParsed       parsedDocument
-	drainingSessions atomic.Bool // sessions are ended by drain, not by their owners
+	drainingSessions atomic.Bool // drain ends the sessions, not the goroutines that own them
 	state
 }
 
-// state is owned by the control loop.
+// state is the state that the control loop owns.
 type state struct {
 	startedAt time.Time
 	epoch     units.Epoch
 	capacity  units.Resources
-	adopted   bool // the table of this epoch has been read; nothing is admitted before
-	stopping  bool // a planned stop is under way
+	adopted   bool // the task table has been read under this epoch; nothing is admitted before
+	stopping  bool // a planned stop is in progress
 	runError  error
 
 	tasks        map[units.Task]*task
 	decisions    launchDecisions
-	reservations map[units.ServiceName]units.Resources // reservations that count as committed
-	// serviceSeen holds when the endpoint of each service last announced itself.
+	reservations map[units.ServiceName]units.Resources // resources committed to the endpoint of each service
+	// endpointSeenAt is when the endpoint of each service last announced itself.
 	endpointSeenAt    map[units.ServiceName]time.Time
 	offeredEndpoints  []*wire.EndpointReport
 	failures          failureRecord
@@ -156,13 +160,13 @@
 	lease             leaseState
 	lessees           map[units.WorkerID]*lessee
 	entries           map[string]*entry
-	logReachableSince time.Time // the log has been reachable since; zero while it is not
+	logReachableSince time.Time // zero while the log is unreachable
 	guardState        guardState
 }
 
-// Run acquires the worker and acts until ctx ends or a newer epoch holds the
-// worker. On a planned stop it waits for requests in flight; the tasks go on
-// under their leases for the next agent to adopt.
+// Run acquires the worker and runs the agent until ctx ends or a newer epoch
+// holds the worker. On a planned stop it waits for requests in flight; the tasks
+// continue under their leases until the next agent adopts them.
 func (a *Agent) Run(ctx context.Context) error {
 	a.init()
 	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -220,8 +224,9 @@
 	}
 }
 
-// drain tells the entries that the agent leaves, then lets the sessions finish
-// their requests. The loop runs on meanwhile, so that leases are renewed.
+// drain announces the planned stop to the entry processes and then waits for
+// the sessions to finish their requests. The control loop runs meanwhile, so
+// that leases are renewed.
 func (a *Agent) drain(stopListener func(context.Context)) {
 	a.stopping = true
 	a.event("agentLeaving", string(a.WorkerID), "waiting for requests in flight")
@@ -245,11 +250,11 @@
 		wait.Wait()
 	})
 	a.loop(finished)
-	a.discardInbox(finished) // a fenced agent decides nothing
+	a.discardInbox(finished) // a fenced agent makes no decisions
 	a.lease.closeSession()
 }
 
-// discard empties the inbox without acting.
+// discardInbox drops the functions posted to the control loop until ctx ends.
 func (a *Agent) discardInbox(ctx context.Context) {
 	for {
 		select {
@@ -260,8 +265,8 @@
 	}
 }
 
-// tick brings every part up to now. Parts read the clock they are given, so
-// that one tick decides on one instant.
+// tick updates every part of the agent. All parts use the given time, so that
+// the decisions of one tick refer to the same instant.
 func (a *Agent) tick(now time.Time) {
 	a.updateEndpoints(now)
 	a.trackLogReachability(now)
@@ -275,7 +280,7 @@
 	a.removeGoneEntries(now)
 }
 
-// post hands fn to the control loop. It reports false when the loop has ended.
+// post queues fn for the control loop. It reports false if the loop has ended.
 func (a *Agent) post(fn func()) bool {
 	select {
 	case a.inbox <- fn:
@@ -285,10 +290,10 @@
 	}
 }
 
-// spawn runs fn in a goroutine that Run waits for.
+// spawn runs fn in a goroutine that Run waits for before it returns.
 func (a *Agent) spawn(fn func()) { a.group.Go(fn) }
 
-// fence stops the agent: a newer epoch holds the worker.
+// fence ends the control loop because a newer epoch holds the worker.
 func (a *Agent) fence(cause error) {
 	if a.runError == nil {
 		a.runError = fault.Wrap("run", Fenced, cause)
@@ -327,8 +332,8 @@
 	return mux
 }
 
-// ask runs fn on the control loop and returns its result. When ctx ends first,
-// fn may still run later; its result is dropped.
+// runOnLoop runs fn on the control loop and returns its result. If ctx ends
+// first, fn may still run later; its result is then dropped.
 func runOnLoop[T any](ctx context.Context, a *Agent, fn func() (T, error)) (T, error) {
 	type answer struct {
 		value T
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,10 +18,11 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// process is anything that acts as the agent of a worker.
+// process is an agent of a worker: the real one or a faulty variant.
 type process interface{ Run(context.Context) error }
 
-// world is three workers, one per failure domain, their agents and the platform.
+// simulation holds three workers, one per failure domain, their agents, and a
+// simulated platform that dispatches tasks and checks the guarantees.
 type simulation struct {
 	t            *testing.T
 	mu           sync.Mutex // guards the maps below and events
@@ -61,7 +62,7 @@
 	}
 }
 
-// dial connects a process to an entry or to another agent.
+// dial connects a process to the simulated entry process or to another agent.
 func (sim *simulation) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
 	if err := g.wait(); err != nil {
 		return nil, err
@@ -76,7 +77,8 @@
 	return gatedSession{s, g}, nil
 }
 
-// gated serves nothing while the process is paused or dead.
+// gateHandler holds requests while the process is paused and drops them once it
+// is killed.
 func gateHandler(g *gate, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.wait() == nil {
@@ -128,7 +130,7 @@
 		RunMilliseconds: run.Milliseconds(), Size: wire.FromResources(units.Resources{Processors: cores, Memory: units.GiB})}
 }
 
-// pauseLoop stops everything the process does for d, like SIGSTOP.
+// pauseProcess stops everything that the process does for d, like SIGSTOP.
 func (sim *simulation) pauseProcess(name string, d time.Duration) {
 	process, g := sim.current(name)
 	if a, ok := process.(*Agent); ok {
@@ -137,7 +139,7 @@
 	g.pause(d)
 }
 
-// restart kills the process at once and starts its successor.
+// restart kills the process and starts its successor at once.
 func (sim *simulation) restart(name string) {
 	_, g := sim.current(name)
 	g.kill()
@@ -150,7 +152,7 @@
 	return sim.agents[name], sim.processGates[name]
 }
 
-// check returns every violated guarantee.
+// violations returns a description of every violated guarantee.
 func (sim *simulation) violations() []string {
 	var runs []worker.Run
 	for _, c := range sim.cores {
@@ -159,7 +161,7 @@
 	return sim.platform.Check(runs, domains)
 }
 
-// settle waits, at most for limit, until every batch task has ended.
+// waitForBatchTasks waits until every batch task has ended, at most for limit.
 func (sim *simulation) waitForBatchTasks(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		if sim.platform.Done() {
@@ -183,7 +185,7 @@
 			}
 		}
 		cancel()
-		time.Sleep(time.Minute) // lets every process end
+		time.Sleep(time.Minute) // time for every process to end
 	})
 	return problems
 }
@@ -195,7 +197,8 @@
 	}
 }
 
-// Guards against an agent that does not get tasks from launch to end.
+// Guards against tasks that do not get from launch to end, and against rows of
+// ended tasks that stay in the worker's table.
 func TestTasksComplete(t *testing.T) {
 	expectNoViolations(t, simulate(t, 1, 0, func(sim *simulation) {
 		sim.start("w1", "w2", "w3")
@@ -203,18 +206,19 @@
 			sim.platform.Submit(i, newBatchSpec(5*time.Second, 2000))
 		}
 		if !sim.waitForBatchTasks(time.Minute) {
-			sim.t.Error("tasks are unfinished after a minute")
+			sim.t.Error("tasks have not ended after one minute")
 		}
 		for name, core := range sim.cores {
 			time.Sleep(2 * time.Second)
 			if table, _ := core.Tasks(sim.ctx); len(table.Tasks) != 0 {
-				sim.t.Errorf("worker %s: got %d rows left, want every ended task forgotten", name, len(table.Tasks))
+				sim.t.Errorf("worker %s: got %d rows in the task table, want 0 after all tasks ended", name, len(table.Tasks))
 			}
 		}
 	}))
 }
 
-// Guards against an agent that goes on after a newer epoch holds its worker.
+// Guards against an agent that continues to act after a second agent has acquired
+// a newer epoch of its worker.
 func TestSecondAgentFencesTheFirst(t *testing.T) {
 	expectNoViolations(t, simulate(t, 2, 0, func(sim *simulation) {
 		sim.start("w1", "w2", "w3")
@@ -228,15 +232,16 @@
 				sim.t.Errorf("first agent: got %v, want kind %s", err, Fenced)
 			}
 		case <-time.After(5 * time.Second):
-			sim.t.Error("first agent still acts 5 s after the second took over")
+			sim.t.Error("first agent still runs 5 s after the second acquired the worker")
 		}
 		if !sim.waitForBatchTasks(time.Minute) {
-			sim.t.Error("the task is unfinished after a minute")
+			sim.t.Error("the task has not ended after one minute")
 		}
 	}))
 }
 
-// killAfter ends the process right after the next such operation took effect.
+// killAfter kills the process right after its next call of the operation has
+// taken effect on the worker.
 func (sim *simulation) killAfter(name, op string) {
 	process, _ := sim.current(name)
 	if a, ok := process.(*Agent); ok {
--- a/internal/agent/benchmark_test.go
+++ b/internal/agent/benchmark_test.go
@@ -23,7 +23,8 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// costEntry is the least an entry does: it accepts everything and answers.
+// minimalEntry does the least that an entry process must do: it accepts and answers
+// every heartbeat.
 type minimalEntry struct {
 	mu           sync.Mutex
 	listedAt     map[string]time.Time
@@ -32,7 +33,7 @@
 	relay        func(string) string
 	sessions     map[string]*link.Session
 	entryList    []*wire.EntryAddress
-	lean         bool // lists the entries only when the agent asks anew
+	lean         bool // lists the entry processes only to a new session and every 10 s
 }
 
 func (e *minimalEntry) heartbeat(ctx context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
@@ -63,7 +64,7 @@
 	return reply, nil
 }
 
-// counter relays TCP connections and counts their payload in both directions.
+// byteCounter relays TCP connections and counts their payload in both directions.
 type byteCounter struct {
 	bytes atomic.Int64
 	ctx   context.Context
@@ -97,8 +98,8 @@
 	return listener.Addr().String()
 }
 
-// startEntries serves n entries and returns their addresses and the entry that
-// knows the agents' sessions.
+// startEntries starts n minimal entry processes and returns their addresses and
+// the processes.
 func startEntries(b *testing.B, ctx context.Context, n, agents int, lean bool, relay func(string) string) ([]string, []*minimalEntry) {
 	var addresses []string
 	var all []*minimalEntry
@@ -123,11 +124,12 @@
 	return addresses, all
 }
 
-// BenchmarkSteadyState measures what agents cost at rest with ten running tasks
-// each: payload on the network, and processor time and heap of the whole
-// process, which also holds the entries, the workers and, when it counts bytes,
-// the relays. The two are therefore upper bounds. Lean agents omit unchanged
-// fields, and lean entries list each other every 10 s only.
+// BenchmarkSteadyState measures the cost of agents that run ten tasks each and
+// start no others: payload on the network, and processor time and heap of the
+// whole process. The latter two are upper bounds, because the process also holds
+// the entry processes, the workers and, when bytes are counted, the relays. Lean
+// agents omit unchanged fields, and lean entry processes list each other only
+// every 10 s.
 func BenchmarkSteadyState(b *testing.B) {
 	for _, c := range []struct {
 		agents, entries int
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -9,19 +9,19 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// config is the newest document and the evidence of its freshness.
+// configState is the newest document and until when it counts as fresh.
 type configState struct {
 	document   *environment.Document
 	offset     units.Offset // of document; never falls
-	raw        []byte       // document as it was received, for an entry that lags behind
+	raw        []byte       // document as received, to send to an entry process that lacks it
 	author     string
 	freshUntil time.Time    // tasks may start before this instant
 	rejected   units.Offset // offset of a document that could not be parsed
 }
 
-// parsedDocument is the result of the last parse. Replies of several entries
-// carry the same document at the same time, twelve of them to an agent that
-// starts; parsing takes milliseconds.
+// parsedDocument caches the result of the last parse, which takes milliseconds.
+// The replies of several entry processes carry the same document at the same
+// time, for example twelve of them when an agent starts.
 type parsedDocument struct {
 	mu       sync.Mutex
 	offset   uint64 // 0 for none
@@ -29,7 +29,7 @@
 	err      error
 }
 
-// parse returns the document that has that offset, which names its contents.
+// parse returns the parsed document. The offset identifies its contents.
 func (a *Agent) parse(offset uint64, data []byte) (*environment.Document, error) {
 	a.lastParsed.mu.Lock()
 	defer a.lastParsed.mu.Unlock()
@@ -45,9 +45,10 @@
 	return document, err
 }
 
-// applyConfiguration takes in a newer document and the age of the entry's last
-// read at the tail. The entry read at the tail no earlier than staleness before
-// it handled the heartbeat, which was after the heartbeat was sent.
+// applyConfiguration applies a newer document and extends freshUntil. The entry
+// process read the tail of the config stream at most the reported staleness
+// before it handled the heartbeat, and thus at most that long before the
+// heartbeat was sent.
 func (a *Agent) applyConfiguration(reply *wire.HeartbeatReply, document *environment.Document, err error, sent time.Time) {
 	offset := units.Offset(reply.ConfigOffset)
 	if offset > a.config.offset && err != nil && a.config.rejected != offset {
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -10,8 +10,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against an agent that parses one document once for each entry that
-// sends it, and against one that takes an old document for a new one.
+// Guards against parsing a document once for each entry process that sends it,
+// and against a cached result that is returned for a newer document.
 func TestDocumentIsParsedOnce(t *testing.T) {
 	var parses atomic.Int64
 	a := &Agent{ParseDocument: func(text []byte) (*environment.Document, error) {
@@ -31,13 +31,14 @@
 		t.Errorf("got %d parses of one document, want 1", got)
 	}
 	if d, _ := a.parse(8, []byte("second")); d.Environment != "second" {
-		t.Errorf("got the document %q, want the second", d.Environment)
+		t.Errorf("got document %q, want the second one", d.Environment)
 	}
 }
 
-// Guards against an agent that cannot pass its document on to an entry process
-// that lags behind, and against one that sends it with every heartbeat.
-func TestDocumentIsSentToEntryThatAsks(t *testing.T) {
+// Guards against an agent that does not send its document to an entry process that
+// requests it because it lags behind, and against one that sends the document with
+// every heartbeat.
+func TestDocumentIsSentToEntryThatRequestsIt(t *testing.T) {
 	text := []byte("document")
 	a := &Agent{}
 	a.config = configState{offset: 7, raw: text, author: "operator"}
--- a/internal/agent/decisions.go
+++ b/internal/agent/decisions.go
@@ -7,13 +7,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxSettled bounds the memory: at the target's peak of one start a second per
-// worker it spans four hours, far longer than a launch is resent.
+// maxDecisions bounds the recorded decisions. At the target peak of one start per
+// second and worker they span four hours, far longer than a launch is resent.
 const maxDecisions = 16384
 
-// memory remembers what was answered about attempts that may not start (again)
-// under this epoch: a repeated or late launch gets the same answer, which keeps
-// a rejection true.
+// launchDecisions records the answers about attempts that may not start, or not
+// start again, under this epoch. A repeated or late launch gets the same answer,
+// so that a refused attempt never runs.
 type launchDecisions struct {
 	byAttempt map[attemptID]decision
 	order     []attemptID // oldest first
@@ -33,7 +33,7 @@
 
 func (m *launchDecisions) reset() { *m = launchDecisions{} }
 
-// remember settles an attempt. The first answer stands.
+// record records the decision on an attempt, unless there already is one.
 func (m *launchDecisions) record(t units.Task, number units.Attempt, outcome wire.Outcome, reason string) {
 	if m.byAttempt == nil {
 		m.byAttempt = make(map[attemptID]decision)
@@ -61,7 +61,7 @@
 	return s, ok
 }
 
-// superseded reports whether a higher attempt of the task is settled.
+// superseded reports whether a later attempt of the task has been decided on.
 func (m *launchDecisions) superseded(t units.Task, number units.Attempt) bool {
 	return number < m.highest[t]
 }
@@ -71,8 +71,8 @@
 	return ok
 }
 
-// settledBefore reports whether the attempt was settled before the instant; a
-// table read sent later that still lists it shows a run that must end.
+// decidedBefore reports whether the attempt was decided on before the given time.
+// If a table read that was sent later still lists the attempt, it must be stopped.
 func (m *launchDecisions) decidedBefore(t units.Task, number units.Attempt, sent time.Time) bool {
 	s, ok := m.lookup(t, number)
 	return ok && s.at.Before(sent)
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -18,51 +18,55 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatSpacing is the least time between two heartbeats of an agent on
-	// average. Above four entries each gets them less often, twelve every 1.3 s:
-	// at full rate they cost more than twice the traffic that a node may use, and
-	// an endpoint stays eligible while an entry hears of it within 2 s.
+	// minHeartbeatSpacing is the least average time between two heartbeats of an
+	// agent. With more than four entry processes each of them receives heartbeats
+	// less often, twelve every 1.3 s. At the full rate twelve cost more than twice
+	// the traffic that a node may use, and an endpoint stays eligible while an
+	// entry process receives a heartbeat about it within 2 s.
 	minHeartbeatSpacing = 110 * time.Millisecond
-	// fewEntries is up to how many entries every one of them gets each report
-	// at once.
+	// maxBroadcastEntries is the number of entry processes up to which each report
+	// goes to all of them at once.
 	maxBroadcastEntries = 5
-	// heartbeatTimeout is when a silent session is given up and redialled.
+	// heartbeatTimeout bounds one heartbeat call and one dial. A session that
+	// exceeds it is closed and redialed.
 	heartbeatTimeout = 1500 * time.Millisecond
 	minRedialBackoff = 100 * time.Millisecond
-	// longestBackoff lets an agent find a returned entry within its lease.
+	// maxRedialBackoff is short enough for an agent to reconnect to a restarted
+	// entry process within its lease.
 	maxRedialBackoff = 3 * time.Second
-	// forgetEntry is how long an entry that is neither a seed nor listed nor
-	// answering is kept; entries count as dead after 15 s themselves, and need
-	// not list the live ones in every reply.
+	// entryRetention is how long an entry process is kept that is not a seed, is
+	// not listed and does not answer. Entry processes count each other as dead
+	// after 15 s and need not list the live ones in every reply.
 	entryRetention = 35 * time.Second
 	maxEntries     = 64
-	// urgentInterval is the least time between heartbeats that are sent early.
+	// earlyHeartbeatDelay delays a heartbeat that is requested early and thus
+	// bounds the rate of such heartbeats.
 	earlyHeartbeatDelay = 100 * time.Millisecond
 )
 
-// entry is one entry process that the agent keeps a session with.
+// entry is an entry process that the agent maintains a session with.
 type entry struct {
 	address string
-	name    string // of the entry process, once it has answered
+	name    string // empty until it has answered
 	seed    bool
-	rank    int // by hash of worker and address, 0 first to get what must be acted on
+	rank    int // position by rendezvous hashing; the events go to rank 0
 	cancel  context.CancelFunc
-	wake    chan struct{} // asks for a heartbeat before the interval is over
+	wake    chan struct{} // requests a heartbeat before the interval ends
 
 	session                 Session
 	listedAt                time.Time
 	answeredAt              time.Time // send time of the last heartbeat that was answered
 	logReachable            bool
-	logReadAt               time.Time // when the entry last read the tail of the log, at the earliest
+	logReadAt               time.Time // earliest time of its last read at the tail of the log
 	wantRunning             bool      // the next heartbeat lists all running tasks
 	wantConfig              bool      // the next heartbeat carries the document
-	runningListSent         bool      // the heartbeat that is out lists them
-	descriptionAcknowledged bool      // has answered a heartbeat with the fields that rarely change
-	interferenceVersion     uint64    // version that the entry has
-	interferenceSent        uint64    // version in the heartbeat that is out
+	runningListSent         bool      // the heartbeat in flight lists them
+	descriptionAcknowledged bool      // it has answered a heartbeat that described the worker
+	interferenceVersion     uint64    // version that it has received
+	interferenceSent        uint64    // version in the heartbeat in flight
 }
 
-// addEntry starts the goroutine that keeps a session with the address.
+// addEntry starts the goroutine that maintains a session with the address.
 func (a *Agent) addEntry(address string, seed bool) {
 	if a.entries[address] != nil || address == "" || len(a.entries) >= maxEntries {
 		return
@@ -74,7 +78,8 @@
 	a.spawn(func() { a.maintainSession(ctx, e) })
 }
 
-// rankEntries orders the entries by rendezvous hashing, those that answer first.
+// rankEntries ranks the entry processes by rendezvous hashing, those that have
+// answered recently first.
 func (a *Agent) rankEntries(now time.Time) {
 	ordered := make([]*entry, 0, len(a.entries))
 	for _, e := range a.entries {
@@ -98,7 +103,7 @@
 	return xxhash.Sum64String(string(a.WorkerID) + "\x00" + e.address)
 }
 
-// learnEntries takes in the live entries that a reply lists.
+// updateEntries adds the live entry processes that a reply lists.
 func (a *Agent) updateEntries(listed []*wire.EntryAddress, now time.Time) {
 	for _, l := range listed {
 		if e := a.findEntry(l, now); e != nil {
@@ -111,9 +116,9 @@
 	}
 }
 
-// beatEarly sends a heartbeat to every entry without waiting for the interval:
-// the end of a task frees room that the entries can use at once, and an endpoint
-// that leaves must get no new requests.
+// requestHeartbeats requests an early heartbeat to every entry process. The end
+// of a task frees resources that they can use at once, and a leaving endpoint
+// must receive no new requests.
 func (a *Agent) requestHeartbeats() {
 	for _, e := range a.entries {
 		e.requestHeartbeat()
@@ -127,13 +132,15 @@
 	}
 }
 
-// reportElsewhere is how long the report of a task goes only to the entry that
-// launched it. Others act on a report only after 3 s, and sent to all twelve
-// entries the reports of one start a second cost more than the heartbeats.
+// launcherOnlyPeriod is how long the report of a task goes only to the entry
+// process that launched it. The others act on a report only after 3 s, and at one
+// start per second the reports to all twelve entry processes cost more than the
+// heartbeats.
 const launcherOnlyPeriod = 2 * time.Second
 
-// launcher returns the entry that launched the task, or nil when all entries
-// are to hear of it: there are few, or that one has not answered recently.
+// launchingEntry returns the entry process that launched the task. It returns nil
+// if the report must go to all of them, because there are few or because the
+// launching one has not answered recently.
 func (a *Agent) launchingEntry(t *task, now time.Time) *entry {
 	if len(a.entries) <= maxBroadcastEntries || t.launchedBy == "" {
 		return nil
@@ -152,8 +159,9 @@
 	return launcher == nil || launcher == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
 }
 
-// beatAfterEnd sends the end of a task early to the entry that launched it; the
-// others learn of the free room with their next heartbeat.
+// requestHeartbeatAfterEnd requests an early heartbeat to the entry process that
+// launched the ended task. The others receive the freed resources with their next
+// regular heartbeat.
 func (a *Agent) requestHeartbeatAfterEnd(t *task, now time.Time) {
 	launcher := a.launchingEntry(t, now)
 	if launcher == nil {
@@ -163,8 +171,8 @@
 	launcher.requestHeartbeat()
 }
 
-// known returns the row of a listed entry: by its address, or by its name where
-// a seed address reaches it under another one.
+// findEntry returns the state of a listed entry process. It matches the address,
+// or the name if a seed address reaches the same process under another address.
 func (a *Agent) findEntry(l *wire.EntryAddress, now time.Time) *entry {
 	if e := a.entries[l.Address]; e != nil {
 		return e
@@ -177,7 +185,8 @@
 	return nil
 }
 
-// dropEntries ends the sessions of entries that are gone.
+// removeGoneEntries ends the sessions of entry processes that have been neither
+// listed nor answering for entryRetention.
 func (a *Agent) removeGoneEntries(now time.Time) {
 	for address, e := range a.entries {
 		if !e.seed && now.Sub(e.listedAt) > entryRetention && now.Sub(e.answeredAt) > entryRetention {
@@ -198,8 +207,8 @@
 	return open
 }
 
-// keepSession dials the entry with backoff and jitter and sends heartbeats
-// until ctx ends.
+// maintainSession dials the entry process with backoff and jitter and sends
+// heartbeats until ctx ends.
 func (a *Agent) maintainSession(ctx context.Context, e *entry) {
 	backoff := minRedialBackoff
 	for ctx.Err() == nil {
@@ -211,7 +220,7 @@
 				backoff = minRedialBackoff
 			}
 			if a.drainingSessions.Load() {
-				return // drain ends the session when its requests are answered
+				return // drain closes the session once its requests are answered
 			}
 			session.Close()
 		}
@@ -222,8 +231,8 @@
 	}
 }
 
-// beatUntilSilent sends heartbeats on one session until one is not answered, and reports
-// whether any was.
+// sendHeartbeats sends heartbeats on one session until one of them is not
+// answered. It reports whether any of them was.
 func (a *Agent) sendHeartbeats(ctx context.Context, e *entry, session Session) (answered bool) {
 	if !a.post(func() {
 		e.session, e.wantRunning, e.descriptionAcknowledged, e.interferenceVersion = session, true, false, 0
@@ -254,12 +263,12 @@
 	return answered
 }
 
-// beat is one heartbeat on its way.
+// outgoingHeartbeat is a heartbeat in flight.
 type outgoingHeartbeat struct {
 	message  *wire.Heartbeat
 	reports  []sentReport
 	sent     time.Time
-	interval time.Duration // until the next one
+	interval time.Duration // until the next heartbeat
 }
 
 func (a *Agent) sendHeartbeat(ctx context.Context, e *entry, session Session) (time.Duration, error) {
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -8,8 +8,9 @@
 
 type stubSession struct{ Session }
 
-// Guards against a report that reaches no entry because the one that launched
-// the task is gone, and against reports to every one of many entries.
+// Guards against a report that reaches no entry process because the one that
+// launched the task is gone, and against reports that go to every one of many
+// entry processes.
 func TestReportsGoToTheLauncherFirst(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -18,10 +19,10 @@
 		launcherAnswered, reportedAt time.Duration // ago
 		wantLauncher, wantOthers     bool
 	}{
-		{"few entries", maxBroadcastEntries, 0, 0, true, true},
-		{"many entries", 12, 0, 0, true, false},
-		{"unacknowledged for long", 12, 0, launcherOnlyPeriod + time.Millisecond, true, true},
-		{"launcher silent", 12, maxAnswerAge, 0, true, true},
+		{"few entry processes", maxBroadcastEntries, 0, 0, true, true},
+		{"many entry processes", 12, 0, 0, true, false},
+		{"unacknowledged for longer than launcherOnlyPeriod", 12, 0, launcherOnlyPeriod + time.Millisecond, true, true},
+		{"launcher unresponsive", 12, maxAnswerAge, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := &Agent{}
@@ -34,10 +35,10 @@
 			launcher.answeredAt = now.Add(-c.launcherAnswered)
 			row := &task{launchedBy: "entry-0", reportPendingSince: now.Add(-c.reportedAt)}
 			if got := a.shouldReport(launcher, row, now); got != c.wantLauncher {
-				t.Errorf("launcher: got %t, want %t", got, c.wantLauncher)
+				t.Errorf("report to the launcher: got %t, want %t", got, c.wantLauncher)
 			}
 			if got := a.shouldReport(a.entries["entry-1"], row, now); got != c.wantOthers {
-				t.Errorf("another entry: got %t, want %t", got, c.wantOthers)
+				t.Errorf("report to another entry process: got %t, want %t", got, c.wantOthers)
 			}
 		})
 	}
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// failuresInRow is how many attempts in a row of different jobs must fail
-	// before the worker, not the jobs, is suspected.
+	// maxConsecutiveFailures is the number of consecutive failed attempts of
+	// different jobs at which the worker is suspected instead of the jobs.
 	maxConsecutiveFailures = 5
-	// firstPause and longestPause bound how long a suspected worker gets
-	// nothing; every further failure doubles the pause.
+	// minSuspectBackoff and maxSuspectBackoff bound the time for which a suspected
+	// worker refuses tasks. Every further failure doubles it.
 	minSuspectBackoff = 30 * time.Second
 	maxSuspectBackoff = 10 * time.Minute
 )
 
-// failures is the worker's failure record.
+// failureRecord tracks consecutive failures of attempts on the worker.
 type failureRecord struct {
-	jobs           []units.JobID // of the latest failures in a row, distinct
+	jobs           []units.JobID // distinct jobs of the latest consecutive failures
 	backoff        time.Duration
 	suspectedUntil time.Time
 }
@@ -40,7 +40,8 @@
 	if len(f.jobs) >= maxConsecutiveFailures {
 		f.backoff = min(max(2*f.backoff, minSuspectBackoff), maxSuspectBackoff)
 		f.suspectedUntil = now.Add(f.backoff)
-		// One more failure after the pause suspects the worker again.
+		// Keep all but one, so that a single failure after the backoff makes the
+		// worker suspected again.
 		f.jobs = append(f.jobs[:0:0], f.jobs[len(f.jobs)-maxConsecutiveFailures+1:]...)
 	}
 }
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -12,11 +12,11 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-var errProcessKilled = errors.New("lost")
+var errProcessKilled = errors.New("process killed")
 
-// gate stands between a process and everything outside: while it is closed,
-// calls wait, as they do in a process that is paused between a decision and
-// the call that carries it out. A killed process makes no further call.
+// gate delays the calls from and to a process. While it is closed, calls wait, as
+// in a process that is paused between a decision and the call that executes it.
+// Once the process is killed, every call fails.
 type gate struct {
 	mu     sync.Mutex
 	open   chan struct{} // closed when open
@@ -59,12 +59,12 @@
 	g.killed = true
 }
 
-// gatedWorker is the worker as seen by a process behind a gate. It also loses
-// replies and dies after a given call.
+// gatedWorker passes the calls of a process to the worker through its gate. It can
+// kill the process after a given operation, so that the reply is lost.
 type gatedWorker struct {
 	workerapi.Worker
 	*gate
-	killAfterOp atomic.Pointer[string] // operation after whose effect the process dies
+	killAfterOp atomic.Pointer[string] // operation after which the process is killed
 }
 
 func (w *gatedWorker) setKillAfter(op string) { w.killAfterOp.Store(&op) }
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -8,7 +8,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// guardInterval is half the usual period of the measurements it decides on.
+// guardInterval is half the usual period of the measurements that the guard
+// decides on.
 const guardInterval = 500 * time.Millisecond
 
 type guardState struct {
@@ -16,14 +17,15 @@
 	latencies map[units.ServiceName]latencySample
 }
 
-// latency is a reported latency and when it last changed: an unchanged value
-// means that no request was served, which is not a new measurement.
+// latencySample is a reported latency and when it last changed. An unchanged
+// value is not a new measurement: no request was served meanwhile.
 type latencySample struct {
 	value     time.Duration
 	changedAt time.Time
 }
 
-// tickGuard runs the control loop that protects the endpoints.
+// tickGuard runs the guard, which throttles or evicts batch tasks to protect the
+// latency of the endpoints.
 func (a *Agent) tickGuard(now time.Time) {
 	if a.Guard == nil || a.config.document == nil || !a.adopted || now.Sub(a.guardState.tickAt) < guardInterval {
 		return
@@ -79,7 +81,8 @@
 	return sample
 }
 
-// interference returns what the guard has learned since the given version.
+// interferenceSince returns the slowdowns that the guard has estimated since the
+// given version, and the current version.
 func (a *Agent) interferenceSince(since uint64) ([]*wire.Interference, uint64) {
 	if a.Guard == nil {
 		return nil, since
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -10,23 +10,25 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// watcherHold is how long the end of a watcher whose lease lapsed is held back,
-// counted from its end and from when the log was reachable again. The lessor may
-// have activated the standby as the next attempt while the log was unreachable;
-// its report must be recorded before anyone assigns that attempt elsewhere.
+// watcherReportDelay delays the report that a watcher ended because its lease
+// expired, counted from its end and from when the log became reachable again. The
+// lessor may have activated the standby as the next attempt while the log was
+// unreachable. That activation must be recorded before an entry process assigns
+// the attempt number to another worker.
 const watcherReportDelay = 10 * time.Second
 
-// maxReports bounds a heartbeat; the rest follows in the next one.
+// maxReportsPerHeartbeat bounds the size of a heartbeat. Further reports follow in
+// the next one.
 const maxReportsPerHeartbeat = 256
 
-// sentReport identifies what a heartbeat carried: an acknowledgement counts
-// only for the outcome that was in the heartbeat it answers.
+// sentReport identifies a report in a heartbeat. An acknowledgement applies only
+// to the outcome in the heartbeat that it answers.
 type sentReport struct {
 	attempt attemptID
 	outcome wire.Outcome
 }
 
-// compose builds the heartbeat for one entry.
+// composeHeartbeat returns the heartbeat for one entry process and the reports in it.
 func (a *Agent) composeHeartbeat(e *entry, now time.Time) (*wire.Heartbeat, []sentReport) {
 	full := e.wantRunning && a.adopted
 	e.runningListSent = full
@@ -71,7 +73,7 @@
 	return refs
 }
 
-// addReports adds the reports that are not yet acknowledged, oldest first.
+// addReports adds the unacknowledged reports to h, oldest first, and returns them.
 func (a *Agent) addReports(e *entry, h *wire.Heartbeat, now time.Time) []sentReport {
 	var pending []*task
 	for _, t := range a.tasks {
@@ -110,7 +112,7 @@
 	return r
 }
 
-// applyReply takes in the answer to a heartbeat sent at the given instant.
+// applyReply applies the reply to a heartbeat that was sent at the given time.
 func (a *Agent) applyReply(e *entry, reply *wire.HeartbeatReply, document *environment.Document, parseErr error, sent time.Time, reports []sentReport) {
 	now := time.Now()
 	e.name, e.answeredAt, e.logReachable = reply.Entry, sent, reply.LogReachable
@@ -146,11 +148,12 @@
 	}
 }
 
-// recent is how old an answer of an entry may be to say something about the
-// log now.
+// maxAnswerAge bounds the age of the last answer of an entry process that counts
+// as responsive and whose view of the log counts as current.
 const maxAnswerAge = 2 * time.Second
 
-// tickLog notes since when the log has been reachable without a break.
+// trackLogReachability updates since when the log has been reachable without
+// interruption.
 func (a *Agent) trackLogReachability(now time.Time) {
 	switch {
 	case !a.logReachable(now):
@@ -160,12 +163,13 @@
 	}
 }
 
-// logJustRead is how old the newest read of the log may be that shows that the
-// log answers now. A follower at the tail reads several times a second; that
-// the log is unreachable shows only after 3 s.
+// maxLogReadAge bounds the age of the newest read of the log that shows that the
+// log answers at present. A follower at the tail reads several times a second,
+// whereas entry processes report the log as unreachable only after 3 s.
 const maxLogReadAge = time.Second
 
-// logAnswers reports whether an entry has just read the log.
+// logReadRecently reports whether an entry process has read the log within
+// maxLogReadAge.
 func (a *Agent) logReadRecently(now time.Time) bool {
 	for _, e := range a.entries {
 		if !e.answeredAt.IsZero() && now.Sub(e.logReadAt) < maxLogReadAge {
@@ -175,11 +179,12 @@
 	return false
 }
 
-// logReachable reports whether an entry has recently said that it reaches the log.
+// logReachable reports whether an entry process has recently reported that it
+// reaches the log.
 func (a *Agent) logReachable(now time.Time) bool { return a.anyRecentEntry(now, true) }
 
-// logDown reports whether entries answer and none of them reaches the log. It
-// is false without answers: then nothing is known.
+// logUnreachable reports whether entry processes answer and none of them reaches
+// the log. It is false without recent answers, when the state of the log is unknown.
 func (a *Agent) logUnreachable(now time.Time) bool {
 	return a.anyRecentEntry(now, false) && !a.anyRecentEntry(now, true)
 }
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -27,7 +27,7 @@
 	os.Exit(code)
 }
 
-// fault is one entry of a generated history.
+// faultEvent is one fault of a generated history.
 type faultEvent struct {
 	kind     string
 	worker   string // worker
@@ -40,18 +40,18 @@
 	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.worker, e.op, e.at, e.duration)
 }
 
-// injections carry out the events.
+// faultInjections holds the function that injects each kind of fault.
 var faultInjections = map[string]func(*simulation, faultEvent){
-	// pause stops the process, possibly past its lease, and wakes it.
+	// pause stops the agent, possibly beyond the end of its lease, and resumes it.
 	"pause": func(sim *simulation, e faultEvent) { sim.pauseProcess(e.worker, e.duration) },
-	// kill ends the process right after an operation took effect on the
-	// worker and starts its successor later.
+	// kill kills the agent right after an operation has taken effect on the worker
+	// and starts its successor later.
 	"kill": func(sim *simulation, e faultEvent) {
 		sim.killAfter(e.worker, e.op)
 		time.Sleep(e.duration)
 		sim.restart(e.worker)
 	},
-	// double starts a second agent while the first goes on.
+	// double starts a second agent while the first one still runs.
 	"double": func(sim *simulation, e faultEvent) { sim.start(e.worker) },
 	"cutFromEntries": func(sim *simulation, e faultEvent) {
 		sim.network.SetCut(e.worker, "entry", true)
@@ -73,8 +73,9 @@
 		time.Sleep(e.duration)
 		sim.platform.SetLog(true)
 	},
-	// domainOut takes a domain out while the entries cannot read it, and lets
-	// new tasks arrive meanwhile: so many that some are assigned to the domain.
+	// domainOut takes a failure domain out of service while the entry processes
+	// cannot read that change, and submits enough tasks meanwhile that some are
+	// assigned to the domain.
 	"domainOut": func(sim *simulation, e faultEvent) {
 		sim.platform.Freeze(true)
 		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
@@ -88,9 +89,9 @@
 		time.Sleep(5 * time.Second)
 		sim.platform.Publish(nil, nil)
 	},
-	// replace puts a new instance in the place of the worker.
+	// replace replaces the worker by a new instance.
 	"replace": func(sim *simulation, e faultEvent) { sim.cores[e.worker].Restart() },
-	// drain empties a worker for a while.
+	// drain drains a worker for a while.
 	"drain": func(sim *simulation, e faultEvent) {
 		sim.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.worker)})
 		time.Sleep(e.duration)
@@ -106,9 +107,9 @@
 	},
 }
 
-// tasksWhileOut is how many tasks arrive while a domain is out. Each is assigned
-// to one of three workers at random; with 6 of them every eleventh history offered
-// the domain nothing.
+// tasksWhileOut is the number of tasks submitted while a domain is out of service.
+// Each is assigned to one of three workers at random. With 6 tasks, one history in
+// eleven assigned none to the domain.
 const tasksWhileOut = 30
 
 func drawHistory(rt *rapid.T) []faultEvent {
@@ -124,8 +125,8 @@
 	}), 1, 6).Draw(rt, "history")
 }
 
-// play runs a history over ten tasks and two watchers, heals everything, and
-// returns the violations.
+// runHistory runs ten batch tasks and two watchers while it injects the faults of
+// the history, ends all faults, and returns the violations.
 func runHistory(t *testing.T, history []faultEvent, seed uint64, noise float64, setUp func(*simulation) func(*simulation)) []string {
 	return simulate(t, seed, noise, func(sim *simulation) {
 		afterFaults := setUp(sim)
@@ -151,9 +152,10 @@
 	})
 }
 
-// Guards against an agent that, under any mix of pauses, restarts, rivals,
-// partitions, log outages and lost or late messages, runs a task in two places,
-// runs a refused attempt, commits more than the worker has, or loses a task.
+// Guards against a task that runs on two workers, a refused attempt that runs, a
+// worker that is committed beyond its capacity, and a lost task, under any mix of
+// pauses, restarts, second agents, partitions, log outages, and lost or late
+// messages.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := drawHistory(rt)
@@ -161,7 +163,7 @@
 		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
 			return func(sim *simulation) {
 				if !sim.waitForBatchTasks(2 * time.Minute) {
-					sim.platform.Problem("tasks are unfinished two minutes after the faults ended")
+					sim.platform.Problem("tasks have not ended two minutes after the last fault")
 				}
 			}
 		})
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// launchWait bounds how long a launch request is held open; tasks that are
-	// undecided by then are left out of the reply and the entry repeats them.
+	// launchReplyTimeout bounds how long a launch request is held open. Tasks that
+	// are undecided by then are omitted from the reply, and the entry process
+	// repeats their launch.
 	launchReplyTimeout = 1500 * time.Millisecond
-	// patience is how long a launch waits for room, a lease or fresh evidence
-	// before it is refused, so that an entry can place the task elsewhere.
+	// launchTimeout is how long a launch waits for free resources, a lease or a
+	// fresh configuration before it is refused, so that the task can be placed on
+	// another worker.
 	launchTimeout = 3 * time.Second
-	// leaseReserve is the least time left on the agent's lease for a start: a
-	// shorter one would likely end before the next renewal.
+	// minRemainingLease is the least remaining time of the agent's lease at which
+	// it starts a task. A shorter lease would likely end before the next renewal.
 	minRemainingLease = time.Second
-	// maxTasks bounds a request and the rows that wait for a decision.
+	// maxTasks bounds the tasks of one request and the tasks that the agent tracks.
 	maxTasks = 4096
 )
 
@@ -58,8 +60,9 @@
 	return reply, nil
 }
 
-// ready reports why no launch can be decided now. It is not a refusal: nothing
-// is remembered and the entry repeats the launch.
+// checkLaunchable returns an error if the agent cannot decide on the launch at
+// present. That is not a refusal: nothing is recorded, and the entry process
+// repeats the launch.
 func (a *Agent) checkLaunchable(l *wire.Launch) error {
 	switch {
 	case l.Worker != string(a.WorkerID):
@@ -72,8 +75,8 @@
 	return nil
 }
 
-// launch decides on one attempt or queues it. A known attempt gets the answer
-// it got before.
+// handleLaunch decides on one attempt or queues it. A repeated launch gets the
+// answer that was given before.
 func (a *Agent) handleLaunch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
 	if a.RecordCause != nil {
 		a.RecordCause(request.GetTask().Task().String(), request.GetCause())
@@ -102,13 +105,13 @@
 		return
 	}
 	if units.Epoch(l.Epoch) != a.epoch {
-		return // it may have run under the older epoch; the end of that releases it
+		return // it may have run under the older epoch; the end of that epoch releases it
 	}
 	if a.decisions.superseded(name, number) || t != nil && t.attempt > number {
-		return // nothing certain is known about an attempt this old
+		return // the outcome of an attempt this old is not certain
 	}
 	if t != nil && t.phase != phaseEnded {
-		// A newer attempt was assigned, so this one has been released.
+		// A newer attempt has been assigned, so the running one has been released.
 		t.intent, t.reason, t.suppressReport = intentStop, "superseded", true
 		a.reconcile(t, now)
 		return
@@ -122,7 +125,7 @@
 	a.reconcile(candidate, now)
 }
 
-// repeat answers a launch of an attempt that the agent has a row of.
+// answerRepeatedLaunch answers the launch of an attempt that the agent tracks.
 func (a *Agent) answerRepeatedLaunch(t *task, results chan<- *wire.LaunchResult) {
 	switch t.phase {
 	case phaseEnded:
@@ -139,10 +142,10 @@
 	}
 }
 
-// maxRepeats bounds the callers that wait for one undecided launch.
+// maxLaunchCallers bounds the calls that wait for the result of one launch.
 const maxLaunchCallers = 16
 
-// never returns why the attempt will never start here, or "".
+// permanentRefusal returns why the attempt can never start on this worker, or "".
 func (a *Agent) permanentRefusal(t *task) string {
 	if t.attempt == 0 || t.size.Processors < 0 || t.size.Memory < 0 || t.size.Accelerators < 0 || t.spec.GetRunMilliseconds() < 0 {
 		return "malformed task"
@@ -153,7 +156,7 @@
 	return a.refusalReason(t)
 }
 
-// closed returns why the worker takes no work like t at present, or "".
+// refusalReason returns why the worker refuses tasks such as t at present, or "".
 func (a *Agent) refusalReason(t *task) string {
 	now := time.Now()
 	switch {
@@ -171,7 +174,8 @@
 	return ""
 }
 
-// admit starts a waiting task once it has a lease, fresh evidence and room.
+// admit starts a pending task once the agent has a lease, a fresh configuration
+// and enough free resources. It refuses the task when the launch times out.
 func (a *Agent) admit(t *task, now time.Time) {
 	if reason := a.refusalReason(t); reason != "" {
 		a.refuse(t, reason)
@@ -195,7 +199,7 @@
 	}
 }
 
-// unready returns what is missing for any start at present, or "".
+// startBlocker returns why no task can be started at present, or "".
 func (a *Agent) startBlocker(now time.Time) string {
 	switch {
 	case !a.adopted:
@@ -212,7 +216,8 @@
 	return ""
 }
 
-// startDeadline is when a start that is sent now must have taken effect.
+// startDeadline returns the time by which a start that is sent now must have
+// taken effect.
 func (a *Agent) startDeadline() time.Time {
 	until := a.config.freshUntil.Add(startGracePeriod)
 	if lease := a.lease.deadlineAt(time.Now()); lease.Before(until) {
@@ -221,10 +226,10 @@
 	return until
 }
 
-// refuse answers that the attempt was not started and never will be under this
-// epoch, and remembers it.
+// refuse answers that the attempt was not started and will not be started under
+// this epoch, and records that decision.
 func (a *Agent) refuse(t *task, reason string) {
-	if t.holder == "" { // an attempt admitted as a standby runs elsewhere
+	if t.holder == "" { // the attempt of a standby runs on its holder
 		a.decisions.record(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
 	}
 	if a.tasks[t.name] == t {
--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// leaseTimeout bounds one request; a silent session is then redialled
-	// within the same lease.
+	// leaseRequestTimeout bounds one lease request. It is short enough to dial the
+	// lessor again within the same lease.
 	leaseRequestTimeout = 1500 * time.Millisecond
-	// firstLessorWait and firstLessorSpread are how long a worker that registered
-	// when there was no other waits before it asks for a lessor. Until others have
-	// registered and asked one after the other, the entries can only make two
-	// workers each other's lessor, and those lose their leases together.
+	// firstLessorDelay and firstLessorJitter bound how long a worker that
+	// registered as the only one waits before it requests a lessor. Until other
+	// workers have registered and requested theirs one after another, the entry
+	// processes can only make two workers each other's lessor, and such a pair
+	// loses its leases together.
 	firstLessorDelay  = time.Second
 	firstLessorJitter = 2 * time.Second
-	// betterAfter is how long a term lasts before the agent changes a lessor
-	// that answers for a better one, so that entries which are behind do not
+	// minTermAge is the least age of a term at which the agent replaces a working
+	// lessor by a better one. Entry processes that lag behind would otherwise
 	// make it change twice.
 	minTermAge = 3 * time.Second
-	// leaseRetry spaces requests after one that was not granted.
+	// leaseRetryInterval is the delay after a lease request that was not granted.
 	leaseRetryInterval = 400 * time.Millisecond
 )
 
-// lease is the agent's own lease. The agent acts only before its deadline.
+// leaseState is the agent's own lease. The agent acts only before its deadline.
 type leaseState struct {
-	epochAcquiredAt time.Time // when the epoch was acquired
-	registered      bool      // an entry has seen the registration of this epoch
+	epochAcquiredAt time.Time // local time at which the epoch was acquired
+	registered      bool      // an entry process has reported the registration of this epoch
 	term            units.Term
 	lessor          units.WorkerID
 	lessorEpoch     units.Epoch
 	lessorAddress   string
 	termStartedAt   time.Time
 
-	unbounded         bool      // no other worker exists that could take over
-	firstRequestAt    time.Time // when to ask for the first lessor; zero while there is none
-	lessorAvailable   bool      // an entry knows a worker that could be the lessor, or a better one
-	grantsUntil       time.Time // until when this epoch may grant leases to others
-	deadline          time.Time // send time of the last granted request + leaseDuration
+	unbounded         bool      // no lessor is needed: no other worker exists that could run the tasks
+	firstRequestAt    time.Time // when to request the first lessor; zero while no worker can be one
+	lessorAvailable   bool      // an entry process reports a worker that could be the lessor, or a better one
+	grantsUntil       time.Time // this epoch may grant leases to others until then
+	deadline          time.Time // send time of the last granted request plus leaseDuration
 	lastGrantSentAt   time.Time // send time of the last granted request; zero for none in this term
-	lessorRequested   bool      // asked for another lessor; never renews in this term again
-	lessorRequestedAt time.Time // when it asked
+	lessorRequested   bool      // another lessor was requested; the lease is not renewed in this term any more
+	lessorRequestedAt time.Time // time of that request
 
 	requestInFlight bool
 	nextRequestAt   time.Time
 	session         Session
 }
 
-// deadlineAt is until when the agent may act.
+// deadlineAt returns the time until which the agent may act.
 func (l *leaseState) deadlineAt(now time.Time) time.Time {
 	if l.unbounded {
 		return now.Add(leaseDuration)
@@ -62,11 +63,12 @@
 
 func (l *leaseState) valid(now time.Time) bool { return l.deadlineAt(now).After(now) }
 
-// leaseFor returns the deadline to renew the worker's task leases up to.
+// taskLeaseDeadline returns the time up to which the leases of the worker's tasks
+// may be renewed.
 func (a *Agent) taskLeaseDeadline(now time.Time) time.Time { return a.lease.deadlineAt(now) }
 
-// applyRegistration takes in what an entry has folded about this worker. An
-// entry that is behind reports a lower term, which is ignored.
+// applyRegistration applies the registration of this worker as an entry process
+// has it. A lower term comes from an entry process that lags behind and is ignored.
 func (a *Agent) applyRegistration(reply *wire.HeartbeatReply, sent, now time.Time) {
 	l := &a.lease
 	if units.Epoch(reply.RegisteredEpoch) != a.epoch || !a.adopted {
@@ -90,13 +92,14 @@
 	}
 }
 
-// beginTerm starts over with the lessor of a newer term. A deadline granted in
-// the former term stays: the new lessor waits it out.
+// beginTerm begins a newer term with its lessor. A deadline granted in the former
+// term remains valid: the new lessor waits until it has passed.
 //
-// A recorded registration or change of lessor counts as a grant from when this
-// agent could first have asked for it: an expiry in the new term is recorded no
-// earlier than leaseDuration + leaseMargin after that record. Without this,
-// agents that have all lost their leases could never grant one again.
+// The record of a registration or of a change of lessor counts as a grant from
+// the earliest time at which this agent could have requested it, because an
+// expiry in the new term is recorded no earlier than leaseDuration plus
+// leaseMargin after that record. Otherwise agents that have all lost their leases
+// could never grant one again.
 func (a *Agent) beginTerm(reply *wire.HeartbeatReply, term units.Term, now time.Time) {
 	l := &a.lease
 	l.closeSession()
@@ -106,21 +109,22 @@
 	case l.lessorRequested && term == l.term+1:
 		l.deadline = later(l.deadline, l.lessorRequestedAt.Add(leaseDuration))
 	case l.unbounded:
-		// Only a request of this agent ends an unbounded lease, and asking
-		// has bounded it. Any other change is answered by stopping.
+		// Only a request of this agent replaces an unbounded lease, and the
+		// request has already bounded it. After any other change the lease
+		// ends at once.
 		l.unbounded, l.deadline = false, now
 	}
 	l.term, l.termStartedAt = term, now
 	l.lessor, l.lessorEpoch, l.lessorAddress = units.WorkerID(reply.Lessor), units.Epoch(reply.LessorEpoch), reply.LessorAddress
 	l.lessorRequested, l.lastGrantSentAt, l.nextRequestAt = false, time.Time{}, now
-	l.requestInFlight = false // an answer to a request of the former term is ignored
+	l.requestInFlight = false // the reply to a request of the former term is ignored
 	l.unbounded = l.lessor == ""
 	a.worker.renewSoon = true
 	a.event("lessorChanged", string(a.WorkerID), string(l.lessor))
 }
 
-// tickLease requests the lease every quarter of its duration and asks for
-// another lessor after half of it without a grant.
+// tickLease requests the lease every quarter of its duration, and requests
+// another lessor after half the duration without a grant.
 func (a *Agent) tickLease(now time.Time) {
 	l := &a.lease
 	if !l.registered || l.term == 0 {
@@ -150,8 +154,8 @@
 	}
 }
 
-// tickUnbounded asks for a lessor once another worker exists that can grant.
-// From then on the lease ends unless a lessor is assigned.
+// tickUnboundedLease requests a lessor once another worker exists that can grant
+// leases. From then on the lease is bounded and ends unless a lessor is assigned.
 func (a *Agent) tickUnboundedLease(now time.Time) {
 	l := &a.lease
 	switch {
@@ -165,9 +169,9 @@
 	}
 }
 
-// wantLessor stops renewing with the present lessor for good and asks for
-// another one. While the log is unreachable it would only give up the lessor
-// without a chance of another, so it is not called then.
+// requestLessor requests another lessor and stops renewing with the present one
+// for the rest of the term. It must not be called while the log is unreachable,
+// when no other lessor could be assigned.
 func (a *Agent) requestLessor(now time.Time) {
 	l := &a.lease
 	l.lessorRequested, l.lessorRequestedAt = true, now
@@ -202,8 +206,8 @@
 	})
 }
 
-// callLessor sends one request, on a new session when there is none. A session
-// that did not answer is closed.
+// callLessor sends one request, on a new session if there is none. It closes a
+// session on which the call failed.
 func (a *Agent) callLessor(session Session, address string, request *wire.LeaseRequest) (Session, time.Time, *wire.LeaseReply, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, leaseRequestTimeout)
 	defer cancel()
@@ -216,7 +220,7 @@
 			return nil, time.Time{}, nil, err
 		}
 		session = fresh
-		a.spawn(func() { // ends the session with the agent
+		a.spawn(func() { // closes the session when the agent ends
 			select {
 			case <-session.Done():
 			case <-a.ctx.Done():
@@ -233,7 +237,7 @@
 	return session, sent, reply, nil
 }
 
-// end closes the session to the lessor.
+// closeSession closes the session with the lessor.
 func (l *leaseState) closeSession() {
 	if l.session != nil {
 		l.session.Close()
@@ -266,7 +270,7 @@
 	}
 	l.nextRequestAt = sent.Add(leaseDuration / 4)
 	if l.lessorRequested {
-		return // the request for another lessor may be recorded already
+		return // another lessor may already have been assigned
 	}
 	if until := sent.Add(leaseDuration); until.After(l.deadline) {
 		l.deadline, l.lastGrantSentAt = until, sent
--- a/internal/agent/lessee_test.go
+++ b/internal/agent/lessee_test.go
@@ -10,7 +10,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// silentSession answers no call.
+// unresponsiveSession answers no call.
 type unresponsiveSession struct{ done chan struct{} }
 
 func (s unresponsiveSession) Call(ctx context.Context, _ string, _, _ Message) error {
@@ -21,10 +21,10 @@
 func (s unresponsiveSession) Close()                   {}
 func (s unresponsiveSession) Shutdown(context.Context) {}
 
-// Guards against a lessee that never asks its new lessor, because the request
-// to the old one, which is paused, is still out when the term changes. The
-// acceptance run showed it as a worker that changed its lessor every 4.6 s.
-func TestNewLessorIsAskedWhileTheOldOneIsSilent(t *testing.T) {
+// Guards against a lessee that never requests a lease from its new lessor because
+// a request to the former, paused lessor is in flight when the term changes. In an
+// acceptance run such a worker changed its lessor every 4.6 s.
+func TestNewLessorIsRequestedWhileTheOldOneIsSilent(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dialled := make(chan string, 4)
 	a := &Agent{
@@ -46,10 +46,10 @@
 		select {
 		case got := <-dialled:
 			if got != lessor {
-				t.Errorf("term %d: asked %s, want %s", term, got, lessor)
+				t.Errorf("term %d: lease requested from %s, want %s", term, got, lessor)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("term %d: %s was never asked", term, lessor)
+			t.Fatalf("term %d: no lease was requested from %s", term, lessor)
 		}
 	}
 }
--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -8,8 +8,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// forgetLessee is how long a lessee that no entry lists any more is kept; the
-// entries list it again if it is still one.
+// lesseeRetention is how long a lessee is kept that no entry process lists. One
+// that is still a lessee is listed again.
 const lesseeRetention = time.Minute
 
 // lessee is a worker whose lease this agent grants.
@@ -18,22 +18,23 @@
 	epoch          units.Epoch
 	term           units.Term
 	learnedAt      time.Time
-	lastGrantAt    time.Time // last grant; zero for none
-	expired        bool      // the lease has expired; it is never granted again in this term
-	expiryRecorded bool      // an entry acknowledged the expiry
-	expirySent     bool      // an entry may have recorded the expiry
+	lastGrantAt    time.Time // zero for none
+	expired        bool      // the lease has expired; it is not granted again in this term
+	expiryRecorded bool      // an entry process has acknowledged the expiry
+	expirySent     bool      // the expiry was sent, so an entry process may have recorded it
 	listedAt       time.Time // send time of the last heartbeat whose reply listed it
 	omittedAt      time.Time // send time of the last heartbeat whose reply did not
 }
 
-// stillOurs reports whether every entry that answered lately lists the lessee.
-// One that does not has seen a change of lessor that others have yet to see.
+// listedByAll reports whether every entry process that answered recently lists
+// the lessee. One that does not may have applied a change of lessor that the
+// others have not applied yet.
 func (l *lessee) listedByAll(now time.Time) bool {
 	return now.Sub(l.listedAt) < maxAnswerAge && now.Sub(l.omittedAt) >= maxAnswerAge
 }
 
-// applyLessees takes in the lessees that an entry lists. An entry that is
-// behind lists a lower epoch or term, which is ignored.
+// applyLessees applies the lessees that an entry process lists. A lower epoch or
+// term comes from an entry process that lags behind and is ignored.
 func (a *Agent) applyLessees(listed []*wire.Lessee, sent, now time.Time) {
 	present := make(map[units.WorkerID]bool, len(listed))
 	for _, l := range listed {
@@ -65,26 +66,29 @@
 	return false
 }
 
-// mayGrant reports whether this agent may speak as a lessor: it has had evidence
-// that its epoch is in force, and the worker has just confirmed it. Its own
-// lease is not needed: an expiry by chain waits for leases.GrantRight.
+// canGrantLeases reports whether this agent may act as a lessor: an entry process
+// has reported recently enough that its epoch is in force, and the worker has
+// just confirmed the epoch. The agent's own lease need not be valid, because an
+// expiry that follows from the end of a lessor waits for leases.GrantRight.
 func (a *Agent) canGrantLeases(now time.Time) bool {
 	return a.adopted && a.runError == nil && now.Before(a.lease.grantsUntil) && now.Sub(a.worker.epochConfirmedAt) < maxConfirmationAge
 }
 
-// inForce reports whether this agent may run tasks of a lessee: it may grant,
-// and its own lease is valid.
+// canActivateStandbys reports whether this agent may run tasks of a lessee: it can
+// grant leases, and its own lease is valid.
 func (a *Agent) canActivateStandbys(now time.Time) bool {
 	return a.canGrantLeases(now) && a.lease.registered && a.lease.valid(now)
 }
 
-// discloseAfter is when an expiry is disclosed although reads of the log are
-// slow, so that the tasks of the lessee do not wait for a fast one.
+// expiryReportDelay is the delay after which an expiry is reported even though
+// reads of the log are slow, so that the tasks of the lessee need not wait for a
+// fast read.
 const expiryReportDelay = 10 * time.Second
 
-// mayDisclose reports whether an entry can record the expiry now. Once it is
-// disclosed, this agent can no longer activate a standby of the lessee: if the
-// log then turns out to be down, its watchers wait for the log.
+// canReportExpiry reports whether the expiry may be sent to entry processes
+// because the log is likely to accept it now. Once it has been sent, this agent
+// cannot activate a standby of the lessee any more: if the log is down after all,
+// the lessee's watchers wait for the log.
 func (a *Agent) canReportExpiry(l *lessee, now time.Time) bool {
 	return a.logReadRecently(now) || a.logReachable(now) && now.Sub(l.expiresAt()) > expiryReportDelay
 }
@@ -98,7 +102,7 @@
 	})
 }
 
-// grant records a grant and returns "", or returns why there is none.
+// grantLease grants the lease and returns "", or returns why it was not granted.
 func (a *Agent) grantLease(request *wire.LeaseRequest, now time.Time) string {
 	l := a.lessees[units.WorkerID(request.Worker)]
 	switch {
@@ -115,8 +119,8 @@
 	return ""
 }
 
-// expiry is when the lease has certainly ended. The lessee counts from its own
-// earlier send time; the margin covers drift.
+// expiresAt returns the time at which the lease has certainly ended. The lessee
+// counts from its own earlier send time; the margin covers clock drift.
 func (l *lessee) expiresAt() time.Time {
 	from := l.learnedAt
 	if l.lastGrantAt.After(from) {
@@ -125,7 +129,7 @@
 	return from.Add(leaseDuration + leaseMargin)
 }
 
-// tickLessees attests expiries.
+// tickLessees marks leases that have expired and drops former lessees.
 func (a *Agent) tickLessees(now time.Time) {
 	for id, l := range a.lessees {
 		if now.Sub(l.listedAt) > lesseeRetention && (!l.expired || l.expiryRecorded) {
@@ -140,10 +144,11 @@
 	}
 }
 
-// expiries returns the attestations. One waits while a standby of the holder is
-// being activated: once the expiry is recorded, any entry may assign the
-// watcher anew, so its activation has to be reported no later. Once an
-// attestation has been sent, no standby of the holder is activated any more.
+// reportableExpiries returns the expiries to report to entry processes. An expiry
+// waits while a standby of the lessee is being activated: once the expiry is
+// recorded, any entry process may assign the watcher anew, so the activation must
+// be reported no later. After an expiry has been sent, no standby of the lessee
+// is activated any more.
 func (a *Agent) reportableExpiries(now time.Time) []*wire.LeaseExpiry {
 	if !a.canGrantLeases(now) {
 		return nil
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -15,10 +15,10 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// naiveAgent starts whatever it is told to under any lease, takes the worker
-// back when it is fenced, takes a lost reply for a failed start and never asks
-// how old its configuration is. It shows that the checker sees what the agent
-// must not do.
+// naiveAgent is an agent with faults: it starts every launched task under any
+// lease, acquires the worker again when it is fenced, treats a lost reply as a
+// failed start, and ignores the age of its configuration. It shows that the
+// checker detects what an agent must not do.
 type naiveAgent struct {
 	simulation *simulation
 	name       string
@@ -59,7 +59,8 @@
 	}
 }
 
-// lease is eight seconds from now on the worker's clock, whoever granted it.
+// lease returns a deadline of leaseDuration from now on the worker's clock,
+// without any grant.
 func (n *naiveAgent) lease() (units.Epoch, workerapi.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,18 +116,18 @@
 	return reply, nil
 }
 
-// Guards against a checker that would pass anything: the naive agent must break
-// the rules under the faults that the agent passes, and the agent must not.
-func TestNaiveAgentIsCaught(t *testing.T) {
+// Guards against a checker that detects no violation: under the same faults the
+// naive agent must violate the guarantees and the real agent must not.
+func TestNaiveAgentViolatesGuarantees(t *testing.T) {
 	cases := []struct {
 		name   string
 		events []faultEvent
 		want   string // part of a violation
 	}{
-		{"pause past the lease", []faultEvent{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, duration: 20 * time.Second}}, "ran until"},
-		{"isolated past the lease", []faultEvent{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, duration: 25 * time.Second}}, "ran until"},
-		{"lost replies of starts", []faultEvent{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
-		{"domain out while cut off", []faultEvent{{kind: "domainOut", worker: "w3", at: time.Second, duration: 30 * time.Second}}, "after it was taken out"},
+		{"paused beyond the lease", []faultEvent{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, duration: 20 * time.Second}}, "ran until"},
+		{"isolated beyond the lease", []faultEvent{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, duration: 25 * time.Second}}, "ran until"},
+		{"replies to starts are lost", []faultEvent{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
+		{"domain out of service while entry processes cannot read it", []faultEvent{{kind: "domainOut", worker: "w3", at: time.Second, duration: 30 * time.Second}}, "after it was taken out"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/agent/network.go
+++ b/internal/agent/network.go
@@ -18,7 +18,7 @@
 	}
 	session, err := link.Dial(ctx, address, a.handler)
 	if err != nil {
-		return nil, err // a nil *link.Session in a Session would not compare to nil
+		return nil, err // a nil *link.Session in a Session would not equal nil
 	}
 	return session, nil
 }
@@ -39,7 +39,7 @@
 	a.LinkAddress = bound.String()
 	ctx, cancel := context.WithCancel(ctx)
 	a.spawn(func() {
-		// The error of a closed listener says nothing new.
+		// The error of a closed listener carries no further information.
 		_ = listener.Run(ctx)
 	})
 	return func(deadline context.Context) {
--- a/internal/agent/reservation.go
+++ b/internal/agent/reservation.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// keepReservation holds the room of an endpoint that has gone for the next
-	// one, which takes its processors when it starts, whoever has them then. A
-	// replaced endpoint is back within minutes.
+	// reservationRetention is how long the resources of an endpoint that has gone
+	// stay reserved for its replacement, which starts within minutes and uses its
+	// processors whether or not they are free.
 	reservationRetention = 5 * time.Minute
-	// announceGrace is how long a new agent admits nothing while no endpoint
-	// has announced itself: an endpoint beside it does so every second.
+	// announceGracePeriod is how long a new agent admits nothing while no endpoint
+	// has announced itself. An endpoint announces itself every second.
 	announceGracePeriod = 2 * time.Second
 )
 
-// pollEndpoints reads the endpoints beside the agent and keeps their
-// reservations. An endpoint without a reservation is left out of heartbeats,
-// so that the worker is never committed beyond its capacity: batch makes room
-// for it first.
+// updateEndpoints reads the announced endpoints and updates their reservations.
+// Heartbeats omit an endpoint without a reservation, so that the worker is never
+// committed beyond its capacity: batch tasks are evicted for it first.
 func (a *Agent) updateEndpoints(now time.Time) {
 	if a.EndpointReports == nil {
 		return
@@ -55,14 +54,14 @@
 	})
 }
 
-// awaitsEndpoint reports whether an endpoint beside a new agent may not have
-// announced itself yet, so that its room must not be given away.
+// awaitsEndpoint reports whether the agent is so new that its endpoint may not
+// have announced itself yet. The endpoint's resources must not be committed then.
 func (a *Agent) awaitsEndpoint(now time.Time) bool {
 	return a.EndpointReports != nil && len(a.reservations) == 0 && now.Sub(a.startedAt) < announceGracePeriod
 }
 
-// reserve commits the resources of the service's endpoint, or changes them
-// after the document has changed, once they fit.
+// reserve commits the resources of the service's endpoint once they fit, and
+// adjusts them when the document changes. It reports whether a reservation is held.
 func (a *Agent) reserve(name units.ServiceName, now time.Time) bool {
 	held, ok := a.reservations[name]
 	if !a.adopted || a.config.document == nil {
@@ -85,7 +84,7 @@
 	return ok
 }
 
-// reserved sums the reservations of services.
+// reservedResources returns the sum of the reservations of services.
 func (a *Agent) reservedResources() units.Resources {
 	var sum units.Resources
 	for _, r := range a.reservations {
@@ -94,7 +93,8 @@
 	return sum
 }
 
-// reports returns the endpoints to offer; all are leaving during a planned stop.
+// endpointsToReport returns the endpoints for a heartbeat. During a planned stop
+// all of them are reported as leaving.
 func (a *Agent) endpointsToReport() []*wire.EndpointReport {
 	if !a.stopping {
 		return a.offeredEndpoints
--- a/internal/agent/reservation_test.go
+++ b/internal/agent/reservation_test.go
@@ -9,9 +9,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against batch that takes the room of an endpoint that restarts: the
-// endpoint takes its processors when it is back, and the worker is committed
-// beyond its capacity. The acceptance run saw 40 of 32 cores.
+// Guards against batch tasks that are started on the resources of an endpoint
+// while it restarts. The endpoint uses its processors again once it is back, and
+// the worker is then committed beyond its capacity: 40 of 32 cores in an
+// acceptance run.
 func TestReservationOutlivesItsEndpoint(t *testing.T) {
 	var reports []*wire.EndpointReport
 	a := &Agent{EndpointReports: func() []*wire.EndpointReport { return reports }}
@@ -27,11 +28,11 @@
 		want  units.Resources
 		waits bool
 	}{
-		{"new agent, no announcement yet", time.Second, 0, units.Resources{}, true},
+		{"new agent before the first announcement", time.Second, 0, units.Resources{}, true},
 		{"ready", 1500 * time.Millisecond, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
 		{"gone for a minute", time.Minute, wire.EndpointState_ENDPOINT_STATE_GONE, size, false},
-		{"back", 2 * time.Minute, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
-		{"gone for good", 2*time.Minute + reservationRetention + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
+		{"back after two minutes", 2 * time.Minute, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
+		{"gone for longer than reservationRetention", 2*time.Minute + reservationRetention + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
 	} {
 		reports = nil
 		if c.state != 0 {
@@ -40,10 +41,10 @@
 		now := start.Add(c.at)
 		a.updateEndpoints(now)
 		if got := a.committedResources(); got != c.want {
-			t.Errorf("%s: committed: got %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: committed resources: got %s, want %s", c.name, got, c.want)
 		}
 		if got := a.awaitsEndpoint(now); got != c.waits {
-			t.Errorf("%s: waits: got %v, want %v", c.name, got, c.waits)
+			t.Errorf("%s: awaits the endpoint: got %v, want %v", c.name, got, c.waits)
 		}
 	}
 }
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -22,8 +22,8 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Guards against leases that can never be granted again once every agent has
-// lost its own, and against agents that restart together.
+// Guards against leases that can never be granted again after all agents have lost
+// theirs at the same time: isolated, paused or restarted together.
 func TestAllLeasesLost(t *testing.T) {
 	for name, injectFault := range map[string]func(*simulation, string){
 		"isolated": func(sim *simulation, name string) {
@@ -47,16 +47,16 @@
 				time.Sleep(16 * time.Second)
 				sim.platform.Submit(0, newBatchSpec(20*time.Second, 2000))
 				if !sim.waitForBatchTasks(45 * time.Second) {
-					sim.t.Error("a task of 20 s is unfinished after 45 s")
+					sim.t.Error("a task of 20 s has not ended after 45 s")
 				}
 			}))
 		})
 	}
 }
 
-// Guards against a watcher that nobody runs while the log is down, and against
-// one that runs twice when the log returns.
-func TestStandbyTakesOverWhileTheLogIsDown(t *testing.T) {
+// Guards against a watcher that stays down when its worker dies during a log
+// outage, and against one that runs twice once the log is reachable again.
+func TestStandbyRunsWhileTheLogIsDown(t *testing.T) {
 	expectNoViolations(t, simulate(t, 4, 0, func(sim *simulation) {
 		watcher := newBatchSpec(0, 500)
 		watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
@@ -96,11 +96,12 @@
 				return
 			}
 		}
-		sim.t.Error("nobody watches 12 s after the holder died")
+		sim.t.Error("no standby runs 12 s after the holder died")
 	}))
 }
 
-// alone is one agent whose messages a test sends by hand.
+// withSingleAgent runs a test with one agent and a function that sends messages to
+// it.
 func withSingleAgent(t *testing.T, test func(sim *simulation, send func(path string, message, reply Message) error)) {
 	expectNoViolations(t, simulate(t, 5, 0, func(sim *simulation) {
 		sim.start("w1")
@@ -118,9 +119,9 @@
 		{Task: &wire.TaskRef{Job: "x", Index: index, Attempt: attempt}, Spec: spec, MayEvict: mayEvict}}}
 }
 
-// Guards against a message that is late, repeated, reordered or meant for
-// another epoch changing an answer that was given before.
-func TestAnswersStand(t *testing.T) {
+// Guards against an answer that changes when a message arrives late, repeatedly,
+// out of order or for another epoch.
+func TestLaunchAnswersDoNotChange(t *testing.T) {
 	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
 		if err := send("/link/stop", stop, &wire.StopReply{}); err != nil {
@@ -134,9 +135,9 @@
 			{"first", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
 			{"repeated", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
 			{"lower attempt", newLaunch(1, false, 0, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
-			{"stopped before", newLaunch(1, false, 2, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"stopped before its launch", newLaunch(1, false, 2, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
 			{"too large", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 9000)), wire.Outcome_OUTCOME_REFUSED},
-			{"too large, now small", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"too large, repeated with a smaller size", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
 			{"older epoch", newLaunch(0, false, 4, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
 			{"negative size", newLaunch(1, false, 5, 1, newBatchSpec(time.Second, -1)), wire.Outcome_OUTCOME_REFUSED},
 		}
@@ -153,9 +154,9 @@
 				}
 			}
 		}
-		check("at once")
+		check("immediately")
 		time.Sleep(5 * time.Second) // the task has ended and is forgotten
-		check("later")
+		check("after the task ended")
 		if err := send("/link/launch", newLaunch(2, false, 6, 1, newBatchSpec(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
 			t.Error("launch of a newer epoch: got an answer, want an error")
 		}
@@ -165,9 +166,9 @@
 	})
 }
 
-// Guards against an eviction that is not needed or hits the wrong task, and
-// against a start before the room is free.
-func TestEvictsLowerPriority(t *testing.T) {
+// Guards against an eviction that is not needed or stops the wrong task, and
+// against a start before the resources are free.
+func TestEvictsOnlyLowerPriority(t *testing.T) {
 	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		spec := func(p wire.Priority, cores units.Millicores) *wire.TaskSpec {
 			s := newBatchSpec(time.Hour, cores)
@@ -202,8 +203,8 @@
 	})
 }
 
-// Guards against a lease on the worker that outlasts the agent's own, however
-// late its readings of the worker's clock arrive.
+// Guards against task leases on the worker that outlast the agent's own lease
+// because readings of the worker's clock arrive late.
 func TestWorkerClockIsNeverLate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		origin := time.Unix(5000, 0)
@@ -223,7 +224,8 @@
 	})
 }
 
-// Guards against a guard that is not connected to the worker and the endpoint.
+// Guards against a guard that does not receive the latency of the endpoint or does
+// not throttle tasks on the worker.
 func TestGuardThrottles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -260,8 +262,8 @@
 	})
 }
 
-// Guards against a planned stop that cuts off a request in flight or leaves the
-// entry to find out by itself. It uses real sessions.
+// Guards against a planned stop that cuts off a request in flight or ends sessions
+// without notice to the entry process. It uses real sessions.
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	platform := entries.NewPlatform(1, nil)
 	sessions := make(chan *link.Session, 64)
--- a/internal/agent/standby.go
+++ b/internal/agent/standby.go
@@ -7,12 +7,14 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// forgetStandby is how long a standby is kept that no entry lists. It spans
-// the lag between two entries, so that they do not undo each other's list.
+// standbyRetention is how long a standby is kept that no entry process lists. It
+// exceeds the lag between two entry processes, so that a list from one of them
+// does not drop the standbys that the other has just listed.
 const standbyRetention = 10 * time.Second
 
-// applyStandbys admits the standbys that an entry lists. They are committed
-// beforehand, so that activating one needs neither the log nor room.
+// applyStandbys admits the standbys that an entry process lists. Their resources
+// are committed in advance, so that an activation depends neither on the log nor
+// on free resources.
 func (a *Agent) applyStandbys(listed []*wire.Standby, now time.Time) {
 	for _, s := range listed {
 		name, number := s.GetTask().Task(), units.Attempt(s.GetTask().GetAttempt())
@@ -38,23 +40,24 @@
 	}
 }
 
-// runAfter notes that the holder runs a later attempt than the standby was
-// admitted under. The worker keeps the attempt it knows until activation.
+// setHolderAttempt records that the holder runs a later attempt than the one that
+// the standby was admitted under. The worker keeps the earlier attempt until the
+// standby is activated.
 func (t *task) setHolderAttempt(number units.Attempt) { t.holderAttempt = max(t.holderAttempt, number) }
 
-// next is the attempt that follows the one the holder runs.
+// nextAttempt returns the attempt that follows the one that the holder runs.
 func (t *task) nextAttempt() units.Attempt { return max(t.attempt, t.holderAttempt) + 1 }
 
-// launchStandby handles the launch of an attempt whose standby is here. It
-// reports false when the launch must be handled like any other.
+// handleStandbyLaunch handles the launch of an attempt whose standby is on this
+// worker. It reports false if the launch must be handled like any other.
 func (a *Agent) handleStandbyLaunch(l *wire.Launch, t *task, number units.Attempt, results chan<- *wire.LaunchResult, now time.Time) bool {
 	switch {
 	case t.phase == phaseEnded:
 		return false
 	case number <= t.attempt && t.activateAs == 0 && t.phase == phaseStandby:
-		return true // the holder's attempt; nothing is known about it here
+		return true // the holder runs this attempt; its outcome is not known here
 	case t.phase != phaseStandby || t.intent != intentKeep:
-		return true // undecided; the entry repeats the launch
+		return true // undecided; the entry process repeats the launch
 	case units.Epoch(l.Epoch) != a.epoch || t.activateAs != 0 && t.activateAs != number:
 		return true
 	case a.startBlocker(now) != "":
@@ -67,8 +70,9 @@
 }
 
 // tickStandbys activates the standbys of a holder whose lease has expired while
-// the log is unreachable: nobody else can record the expiry, so nobody else
-// runs the next attempt. It drops standbys that are no longer listed.
+// the log is unreachable. The expiry cannot be recorded then, so the next attempt
+// cannot be assigned to another worker. It stops standbys that no entry process
+// lists any more.
 func (a *Agent) tickStandbys(now time.Time) {
 	for _, t := range a.tasks {
 		if t.phase != phaseStandby || t.intent != intentKeep || t.activateAs != 0 {
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -11,9 +11,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// serveStop answers POST /link/stop. An attempt named in it is final in the
-// fold, so it is obeyed under any epoch, and an attempt not yet seen is
-// remembered: its launch may still be on the way.
+// serveStop answers POST /link/stop. The ledger has recorded that the named
+// attempts must end, so the call is valid under any epoch. An attempt that has not
+// been launched yet is recorded as refused, because its launch may still arrive.
 func (a *Agent) serveStop(ctx context.Context, s *wire.Stop) (*wire.StopReply, error) {
 	return runOnLoop(ctx, a, func() (*wire.StopReply, error) {
 		a.observeClock(s.Clock)
@@ -35,7 +35,7 @@
 	case t == nil || t.attempt != number && t.activateAs != number:
 		a.decisions.record(name, number, wire.Outcome_OUTCOME_REFUSED, "stopped before it was launched: "+reason)
 		if t == nil {
-			// The entry repeats the stop until the end is reported.
+			// The entry process repeats the stop until the end is reported.
 			absent := &task{name: name, attempt: number, spec: &wire.TaskSpec{}, reason: reason, notOnWorker: true, phase: phaseEnded, phaseSince: now}
 			absent.setOutcome(wire.Outcome_OUTCOME_STOPPED, now)
 			a.tasks[name] = absent
@@ -48,22 +48,22 @@
 	}
 }
 
-// evictFor makes room for t: it evicts the batch tasks of lower priority that
-// free enough, lowest priority first, then those that lose the least work. It
-// reports whether there will be room.
+// evictForTask evicts batch tasks of lower priority until t fits, those of the
+// lowest priority first and among them those that lose the least work. It reports
+// whether t will fit.
 func (a *Agent) evictForTask(t *task, now time.Time) bool {
 	return a.evictToFit(t.size, t.priority(), "evicted for "+t.name.String(), now)
 }
 
-// makeRoom evicts batch tasks below the given priority until size fits, and
-// reports whether it will. Nothing is evicted when it cannot fit.
+// evictToFit evicts batch tasks below the given priority until size fits, and
+// reports whether it will fit. It evicts nothing if size cannot fit.
 func (a *Agent) evictToFit(size units.Resources, below units.Priority, reason string, now time.Time) bool {
 	free := a.capacity.Sub(a.committedResources())
 	var victims []*task
 	for _, t := range a.tasks {
 		switch {
 		case t.phase == phaseRunning && t.intent != intentKeep:
-			free = free.Add(t.size) // on its way out
+			free = free.Add(t.size) // it is being stopped
 		case t.phase == phaseRunning && t.isBatch() && t.priority() < below:
 			victims = append(victims, t)
 		}
@@ -94,7 +94,8 @@
 	a.reconcile(t, now)
 }
 
-// evacuate empties the worker while its domain is out or operators drain it.
+// evacuate removes all tasks while the worker's failure domain is out of service
+// or the worker is drained.
 func (a *Agent) evacuate(now time.Time) {
 	reason := a.evacuationReason()
 	if reason == "" || !a.adopted {
@@ -114,7 +115,7 @@
 	}
 }
 
-// evacuation returns why the worker must be empty, or "".
+// evacuationReason returns why the worker must run no tasks, or "".
 func (a *Agent) evacuationReason() string {
 	document := a.config.document
 	switch {
@@ -128,7 +129,8 @@
 	return ""
 }
 
-// evictable sums what batch below urgent is committed to.
+// evictableResources returns the resources of running batch tasks below urgent
+// priority.
 func (a *Agent) evictableResources() units.Resources {
 	var sum units.Resources
 	for _, t := range a.tasks {
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -18,24 +18,24 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// phase is where a task stands between its launch and the acknowledgement of
-// its end.
+// phase is the phase of a task between its launch and the acknowledgement of its
+// end.
 type phase int
 
 const (
-	phasePending      phase = iota // launch accepted for decision: waits for room, lease or evidence
-	phaseStarting                  // a start call is out
-	phaseStartUnknown              // the start call has no answer; the task table decides
-	phaseStandby                   // held by the worker, not running
+	phasePending      phase = iota // launch received; waits for free resources, a lease or a fresh configuration
+	phaseStarting                  // a start call is in flight
+	phaseStartUnknown              // the start call failed without a definite result; the task table shows it
+	phaseStandby                   // admitted by the worker but not running
 	phaseRunning
-	phaseEnded // no longer on the processors; waits to be reported and forgotten
+	phaseEnded // no longer running; its end is being reported
 )
 
-// occupies says in which phases a task counts as committed. An unanswered
-// start counts, because the worker may run it.
+// committedPhases holds the phases in which the resources of a task are committed.
+// They include a start without a known result, because the worker may run the task.
 var committedPhases = map[phase]bool{phaseStarting: true, phaseStartUnknown: true, phaseStandby: true, phaseRunning: true}
 
-// intent is what the agent wants to become of a task.
+// intent is what the agent intends to do with a task.
 type intent int
 
 const (
@@ -44,31 +44,31 @@
 	intentEvict        // checkpoint, then stop
 )
 
-// task is the agent's row of one task. Its phase only moves forward.
+// task is the agent's state of one task. Its phase never goes back.
 type task struct {
 	name       units.Task
 	attempt    units.Attempt
 	spec       *wire.TaskSpec // never nil
 	size       units.Resources
 	phase      phase
-	phaseSince time.Time // of the last change of phase
+	phaseSince time.Time // time of the last change of phase
 	intent     intent
-	reason     string // of the intent, later of the end
+	reason     string // reason of the intent, then of the end
 
-	callInFlight bool      // a call to the worker is out
-	retryAt      time.Time // no call before
+	callInFlight bool      // a call to the worker is in flight
+	retryAt      time.Time // no call to the worker before
 	failedCalls  int       // failed calls for the current intent
 
 	mayEvict        bool
-	launchDeadline  time.Time       // when a waiting launch is refused
-	startValidUntil workerapi.Clock // the start has no effect after this instant
+	launchDeadline  time.Time       // a pending launch is refused then
+	startValidUntil workerapi.Clock // the start has no effect after this reading of the worker's clock
 	resultChannels  []chan<- *wire.LaunchResult
 
-	activateAs    units.Attempt  // standby: attempt to run it as; 0 while it only stands by
+	activateAs    units.Attempt  // standby: attempt to activate it as; 0 for none
 	holder        units.WorkerID // standby: worker that runs the task
 	holderEpoch   units.Epoch    // standby: epoch of that worker
 	holderAttempt units.Attempt  // standby: attempt that the holder runs
-	listedAt      time.Time      // standby: last time an entry listed it
+	listedAt      time.Time      // standby: time of the last reply that listed it
 
 	outcome            wire.Outcome
 	checkpoint         string
@@ -77,12 +77,12 @@
 	usage              units.Resources
 	usageMeasuredAt    time.Time
 	processorShare     float64
-	suppressReport     bool // its end is not reported
-	startUnrecorded    bool // its start must be recorded before its end: nobody assigned the attempt
-	notOnWorker        bool // the worker has no row of it
-	acknowledged       bool // the report of its current outcome was acknowledged
+	suppressReport     bool // the end of the task is not reported
+	startUnrecorded    bool // the agent assigned the attempt itself, so its start must be recorded before its end
+	notOnWorker        bool // the worker's table has no row of the task
+	acknowledged       bool // the report of the current outcome was acknowledged
 	reportPendingSince time.Time
-	launchedBy         string // name of the entry process that launched it last, empty when unknown
+	launchedBy         string // name of the entry process that launched it last; empty if unknown
 }
 
 func (t *task) ref() *wire.TaskRef {
@@ -97,8 +97,9 @@
 	t.phase, t.phaseSince, t.failedCalls, t.retryAt = p, now, 0, time.Time{}
 }
 
-// reported is the outcome to report next. The end of an activated standby would
-// be ignored as that of an unknown attempt until its start is recorded.
+// outcomeToReport returns the outcome to report next. Until the start of an
+// activated standby is recorded, its end would be ignored as that of an unknown
+// attempt.
 func (t *task) outcomeToReport() wire.Outcome {
 	if t.startUnrecorded {
 		return wire.Outcome_OUTCOME_STARTED
@@ -106,14 +107,14 @@
 	return t.outcome
 }
 
-// outcomeNow sets the outcome to report and starts its repetition anew.
+// setOutcome sets the outcome to report. A new outcome is not acknowledged yet.
 func (t *task) setOutcome(o wire.Outcome, now time.Time) {
 	if t.outcome != o {
 		t.outcome, t.acknowledged, t.reportPendingSince = o, false, now
 	}
 }
 
-// answer sends the result of the launch to everyone who asked.
+// sendResult sends the result of the launch to every call that waits for it.
 func (t *task) sendResult(outcome wire.Outcome, reason string) {
 	for _, c := range t.resultChannels {
 		c <- &wire.LaunchResult{Task: t.ref(), Outcome: outcome, Reason: reason}
@@ -121,13 +122,14 @@
 	t.resultChannels = nil
 }
 
-// standbyMark starts the label of a row that was admitted as a standby, followed
-// by the attempt it was admitted under. While the row still has that attempt it
-// never ran, and its end says nothing about the attempt, which runs elsewhere.
+// standbyLabelPrefix begins the label of a row that was admitted as a standby. The
+// attempt that it was admitted under follows. While the row still has that
+// attempt, the standby has never run, and its end says nothing about the outcome
+// of the attempt, which runs on the holder.
 const standbyLabelPrefix = "standby/"
 
-// label encodes the task for the worker's table, from which a restarted agent
-// adopts it.
+// encodeLabel returns the label of the task in the worker's table. A restarted
+// agent adopts the task from it.
 func encodeLabel(t *task) string {
 	data, err := proto.Marshal(t.spec)
 	if err != nil {
@@ -140,8 +142,8 @@
 	return text
 }
 
-// readLabel decodes a label. A row without a readable one keeps its size, so
-// that it is still counted.
+// decodeLabel decodes the label of a row. A row whose label is unreadable is taken
+// for a batch task of low priority, so that its size still counts as committed.
 func decodeLabel(row workerapi.Task) (spec *wire.TaskSpec, neverRan, activated bool) {
 	text := row.Label
 	if rest, ok := strings.CutPrefix(text, standbyLabelPrefix); ok {
@@ -160,7 +162,7 @@
 	return spec, neverRan, activated
 }
 
-// committed sums what the worker is committed to: tasks that may occupy it and
+// committedResources returns the resources of tasks that the worker may hold plus
 // the reservations of announced services.
 func (a *Agent) committedResources() units.Resources {
 	var sum units.Resources
@@ -175,11 +177,11 @@
 	return sum
 }
 
-// drivers act on a task according to its phase.
+// phaseHandlers holds the function that acts on a task in each phase.
 var phaseHandlers map[phase]func(*Agent, *task, time.Time)
 
-// The table refers to functions that drive other tasks, which Go does not allow
-// in its initializer.
+// The handlers reconcile other tasks and so refer to phaseHandlers themselves,
+// which Go does not allow in its initializer.
 func init() {
 	phaseHandlers = map[phase]func(*Agent, *task, time.Time){
 		phasePending: (*Agent).admit,
@@ -189,8 +191,8 @@
 	}
 }
 
-// driveAll drives every task, those of higher priority first, then the longest
-// waiting.
+// reconcileAll reconciles every task, those of higher priority first and among
+// them those that have been in their phase longest.
 func (a *Agent) reconcileAll(now time.Time) {
 	if !a.adopted {
 		return
@@ -204,6 +206,8 @@
 	}
 }
 
+// reconcile acts on the task according to its phase, unless a call for it is in
+// flight or its retry is not due.
 func (a *Agent) reconcile(t *task, now time.Time) {
 	if driver := phaseHandlers[t.phase]; driver != nil && !t.callInFlight && !now.Before(t.retryAt) {
 		driver(a, t, now)
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -12,16 +12,16 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// maxDrift bounds how far two monotonic clocks part: 200 parts per million is
-// twice the tolerance of common quartz oscillators.
+// maxClockDrift bounds the relative drift of two monotonic clocks: 200 parts per
+// million is twice the tolerance of common quartz oscillators.
 const maxClockDrift = 200e-6
 
-// workerState is what the loop remembers about its calls to the worker.
+// workerState is the state of the control loop's calls to the worker.
 type workerState struct {
 	origin           time.Time
-	clockOffset      workerapi.Clock // lower bound of worker clock - time since origin
+	clockOffset      workerapi.Clock // lower bound of the worker's clock minus the time since origin
 	clockOffsetAt    time.Time       // zero before the first reading
-	epochConfirmedAt time.Time       // send time of the last table read that showed the own epoch
+	epochConfirmedAt time.Time       // send time of the last table read that showed this epoch
 
 	pollInFlight  bool
 	pollSoon      bool
@@ -29,12 +29,12 @@
 	renewInFlight bool
 	renewSoon     bool
 	renewedAt     time.Time
-	renewedUntil  time.Time // deadline of the last renewal that was answered
+	renewedUntil  time.Time // lease deadline of the last successful renewal
 }
 
-// observe takes in a reading of the worker's clock that was received at the
-// given instant. It was read earlier, so clock - received is a lower bound of
-// the true offset; the highest bound is the tightest.
+// observeClock updates the clock offset from a reading of the worker's clock. The
+// clock was read before the reading was received, so their difference is a lower
+// bound of the true offset. The highest bound is the tightest.
 func (w *workerState) observeClock(clock workerapi.Clock, received time.Time) {
 	bound := clock - workerapi.Clock(received.Sub(w.origin))
 	if !w.clockOffsetAt.IsZero() {
@@ -44,33 +44,34 @@
 	w.clockOffset, w.clockOffsetAt = bound, received
 }
 
-// clockAt maps an instant to the worker's clock, never late.
+// workerClockAt converts a time to the worker's clock. The result is never later
+// than the true reading.
 func (w *workerState) workerClockAt(t time.Time) workerapi.Clock {
 	return w.clockOffset + workerapi.Clock(t.Sub(w.origin))
 }
 
-// restarted reports whether a reading taken after the given instant is lower
-// than the worker's clock can have been: the clock belongs to a new instance.
+// clockReset reports whether a reading taken after the given time is lower than
+// the worker's clock can have been. It then comes from a new instance.
 func (w *workerState) clockReset(clock workerapi.Clock, sent time.Time) bool {
 	return clock < w.workerClockAt(sent)-workerapi.Clock(time.Second)
 }
 
-// doubt follows a command that the worker refused as fenced. The next table read
-// shows whether another agent holds the worker or whether the worker is a new
-// instance. Until then this agent grants no lease.
+// handleFencedCall is called when the worker has refused a command as fenced. The
+// next table read shows whether another agent holds the worker or the worker is a
+// new instance. Until then this agent grants no lease.
 func (a *Agent) handleFencedCall() {
 	a.worker.epochConfirmedAt = time.Time{}
 	a.worker.pollSoon = true
 }
 
-// acquire takes the next epoch, reads the task table and adopts its rows. When
-// resume is false the former epoch is recorded as expired, so its tasks belong
-// to others and whatever still runs is stopped.
+// acquireWorker acquires the next epoch, reads the task table and adopts its rows.
+// If resume is false, the former epoch is recorded as expired: its tasks may have
+// been assigned to other workers, so those that still run are stopped.
 func (a *Agent) acquireWorker(resume bool) {
 	a.adopted = false
 	a.epoch = 0
 	for _, t := range a.tasks {
-		if t.phase == phasePending { // of any other, the worker may have run it
+		if t.phase == phasePending { // the worker may have run a task in any other phase
 			t.sendResult(wire.Outcome_OUTCOME_REFUSED, "the agent takes a new epoch")
 		}
 	}
@@ -103,7 +104,7 @@
 	table, err := a.Worker.Tasks(ctx)
 	received := time.Now()
 	if err == nil && table.Epoch != holder.Epoch {
-		err = fault.New("hold", Fenced, "epoch %d was overtaken by %d", holder.Epoch, table.Epoch)
+		err = fault.New("hold", Fenced, "epoch %d was replaced by epoch %d", holder.Epoch, table.Epoch)
 	}
 	return holder, table, received, err
 }
@@ -127,11 +128,12 @@
 	a.event("workerHeld", string(a.WorkerID), fmt.Sprintf("epoch %d, %d tasks adopted", a.epoch, len(a.tasks)))
 }
 
-// unknownHolder stands for the holder of an adopted standby until an entry
-// lists it.
+// unknownHolder is the holder of an adopted standby until an entry process lists
+// the standby.
 const unknownHolder units.WorkerID = "unknown"
 
-// adoptRow takes over a row that the agent does not know.
+// adoptRow creates the agent's task for a row of the worker's table that it does
+// not track yet.
 func (a *Agent) adoptRow(row workerapi.Task, now time.Time) *task {
 	spec, neverRan, activated := decodeLabel(row)
 	t := &task{name: row.Task, attempt: row.Attempt, spec: spec, size: row.Size, processorShare: row.Throttle, phaseSince: now, reportPendingSince: now, startUnrecorded: activated}
@@ -151,7 +153,7 @@
 	return t
 }
 
-// outcomes maps the end of a task on the worker to what is reported.
+// outcomes maps the final state of a task on the worker to the reported outcome.
 var outcomes = map[workerapi.TaskState]wire.Outcome{
 	workerapi.Completed:    wire.Outcome_OUTCOME_COMPLETED,
 	workerapi.Failed:       wire.Outcome_OUTCOME_FAILED,
@@ -160,7 +162,7 @@
 	workerapi.Expired:      wire.Outcome_OUTCOME_EXPIRED,
 }
 
-// finish records the end of a task as the worker's table shows it.
+// recordEnd records the end of a task that the worker's table shows.
 func (a *Agent) recordEnd(t *task, row workerapi.Task, now time.Time) {
 	if t.phase == phaseStarting || t.phase == phaseStartUnknown {
 		t.sendResult(wire.Outcome_OUTCOME_STARTED, "")
@@ -185,8 +187,8 @@
 	a.event("taskEnded", t.name.String(), outcome.String())
 }
 
-// finishStandby records the end of a standby that never ran. Its attempt is the
-// holder's to report; an activation that was asked for can no longer happen.
+// recordStandbyEnd records the end of a standby that never ran. The outcome of its
+// attempt is reported by the holder. A requested activation is refused.
 func (a *Agent) recordStandbyEnd(t *task, now time.Time) {
 	if t.activateAs != 0 {
 		reason := "the standby ended before it was activated"
@@ -204,7 +206,7 @@
 	return units.Resources{Processors: max(a.Processors, b.Processors), Memory: max(a.Memory, b.Memory), Accelerators: max(a.Accelerators, b.Accelerators)}
 }
 
-// tickWorker reads the table and renews leases when they are due.
+// tickWorker reads the task table and renews the task leases when they are due.
 func (a *Agent) tickWorker(now time.Time) {
 	if !a.adopted {
 		return
@@ -240,8 +242,8 @@
 	})
 }
 
-// renew extends the leases of all held tasks up to until, the deadline of the
-// agent's own lease.
+// renewLeases extends the leases of all tasks on the worker up to until, the
+// deadline of the agent's own lease.
 func (a *Agent) renewLeases(now, until time.Time) {
 	w := &a.worker
 	var names []units.Task
@@ -280,11 +282,12 @@
 	})
 }
 
-// applyTable compares the agent's rows with the worker's, which is the truth.
+// applyTable updates the agent's tasks from the worker's table, which is
+// authoritative.
 func (a *Agent) applyTable(table workerapi.Table, sent, received time.Time) {
 	if table.Epoch != a.epoch {
 		if a.worker.clockReset(table.Clock, sent) {
-			a.event("workerRestarted", string(a.WorkerID), "its clock began anew")
+			a.event("workerRestarted", string(a.WorkerID), "the worker's clock was reset")
 			a.acquireWorker(true)
 			return
 		}
@@ -342,9 +345,9 @@
 	}
 }
 
-// applyAbsence handles a task that the table does not list. Only a table read
-// that was sent after the task was known to run proves that it is gone, and
-// only a clock past the start's lease proves that it will never start.
+// handleMissingRow handles a task that the table does not list. The task is gone
+// only if the table was read after the task was seen on the worker, and it can
+// never start only if the worker's clock is past the lease of the start.
 func (a *Agent) handleMissingRow(t *task, clock workerapi.Clock, sent, received time.Time) {
 	switch {
 	case t.phase == phaseStartUnknown && clock >= t.startValidUntil:
--- a/internal/agent/workercalls.go
+++ b/internal/agent/workercalls.go
@@ -12,8 +12,8 @@
 
 type callContext = context.Context
 
-// call runs one command for t on the worker and hands the error to done on the
-// control loop. Answers to an epoch that the agent no longer uses are dropped.
+// callWorker runs one command for t on the worker and passes its error to done
+// on the control loop. Results of a call made under an earlier epoch are dropped.
 func (a *Agent) callWorker(t *task, fn func(callContext) error, done func(error)) {
 	t.callInFlight = true
 	epoch := a.epoch
@@ -39,9 +39,9 @@
 	t.retryAt = time.Now().Add(retryInterval)
 }
 
-// callStart starts t. The lease it carries ends with the evidence that allows
-// the start, so that a start delivered late has no effect; the next renewal
-// extends it.
+// callStart starts t. The task's lease ends when the configuration that allows
+// the start becomes stale, so that a start delivered late has no effect. The next
+// renewal extends the lease.
 func (a *Agent) callStart(t *task, now time.Time) {
 	until := a.startDeadline()
 	t.startValidUntil = a.worker.workerClockAt(until)
@@ -62,7 +62,7 @@
 func (a *Agent) handleStartResult(t *task, err error) {
 	now := time.Now()
 	switch {
-	case t.phase != phaseStarting: // the task table was faster
+	case t.phase != phaseStarting: // a table read has already shown the result
 	case err == nil:
 		a.recordStart(t, now)
 	case isRejection(err):
@@ -73,12 +73,12 @@
 	a.worker.pollSoon = true
 }
 
-// definite reports whether the worker has said that the call had no effect.
+// isRejection reports whether err says that the call had no effect on the worker.
 func isRejection(err error) bool {
 	return fault.Is(err, workerapi.Conflict) || fault.Is(err, workerapi.Full) || fault.Is(err, workerapi.Invalid) || fault.Is(err, workerapi.NotFound)
 }
 
-// started records that the worker holds the attempt.
+// recordStart records that the attempt is on the worker, running or as a standby.
 func (a *Agent) recordStart(t *task, now time.Time) {
 	a.worker.renewSoon = true
 	if t.holder != "" && t.activateAs == 0 {
@@ -92,16 +92,16 @@
 	a.event("taskStarted", t.name.String(), string(a.WorkerID))
 }
 
-// callActivate runs a standby. An unanswered call is repeated; the task table
-// shows whether it took effect.
+// callActivate turns a standby into a running task. A failed call is repeated;
+// the task table shows whether it took effect.
 func (a *Agent) callActivate(t *task, now time.Time) {
 	epoch, from, as, until := a.epoch, t.attempt, t.activateAs, a.lease.deadlineAt(now)
 	if len(t.resultChannels) > 0 {
-		until = a.startDeadline() // launched by an entry, under the rules of a start
+		until = a.startDeadline() // an entry process launched it, so the rules of a start apply
 	}
 	a.callWorker(t, func(ctx callContext) error {
 		if !time.Now().Before(until) {
-			return fault.New("activate", workerapi.Unknown, "lease ended before the call")
+			return fault.New("activate", workerapi.Unknown, "agent lease ended before the activate call was sent")
 		}
 		return a.Worker.Activate(ctx, epoch, t.name, from, as)
 	}, func(err error) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// callCheckpoint saves the task and stops it; the task table then shows its end
-// and the name of the checkpoint.
+// callCheckpoint checkpoints and stops the task. The task table then shows its
+// end and the name of the checkpoint.
 func (a *Agent) callCheckpoint(t *task) {
 	epoch := a.epoch
 	a.callWorker(t, func(ctx callContext) error {
