--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -149,7 +149,7 @@
 	runError  error
 
 	tasks        map[units.Task]*task
-	decisions    launchDecisions
+	decisions    decisions
 	reservations map[units.ServiceName]units.Resources // resources committed to the endpoint of each service
 	// endpointSeenAt is when the endpoint of each service last announced itself.
 	endpointSeenAt    map[units.ServiceName]time.Time
--- a/internal/agent/decisions.go
+++ b/internal/agent/decisions.go
@@ -11,10 +11,10 @@
 // second and worker they span four hours, far longer than a launch is resent.
 const maxDecisions = 16384
 
-// launchDecisions records the answers about attempts that may not start, or not
+// decisions records the answers about attempts that may not start, or not
 // start again, under this epoch. A repeated or late launch gets the same answer,
 // so that a refused attempt never runs.
-type launchDecisions struct {
+type decisions struct {
 	byAttempt map[attemptID]decision
 	order     []attemptID // oldest first
 	highest   map[units.Task]units.Attempt
@@ -31,10 +31,10 @@
 	at      time.Time
 }
 
-func (m *launchDecisions) reset() { *m = launchDecisions{} }
+func (m *decisions) reset() { *m = decisions{} }
 
 // record records the decision on an attempt, unless there already is one.
-func (m *launchDecisions) record(t units.Task, number units.Attempt, outcome wire.Outcome, reason string) {
+func (m *decisions) record(t units.Task, number units.Attempt, outcome wire.Outcome, reason string) {
 	if m.byAttempt == nil {
 		m.byAttempt = make(map[attemptID]decision)
 		m.highest = make(map[units.Task]units.Attempt)
@@ -56,24 +56,22 @@
 	m.highest[t] = max(m.highest[t], number)
 }
 
-func (m *launchDecisions) lookup(t units.Task, number units.Attempt) (decision, bool) {
+func (m *decisions) lookup(t units.Task, number units.Attempt) (decision, bool) {
 	s, ok := m.byAttempt[attemptID{t, number}]
 	return s, ok
 }
 
 // superseded reports whether a later attempt of the task has been decided on.
-func (m *launchDecisions) superseded(t units.Task, number units.Attempt) bool {
-	return number < m.highest[t]
-}
+func (m *decisions) superseded(t units.Task, number units.Attempt) bool { return number < m.highest[t] }
 
-func (m *launchDecisions) contains(t units.Task, number units.Attempt) bool {
+func (m *decisions) contains(t units.Task, number units.Attempt) bool {
 	_, ok := m.lookup(t, number)
 	return ok
 }
 
 // decidedBefore reports whether the attempt was decided on before the given time.
 // If a table read that was sent later still lists the attempt, it must be stopped.
-func (m *launchDecisions) decidedBefore(t units.Task, number units.Attempt, sent time.Time) bool {
+func (m *decisions) decidedBefore(t units.Task, number units.Attempt, sent time.Time) bool {
 	s, ok := m.lookup(t, number)
 	return ok && s.at.Before(sent)
 }
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -53,17 +53,17 @@
 	cancel  context.CancelFunc
 	wake    chan struct{} // requests a heartbeat before the interval ends
 
-	session                 Session
-	listedAt                time.Time
-	answeredAt              time.Time // send time of the last heartbeat that was answered
-	logReachable            bool
-	logReadAt               time.Time // earliest time of its last read at the tail of the log
-	wantRunning             bool      // the next heartbeat lists all running tasks
-	wantConfig              bool      // the next heartbeat carries the document
-	runningListSent         bool      // the heartbeat in flight lists them
-	descriptionAcknowledged bool      // it has answered a heartbeat that described the worker
-	interferenceVersion     uint64    // version that it has received
-	interferenceSent        uint64    // version in the heartbeat in flight
+	session             Session
+	listedAt            time.Time
+	answeredAt          time.Time // send time of the last heartbeat that was answered
+	logReachable        bool
+	logReadAt           time.Time // earliest time of its last read at the tail of the log
+	wantRunning         bool      // the next heartbeat lists all running tasks
+	wantConfig          bool      // the next heartbeat carries the document
+	runningListSent     bool      // the heartbeat in flight lists them
+	hasDescription      bool      // it has answered a heartbeat that described the worker
+	interferenceVersion uint64    // version that it has received
+	interferenceSent    uint64    // version in the heartbeat in flight
 }
 
 // addEntry starts the goroutine that maintains a session with the address.
@@ -234,9 +234,7 @@
 // sendHeartbeats sends heartbeats on one session until one of them is not
 // answered. It reports whether any of them was.
 func (a *Agent) sendHeartbeats(ctx context.Context, e *entry, session Session) (answered bool) {
-	if !a.post(func() {
-		e.session, e.wantRunning, e.descriptionAcknowledged, e.interferenceVersion = session, true, false, 0
-	}) {
+	if !a.post(func() { e.session, e.wantRunning, e.hasDescription, e.interferenceVersion = session, true, false, 0 }) {
 		return false
 	}
 	defer a.post(func() {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -37,7 +37,7 @@
 		Clock: a.clock(), ConfigOffset: uint64(a.config.offset), RunningFull: full,
 		Draining: a.stopping || a.evacuationReason() != "", Endpoints: a.endpointsToReport(),
 	}
-	if full || !e.descriptionAcknowledged || !a.OmitUnchanged {
+	if full || !e.hasDescription || !a.OmitUnchanged {
 		h.FailureDomain, h.Rack, h.Region, h.LinkAddress = string(a.Domain), string(a.Rack), string(a.Region), cmp.Or(a.AdvertisedLinkAddress, a.LinkAddress)
 		h.Process, h.Capacity = a.ProcessName, wire.FromResources(a.capacity)
 	}
@@ -118,7 +118,7 @@
 	e.name, e.answeredAt, e.logReachable = reply.Entry, sent, reply.LogReachable
 	e.logReadAt = sent.Add(-time.Duration(min(max(reply.ConfigStalenessMilliseconds, 0), 1<<30)) * time.Millisecond)
 	e.interferenceVersion = e.interferenceSent
-	e.descriptionAcknowledged = e.descriptionAcknowledged || e.runningListSent
+	e.hasDescription = e.hasDescription || e.runningListSent
 	e.wantConfig = reply.WantConfig
 	e.wantRunning = reply.WantRunning || e.wantRunning && !e.runningListSent
 	a.observeClock(reply.Clock)
@@ -181,15 +181,13 @@
 
 // logReachable reports whether an entry process has recently reported that it
 // reaches the log.
-func (a *Agent) logReachable(now time.Time) bool { return a.anyRecentEntry(now, true) }
+func (a *Agent) logReachable(now time.Time) bool { return a.anyEntry(now, true) }
 
-// logUnreachable reports whether entry processes answer and none of them reaches
+// logDown reports whether entry processes answer and none of them reaches
 // the log. It is false without recent answers, when the state of the log is unknown.
-func (a *Agent) logUnreachable(now time.Time) bool {
-	return a.anyRecentEntry(now, false) && !a.anyRecentEntry(now, true)
-}
+func (a *Agent) logDown(now time.Time) bool { return a.anyEntry(now, false) && !a.anyEntry(now, true) }
 
-func (a *Agent) anyRecentEntry(now time.Time, reachable bool) bool {
+func (a *Agent) anyEntry(now time.Time, reachable bool) bool {
 	for _, e := range a.entries {
 		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxAnswerAge && e.logReachable == reachable {
 			return true
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -121,13 +121,13 @@
 func TestNaiveAgentViolatesGuarantees(t *testing.T) {
 	cases := []struct {
 		name   string
-		events []faultEvent
+		events []event
 		want   string // part of a violation
 	}{
-		{"paused beyond the lease", []faultEvent{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, duration: 20 * time.Second}}, "ran until"},
-		{"isolated beyond the lease", []faultEvent{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, duration: 25 * time.Second}}, "ran until"},
-		{"replies to starts are lost", []faultEvent{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
-		{"domain out of service while entry processes cannot read it", []faultEvent{{kind: "domainOut", worker: "w3", at: time.Second, duration: 30 * time.Second}}, "after it was taken out"},
+		{"paused beyond the lease", []event{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, lasts: 20 * time.Second}}, "ran until"},
+		{"isolated beyond the lease", []event{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, lasts: 25 * time.Second}}, "ran until"},
+		{"replies to starts are lost", []event{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
+		{"domain out of service while entry processes cannot read it", []event{{kind: "domainOut", worker: "w3", at: time.Second, lasts: 30 * time.Second}}, "after it was taken out"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -27,7 +27,7 @@
 func TestAllLeasesLost(t *testing.T) {
 	for name, injectFault := range map[string]func(*simulation, string){
 		"isolated": func(sim *simulation, name string) {
-			faultInjections["isolate"](sim, faultEvent{worker: name, duration: 15 * time.Second})
+			faults["isolate"](sim, event{worker: name, lasts: 15 * time.Second})
 		},
 		"paused": func(sim *simulation, name string) { sim.pauseProcess(name, 15*time.Second) },
 		"restarted": func(sim *simulation, name string) {
--- a/internal/agent/standby.go
+++ b/internal/agent/standby.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		l := a.lessees[t.holder]
-		if l != nil && l.epoch == t.holderEpoch && l.expired && !l.expirySent && l.listedByAll(now) && a.logUnreachable(now) && a.canActivateStandbys(now) {
+		if l != nil && l.epoch == t.holderEpoch && l.expired && !l.expirySent && l.listedByAll(now) && a.logDown(now) && a.canActivateStandbys(now) {
 			t.activateAs = t.nextAttempt()
 			a.event("standbyActivated", t.name.String(), "the holder's lease expired while the log is unreachable")
 			continue
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -122,7 +122,7 @@
 	}
 	a.adopted = true
 	for _, e := range a.entries {
-		e.wantRunning, e.descriptionAcknowledged = true, false
+		e.wantRunning, e.hasDescription = true, false
 	}
 	a.worker.pollSoon = true
 	a.event("workerHeld", string(a.WorkerID), fmt.Sprintf("epoch %d, %d tasks adopted", a.epoch, len(a.tasks)))
