--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -26,10 +26,8 @@
 // theirs at the same time: isolated, paused or restarted together.
 func TestAllLeasesLost(t *testing.T) {
 	for name, injectFault := range map[string]func(*simulation, string){
-		"isolated": func(sim *simulation, name string) {
-			faults["isolate"](sim, event{worker: name, lasts: 15 * time.Second})
-		},
-		"paused": func(sim *simulation, name string) { sim.pauseProcess(name, 15*time.Second) },
+		"isolated": func(s *simulation, name string) { faults["isolate"](s, event{worker: name, lasts: 15 * time.Second}) },
+		"paused":   func(sim *simulation, name string) { sim.pauseProcess(name, 15*time.Second) },
 		"restarted": func(sim *simulation, name string) {
 			_, g := sim.current(name)
 			g.kill()
