--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,10 +1,11 @@
-// Package fault gives every other package the same shape of error: what was
-// attempted, which kind of failure it was, and the cause. A package declares
+// Package fault provides the error type that the other packages share. An error
+// states the operation that failed, the kind of failure and the cause. A package
+// declares
 //
 //	type Kind string
 //	type Error = fault.Error[Kind]
 //
-// and callers test kinds with fault.Is.
+// and its callers test for a kind with fault.Is.
 package fault
 
 import (
@@ -12,14 +13,16 @@
 	"fmt"
 )
 
-// Error is a failed operation. K is the package's own kind type.
+// Error describes a failed operation. K is the kind type of the package that
+// returns it.
 type Error[K ~string] struct {
-	Op   string // what was attempted, such as "append"
-	Kind K      // which failure, for callers that decide on it
+	Op   string // operation, such as "append"
+	Kind K      // kind of failure, for callers that handle kinds differently
 	Err  error  // cause; may be nil
 }
 
-// New returns an error whose cause is formatted from format and args; %w works.
+// New returns an error whose cause is formatted from format and args as by
+// fmt.Errorf.
 func New[K ~string](op string, kind K, format string, args ...any) *Error[K] {
 	return &Error[K]{Op: op, Kind: kind, Err: fmt.Errorf(format, args...)}
 }
@@ -29,7 +32,7 @@
 	return &Error[K]{Op: op, Kind: kind, Err: err}
 }
 
-// Error formats "op: kind: cause".
+// Error returns "op: kind: cause", or "op: kind" without a cause.
 func (e *Error[K]) Error() string {
 	if e.Err == nil {
 		return e.Op + ": " + string(e.Kind)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context can cut short.
+// Package pause provides sleeps that end early when a context is done.
 package pause
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For waits for d and reports false when ctx ended first. It returns at once
-// when d is not positive.
+// For sleeps for d. It reports false if ctx ended first. If d is not positive, it
+// returns true at once.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -23,8 +23,8 @@
 	}
 }
 
-// Jittered waits like For, for half of d and a random part of the other half,
-// so that processes that failed together do not try again together.
+// Jittered sleeps like For, for half of d plus a random part of the other half, so
+// that processes that failed at the same time do not retry at the same time.
 func Jittered(ctx context.Context, d time.Duration) bool {
 	return For(ctx, d/2+rand.N(d/2+1))
 }
