--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -39,7 +39,7 @@
 	if b.draining.Load() {
 		return errors.New("stopping")
 	}
-	if b.document.Load() == nil {
+	if b.currentVersion.Load() == nil {
 		return errors.New("no document is in force yet")
 	}
 	return nil
@@ -61,14 +61,14 @@
 			}
 		}
 	})
-	if v := b.document.Load(); v != nil && env == b.Settings.Environment {
+	if v := b.currentVersion.Load(); v != nil && env == b.Settings.Environment {
 		// Version 0 asks for the newest, which may have come through an agent.
 		if newer := found == nil || found.Offset < v.offset; newer && (version == 0 || version == v.offset) {
 			found = &configuration.Version{Environment: env, Offset: v.offset, Author: v.author, Document: v.raw}
 		}
 	}
-	if found == nil && b.config.Staleness(time.Now()) > reachable {
-		return administration.Document{}, errBehind()
+	if found == nil && b.config.Staleness(time.Now()) > maxLogStaleness {
+		return administration.Document{}, errLogNotRead()
 	}
 	if found == nil {
 		return administration.Document{}, administration.Errorf(administration.KindNotFound, "environment %q has no such document", env)
@@ -80,7 +80,7 @@
 
 // errBehind is the answer for what this process does not hold while it does not
 // follow the log: another process may hold it.
-func errBehind() error {
+func errLogNotRead() error {
 	return administration.Unavailable(administration.OutcomeNotRun, errors.New("the log has not been read to its tail"))
 }
 
@@ -126,14 +126,14 @@
 	}
 	b.jobs.View(func(l *ledger.Ledger) {
 		for _, name := range l.Teams() {
-			running[name] = usedBy(l, name)
+			running[name] = teamUsage(l, name)
 		}
 	})
 	return running, nil
 }
 
 // usedBy adds up what the team's open attempts of every priority commit.
-func usedBy(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
+func teamUsage(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
 	for _, used := range l.Used(name) {
 		sum = sum.Add(used)
 	}
@@ -161,7 +161,7 @@
 			JobKind: string(s.Kind), Size: wire.FromResources(s.Size), RunMilliseconds: s.RunTime.Milliseconds(),
 		},
 	})
-	if err := b.append(ctx, entry); err != nil {
+	if err := b.appendToJobs(ctx, entry); err != nil {
 		return administration.Job{}, err
 	}
 	b.event("job", "submitted", string(id), fmt.Sprintf("%d tasks for %s", s.Tasks, s.Team), "")
@@ -169,7 +169,7 @@
 }
 
 // append records an entry of the jobs stream and waits until it is folded.
-func (b backend) append(ctx context.Context, entry []byte) error {
+func (b backend) appendToJobs(ctx context.Context, entry []byte) error {
 	offset, err := b.writers.jobs.Append(ctx, entry)
 	if err == nil {
 		err = b.jobs.Wait(ctx, offset)
@@ -190,7 +190,7 @@
 		return job, err
 	}
 	if job.State == "pending" || job.State == "running" {
-		if err := b.append(ctx, ledger.EncodeCancelled(id, reason)); err != nil {
+		if err := b.appendToJobs(ctx, ledger.EncodeCancelled(id, reason)); err != nil {
 			return administration.Job{}, err
 		}
 		b.event("job", "cancelled", string(id), reason, "")
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -31,7 +31,7 @@
 	done := make(chan struct{}, 2)
 	go func() { _ = e.config.Run(ctx); done <- struct{}{} }()
 	go func() { _ = e.jobs.Run(ctx); done <- struct{}{} }()
-	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && max(e.config.Staleness(time.Now()), e.jobs.Staleness(time.Now())) > reachable; {
+	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && max(e.config.Staleness(time.Now()), e.jobs.Staleness(time.Now())) > maxLogStaleness; {
 		time.Sleep(10 * time.Millisecond)
 	}
 	ask(administration.KindNotFound)
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -16,64 +16,64 @@
 )
 
 const (
-	tickEvery     = 50 * time.Millisecond
-	announceEvery = 5 * time.Second
+	tickInterval     = 50 * time.Millisecond
+	announceInterval = 5 * time.Second
 	// proposalWait is how long a proposed entry is given to appear in the fold
 	// before it is proposed again; a group commit takes well under a second
 	// while the log answers.
-	proposalWait = 2 * time.Second
+	proposalRetryDelay = 2 * time.Second
 	// heardWithin is the age of a heartbeat up to which a worker gets new tasks:
 	// two missed heartbeats of 500 ms and one late one.
-	heardWithin = 2 * time.Second
+	maxHeartbeatAge = 2 * time.Second
 )
 
 // workerRow is what this process knows of a worker from heartbeats.
-type workerRow struct {
-	id      units.WorkerID
-	session *link.Session
-	beat    *wire.Heartbeat // the newest
-	heard   time.Time
+type workerState struct {
+	id              units.WorkerID
+	session         *link.Session
+	heartbeat       *wire.Heartbeat // the newest
+	lastHeartbeatAt time.Time
 	// running holds the attempts of the newest full list; valid for epoch
 	// runningEpoch only.
-	running      map[units.Task]units.Attempt
-	runningEpoch units.Epoch
-	runningAt    time.Time // when that list arrived
-	silent       bool      // already reported as silent
-	launching    time.Time // until when a launch or stop call may be on its way
-	retryAt      time.Time
-	listed       *owners // whose list of entry processes the agent has, and since when
-	listedAt     time.Time
+	runningAttempts   map[units.Task]units.Attempt
+	runningEpoch      units.Epoch
+	runningListedAt   time.Time // when that list arrived
+	reportedSilent    bool      // already reported as silent
+	callInFlightUntil time.Time // until when a launch or stop call may be on its way
+	retryAt           time.Time
+	sentEntryList     *ownership // whose list of entry processes the agent has, and since when
+	sentEntryListAt   time.Time
 }
 
-func (w *workerRow) holder() ledger.Holder {
-	return ledger.Holder{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
+func (w *workerState) holder() ledger.Holder {
+	return ledger.Holder{Worker: w.id, Epoch: units.Epoch(w.heartbeat.GetEpoch())}
 }
 
-func (w *workerRow) reachable(now time.Time) bool {
-	return w.session != nil && now.Sub(w.heard) < heardWithin
+func (w *workerState) reachable(now time.Time) bool {
+	return w.session != nil && now.Sub(w.lastHeartbeatAt) < maxHeartbeatAge
 }
 
 // control is the state of the control loop. One goroutine owns it.
 type control struct {
 	*Entry
-	workers      map[units.WorkerID]*workerRow
-	liveness     roster.Liveness
-	live         []roster.Entry
-	membersOut   outbox
-	jobsOut      outbox
-	announceAt   time.Time                        // next announcement
-	watchersAt   time.Time                        // next comparison of the document's watchers with the ledger
-	chain        map[roster.Holder]time.Time      // workers whose lessor has ended, since when that is known
-	asking       map[roster.Holder]time.Time      // epochs that wait for a registration or a lessor, since when
-	unknown      map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
-	missing      map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
-	reconcileAt  time.Time                        // next comparison of full lists with the ledger
-	registered   map[units.WorkerID]roster.Worker // as of registeredAt in the members stream
-	registeredAt units.Offset
-	chainAt      time.Time // next look for workers whose lessor has ended
-	planner      planner
-	counters     controlCounters
-	logUp        bool
+	workers                 map[units.WorkerID]*workerState
+	liveness                roster.Liveness
+	liveEntries             []roster.Entry
+	membersOutbox           outbox
+	jobsOutbox              outbox
+	nextAnnounceAt          time.Time                        // next announcement
+	nextWatcherCheckAt      time.Time                        // next comparison of the document's watchers with the ledger
+	lessorEndedSince        map[roster.Holder]time.Time      // workers whose lessor has ended, since when that is known
+	requestedSince          map[roster.Holder]time.Time      // epochs that wait for a registration or a lessor, since when
+	unknownJobSince         map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
+	missingAttempts         map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
+	nextReconcileAt         time.Time                        // next comparison of full lists with the ledger
+	registeredWorkers       map[units.WorkerID]roster.Worker // as of registeredAt in the members stream
+	registeredWorkersOffset units.Offset
+	nextLessorCheckAt       time.Time // next look for workers whose lessor has ended
+	planner                 planner
+	counters                controlCounters
+	logWasReachable         bool
 }
 
 type controlCounters struct {
@@ -84,15 +84,15 @@
 func newControl(e *Entry) *control {
 	s := e.MetricsScope.SubScope("entry")
 	return &control{
-		Entry:      e,
-		workers:    make(map[units.WorkerID]*workerRow),
-		membersOut: newOutbox(e.writers.members),
-		jobsOut:    newOutbox(e.writers.jobs),
-		chain:      make(map[roster.Holder]time.Time),
-		asking:     make(map[roster.Holder]time.Time),
-		unknown:    make(map[units.JobID]time.Time),
-		planner:    newPlanner(),
-		logUp:      true,
+		Entry:            e,
+		workers:          make(map[units.WorkerID]*workerState),
+		membersOutbox:    newOutbox(e.writers.members),
+		jobsOutbox:       newOutbox(e.writers.jobs),
+		lessorEndedSince: make(map[roster.Holder]time.Time),
+		requestedSince:   make(map[roster.Holder]time.Time),
+		unknownJobSince:  make(map[units.JobID]time.Time),
+		planner:          newPlanner(),
+		logWasReachable:  true,
 		counters: controlCounters{
 			heartbeats: s.Counter("heartbeats"), proposals: s.Counter("proposals"),
 			launches: s.Counter("launches"), rejections: s.Counter("launch_rejections"),
@@ -104,13 +104,13 @@
 
 // run owns the control state until ctx ends.
 func (c *control) run(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case call := <-c.calls:
+		case call := <-c.loopCalls:
 			call(c)
 		case <-ticker.C:
 			c.tick(ctx, time.Now())
@@ -120,41 +120,41 @@
 
 // systems run in this order each tick: what is known first, then what follows
 // from it.
-var systems = []struct {
+var tickSteps = []struct {
 	name string
 	run  func(*control, time.Time)
 }{
 	{"membership", (*control).updateMembership},
 	{"document", (*control).updateDocument},
 	{"silence", (*control).findSilentWorkers},
-	{"expiry", (*control).expireChains},
+	{"expiry", (*control).expireLesseesOfEndedLessors},
 	{"release", (*control).releaseEndedEpochs},
 	{"reconcile", (*control).reconcile},
 	{"watchers", (*control).reconcileWatchers},
-	{"placement", (*control).place},
-	{"launch", (*control).launch},
+	{"placement", (*control).placeTasks},
+	{"launch", (*control).launchTasks},
 }
 
 func (c *control) tick(ctx context.Context, now time.Time) {
 	if c.config.Applied() == 0 && c.config.Staleness(now) > time.Hour {
 		return // nothing has been read yet
 	}
-	for _, s := range systems {
+	for _, s := range tickSteps {
 		s.run(c, now)
 	}
-	c.membersOut.flush(ctx)
-	c.jobsOut.flush(ctx)
+	c.membersOutbox.flush(ctx)
+	c.jobsOutbox.flush(ctx)
 	c.counters.workers.Update(float64(len(c.workers)))
-	c.reportLog(now)
+	c.recordLogState(now)
 }
 
 // reportLog records each change between a reachable and an unreachable log.
-func (c *control) reportLog(now time.Time) {
+func (c *control) recordLogState(now time.Time) {
 	up := c.logReachable(now)
-	if up == c.logUp {
+	if up == c.logWasReachable {
 		return
 	}
-	c.logUp = up
+	c.logWasReachable = up
 	kind, text := "logUnreachable", "no batch task starts until the log answers; requests and running tasks go on"
 	if up {
 		kind, text = "logReachable", "the log answers again"
@@ -167,24 +167,24 @@
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
-		c.live = c.liveness.Live(r, now)
+		c.liveEntries = c.liveness.Live(r, now)
 	})
-	ids := make([]units.EntryID, 0, len(c.live)+1)
-	for _, l := range c.live {
+	ids := make([]units.EntryID, 0, len(c.liveEntries)+1)
+	for _, l := range c.liveEntries {
 		ids = append(ids, l.ID)
 	}
 	if !slices.Contains(ids, c.Settings.ID) {
 		ids = append(ids, c.Settings.ID)
 		slices.Sort(ids)
 	}
-	if current := c.owners.Load(); !slices.Equal(current.live, ids) {
-		c.owners.Store(newOwners(c.Settings.ID, ids))
+	if current := c.ownership.Load(); !slices.Equal(current.live, ids) {
+		c.ownership.Store(newOwnership(c.Settings.ID, ids))
 		klog.InfoS("entry processes changed", "live", ids)
 		c.event("entry", "members", string(c.Settings.ID), joinIDs(ids), "")
 	}
-	if !now.Before(c.announceAt) && !c.draining.Load() {
-		c.announceAt = now.Add(announceEvery)
-		c.membersOut.add("announce", now, roster.EncodeEntryAnnounced(roster.Entry{
+	if !now.Before(c.nextAnnounceAt) && !c.draining.Load() {
+		c.nextAnnounceAt = now.Add(announceInterval)
+		c.membersOutbox.add("announce", now, roster.EncodeEntryAnnounced(roster.Entry{
 			ID: c.Settings.ID, LinkAddress: c.Settings.AdvertisedLinkAddress.String(),
 			Domain: c.Settings.FailureDomain, Region: c.Settings.Region,
 		}))
@@ -206,16 +206,16 @@
 // that have been silent for long.
 func (c *control) findSilentWorkers(now time.Time) {
 	for id, w := range c.workers {
-		switch age := now.Sub(w.heard); {
-		case age > forgetSilentAfter:
+		switch age := now.Sub(w.lastHeartbeatAt); {
+		case age > silentWorkerRetention:
 			delete(c.workers, id)
-			c.descriptions.forget(id)
-		case age > heardWithin && !w.silent:
-			w.silent = true
-			c.event("worker", "silent", string(id), "no heartbeat for "+heardWithin.String(), "")
+			c.descriptions.remove(id)
+		case age > maxHeartbeatAge && !w.reportedSilent:
+			w.reportedSilent = true
+			c.event("worker", "silent", string(id), "no heartbeat for "+maxHeartbeatAge.String(), "")
 		}
 	}
 }
 
 // forgetSilentAfter bounds the table when worker ids are never used again.
-const forgetSilentAfter = 10 * time.Minute
+const silentWorkerRetention = 10 * time.Minute
--- a/internal/entry/description.go
+++ b/internal/entry/description.go
@@ -25,7 +25,7 @@
 // complete fills in what m leaves out from an earlier heartbeat of the same
 // session. The capacity belongs to an epoch; without one of m's own epoch it
 // stays empty, and the worker is neither registered nor given tasks.
-func (d *descriptions) complete(m *wire.Heartbeat, session *link.Session) {
+func (d *descriptions) fillOmitted(m *wire.Heartbeat, session *link.Session) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	id := units.WorkerID(m.GetWorker())
@@ -49,7 +49,7 @@
 }
 
 // forget drops the description of a worker that has been silent for long.
-func (d *descriptions) forget(id units.WorkerID) {
+func (d *descriptions) remove(id units.WorkerID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.byWorker, id)
@@ -57,19 +57,19 @@
 
 // listEvery is how often an agent is sent the list of entry processes when it
 // has not changed. It is well below the agent's forgetEntry of 35 s.
-const listEvery = 10 * time.Second
+const entryListInterval = 10 * time.Second
 
 // listsEntries reports whether the reply to m lists the entry processes: to an
 // agent that begins a session or an epoch, after a change, and now and then.
 // With twelve of them the list is larger than the rest of the reply.
-func (c *control) listsEntries(w *workerRow, m *wire.Heartbeat, now time.Time) bool {
-	current := c.owners.Load()
+func (c *control) shouldListEntries(w *workerState, m *wire.Heartbeat, now time.Time) bool {
+	current := c.ownership.Load()
 	if w == nil {
 		return true
 	}
-	if !m.GetRunningFull() && w.listed == current && now.Sub(w.listedAt) < listEvery {
+	if !m.GetRunningFull() && w.sentEntryList == current && now.Sub(w.sentEntryListAt) < entryListInterval {
 		return false
 	}
-	w.listed, w.listedAt = current, now
+	w.sentEntryList, w.sentEntryListAt = current, now
 	return true
 }
--- a/internal/entry/description_test.go
+++ b/internal/entry/description_test.go
@@ -30,9 +30,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &descriptions{}
-			d.complete(full(4), here)
+			d.fillOmitted(full(4), here)
 			m := &wire.Heartbeat{Worker: "w", Epoch: c.epoch}
-			d.complete(m, c.session)
+			d.fillOmitted(m, c.session)
 			if got := m.FailureDomain == "a" && m.LinkAddress == "l" && m.Process == "p"; got != c.wantDomain {
 				t.Errorf("described: got %t, want %t: %v", got, c.wantDomain, m)
 			}
@@ -47,8 +47,8 @@
 // them, and against a list in every reply.
 func TestListsEntries(t *testing.T) {
 	e := &Entry{}
-	e.owners.Store(&owners{})
-	c, w, now := &control{Entry: e}, &workerRow{}, time.Now()
+	e.ownership.Store(&ownership{})
+	c, w, now := &control{Entry: e}, &workerState{}, time.Now()
 	beat := &wire.Heartbeat{}
 	for _, step := range []struct {
 		name    string
@@ -57,12 +57,12 @@
 	}{
 		{"first", func() {}, true},
 		{"unchanged", func() {}, false},
-		{"changed", func() { e.owners.Store(&owners{}) }, true},
-		{"later", func() { now = now.Add(listEvery) }, true},
+		{"changed", func() { e.ownership.Store(&ownership{}) }, true},
+		{"later", func() { now = now.Add(entryListInterval) }, true},
 		{"begins a session", func() { beat = &wire.Heartbeat{RunningFull: true} }, true},
 	} {
 		step.prepare()
-		if got := c.listsEntries(w, beat, now); got != step.want {
+		if got := c.shouldListEntries(w, beat, now); got != step.want {
 			t.Errorf("%s: got %t, want %t", step.name, got, step.want)
 		}
 	}
--- a/internal/entry/document.go
+++ b/internal/entry/document.go
@@ -20,37 +20,37 @@
 // to a lower offset. A version that does not pass the check of this program is
 // parsed once and then passed over.
 func (e *Entry) refreshDocument() {
-	e.refresh.Lock()
-	defer e.refresh.Unlock()
+	e.documentMu.Lock()
+	defer e.documentMu.Unlock()
 	var newest configuration.Version
 	var found bool
 	e.config.View(func(s *configuration.State) {
 		current, ok := s.Current(e.Settings.Environment)
-		if !ok || current.Offset <= e.examined {
+		if !ok || current.Offset <= e.examinedOffset {
 			return
 		}
-		e.examined = current.Offset
+		e.examinedOffset = current.Offset
 		newest, found = s.InForce(e.Settings.Environment, checkDocument)
 	})
 	if found {
-		e.putInForce(version{offset: newest.Offset, author: newest.Author, raw: newest.Document})
+		e.putInForce(documentVersion{offset: newest.Offset, author: newest.Author, raw: newest.Document})
 	}
 }
 
 // putInForce puts a version in force that is newer than the present one. The
 // caller holds refresh.
-func (e *Entry) putInForce(v version) {
-	if held := e.document.Load(); held != nil && v.offset <= held.offset {
+func (e *Entry) putInForce(v documentVersion) {
+	if held := e.currentVersion.Load(); held != nil && v.offset <= held.offset {
 		return
 	}
 	document, err := environment.Parse("document", v.raw)
 	if err != nil {
-		e.unreadable = v.offset
+		e.rejectedOffset = v.offset
 		klog.InfoS("document not put in force", "environment", e.Settings.Environment, "version", v.offset, "err", err)
 		return
 	}
 	v.document = document
-	e.document.Store(&v)
+	e.currentVersion.Store(&v)
 	if e.requestServer != nil {
 		e.requestServer.SetDocument(document)
 	}
@@ -62,30 +62,30 @@
 // the log and gave to the agent, and reports whether the agent should send it.
 // So an accepted edit reaches an entry process that has lost the log, which
 // would otherwise show and apply the older version until the log is back.
-func (e *Entry) adoptDocument(m *wire.Heartbeat) (wanted bool) {
+func (e *Entry) acceptDocument(m *wire.Heartbeat) (wanted bool) {
 	e.refreshDocument()
 	offset := units.Offset(m.GetConfigOffset())
-	e.refresh.Lock()
-	defer e.refresh.Unlock()
-	if held := e.document.Load(); offset <= e.unreadable || held != nil && offset <= held.offset {
+	e.documentMu.Lock()
+	defer e.documentMu.Unlock()
+	if held := e.currentVersion.Load(); offset <= e.rejectedOffset || held != nil && offset <= held.offset {
 		return false
 	}
 	if len(m.GetConfigDocument()) == 0 {
 		return true
 	}
-	e.putInForce(version{offset: offset, author: m.GetConfigAuthor(), raw: m.GetConfigDocument()})
+	e.putInForce(documentVersion{offset: offset, author: m.GetConfigAuthor(), raw: m.GetConfigDocument()})
 	return false
 }
 
 // describeConfig says which document this process has and how certain it is
 // that there is no newer one. The staleness is taken before the document: the
 // evidence must never cover a read whose records are not in force here yet.
-func (e *Entry) describeConfig(offset units.Offset, reply *wire.HeartbeatReply) {
+func (e *Entry) fillConfig(offset units.Offset, reply *wire.HeartbeatReply) {
 	now := time.Now()
 	reply.LogReachable = e.logReachable(now)
 	reply.ConfigStalenessMilliseconds = e.config.Staleness(now).Milliseconds()
 	e.refreshDocument()
-	v := e.document.Load()
+	v := e.currentVersion.Load()
 	if v == nil {
 		return
 	}
--- a/internal/entry/document_test.go
+++ b/internal/entry/document_test.go
@@ -31,7 +31,7 @@
 		}
 		base = v.Offset
 		var reply wire.HeartbeatReply
-		e.describeConfig(0, &reply)
+		e.fillConfig(0, &reply)
 		if got, want := units.Offset(reply.GetConfigOffset()), v.Offset; got != want {
 			t.Errorf("version in the evidence: got %d, want %d", got, want)
 		}
@@ -48,21 +48,21 @@
 	e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 	e.prepare() // nothing follows the log, as during its outage
 	raw := fmt.Appendf(nil, testDocument, "")
-	if !e.adoptDocument(&wire.Heartbeat{ConfigOffset: 7}) {
+	if !e.acceptDocument(&wire.Heartbeat{ConfigOffset: 7}) {
 		t.Fatal("the newer document is not asked for")
 	}
-	e.adoptDocument(&wire.Heartbeat{ConfigOffset: 7, ConfigDocument: raw, ConfigAuthor: "operator"})
+	e.acceptDocument(&wire.Heartbeat{ConfigOffset: 7, ConfigDocument: raw, ConfigAuthor: "operator"})
 	d, err := backend{e}.Document(t.Context(), "production", 0)
 	if got, want := d.Version, units.Offset(7); err != nil || got != want || d.Author != "operator" {
 		t.Errorf("shown: got version %d by %q, error %v; want %d by operator", got, d.Author, err, want)
 	}
 	var reply wire.HeartbeatReply
-	e.describeConfig(0, &reply)
+	e.fillConfig(0, &reply)
 	if got, want := reply.GetConfigOffset(), uint64(7); got != want {
 		t.Errorf("told to agents: got version %d, want %d", got, want)
 	}
-	e.adoptDocument(&wire.Heartbeat{ConfigOffset: 8, ConfigDocument: []byte("{")})
-	e.adoptDocument(&wire.Heartbeat{ConfigOffset: 6, ConfigDocument: raw})
+	e.acceptDocument(&wire.Heartbeat{ConfigOffset: 8, ConfigDocument: []byte("{")})
+	e.acceptDocument(&wire.Heartbeat{ConfigOffset: 6, ConfigDocument: raw})
 	if _, got := e.Document(); got != 7 {
 		t.Errorf("after an unreadable and an older one: got version %d, want 7", got)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -71,30 +71,30 @@
 	// stop, so that the platform's balancer stops choosing this process first.
 	DrainDelay time.Duration
 
-	prepared      sync.Once
-	runID         string
-	recorder      *timeline.Recorder
-	collector     *timeline.Collector
-	causes        timeline.Causes
-	config        *stream.Follower[*configuration.State]
-	members       *stream.Follower[*roster.Roster]
-	jobs          *stream.Follower[*ledger.Ledger]
-	writers       struct{ config, members, jobs *stream.Writer }
-	publisher     *configuration.Publisher
-	agents        *link.Listener
-	requestServer RequestServer
-	calls         chan func(*control)
-	document      atomic.Pointer[version]
-	refresh       sync.Mutex   // of examined, unreadable, and of putting a document in force
-	examined      units.Offset // newest version that has been looked at
-	unreadable    units.Offset // newest version that did not pass the check of this program
-	owners        atomic.Pointer[owners]
-	draining      atomic.Bool
-	descriptions  descriptions
+	prepareOnce    sync.Once
+	runID          string
+	recorder       *timeline.Recorder
+	collector      *timeline.Collector
+	causes         timeline.Causes
+	config         *stream.Follower[*configuration.State]
+	members        *stream.Follower[*roster.Roster]
+	jobs           *stream.Follower[*ledger.Ledger]
+	writers        struct{ config, members, jobs *stream.Writer }
+	publisher      *configuration.Publisher
+	agentListener  *link.Listener
+	requestServer  RequestServer
+	loopCalls      chan func(*control)
+	currentVersion atomic.Pointer[documentVersion]
+	documentMu     sync.Mutex   // of examined, unreadable, and of putting a document in force
+	examinedOffset units.Offset // newest version that has been looked at
+	rejectedOffset units.Offset // newest version that did not pass the check of this program
+	ownership      atomic.Pointer[ownership]
+	draining       atomic.Bool
+	descriptions   descriptions
 }
 
 // version is the document in force with the offset that numbers it.
-type version struct {
+type documentVersion struct {
 	offset   units.Offset
 	author   string
 	raw      []byte
@@ -103,20 +103,20 @@
 
 const (
 	// drainFor covers two heartbeats and a balancer that checks every second.
-	drainFor = 3 * time.Second
+	defaultDrainDelay = 3 * time.Second
 	// stopWithin bounds a planned stop when a request never ends.
-	stopWithin = 30 * time.Second
+	shutdownTimeout = 30 * time.Second
 	// jobsWindow spaces the appends of one process: 12 of them at 50 ms make
 	// 240 appends a second, within the several hundred that the log takes. At
 	// 20 ms they reach its limit, and p99 of an append grows from 60 to 105 ms.
-	jobsWindow = 50 * time.Millisecond
+	jobsAppendWindow = 50 * time.Millisecond
 	// reachable is the staleness up to which the log counts as reachable; a
 	// read at the tail returns at least every ReadWait.
-	reachable = 3 * time.Second
+	maxLogStaleness = 3 * time.Second
 )
 
 // prepare builds the parts once; Run calls it.
-func (e *Entry) prepare() { e.prepared.Do(e.build) }
+func (e *Entry) prepare() { e.prepareOnce.Do(e.build) }
 
 func (e *Entry) build() {
 	var id [6]byte
@@ -126,12 +126,12 @@
 		e.MetricsScope = tally.NoopScope
 	}
 	if e.DrainDelay == 0 {
-		e.DrainDelay = drainFor
+		e.DrainDelay = defaultDrainDelay
 	}
 	e.recorder = timeline.NewRecorder(e.runID, e.Settings.Limits.TimelineEvents, time.Now)
 	e.collector = timeline.NewCollector(e.Settings.Limits.TimelineEvents)
-	e.calls = make(chan func(*control), 256)
-	e.owners.Store(newOwners(e.Settings.ID, nil))
+	e.loopCalls = make(chan func(*control), 256)
+	e.ownership.Store(newOwnership(e.Settings.ID, nil))
 
 	env := string(e.Settings.Environment)
 	e.config = &stream.Follower[*configuration.State]{Log: e.Log, Stream: configuration.Stream, State: &configuration.State{}, Decode: configuration.DecodePayload}
@@ -139,14 +139,14 @@
 	e.jobs = &stream.Follower[*ledger.Ledger]{Log: e.Log, Stream: "jobs." + env, State: ledger.New()}
 	e.writers.config = &stream.Writer{Log: e.Log, Stream: configuration.Stream, ID: e.runID} // snapshots only
 	e.writers.members = &stream.Writer{Log: e.Log, Stream: e.members.Stream, ID: e.runID}
-	e.writers.jobs = &stream.Writer{Log: e.Log, Stream: e.jobs.Stream, ID: e.runID, Window: jobsWindow}
+	e.writers.jobs = &stream.Writer{Log: e.Log, Stream: e.jobs.Stream, ID: e.runID, Window: jobsAppendWindow}
 	e.publisher = &configuration.Publisher{Log: e.Log, Follower: e.config, Check: checkDocument}
-	e.agents = &link.Listener{Address: e.Settings.LinkAddress.String(), Handler: e.linkHandler()}
+	e.agentListener = &link.Listener{Address: e.Settings.LinkAddress.String(), Handler: e.linkHandler()}
 }
 
 // Document returns the document in force and its offset, or nil and 0.
 func (e *Entry) Document() (*environment.Document, units.Offset) {
-	v := e.document.Load()
+	v := e.currentVersion.Load()
 	if v == nil {
 		return nil, 0
 	}
@@ -156,7 +156,7 @@
 // logReachable reports whether the tails of the config and members streams were
 // read recently.
 func (e *Entry) logReachable(now time.Time) bool {
-	return max(e.config.Staleness(now), e.members.Staleness(now)) < reachable
+	return max(e.config.Staleness(now), e.members.Staleness(now)) < maxLogStaleness
 }
 
 // event records an event of this process. Without a cause it names the newest
@@ -169,7 +169,7 @@
 }
 
 // collect keeps events of other processes.
-func (e *Entry) collect(events []*wire.Event) {
+func (e *Entry) collectEvents(events []*wire.Event) {
 	received := timeline.FromWire(events)
 	e.collector.Add(received...)
 	for _, event := range received {
@@ -178,11 +178,11 @@
 }
 
 // do runs fn on the control goroutine and waits for it.
-func (e *Entry) do(ctx context.Context, fn func(*control)) error {
+func (e *Entry) runOnLoop(ctx context.Context, fn func(*control)) error {
 	done := make(chan struct{})
 	call := func(c *control) { fn(c); close(done) }
 	select {
-	case e.calls <- call:
+	case e.loopCalls <- call:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -196,7 +196,7 @@
 
 // LinkAddr returns the bound address of the agents' listener after Run has
 // started; tests use port 0.
-func (e *Entry) LinkAddr() (net.Addr, error) { return e.agents.Listen() }
+func (e *Entry) LinkAddr() (net.Addr, error) { return e.agentListener.Listen() }
 
 func checkDocument(raw []byte) error {
 	_, err := environment.Parse("document", raw)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -26,16 +26,16 @@
 
 // cluster is a log, entry processes, and agents with their workers, all in this
 // process and connected over loopback.
-type cluster struct {
+type testCluster struct {
 	t       *testing.T
 	log     *logservice.Log
-	entries []*member[*Entry]
-	agents  []*member[*agent.Agent]
+	entries []*testProcess[*Entry]
+	agents  []*testProcess[*agent.Agent]
 	workers []*worker.Core
 }
 
 // member is a part that a test can stop.
-type member[P any] struct {
+type testProcess[P any] struct {
 	part P
 	stop func()
 }
@@ -63,7 +63,7 @@
 	return reservation.Address
 }
 
-func run[P interface{ Run(context.Context) error }](t *testing.T, part P) *member[P] {
+func startProcess[P interface{ Run(context.Context) error }](t *testing.T, part P) *testProcess[P] {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -72,14 +72,14 @@
 			t.Logf("%T ended: %v", part, err)
 		}
 	}()
-	m := &member[P]{part: part, stop: func() { cancel(); <-done }}
+	m := &testProcess[P]{part: part, stop: func() { cancel(); <-done }}
 	t.Cleanup(m.stop)
 	return m
 }
 
-func newCluster(t *testing.T, entries, workers int, watchers string) *cluster {
+func newCluster(t *testing.T, entries, workers int, watchers string) *testCluster {
 	t.Helper()
-	c := &cluster{t: t, log: &logservice.Log{}}
+	c := &testCluster{t: t, log: &logservice.Log{}}
 	var seeds []string
 	for i := range entries {
 		link := freeAddress(t)
@@ -92,7 +92,7 @@
 			Log: c.log, DrainDelay: 10 * time.Millisecond,
 		}
 		e.prepare() // the test asks the process before Run has begun
-		c.entries = append(c.entries, run(t, e))
+		c.entries = append(c.entries, startProcess(t, e))
 		seeds = append(seeds, link.String())
 	}
 	c.eventually("every entry process follows the log", func() bool {
@@ -103,7 +103,7 @@
 	for i := range workers {
 		core := &worker.Core{Name: units.WorkerID(fmt.Sprintf("worker-%d", i+1)), Capacity: units.Resources{Processors: 16000, Memory: 64 * units.GiB}}
 		c.workers = append(c.workers, core)
-		c.agents = append(c.agents, run(t, c.newAgent(core, i, seeds)))
+		c.agents = append(c.agents, startProcess(t, c.newAgent(core, i, seeds)))
 	}
 	c.eventually("every worker is registered and has a lessor", func() bool {
 		list, err := c.backend().Workers(t.Context())
@@ -124,7 +124,7 @@
 	return c
 }
 
-func (c *cluster) newAgent(core *worker.Core, i int, seeds []string) *agent.Agent {
+func (c *testCluster) newAgent(core *worker.Core, i int, seeds []string) *agent.Agent {
 	domain := units.DomainName([]string{"a", "b", "c"}[i%3])
 	return &agent.Agent{
 		WorkerID: core.Name, Domain: domain, Rack: units.RackName(domain), Region: "r",
@@ -133,10 +133,10 @@
 }
 
 // backend returns the administration API of the newest entry process.
-func (c *cluster) backend() backend { return backend{c.entries[len(c.entries)-1].part} }
+func (c *testCluster) backend() backend { return backend{c.entries[len(c.entries)-1].part} }
 
 // eventually waits for a condition; the bound only ends a run that hangs.
-func (c *cluster) eventually(what string, condition func() bool) {
+func (c *testCluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(time.Minute); !condition(); {
 		if time.Now().After(deadline) {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *cluster) submit(key string, tasks int, runTime time.Duration) units.JobID {
+func (c *testCluster) submit(key string, tasks int, runTime time.Duration) units.JobID {
 	c.t.Helper()
 	job, err := c.backend().Submit(c.t.Context(), administration.Submission{
 		Key: key, Team: "team", Name: "plan", Kind: "plan", Priority: units.PriorityNormal, Tasks: tasks,
@@ -158,7 +158,7 @@
 	return job.ID
 }
 
-func (c *cluster) state(id units.JobID) string {
+func (c *testCluster) jobState(id units.JobID) string {
 	job, err := c.backend().Job(c.t.Context(), id)
 	if err != nil {
 		return err.Error()
@@ -166,7 +166,7 @@
 	return job.State
 }
 
-func (c *cluster) checkRuns() {
+func (c *testCluster) checkNoOverlap() {
 	c.t.Helper()
 	var runs []worker.Run
 	for _, w := range c.workers {
@@ -185,8 +185,8 @@
 	if again := c.submit("job-1", 12, 200*time.Millisecond); again != id {
 		t.Errorf("repeated submission: got job %s, want %s", again, id)
 	}
-	c.eventually("the job completes", func() bool { return c.state(id) == "completed" })
-	c.checkRuns()
+	c.eventually("the job completes", func() bool { return c.jobState(id) == "completed" })
+	c.checkNoOverlap()
 	job, _ := c.backend().Job(t.Context(), id)
 	if got, want := job.Tasks.Completed, 12; got != want {
 		t.Errorf("completed tasks: got %d, want %d", got, want)
@@ -196,7 +196,7 @@
 
 // checkTimeline follows the causes of a task's last event back to its first,
 // from an entry process that need not have caused any of them.
-func (c *cluster) checkTimeline(id units.JobID) {
+func (c *testCluster) checkTimeline(id units.JobID) {
 	c.t.Helper()
 	subject := string(id) + "/0"
 	for _, e := range c.entries {
@@ -236,9 +236,9 @@
 	c.agents[0].stop()
 	c.agents[1].stop()
 	seeds := c.agents[1].part.EntryAddresses
-	c.agents[1] = run(t, c.newAgent(c.workers[1], 1, seeds))
-	c.eventually("the job completes", func() bool { return c.state(id) == "completed" })
-	c.checkRuns()
+	c.agents[1] = startProcess(t, c.newAgent(c.workers[1], 1, seeds))
+	c.eventually("the job completes", func() bool { return c.jobState(id) == "completed" })
+	c.checkNoOverlap()
 }
 
 // Guards against a document that operators changed but agents ignore: no task
@@ -264,8 +264,8 @@
 		t.Fatal(err)
 	}
 	accepted := time.Now()
-	c.eventually("the job completes", func() bool { return c.state(id) == "completed" })
-	c.checkRuns()
+	c.eventually("the job completes", func() bool { return c.jobState(id) == "completed" })
+	c.checkNoOverlap()
 	for _, r := range c.workers[0].Runs() {
 		if r.Start.After(accepted.Add(3 * time.Second)) {
 			t.Errorf("task %s started in the domain %s after it was taken out", r.Task, r.Start.Sub(accepted))
@@ -321,7 +321,7 @@
 					job.Details[0].Worker != c.workers[holder].Name
 			})
 			time.Sleep(time.Second) // a second start would follow within a few ticks
-			c.checkRuns()
+			c.checkNoOverlap()
 		})
 	}
 }
@@ -360,7 +360,7 @@
 			return
 		default:
 		}
-		if err := c.entries[0].part.do(ctx, func(c *control) { c.place(time.Now()) }); err != nil {
+		if err := c.entries[0].part.runOnLoop(ctx, func(c *control) { c.placeTasks(time.Now()) }); err != nil {
 			t.Fatalf("the control loop does not answer after %d ticks: %v", ticks, err)
 		}
 	}
@@ -417,7 +417,7 @@
 		}
 		return sum == 4*workers
 	})
-	c.checkRuns()
+	c.checkNoOverlap()
 }
 
 func runningOn(w *worker.Core) (n int) {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -24,15 +24,15 @@
 // Events implements administration.Backend. An agent sends its events to one
 // entry process, so all of them are asked.
 func (b backend) Events(ctx context.Context, accept func(timeline.Event) bool, limit int) ([]timeline.Event, error) {
-	b.collectOwn()
+	b.collectOwnEvents()
 	var peers []roster.Entry
-	if err := b.do(ctx, func(c *control) { peers = append(peers, c.live...) }); err != nil {
+	if err := b.runOnLoop(ctx, func(c *control) { peers = append(peers, c.liveEntries...) }); err != nil {
 		return nil, err
 	}
 	var wait sync.WaitGroup
 	for _, peer := range peers {
 		if peer.ID != b.Settings.ID {
-			wait.Go(func() { b.collectFrom(ctx, peer, limit) })
+			wait.Go(func() { b.collectEventsFrom(ctx, peer, limit) })
 		}
 	}
 	wait.Wait()
@@ -40,11 +40,11 @@
 }
 
 // collectOwn adds this process's events to those of others.
-func (e *Entry) collectOwn() {
+func (e *Entry) collectOwnEvents() {
 	e.collector.Add(e.recorder.After(e.collector.Acknowledged(e.runID), e.Settings.Limits.TimelineEvents)...)
 }
 
-func (e *Entry) collectFrom(ctx context.Context, peer roster.Entry, limit int) {
+func (e *Entry) collectEventsFrom(ctx context.Context, peer roster.Entry, limit int) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	session, err := link.Dial(ctx, peer.LinkAddress, nil)
@@ -63,7 +63,7 @@
 
 // serveEvents answers POST /link/events.
 func (e *Entry) serveEvents(_ context.Context, q *wire.EventsRequest) (*wire.EventsReply, error) {
-	e.collectOwn()
+	e.collectOwnEvents()
 	events := e.collector.Events(nil, int(min(q.GetLimit(), maxPeerEvents)))
 	return &wire.EventsReply{Events: timeline.ToWire(events)}, nil
 }
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -17,21 +17,21 @@
 }
 
 // heartbeat answers POST /link/heartbeat.
-func (e *Entry) heartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
+func (e *Entry) serveHeartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	now := time.Now()
 	e.recorder.Observe(m.GetClock())
-	e.collect(m.GetEvents())
+	e.collectEvents(m.GetEvents())
 	session := link.FromContext(ctx)
-	e.descriptions.complete(m, session)
+	e.descriptions.fillOmitted(m, session)
 	if e.requestServer != nil && session != nil {
 		e.requestServer.ObserveHeartbeat(units.WorkerID(m.GetWorker()), session, ReceivedHeartbeat{Message: m, ReceivedAt: now})
 	}
 	reply := &wire.HeartbeatReply{Entry: string(e.Settings.ID)}
-	if err := e.do(ctx, func(c *control) { c.observe(m, session, now); c.answer(m, reply, now) }); err != nil {
+	if err := e.runOnLoop(ctx, func(c *control) { c.applyHeartbeat(m, session, now); c.fillReply(m, reply, now) }); err != nil {
 		return nil, err
 	}
-	reply.WantConfig = e.adoptDocument(m)
-	e.describeConfig(units.Offset(m.GetConfigOffset()), reply)
+	reply.WantConfig = e.acceptDocument(m)
+	e.fillConfig(units.Offset(m.GetConfigOffset()), reply)
 	if len(m.GetEvents()) > 0 {
 		reply.EventsAcknowledged = e.collector.Acknowledged(m.GetProcess())
 	}
@@ -40,59 +40,59 @@
 }
 
 // observe takes over what the heartbeat says.
-func (c *control) observe(m *wire.Heartbeat, session *link.Session, now time.Time) {
+func (c *control) applyHeartbeat(m *wire.Heartbeat, session *link.Session, now time.Time) {
 	c.counters.heartbeats.Inc(1)
 	id := units.WorkerID(m.GetWorker())
 	w := c.workers[id]
 	if w == nil {
-		w = &workerRow{id: id}
+		w = &workerState{id: id}
 		c.workers[id] = w
 		c.event("worker", "connected", string(id), m.GetFailureDomain(), "")
-	} else if m.GetEpoch() < w.beat.GetEpoch() {
+	} else if m.GetEpoch() < w.heartbeat.GetEpoch() {
 		return // from an agent that has been replaced
 	}
-	if w.silent {
-		w.silent = false
+	if w.reportedSilent {
+		w.reportedSilent = false
 		c.event("worker", "heardAgain", string(id), "", "")
 	}
-	w.beat, w.session, w.heard = m, session, now
+	w.heartbeat, w.session, w.lastHeartbeatAt = m, session, now
 	if m.GetRunningFull() {
-		w.running = make(map[units.Task]units.Attempt, len(m.GetRunning()))
+		w.runningAttempts = make(map[units.Task]units.Attempt, len(m.GetRunning()))
 		for _, r := range m.GetRunning() {
-			w.running[r.Task()] = units.Attempt(r.GetAttempt())
+			w.runningAttempts[r.Task()] = units.Attempt(r.GetAttempt())
 		}
-		w.runningEpoch, w.runningAt = units.Epoch(m.GetEpoch()), now
+		w.runningEpoch, w.runningListedAt = units.Epoch(m.GetEpoch()), now
 	}
-	c.planner.observe(w)
+	c.planner.recordInterference(w)
 	c.register(w, now)
-	c.acceptReports(w, now)
-	c.acceptExpiries(w, now)
+	c.proposeReports(w, now)
+	c.proposeExpiries(w, now)
 }
 
 // answer fills in what the agent has to know.
-func (c *control) answer(m *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) {
+func (c *control) fillReply(m *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) {
 	id := units.WorkerID(m.GetWorker())
 	w := c.workers[id]
-	if c.listsEntries(w, m, now) {
-		for _, l := range c.live {
+	if c.shouldListEntries(w, m, now) {
+		for _, l := range c.liveEntries {
 			reply.Entries = append(reply.Entries, &wire.EntryAddress{Entry: string(l.ID), Address: l.LinkAddress})
 		}
 	}
 	c.members.View(func(r *roster.Roster) {
-		c.answerRegistration(r, id, m, reply)
+		c.fillRegistration(r, id, m, reply)
 		for _, x := range m.GetExpiries() {
-			if settled(r, x) {
+			if expirySettled(r, x) {
 				reply.ExpiriesAcknowledged = append(reply.ExpiriesAcknowledged, x)
 			}
 		}
 	})
-	c.answerReports(m, reply)
-	reply.WantRunning = w != nil && m.GetEpoch() > 0 && w.needsList(units.Epoch(m.GetEpoch()), now)
+	c.acknowledgeReports(m, reply)
+	reply.WantRunning = w != nil && m.GetEpoch() > 0 && w.needsRunningList(units.Epoch(m.GetEpoch()), now)
 }
 
 // answerRegistration tells the agent its registration, its lessor, its lessees
 // and the watchers that it stands by for.
-func (c *control) answerRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
+func (c *control) fillRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	epoch := units.Epoch(m.GetEpoch())
 	w, ok := r.Worker(id)
 	if !ok {
@@ -104,7 +104,7 @@
 		return
 	}
 	reply.LeaseTerm = uint64(w.Term)
-	reply.LessorAvailable = betterLessor(r, w)
+	reply.LessorAvailable = betterLessorAvailable(r, w)
 	if uint64(w.Term) != m.GetLeaseTerm() {
 		// The agent reads these only when it begins the term.
 		reply.Lessor, reply.LessorEpoch = string(w.Lessor.Worker), uint64(w.Lessor.Epoch)
@@ -116,7 +116,7 @@
 		reply.Lessees = append(reply.Lessees, &wire.Lessee{
 			Worker: string(name), Epoch: uint64(lessee.Epoch), Term: uint64(lessee.Term),
 		})
-		reply.Standbys = append(reply.Standbys, c.standbysFor(lessee.Holder())...)
+		reply.Standbys = append(reply.Standbys, c.standbysOf(lessee.Holder())...)
 	}
 }
 
@@ -124,7 +124,7 @@
 // that register at the same time find none yet, or each other: of such a pair
 // neither can take over the other's watchers in a log outage, because its own
 // lease ends with the other. One of the two changes.
-func betterLessor(r *roster.Roster, w roster.Worker) bool {
+func betterLessorAvailable(r *roster.Roster, w roster.Worker) bool {
 	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	if w.Lessor == (roster.Holder{}) {
 		_, ok := r.ChooseLessor(w.ID, place, nil)
@@ -148,6 +148,6 @@
 
 // needsList reports whether the agent has to send a full list: the newest is
 // of another epoch or a minute old.
-func (w *workerRow) needsList(epoch units.Epoch, now time.Time) bool {
-	return w.runningEpoch != epoch || now.Sub(w.runningAt) > listAgainAfter
+func (w *workerState) needsRunningList(epoch units.Epoch, now time.Time) bool {
+	return w.runningEpoch != epoch || now.Sub(w.runningListedAt) > maxRunningListAge
 }
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -16,21 +16,21 @@
 	// within milliseconds, and an unanswered call is repeated.
 	callTimeout = 2 * time.Second
 	// retryAfter is the pause after a failed call to an agent.
-	retryAfter = 500 * time.Millisecond
+	callRetryDelay = 500 * time.Millisecond
 	// maxLaunch bounds the tasks of one call, so that one answer is not delayed
 	// by many starts.
-	maxLaunch = 64
+	maxTasksPerCall = 64
 )
 
 // launch sends the assigned attempts of this process's jobs to their agents
 // and tells agents to stop attempts of cancelled jobs. A call is repeated until
 // it is answered; agents answer a repetition in the same way.
-func (c *control) launch(now time.Time) {
+func (c *control) launchTasks(now time.Time) {
 	if c.catchingUp(now) && !c.logReachable(now) {
 		return
 	}
 	type batch struct {
-		worker *workerRow
+		worker *workerState
 		launch *wire.Launch
 		stop   *wire.Stop
 	}
@@ -38,39 +38,39 @@
 	c.jobs.View(func(l *ledger.Ledger) {
 		for h := range l.Holders() {
 			w := c.workers[h.Worker]
-			if w == nil || now.Before(w.launching) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.beat.GetEpoch()) < h.Epoch {
+			if w == nil || now.Before(w.callInFlightUntil) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.heartbeat.GetEpoch()) < h.Epoch {
 				continue
 			}
-			launch, stop := c.callsFor(l, h, w)
+			launch, stop := c.callsForHolder(l, h, w)
 			if len(launch.Tasks) > 0 || len(stop.Tasks) > 0 {
 				batches = append(batches, batch{w, launch, stop})
 			}
 		}
 	})
 	for _, b := range batches {
-		if now.Before(b.worker.launching) {
+		if now.Before(b.worker.callInFlightUntil) {
 			continue // an older epoch of the worker came first
 		}
-		b.worker.launching = now.Add(2 * callTimeout)
-		go c.Entry.call(b.worker.id, b.worker.session, b.launch, b.stop)
+		b.worker.callInFlightUntil = now.Add(2 * callTimeout)
+		go c.Entry.callAgent(b.worker.id, b.worker.session, b.launch, b.stop)
 	}
 }
 
-func (c *control) callsFor(l *ledger.Ledger, h ledger.Holder, w *workerRow) (*wire.Launch, *wire.Stop) {
+func (c *control) callsForHolder(l *ledger.Ledger, h ledger.Holder, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
-	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.beat.GetEpoch(), Reason: "cancelled"}
+	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.heartbeat.GetEpoch(), Reason: "cancelled"}
 	for _, task := range l.TasksOn(h) {
-		if !c.owners.Load().owns(string(task.Job)) {
+		if !c.ownership.Load().owns(string(task.Job)) {
 			continue
 		}
 		row := l.Task(task)
 		ref := wire.NewTaskRef(task, row.Attempt)
 		switch {
-		case row.State == ledger.Assigned && units.Epoch(w.beat.GetEpoch()) == h.Epoch && len(launch.Tasks) < maxLaunch:
+		case row.State == ledger.Assigned && units.Epoch(w.heartbeat.GetEpoch()) == h.Epoch && len(launch.Tasks) < maxTasksPerCall:
 			job := l.Job(task.Job)
 			launch.Tasks = append(launch.Tasks, &wire.LaunchTask{
-				Task: ref, Spec: job.Launch(task.Index), Cause: c.causes.Latest(task.String()), MayEvict: c.planner.mayEvict[dispatch.Victim{Task: task, Attempt: row.Attempt}],
+				Task: ref, Spec: job.Launch(task.Index), Cause: c.causes.Latest(task.String()), MayEvict: c.planner.evictionAllowed[dispatch.Victim{Task: task, Attempt: row.Attempt}],
 			})
 		case row.State == ledger.Stopping:
 			stop.Tasks = append(stop.Tasks, ref)
@@ -80,7 +80,7 @@
 }
 
 // call runs on its own goroutine and hands the results to the control loop.
-func (e *Entry) call(id units.WorkerID, session *link.Session, launch *wire.Launch, stop *wire.Stop) {
+func (e *Entry) callAgent(id units.WorkerID, session *link.Session, launch *wire.Launch, stop *wire.Stop) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var reply wire.LaunchReply
@@ -99,18 +99,18 @@
 	}
 	done, cancelDone := context.WithTimeout(context.Background(), callTimeout)
 	defer cancelDone()
-	_ = e.do(done, func(c *control) { c.launched(id, &reply, failed, time.Now()) })
+	_ = e.runOnLoop(done, func(c *control) { c.applyCallResults(id, &reply, failed, time.Now()) })
 }
 
 // launched takes over the results of a call.
-func (c *control) launched(id units.WorkerID, reply *wire.LaunchReply, failed error, now time.Time) {
+func (c *control) applyCallResults(id units.WorkerID, reply *wire.LaunchReply, failed error, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
 		return
 	}
-	w.launching = time.Time{}
+	w.callInFlightUntil = time.Time{}
 	if failed != nil {
-		w.retryAt = now.Add(retryAfter)
+		w.retryAt = now.Add(callRetryDelay)
 	}
 	c.counters.launches.Inc(int64(len(reply.GetResults())))
 	c.jobs.View(func(l *ledger.Ledger) {
@@ -119,8 +119,8 @@
 			if result.GetOutcome() == wire.Outcome_OUTCOME_REFUSED {
 				c.counters.rejections.Inc(1)
 			}
-			if !recorded(l, id, report) {
-				c.record(l, w, report, now)
+			if !isRecorded(l, id, report) {
+				c.proposeReport(l, w, report, now)
 			}
 		}
 	})
--- a/internal/entry/lessor_test.go
+++ b/internal/entry/lessor_test.go
@@ -42,7 +42,7 @@
 		}
 		for id := range c.lessors {
 			w, _ := r.Worker(id)
-			if got := betterLessor(r, w); got != c.want[id] {
+			if got := betterLessorAvailable(r, w); got != c.want[id] {
 				t.Errorf("%s: worker %s: got %v, want %v", c.name, id, got, c.want[id])
 			}
 		}
--- a/internal/entry/outbox.go
+++ b/internal/entry/outbox.go
@@ -14,33 +14,33 @@
 // about to appear in the fold. A repeated proposal does no harm; it costs an
 // entry.
 type outbox struct {
-	writer   *stream.Writer
-	entries  [][]byte
-	proposed map[string]time.Time // key to the time from which it may be proposed again
-	inFlight chan struct{}
-	failures chan []string
-	keys     []string
-	reported map[string]struct{} // keys whose first proposal has been reported to the caller
+	writer      *stream.Writer
+	entries     [][]byte
+	retryableAt map[string]time.Time // key to the time from which it may be proposed again
+	inFlight    chan struct{}
+	failedKeys  chan []string
+	keys        []string
+	seenKeys    map[string]struct{} // keys whose first proposal has been reported to the caller
 }
 
 const (
 	// maxAppends bounds the appends that wait for a slow log; further proposals
 	// wait in the tables that they come from.
-	maxAppends = 8
+	maxPendingAppends = 8
 	// maxTickEntries bounds one append to well below the log's record size.
-	maxTickEntries = 1000
+	maxEntriesPerAppend = 1000
 	// maxReported bounds the keys that add remembers; after that a proposal that
 	// is repeated in a long outage may be reported a second time.
-	maxReported = 16_384
+	maxSeenKeys = 16_384
 	// sweepAbove is the number of remembered keys above which old ones are
 	// dropped.
-	sweepAbove = 4096
+	pruneThreshold = 4096
 )
 
 func newOutbox(w *stream.Writer) outbox {
 	return outbox{
-		writer: w, proposed: make(map[string]time.Time), reported: make(map[string]struct{}),
-		inFlight: make(chan struct{}, maxAppends), failures: make(chan []string, maxAppends),
+		writer: w, retryableAt: make(map[string]time.Time), seenKeys: make(map[string]struct{}),
+		inFlight: make(chan struct{}, maxPendingAppends), failedKeys: make(chan []string, maxPendingAppends),
 	}
 }
 
@@ -49,27 +49,27 @@
 // they are queued for the first time, for events and counters: while the log is
 // down a proposal is repeated every proposalWait.
 func (o *outbox) add(key string, now time.Time, entries ...[]byte) bool {
-	if until, ok := o.proposed[key]; ok && now.Before(until) {
+	if until, ok := o.retryableAt[key]; ok && now.Before(until) {
 		return false
 	}
-	if len(o.entries) >= maxTickEntries || len(o.inFlight) == cap(o.inFlight) {
+	if len(o.entries) >= maxEntriesPerAppend || len(o.inFlight) == cap(o.inFlight) {
 		return false
 	}
-	if len(o.proposed) > sweepAbove {
-		for k, until := range o.proposed {
+	if len(o.retryableAt) > pruneThreshold {
+		for k, until := range o.retryableAt {
 			if !now.Before(until) {
-				delete(o.proposed, k)
+				delete(o.retryableAt, k)
 			}
 		}
 	}
-	o.proposed[key] = now.Add(proposalWait)
+	o.retryableAt[key] = now.Add(proposalRetryDelay)
 	o.keys = append(o.keys, key)
 	o.entries = append(o.entries, entries...)
-	_, again := o.reported[key]
-	if len(o.reported) >= maxReported {
-		clear(o.reported)
+	_, again := o.seenKeys[key]
+	if len(o.seenKeys) >= maxSeenKeys {
+		clear(o.seenKeys)
 	}
-	o.reported[key] = struct{}{}
+	o.seenKeys[key] = struct{}{}
 	return !again
 }
 
@@ -77,9 +77,9 @@
 func (o *outbox) flush(ctx context.Context) {
 	for {
 		select {
-		case keys := <-o.failures:
+		case keys := <-o.failedKeys:
 			for _, k := range keys {
-				delete(o.proposed, k)
+				delete(o.retryableAt, k)
 			}
 			continue
 		default:
@@ -107,7 +107,7 @@
 			return // it may still take effect; proposalWait decides when to repeat
 		}
 		select {
-		case o.failures <- keys:
+		case o.failedKeys <- keys:
 		default:
 		}
 	}()
--- a/internal/entry/owners.go
+++ b/internal/entry/ownership.go
@@ -10,7 +10,7 @@
 
 // owners answers whether this process is the owner of a key among a fixed set
 // of live entry processes. Ownership divides the work; it grants nothing.
-type owners struct {
+type ownership struct {
 	self units.EntryID
 	live []units.EntryID // sorted; holds self
 
@@ -19,23 +19,23 @@
 }
 
 // maxOwnersCache bounds the cache at about twice the jobs of a day.
-const maxOwnersCache = 32_768
+const maxOwnershipCache = 32_768
 
-func newOwners(self units.EntryID, live []units.EntryID) *owners {
+func newOwnership(self units.EntryID, live []units.EntryID) *ownership {
 	if !slices.Contains(live, self) {
 		live = append(slices.Clone(live), self)
 		slices.Sort(live)
 	}
-	return &owners{self: self, live: live, cache: make(map[string]bool)}
+	return &ownership{self: self, live: live, cache: make(map[string]bool)}
 }
 
-func (o *owners) owns(key string) bool {
+func (o *ownership) owns(key string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if mine, ok := o.cache[key]; ok {
 		return mine
 	}
-	if len(o.cache) >= maxOwnersCache {
+	if len(o.cache) >= maxOwnershipCache {
 		clear(o.cache)
 	}
 	mine := roster.Owner(key, o.live) == o.self
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -14,27 +14,27 @@
 
 // planner connects the dispatcher to the tables of this process.
 type planner struct {
-	dispatcher   *dispatch.Dispatcher
-	interference dispatch.Interference
-	mayEvict     map[dispatch.Victim]bool // assignments that may evict, until they are launched
-	rows         []dispatch.Worker
+	dispatcher      *dispatch.Dispatcher
+	interference    dispatch.Interference
+	evictionAllowed map[dispatch.Victim]bool // assignments that may evict, until they are launched
+	workers         []dispatch.Worker
 }
 
 // maxMayEvict bounds the remembered permissions; an assignment whose
 // permission is forgotten is refused and assigned anew.
-const maxMayEvict = 4096
+const maxEvictionPermissions = 4096
 
 func newPlanner() planner {
 	return planner{
-		dispatcher:   dispatch.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		interference: make(dispatch.Interference),
-		mayEvict:     make(map[dispatch.Victim]bool),
+		dispatcher:      dispatch.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		interference:    make(dispatch.Interference),
+		evictionAllowed: make(map[dispatch.Victim]bool),
 	}
 }
 
 // observe takes over what an agent's guard has learned.
-func (p *planner) observe(w *workerRow) {
-	for _, i := range w.beat.GetInterference() {
+func (p *planner) recordInterference(w *workerState) {
+	for _, i := range w.heartbeat.GetInterference() {
 		kind := units.JobKind(i.GetJobKind())
 		if p.interference[kind] == nil {
 			p.interference[kind] = make(map[units.ServiceName]float64)
@@ -44,29 +44,29 @@
 }
 
 // place runs the dispatcher and proposes what it decides.
-func (c *control) place(now time.Time) {
-	v := c.document.Load()
+func (c *control) placeTasks(now time.Time) {
+	v := c.currentVersion.Load()
 	if v == nil || c.draining.Load() {
 		return
 	}
-	c.planner.rows = c.planner.rows[:0]
-	registered := c.registrations()
+	c.planner.workers = c.planner.workers[:0]
+	registered := c.currentRegistrations()
 	for _, w := range c.workers {
-		c.planner.rows = append(c.planner.rows, c.dispatchRow(w, registered, now))
+		c.planner.workers = append(c.planner.workers, c.dispatchWorker(w, registered, now))
 	}
 	// Taken before the view: a second read lock inside it would wait for ever
 	// behind a writer that waits for the first.
-	reachableNow := c.logReachable(now) && c.jobs.Staleness(now) < reachable
+	reachableNow := c.logReachable(now) && c.jobs.Staleness(now) < maxLogStaleness
 	c.jobs.View(func(l *ledger.Ledger) {
 		proposals := c.planner.dispatcher.Tick(dispatch.Input{
-			Now: now, Ledger: l, Document: v.document, Workers: c.planner.rows, Interference: c.planner.interference,
+			Now: now, Ledger: l, Document: v.document, Workers: c.planner.workers, Interference: c.planner.interference,
 			LogReachable: reachableNow,
-			Mine:         func(id units.JobID) bool { return c.owners.Load().owns(string(id)) },
+			Mine:         func(id units.JobID) bool { return c.ownership.Load().owns(string(id)) },
 			Ended: func(h ledger.Holder) bool {
 				w, ok := registered[h.Worker]
 				return ok && !w.Holds() && w.Epoch >= h.Epoch
 			},
-			Dispatchers: len(c.owners.Load().live),
+			Dispatchers: len(c.ownership.Load().live),
 		})
 		for _, p := range proposals {
 			c.propose(l, p, now)
@@ -80,29 +80,29 @@
 // registrations returns the newest registration of every worker. The table is
 // built anew only when the members stream has moved, which is a few times a
 // second, while a tick comes 20 times a second.
-func (c *control) registrations() map[units.WorkerID]roster.Worker {
+func (c *control) currentRegistrations() map[units.WorkerID]roster.Worker {
 	applied := c.members.Applied()
-	if c.registered != nil && c.registeredAt == applied {
-		return c.registered
+	if c.registeredWorkers != nil && c.registeredWorkersOffset == applied {
+		return c.registeredWorkers
 	}
-	registered := make(map[units.WorkerID]roster.Worker, len(c.registered))
+	registered := make(map[units.WorkerID]roster.Worker, len(c.registeredWorkers))
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
 			registered[w.ID] = w
 		}
 	})
-	c.registered, c.registeredAt = registered, applied
+	c.registeredWorkers, c.registeredWorkersOffset = registered, applied
 	return registered
 }
 
 // dispatchRow is the dispatcher's view of a worker. Only the registered epoch
 // may get tasks: the lessor of an unregistered one is not known yet.
-func (c *control) dispatchRow(w *workerRow, registered map[units.WorkerID]roster.Worker, now time.Time) dispatch.Worker {
-	m := w.beat
+func (c *control) dispatchWorker(w *workerState, registered map[units.WorkerID]roster.Worker, now time.Time) dispatch.Worker {
+	m := w.heartbeat
 	row := dispatch.Worker{
 		ID: w.id, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion()),
 		Capacity: m.GetCapacity().Units(), Committed: m.GetCommitted().Units(), Evictable: m.GetEvictable().Units(),
-		Age: now.Sub(w.heard), Draining: m.GetDraining(), Session: w.reachable(now) && m.GetLeaseValid(),
+		Age: now.Sub(w.lastHeartbeatAt), Draining: m.GetDraining(), Session: w.reachable(now) && m.GetLeaseValid(),
 	}
 	if known, ok := registered[w.id]; ok && known.Holds() && known.Epoch == units.Epoch(m.GetEpoch()) {
 		row.Epoch = known.Epoch
@@ -116,7 +116,7 @@
 }
 
 // proposalNames are the kinds of the time line's events.
-var proposalNames = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
+var proposalEventKinds = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
 
 func (c *control) propose(l *ledger.Ledger, p dispatch.Proposal, now time.Time) {
 	entry := p.Encode()
@@ -124,12 +124,12 @@
 		entry = ledger.EncodeEnded(p.Task, p.Attempt, wire.Outcome_OUTCOME_STOPPED, 0, units.Resources{})
 	}
 	if p.MayEvict {
-		if len(c.planner.mayEvict) >= maxMayEvict {
-			clear(c.planner.mayEvict)
+		if len(c.planner.evictionAllowed) >= maxEvictionPermissions {
+			clear(c.planner.evictionAllowed)
 		}
-		c.planner.mayEvict[dispatch.Victim{Task: p.Task, Attempt: p.Attempt}] = true
+		c.planner.evictionAllowed[dispatch.Victim{Task: p.Task, Attempt: p.Attempt}] = true
 	}
-	if !c.jobsOut.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.Holder.Worker), now, entry) {
+	if !c.jobsOutbox.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.Holder.Worker), now, entry) {
 		return
 	}
 	c.counters.proposals.Inc(1)
@@ -137,6 +137,6 @@
 	if p.Action == dispatch.Release {
 		cause = c.causes.Latest(string(p.Holder.Worker)) // the end of the worker's epoch
 	}
-	c.event("job", proposalNames[p.Action], p.Task.String(),
+	c.event("job", proposalEventKinds[p.Action], p.Task.String(),
 		fmt.Sprintf("attempt %d %s %s", p.Attempt, p.Holder.Worker, p.Reason), cause)
 }
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -11,20 +11,20 @@
 const (
 	// listAgainAfter is how often an agent is asked for the full list of what
 	// its worker runs: ten tasks and twelve entry processes cost 80 B/s.
-	listAgainAfter = time.Minute
+	maxRunningListAge = time.Minute
 	// missingFor is how long an attempt must be absent from full lists before it
 	// counts as lost; a list may have been composed just before a start that
 	// the ledger already holds.
-	missingFor = 10 * time.Second
+	missingTimeout = 10 * time.Second
 	// reconcileEvery spaces the comparisons.
-	reconcileEvery = time.Second
+	reconcileInterval = time.Second
 )
 
 // missingAttempt is an attempt that the ledger holds for running and that the
 // newest full list of its worker does not contain.
 type missingAttempt struct {
-	since time.Time // of the first list without it
-	list  time.Time // that list
+	since         time.Time // of the first list without it
+	firstListedAt time.Time // that list
 }
 
 type attemptKey struct {
@@ -38,15 +38,15 @@
 // leave a task open for ever. The agent starts no attempt again that it has
 // ended, so the next attempt cannot run beside it.
 func (c *control) reconcile(now time.Time) {
-	if now.Before(c.reconcileAt) || c.catchingUp(now) {
+	if now.Before(c.nextReconcileAt) || c.catchingUp(now) {
 		return
 	}
-	c.reconcileAt = now.Add(reconcileEvery)
-	c.compareLists(now)
+	c.nextReconcileAt = now.Add(reconcileInterval)
+	c.compareRunningLists(now)
 }
 
 // compareLists compares the newest full lists with the ledger.
-func (c *control) compareLists(now time.Time) {
+func (c *control) compareRunningLists(now time.Time) {
 	still := make(map[attemptKey]missingAttempt)
 	c.jobs.View(func(l *ledger.Ledger) {
 		for h := range l.Holders() {
@@ -57,27 +57,27 @@
 			c.reconcileWorker(l, h, w, still, now)
 		}
 	})
-	c.missing = still
+	c.missingAttempts = still
 }
 
-func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerRow, still map[attemptKey]missingAttempt, now time.Time) {
+func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerState, still map[attemptKey]missingAttempt, now time.Time) {
 	listed := w.mayRun()
 	for _, task := range l.TasksOn(h) {
 		row := l.Task(task)
-		if row.State != ledger.Running || listed(task, row.Attempt) || !c.owners.Load().owns(string(task.Job)) {
+		if row.State != ledger.Running || listed(task, row.Attempt) || !c.ownership.Load().owns(string(task.Job)) {
 			continue
 		}
 		key := attemptKey{task, row.Attempt}
-		m, known := c.missing[key]
+		m, known := c.missingAttempts[key]
 		if !known {
-			m = missingAttempt{since: now, list: w.runningAt}
+			m = missingAttempt{since: now, firstListedAt: w.runningListedAt}
 		}
 		still[key] = m
-		if now.Sub(m.since) < missingFor || !w.runningAt.After(m.list) {
+		if now.Sub(m.since) < missingTimeout || !w.runningListedAt.After(m.firstListedAt) {
 			continue
 		}
 		entry := ledger.EncodeReleased(task, row.Attempt, ledger.Release{Reason: "the worker does not run it"})
-		if c.jobsOut.add(fmt.Sprintf("lost/%s#%d", task, row.Attempt), now, entry) {
+		if c.jobsOutbox.add(fmt.Sprintf("lost/%s#%d", task, row.Attempt), now, entry) {
 			c.counters.releases.Inc(1)
 			c.event("job", "released", task.String(), fmt.Sprintf("attempt %d is not on %s", row.Attempt, h.Worker), "")
 		}
@@ -86,10 +86,10 @@
 
 // mayRun returns which attempts the worker may run according to the agent's
 // newest full list and the reports of its newest heartbeat.
-func (w *workerRow) mayRun() func(units.Task, units.Attempt) bool {
-	unreported := make(map[units.Task]bool, len(w.beat.GetReports()))
-	for _, r := range w.beat.GetReports() {
+func (w *workerState) mayRun() func(units.Task, units.Attempt) bool {
+	unreported := make(map[units.Task]bool, len(w.heartbeat.GetReports()))
+	for _, r := range w.heartbeat.GetReports() {
 		unreported[r.GetTask().Task()] = true
 	}
-	return func(t units.Task, a units.Attempt) bool { return w.running[t] == a || unreported[t] }
+	return func(t units.Task, a units.Attempt) bool { return w.runningAttempts[t] == a || unreported[t] }
 }
--- a/internal/entry/reconcile_test.go
+++ b/internal/entry/reconcile_test.go
@@ -56,15 +56,15 @@
 		start := time.Now()
 		for second := range 20 {
 			now := start.Add(time.Duration(second) * time.Second)
-			w := &workerRow{id: "worker-1", session: &link.Session{}, heard: now, runningEpoch: c.epoch, runningAt: start,
-				beat: &wire.Heartbeat{Epoch: uint64(c.epoch), Reports: c.reports}, running: map[units.Task]units.Attempt{task: c.running}}
+			w := &workerState{id: "worker-1", session: &link.Session{}, lastHeartbeatAt: now, runningEpoch: c.epoch, runningListedAt: start,
+				heartbeat: &wire.Heartbeat{Epoch: uint64(c.epoch), Reports: c.reports}, runningAttempts: map[units.Task]units.Attempt{task: c.running}}
 			if c.again && second > 5 {
-				w.runningAt = start.Add(5 * time.Second)
+				w.runningListedAt = start.Add(5 * time.Second)
 			}
 			control.workers["worker-1"] = w
-			control.compareLists(now)
+			control.compareRunningLists(now)
 		}
-		if got := min(len(control.jobsOut.entries), 1); got != c.want {
+		if got := min(len(control.jobsOutbox.entries), 1); got != c.want {
 			t.Errorf("%s: proposals: got %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -13,14 +13,14 @@
 const (
 	// foreignAfter is how long this process leaves a worker or a report to its
 	// owner before it acts itself; a repeated record is ignored by the fold.
-	foreignAfter = 3 * time.Second
+	ownerTimeout = 3 * time.Second
 )
 
 // register proposes the registration of a new epoch and a lessor for an agent
 // that asks for one.
-func (c *control) register(w *workerRow, now time.Time) {
-	epoch := units.Epoch(w.beat.GetEpoch())
-	if epoch == 0 || w.beat.GetCapacity() == nil {
+func (c *control) register(w *workerState, now time.Time) {
+	epoch := units.Epoch(w.heartbeat.GetEpoch())
+	if epoch == 0 || w.heartbeat.GetCapacity() == nil {
 		return // not described yet
 	}
 	var known roster.Worker
@@ -29,46 +29,46 @@
 	h := roster.Holder{Worker: w.id, Epoch: epoch}
 	switch {
 	case !found || known.Epoch < epoch:
-		if c.mine("worker/"+string(w.id), h, now) {
+		if c.shouldActOn("worker/"+string(w.id), h, now) {
 			c.proposeRegistration(w, h, now)
 		}
-	case known.Epoch == epoch && known.Holds() && w.beat.GetWantsLessor() && units.Term(w.beat.GetLeaseTerm()) == known.Term:
-		if c.mine("worker/"+string(w.id), h, now) {
+	case known.Epoch == epoch && known.Holds() && w.heartbeat.GetWantsLessor() && units.Term(w.heartbeat.GetLeaseTerm()) == known.Term:
+		if c.shouldActOn("worker/"+string(w.id), h, now) {
 			c.proposeLessor(w, known, now)
 		}
 	default:
-		delete(c.asking, h)
+		delete(c.requestedSince, h)
 	}
 }
 
 // mine reports whether this process acts on the key: as its owner, or because
 // the owner has not acted for foreignAfter.
-func (c *control) mine(key string, h roster.Holder, now time.Time) bool {
-	if c.owners.Load().owns(key) {
+func (c *control) shouldActOn(key string, h roster.Holder, now time.Time) bool {
+	if c.ownership.Load().owns(key) {
 		return true
 	}
-	since, ok := c.asking[h]
+	since, ok := c.requestedSince[h]
 	if !ok {
-		c.asking[h] = now
+		c.requestedSince[h] = now
 		return false
 	}
-	return now.Sub(since) > foreignAfter
+	return now.Sub(since) > ownerTimeout
 }
 
-func (c *control) proposeRegistration(w *workerRow, h roster.Holder, now time.Time) {
-	m := w.beat
+func (c *control) proposeRegistration(w *workerState, h roster.Holder, now time.Time) {
+	m := w.heartbeat
 	place := roster.Place{Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion())}
 	row := roster.Worker{
 		ID: w.id, Epoch: h.Epoch, Domain: place.Domain, Rack: place.Rack, Region: place.Region,
 		LinkAddress: m.GetLinkAddress(), Capacity: m.GetCapacity().Units(),
 	}
 	row.Lessor, _ = c.chooseLessor(w.id, place, roster.Holder{}, now)
-	if c.membersOut.add(fmt.Sprintf("register/%s@%d", w.id, h.Epoch), now, roster.EncodeRegistered(row)) {
+	if c.membersOutbox.add(fmt.Sprintf("register/%s@%d", w.id, h.Epoch), now, roster.EncodeRegistered(row)) {
 		c.event("worker", "registering", string(w.id), fmt.Sprintf("epoch %d, lessor %q", h.Epoch, row.Lessor.Worker), "")
 	}
 }
 
-func (c *control) proposeLessor(w *workerRow, known roster.Worker, now time.Time) {
+func (c *control) proposeLessor(w *workerState, known roster.Worker, now time.Time) {
 	place := roster.Place{Domain: known.Domain, Rack: known.Rack, Region: known.Region}
 	lessor, ok := c.chooseLessor(w.id, place, known.Lessor, now)
 	if !ok {
@@ -80,7 +80,7 @@
 		return
 	}
 	key := fmt.Sprintf("lessor/%s@%d/%d", w.id, known.Epoch, known.Term)
-	if c.membersOut.add(key, now, roster.EncodeLessorChanged(known.Holder(), known.Term+1, lessor)) {
+	if c.membersOutbox.add(key, now, roster.EncodeLessorChanged(known.Holder(), known.Term+1, lessor)) {
 		c.event("worker", "lessorChanging", string(w.id), fmt.Sprintf("to %s, term %d", lessor.Worker, known.Term+1), "")
 	}
 }
@@ -91,7 +91,7 @@
 	c.members.View(func(r *roster.Roster) {
 		chosen, ok = r.ChooseLessor(id, at, func(h roster.Holder) bool {
 			w := c.workers[h.Worker]
-			return h != current && w != nil && w.reachable(now) && units.Epoch(w.beat.GetEpoch()) == h.Epoch && !w.beat.GetDraining()
+			return h != current && w != nil && w.reachable(now) && units.Epoch(w.heartbeat.GetEpoch()) == h.Epoch && !w.heartbeat.GetDraining()
 		})
 	})
 	return chosen, ok
@@ -100,7 +100,7 @@
 // settled reports whether the expiry is recorded or can no longer take effect.
 // It is false for an epoch that the roster does not hold yet: this process may
 // be behind.
-func settled(r *roster.Roster, x *wire.LeaseExpiry) bool {
+func expirySettled(r *roster.Roster, x *wire.LeaseExpiry) bool {
 	w, ok := r.Worker(units.WorkerID(x.GetWorker()))
 	epoch, term := units.Epoch(x.GetEpoch()), units.Term(x.GetTerm())
 	if !ok || w.Epoch < epoch {
@@ -113,23 +113,23 @@
 // watcher that the lessor has activated meanwhile is recorded in the jobs
 // stream first: once the expiry is visible, any process may assign the task
 // anew.
-func (c *control) acceptExpiries(lessor *workerRow, now time.Time) {
-	for _, x := range lessor.beat.GetExpiries() {
+func (c *control) proposeExpiries(lessor *workerState, now time.Time) {
+	for _, x := range lessor.heartbeat.GetExpiries() {
 		id := units.WorkerID(x.GetWorker())
 		var done bool
 		var known roster.Worker
 		c.members.View(func(r *roster.Roster) {
-			done = settled(r, x)
+			done = expirySettled(r, x)
 			known, _ = r.Worker(id)
 		})
-		if done || known.Lessor != (roster.Holder{Worker: lessor.id, Epoch: units.Epoch(lessor.beat.GetEpoch())}) {
+		if done || known.Lessor != (roster.Holder{Worker: lessor.id, Epoch: units.Epoch(lessor.heartbeat.GetEpoch())}) {
 			continue
 		}
 		if c.unrecordedActivations(lessor) {
 			continue
 		}
 		key := fmt.Sprintf("expire/%s@%d/%d", id, known.Epoch, known.Term)
-		if c.membersOut.add(key, now, roster.EncodeLeaseExpired(known.Holder(), known.Term)) {
+		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(known.Holder(), known.Term)) {
 			c.counters.expiries.Inc(1)
 			c.event("worker", "leaseExpired", string(id), "attested by "+string(lessor.id), "")
 		}
@@ -139,54 +139,54 @@
 // expireChains records the expiry of workers whose lessor has ended and who
 // have not changed lessor, once the lessor can grant nothing any more and its
 // last grant has run out.
-func (c *control) expireChains(now time.Time) {
-	if now.Before(c.chainAt) {
+func (c *control) expireLesseesOfEndedLessors(now time.Time) {
+	if now.Before(c.nextLessorCheckAt) {
 		return
 	}
-	c.chainAt = now.Add(chainEvery)
-	due := c.chained()
+	c.nextLessorCheckAt = now.Add(lessorCheckInterval)
+	due := c.lesseesOfEndedLessors()
 	for h, d := range due {
-		since, ok := c.chain[h]
+		since, ok := c.lessorEndedSince[h]
 		if !ok {
-			c.chain[h] = now
+			c.lessorEndedSince[h] = now
 			continue
 		}
-		if now.Sub(since) < d.wait || !c.owners.Load().owns("worker/"+string(h.Worker)) || c.catchingUp(now) {
+		if now.Sub(since) < d.wait || !c.ownership.Load().owns("worker/"+string(h.Worker)) || c.catchingUp(now) {
 			continue
 		}
 		key := fmt.Sprintf("expire/%s@%d/%d", h.Worker, h.Epoch, d.term)
-		if c.membersOut.add(key, now, roster.EncodeLeaseExpired(h, d.term)) {
+		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(h, d.term)) {
 			c.event("worker", "leaseExpired", string(h.Worker), "its lessor has ended before", "")
 		}
 	}
-	for h := range c.chain {
+	for h := range c.lessorEndedSince {
 		if _, ok := due[h]; !ok {
-			delete(c.chain, h)
+			delete(c.lessorEndedSince, h)
 		}
 	}
 }
 
 // chainEvery spaces the looks at all workers; the shortest wait is 9 s.
-const chainEvery = time.Second
+const lessorCheckInterval = time.Second
 
 // chainedExpiry is a worker whose lessor has ended.
-type chainedExpiry struct {
+type dependentExpiry struct {
 	term units.Term
 	wait time.Duration // from when the end is known until the lease has certainly ended
 }
 
 // chained returns the workers in force whose lessor has ended.
-func (c *control) chained() map[roster.Holder]chainedExpiry {
-	due := make(map[roster.Holder]chainedExpiry)
+func (c *control) lesseesOfEndedLessors() map[roster.Holder]dependentExpiry {
+	due := make(map[roster.Holder]dependentExpiry)
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
 			if _, ok := r.ChainExpirable(w.ID); !ok || !w.Holds() {
 				continue
 			}
-			d := chainedExpiry{w.Term, leases.ExpiredChainWait}
+			d := dependentExpiry{w.Term, leases.ExpiredChainWait}
 			if lessor, ok := r.Worker(w.Lessor.Worker); ok && lessor.Holds() {
 				d.wait = leases.ReplacedChainWait
-				if !c.accounted(lessor) {
+				if !c.activationsAccountedFor(lessor) {
 					continue
 				}
 			}
@@ -200,7 +200,7 @@
 // said what its worker runs, and everything that it activated as a standby
 // before is recorded. Until then an expiry of its lessee would let a watcher
 // that it runs start elsewhere.
-func (c *control) accounted(lessor roster.Worker) bool {
+func (c *control) activationsAccountedFor(lessor roster.Worker) bool {
 	w := c.workers[lessor.ID]
 	return w != nil && w.runningEpoch == lessor.Epoch && !c.unrecordedActivations(w)
 }
@@ -208,5 +208,5 @@
 // catchingUp reports whether the members stream may hold records that this
 // process has not applied.
 func (c *control) catchingUp(now time.Time) bool {
-	return c.members.Staleness(now) > reachable
+	return c.members.Staleness(now) > maxLogStaleness
 }
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -38,26 +38,26 @@
 		}
 	})
 	for _, h := range over {
-		c.releaseOn(h.holder, h.newest, now)
+		c.releaseAttempts(h.holder, h.newest, now)
 	}
 }
 
-func (c *control) releaseOn(h ledger.Holder, newest roster.Worker, now time.Time) {
-	adopted := c.adopted(h, newest)
+func (c *control) releaseAttempts(h ledger.Holder, newest roster.Worker, now time.Time) {
+	adopted := c.adoptedAttempts(h, newest)
 	if adopted == nil {
 		return
 	}
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, task := range l.TasksOn(h) {
 			row := l.Task(task)
-			if adopted(task, row.Attempt) || !c.owners.Load().owns(string(task.Job)) {
+			if adopted(task, row.Attempt) || !c.ownership.Load().owns(string(task.Job)) {
 				continue
 			}
 			entry := ledger.EncodeReleased(task, row.Attempt, ledger.Release{Reason: "worker epoch ended"})
 			if row.State == ledger.Stopping {
 				entry = ledger.EncodeEnded(task, row.Attempt, wire.Outcome_OUTCOME_STOPPED, 0, units.Resources{})
 			}
-			if c.jobsOut.add(fmt.Sprintf("release/%s#%d", task, row.Attempt), now, entry) {
+			if c.jobsOutbox.add(fmt.Sprintf("release/%s#%d", task, row.Attempt), now, entry) {
 				c.counters.releases.Inc(1)
 				c.event("job", "released", task.String(), fmt.Sprintf("attempt %d: epoch %d of %s ended", row.Attempt, h.Epoch, h.Worker), "")
 			}
@@ -67,9 +67,9 @@
 
 // adopted returns which attempts of an ended epoch may still run, or nil while
 // that is not known.
-func (c *control) adopted(h ledger.Holder, newest roster.Worker) func(units.Task, units.Attempt) bool {
+func (c *control) adoptedAttempts(h ledger.Holder, newest roster.Worker) func(units.Task, units.Attempt) bool {
 	w := c.workers[h.Worker]
-	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.beat.GetEpoch()) != newest.Epoch {
+	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.heartbeat.GetEpoch()) != newest.Epoch {
 		return nil
 	}
 	return w.mayRun()
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -16,40 +16,40 @@
 		if t.State != ledger.Assigned {
 			return nil
 		}
-		return ledger.EncodeStarted(reported(r))
+		return ledger.EncodeStarted(reportedAttempt(r))
 	},
 	wire.Outcome_OUTCOME_REFUSED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		return release(r, ledger.Release{Reason: r.GetReason()})
+		return encodeRelease(r, ledger.Release{Reason: r.GetReason()})
 	},
 	wire.Outcome_OUTCOME_COMPLETED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		t, a := reported(r)
+		t, a := reportedAttempt(r)
 		return ledger.EncodeEnded(t, a, r.GetOutcome(), time.Duration(r.GetRunMilliseconds())*time.Millisecond, r.GetUsed().Units())
 	},
 	wire.Outcome_OUTCOME_FAILED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		return release(r, ledger.Release{Reason: r.GetReason(), IsFailure: true, Checkpoint: r.GetCheckpoint()})
+		return encodeRelease(r, ledger.Release{Reason: r.GetReason(), IsFailure: true, Checkpoint: r.GetCheckpoint()})
 	},
 	wire.Outcome_OUTCOME_EVICTED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		t, a := reported(r)
+		t, a := reportedAttempt(r)
 		return ledger.EncodeEvicted(t, a, r.GetCheckpoint(), r.GetReason())
 	},
 	wire.Outcome_OUTCOME_STOPPED: func(r *wire.TaskReport, row *ledger.Task) []byte {
 		if row.State != ledger.Stopping {
-			return release(r, ledger.Release{Reason: "stopped: " + r.GetReason(), Checkpoint: r.GetCheckpoint()})
+			return encodeRelease(r, ledger.Release{Reason: "stopped: " + r.GetReason(), Checkpoint: r.GetCheckpoint()})
 		}
-		t, a := reported(r)
+		t, a := reportedAttempt(r)
 		return ledger.EncodeEnded(t, a, r.GetOutcome(), time.Duration(r.GetRunMilliseconds())*time.Millisecond, r.GetUsed().Units())
 	},
 	wire.Outcome_OUTCOME_EXPIRED: func(r *wire.TaskReport, _ *ledger.Task) []byte {
-		return release(r, ledger.Release{Reason: "lease expired", Checkpoint: r.GetCheckpoint()})
+		return encodeRelease(r, ledger.Release{Reason: "lease expired", Checkpoint: r.GetCheckpoint()})
 	},
 }
 
-func reported(r *wire.TaskReport) (units.Task, units.Attempt) {
+func reportedAttempt(r *wire.TaskReport) (units.Task, units.Attempt) {
 	return r.GetTask().Task(), units.Attempt(r.GetTask().GetAttempt())
 }
 
-func release(r *wire.TaskReport, why ledger.Release) []byte {
-	t, a := reported(r)
+func encodeRelease(r *wire.TaskReport, why ledger.Release) []byte {
+	t, a := reportedAttempt(r)
 	return ledger.EncodeReleased(t, a, why)
 }
 
@@ -57,8 +57,8 @@
 // that makes it void. It is false for a job or an attempt that the ledger does
 // not hold: this process may be behind, and an agent forgets what is
 // acknowledged.
-func recorded(l *ledger.Ledger, worker units.WorkerID, r *wire.TaskReport) bool {
-	task, attempt := reported(r)
+func isRecorded(l *ledger.Ledger, worker units.WorkerID, r *wire.TaskReport) bool {
+	task, attempt := reportedAttempt(r)
 	job, row := l.Job(task.Job), l.Task(task)
 	switch {
 	case job == nil:
@@ -75,8 +75,8 @@
 
 // activation reports whether the report says that a lessor has activated the
 // standby of a watcher while the log was unreachable.
-func activation(l *ledger.Ledger, r *wire.TaskReport) bool {
-	task, attempt := reported(r)
+func isActivation(l *ledger.Ledger, r *wire.TaskReport) bool {
+	task, attempt := reportedAttempt(r)
 	row, job := l.Task(task), l.Job(task.Job)
 	return row != nil && job != nil && job.IsWatcher() && row.Attempt+1 == attempt &&
 		r.GetOutcome() == wire.Outcome_OUTCOME_STARTED
@@ -85,40 +85,40 @@
 // acceptReports proposes the entries for the reports of a heartbeat. The owner
 // of the job records a report; another process that gets it too does so only
 // after the owner had time to.
-func (c *control) acceptReports(w *workerRow, now time.Time) {
-	if len(w.beat.GetReports()) == 0 {
+func (c *control) proposeReports(w *workerState, now time.Time) {
+	if len(w.heartbeat.GetReports()) == 0 {
 		return
 	}
 	c.jobs.View(func(l *ledger.Ledger) {
-		for _, r := range w.beat.GetReports() {
-			if !recorded(l, w.id, r) {
-				c.record(l, w, r, now)
+		for _, r := range w.heartbeat.GetReports() {
+			if !isRecorded(l, w.id, r) {
+				c.proposeReport(l, w, r, now)
 			}
 		}
 	})
 }
 
-func (c *control) record(l *ledger.Ledger, w *workerRow, r *wire.TaskReport, now time.Time) {
-	task, attempt := reported(r)
+func (c *control) proposeReport(l *ledger.Ledger, w *workerState, r *wire.TaskReport, now time.Time) {
+	task, attempt := reportedAttempt(r)
 	key := fmt.Sprintf("%s/%s#%d", r.GetOutcome(), task, attempt)
-	if !c.owners.Load().owns(string(task.Job)) && !c.foreignDue(key, now) {
+	if !c.ownership.Load().owns(string(task.Job)) && !c.ownerTimedOut(key, now) {
 		return
 	}
-	if activation(l, r) {
-		c.recordActivation(l, w, r, key, now)
+	if isActivation(l, r) {
+		c.proposeActivation(l, w, r, key, now)
 		return
 	}
 	encode, row := encodeReport[r.GetOutcome()], l.Task(task)
 	if encode == nil || row == nil || row.Attempt != attempt {
 		return // unknown, or not reached yet
 	}
-	if entry := encode(r, row); entry != nil && c.jobsOut.add(key, now, entry) {
-		c.event("job", outcomeNames[r.GetOutcome()], task.String(),
+	if entry := encode(r, row); entry != nil && c.jobsOutbox.add(key, now, entry) {
+		c.event("job", outcomeEventKinds[r.GetOutcome()], task.String(),
 			fmt.Sprintf("attempt %d on %s %s", attempt, w.id, r.GetReason()), "")
 	}
 }
 
-var outcomeNames = map[wire.Outcome]string{
+var outcomeEventKinds = map[wire.Outcome]string{
 	wire.Outcome_OUTCOME_STARTED: "started", wire.Outcome_OUTCOME_REFUSED: "refused",
 	wire.Outcome_OUTCOME_COMPLETED: "completed", wire.Outcome_OUTCOME_FAILED: "failed",
 	wire.Outcome_OUTCOME_EVICTED: "evicted", wire.Outcome_OUTCOME_STOPPED: "stopped",
@@ -127,8 +127,8 @@
 
 // recordActivation records in one append that the holder's attempt is over and
 // that the lessor runs the next one.
-func (c *control) recordActivation(l *ledger.Ledger, w *workerRow, r *wire.TaskReport, key string, now time.Time) {
-	task, attempt := reported(r)
+func (c *control) proposeActivation(l *ledger.Ledger, w *workerState, r *wire.TaskReport, key string, now time.Time) {
+	task, attempt := reportedAttempt(r)
 	row := l.Task(task)
 	entries := [][]byte{
 		ledger.EncodeAssigned(task, attempt, w.holder(), l.Job(task.Job).Size, row.Borrowed),
@@ -137,17 +137,17 @@
 	if row.State.Open() {
 		entries = append([][]byte{ledger.EncodeReleased(task, row.Attempt, ledger.Release{Reason: "standby activated by " + string(w.id)})}, entries...)
 	}
-	if c.jobsOut.add(key, now, entries...) {
+	if c.jobsOutbox.add(key, now, entries...) {
 		c.event("job", "standbyActivated", task.String(), fmt.Sprintf("attempt %d on %s", attempt, w.id), "")
 	}
 }
 
 // unrecordedActivations reports whether the agent's heartbeat carries an
 // activation that the ledger does not hold yet.
-func (c *control) unrecordedActivations(w *workerRow) (found bool) {
+func (c *control) unrecordedActivations(w *workerState) (found bool) {
 	c.jobs.View(func(l *ledger.Ledger) {
-		for _, r := range w.beat.GetReports() {
-			found = found || activation(l, r)
+		for _, r := range w.heartbeat.GetReports() {
+			found = found || isActivation(l, r)
 		}
 	})
 	return found
@@ -155,11 +155,11 @@
 
 // foreignDue reports whether another process's report has been outstanding for
 // foreignAfter.
-func (c *control) foreignDue(key string, now time.Time) bool {
+func (c *control) ownerTimedOut(key string, now time.Time) bool {
 	mark := "foreign/" + key
-	since, ok := c.jobsOut.proposed[mark]
+	since, ok := c.jobsOutbox.retryableAt[mark]
 	if !ok {
-		c.jobsOut.proposed[mark] = now.Add(foreignAfter)
+		c.jobsOutbox.retryableAt[mark] = now.Add(ownerTimeout)
 		return false
 	}
 	return !now.Before(since)
@@ -168,36 +168,36 @@
 // forgottenAfter is how long a report about an unknown job is repeated while
 // the tail of the stream is followed, before the job counts as ended and
 // dropped: the assignment was recorded before the report was sent.
-const forgottenAfter = 30 * time.Second
+const endedJobTimeout = 30 * time.Second
 
 // unknownFor returns how long reports about the job have come in.
-func (c *control) unknownFor(r *wire.TaskReport, now time.Time) time.Duration {
+func (c *control) unknownJobAge(r *wire.TaskReport, now time.Time) time.Duration {
 	job := units.JobID(r.GetTask().GetJob())
-	since, ok := c.unknown[job]
+	since, ok := c.unknownJobSince[job]
 	if !ok {
-		if len(c.unknown) >= maxUnknown {
-			clear(c.unknown)
+		if len(c.unknownJobSince) >= maxUnknownJobs {
+			clear(c.unknownJobSince)
 		}
-		c.unknown[job] = now
+		c.unknownJobSince[job] = now
 		return 0
 	}
 	return now.Sub(since)
 }
 
 // maxUnknown bounds the table of unknown jobs.
-const maxUnknown = 4096
+const maxUnknownJobs = 4096
 
 // answerReports acknowledges the reports that the ledger reflects.
-func (c *control) answerReports(m *wire.Heartbeat, reply *wire.HeartbeatReply) {
+func (c *control) acknowledgeReports(m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	if len(m.GetReports()) == 0 {
 		return
 	}
 	now := time.Now()
-	current := c.jobs.Staleness(now) < reachable
+	current := c.jobs.Staleness(now) < maxLogStaleness
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, r := range m.GetReports() {
-			forgotten := current && l.Job(r.GetTask().Task().Job) == nil && c.unknownFor(r, now) > forgottenAfter
-			if forgotten || recorded(l, units.WorkerID(m.GetWorker()), r) {
+			forgotten := current && l.Job(r.GetTask().Task().Job) == nil && c.unknownJobAge(r, now) > endedJobTimeout
+			if forgotten || isRecorded(l, units.WorkerID(m.GetWorker()), r) {
 				reply.ReportsAcknowledged = append(reply.ReportsAcknowledged, r.GetTask())
 			}
 		}
--- a/internal/entry/reports_test.go
+++ b/internal/entry/reports_test.go
@@ -48,7 +48,7 @@
 		{"assigned elsewhere", [][]byte{submitted, assigned}, "worker-2", wire.Outcome_OUTCOME_COMPLETED, true},
 	} {
 		report := &wire.TaskReport{Task: wire.NewTaskRef(task, 1), Outcome: c.outcome}
-		if got := recorded(ledgerWith(t, c.entries...), c.worker, report); got != c.want {
+		if got := isRecorded(ledgerWith(t, c.entries...), c.worker, report); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -78,7 +78,7 @@
 				t.Fatal(err)
 			}
 		}
-		if got := settled(r, x); got != c.want {
+		if got := expirySettled(r, x); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -18,7 +18,7 @@
 )
 
 // snapshotEvery is the number of entries of a stream between two snapshots.
-const snapshotEvery = 20_000
+const entriesPerSnapshot = 20_000
 
 // Run serves until ctx ends, then stops gracefully: readiness goes off, the
 // process leaves the members, listeners close after DrainDelay, requests in
@@ -37,7 +37,7 @@
 		callers.Close()
 		return err
 	}
-	if _, err := e.agents.Listen(); err != nil {
+	if _, err := e.agentListener.Listen(); err != nil {
 		callers.Close()
 		admins.Close()
 		return fault.Wrap("listen for agents", Listen, err)
@@ -47,9 +47,9 @@
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	group, serving := errgroup.WithContext(serving)
-	e.follow(serving, group)
+	e.startStreams(serving, group)
 	group.Go(func() error { return newControl(e).run(serving) })
-	group.Go(func() error { return e.agents.Run(serving) })
+	group.Go(func() error { return e.agentListener.Run(serving) })
 	if e.requestServer != nil {
 		group.Go(func() error { return e.requestServer.Run(serving) })
 	}
@@ -83,23 +83,23 @@
 }
 
 // follow runs the followers, the writers and the snapshotters.
-func (e *Entry) follow(ctx context.Context, group *errgroup.Group) {
+func (e *Entry) startStreams(ctx context.Context, group *errgroup.Group) {
 	for _, run := range []func(context.Context) error{
 		e.config.Run, e.members.Run, e.jobs.Run,
 		e.writers.config.Run, e.writers.members.Run, e.writers.jobs.Run,
-		snapshotter(e, e.config, e.writers.config).Run,
-		snapshotter(e, e.members, e.writers.members).Run,
-		snapshotter(e, e.jobs, e.writers.jobs).Run,
+		newSnapshotter(e, e.config, e.writers.config).Run,
+		newSnapshotter(e, e.members, e.writers.members).Run,
+		newSnapshotter(e, e.jobs, e.writers.jobs).Run,
 	} {
 		group.Go(func() error { return run(ctx) })
 	}
 }
 
 // snapshotter keeps a stream recoverable while this process owns it.
-func snapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
+func newSnapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
 	return &stream.Snapshotter[S]{
-		Follower: f, Writer: w, Every: snapshotEvery, Retention: e.Settings.LogRetention,
-		Owner: func() bool { return e.owners.Load().owns("stream/" + f.Stream) },
+		Follower: f, Writer: w, Every: entriesPerSnapshot, Retention: e.Settings.LogRetention,
+		Owner: func() bool { return e.ownership.Load().owns("stream/" + f.Stream) },
 	}
 }
 
@@ -123,7 +123,7 @@
 func (e *Entry) shutdown(ctx context.Context, callers, admins *http.Server) {
 	e.draining.Store(true)
 	e.event("entry", "draining", string(e.Settings.ID), "", "")
-	ctx, cancel := context.WithTimeout(ctx, stopWithin)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	leave, cancelLeave := context.WithTimeout(ctx, e.DrainDelay)
 	if _, err := e.writers.members.Append(leave, roster.EncodeEntryLeft(e.Settings.ID)); err != nil {
@@ -138,13 +138,13 @@
 	if err := admins.Shutdown(ctx); err != nil {
 		klog.InfoS("administration requests were still in flight at the end of the planned stop", "err", err)
 	}
-	e.agents.Shutdown(ctx)
+	e.agentListener.Shutdown(ctx)
 }
 
 // linkHandler serves the calls of agents.
 func (e *Entry) linkHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /link/heartbeat", link.Handle(e.heartbeat))
+	mux.Handle("POST /link/heartbeat", link.Handle(e.serveHeartbeat))
 	mux.Handle("POST /link/events", link.Handle(e.serveEvents))
 	return mux
 }
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -39,8 +39,8 @@
 
 // Job implements administration.Backend.
 func (b backend) Job(_ context.Context, id units.JobID) (job administration.Job, err error) {
-	err = errBehind()
-	if b.jobs.Staleness(time.Now()) <= reachable {
+	err = errLogNotRead()
+	if b.jobs.Staleness(time.Now()) <= maxLogStaleness {
 		err = administration.Errorf(administration.KindNotFound, "job %q is not known", id)
 	}
 	b.jobs.View(func(l *ledger.Ledger) {
@@ -111,7 +111,7 @@
 	var list []administration.Worker
 	now := time.Now()
 	document, _ := b.Entry.Document()
-	err := b.do(ctx, func(c *control) {
+	err := b.runOnLoop(ctx, func(c *control) {
 		running := make(map[units.WorkerID]int)
 		c.jobs.View(func(l *ledger.Ledger) {
 			for h := range l.Holders() {
@@ -132,7 +132,7 @@
 	return list, err
 }
 
-func describeWorker(w roster.Worker, row *workerRow, now time.Time) administration.Worker {
+func describeWorker(w roster.Worker, row *workerState, now time.Time) administration.Worker {
 	view := administration.Worker{
 		ID: w.ID, Epoch: w.Epoch, FailureDomain: w.Domain, Rack: w.Rack, Region: w.Region,
 		Lessor: w.Lessor.Worker, Capacity: administration.Size(w.Capacity), State: "silent", Endpoints: []administration.Endpoint{},
@@ -149,8 +149,8 @@
 	if row == nil {
 		return view
 	}
-	view.Committed = administration.Size(row.beat.GetCommitted().Units())
-	for _, e := range row.beat.GetEndpoints() {
+	view.Committed = administration.Size(row.heartbeat.GetCommitted().Units())
+	for _, e := range row.heartbeat.GetEndpoints() {
 		view.Endpoints = append(view.Endpoints, administration.Endpoint{
 			Service: units.ServiceName(e.GetService()), State: endpointStates[e.GetState()],
 			Slots: int(e.GetSlots()), Busy: int(e.GetBusy()), Queued: int(e.GetQueued()),
@@ -169,7 +169,7 @@
 func (b backend) Entries(ctx context.Context) ([]administration.Entry, error) {
 	var list []administration.Entry
 	now := time.Now()
-	err := b.do(ctx, func(c *control) {
+	err := b.runOnLoop(ctx, func(c *control) {
 		c.members.View(func(r *roster.Roster) {
 			for _, e := range r.Entries() {
 				list = append(list, administration.Entry{
@@ -191,7 +191,7 @@
 	list := make([]administration.Team, 0, len(document.Teams))
 	b.jobs.View(func(l *ledger.Ledger) {
 		for _, t := range document.Teams {
-			view := administration.Team{Name: t.Name, Quota: administration.Size(t.Quota), MayBorrow: t.MayBorrow, Used: administration.Size(usedBy(l, t.Name))}
+			view := administration.Team{Name: t.Name, Quota: administration.Size(t.Quota), MayBorrow: t.MayBorrow, Used: administration.Size(teamUsage(l, t.Name))}
 			for p := units.PriorityLow; p <= units.PriorityUrgent; p++ {
 				for _, j := range l.WaitingJobs(t.Name, p) {
 					view.Pending += len(j.Waiting())
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -11,16 +11,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-const watchersEvery = time.Second
+const watcherCheckInterval = time.Second
 
 // reconcileWatchers submits the watchers of the document that the ledger does
 // not hold and cancels those that the document no longer names.
 func (c *control) reconcileWatchers(now time.Time) {
-	v := c.document.Load()
-	if v == nil || now.Before(c.watchersAt) || !c.logReachable(now) {
+	v := c.currentVersion.Load()
+	if v == nil || now.Before(c.nextWatcherCheckAt) || !c.logReachable(now) {
 		return
 	}
-	c.watchersAt = now.Add(watchersEvery)
+	c.nextWatcherCheckAt = now.Add(watcherCheckInterval)
 	wanted := make(map[string]environment.Watcher, len(v.document.Watchers))
 	for _, w := range v.document.Watchers {
 		wanted[w.Name] = w
@@ -37,13 +37,13 @@
 				present[j.Name] = present[j.Name] || ok // its last attempt has not stopped yet
 				continue
 			}
-			if c.owners.Load().owns(string(j.ID)) {
-				c.jobsOut.add("cancel/"+string(j.ID), now, ledger.EncodeCancelled(j.ID, "not in the document"))
+			if c.ownership.Load().owns(string(j.ID)) {
+				c.jobsOutbox.add("cancel/"+string(j.ID), now, ledger.EncodeCancelled(j.ID, "not in the document"))
 			}
 			present[j.Name] = ok
 		}
 		for name, w := range wanted {
-			if !present[name] && c.owners.Load().owns(ledger.WatcherPrefix+name) {
+			if !present[name] && c.ownership.Load().owns(ledger.WatcherPrefix+name) {
 				c.submitWatcher(l, w, v.offset, now)
 			}
 		}
@@ -68,13 +68,13 @@
 			JobKind: w.Name, Size: wire.FromResources(w.Size),
 		},
 	})
-	if c.jobsOut.add("submit/"+string(id), now, entry) {
+	if c.jobsOutbox.add("submit/"+string(id), now, entry) {
 		c.event("job", "submitted", string(id), "from the document", "")
 	}
 }
 
 // standbysFor returns the watchers that run on a holder.
-func (c *control) standbysFor(h roster.Holder) []*wire.Standby {
+func (c *control) standbysOf(h roster.Holder) []*wire.Standby {
 	var list []*wire.Standby
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, task := range l.TasksOn(ledger.Holder(h)) {
