--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -16,7 +16,7 @@
 func TestUnknownIsNotSaidBeforeTheLogIsRead(t *testing.T) {
 	e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 	e.prepare()
-	ask := func(want administration.Kind) {
+	expectKind := func(want administration.Kind) {
 		t.Helper()
 		_, documentErr := backend{e}.Document(t.Context(), "production", 0)
 		_, jobErr := backend{e}.Job(t.Context(), "job-1")
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	ask(administration.KindUnavailable)
+	expectKind(administration.KindUnavailable)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
 	go func() { _ = e.config.Run(ctx); done <- struct{}{} }()
@@ -34,7 +34,7 @@
 	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && max(e.config.Staleness(time.Now()), e.jobs.Staleness(time.Now())) > maxLogStaleness; {
 		time.Sleep(10 * time.Millisecond)
 	}
-	ask(administration.KindNotFound)
+	expectKind(administration.KindNotFound)
 	cancel()
 	<-done
 	<-done
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -150,16 +150,16 @@
 
 // reportLog records each change between a reachable and an unreachable log.
 func (c *control) recordLogState(now time.Time) {
-	up := c.logReachable(now)
-	if up == c.logWasReachable {
+	reachable := c.logReachable(now)
+	if reachable == c.logWasReachable {
 		return
 	}
-	c.logWasReachable = up
+	c.logWasReachable = reachable
 	kind, text := "logUnreachable", "no batch task starts until the log answers; requests and running tasks go on"
-	if up {
+	if reachable {
 		kind, text = "logReachable", "the log answers again"
 	}
-	klog.InfoS("log service changed state", "reachable", up)
+	klog.InfoS("log service changed state", "reachable", reachable)
 	c.event("log", kind, c.config.Stream, text, "")
 }
 
--- a/internal/entry/description.go
+++ b/internal/entry/description.go
@@ -36,15 +36,15 @@
 		d.byWorker[id] = description{session, m}
 		return
 	}
-	known, ok := d.byWorker[id]
-	if !ok || known.session != session {
+	stored, ok := d.byWorker[id]
+	if !ok || stored.session != session {
 		return
 	}
-	k := known.message
-	m.FailureDomain, m.Rack, m.Region = k.FailureDomain, k.Rack, k.Region
-	m.LinkAddress, m.Process = k.LinkAddress, k.Process
-	if k.Epoch == m.Epoch {
-		m.Capacity = k.Capacity
+	description := stored.message
+	m.FailureDomain, m.Rack, m.Region = description.FailureDomain, description.Rack, description.Region
+	m.LinkAddress, m.Process = description.LinkAddress, description.Process
+	if description.Epoch == m.Epoch {
+		m.Capacity = description.Capacity
 	}
 }
 
--- a/internal/entry/description_test.go
+++ b/internal/entry/description_test.go
@@ -49,7 +49,7 @@
 	e := &Entry{}
 	e.ownership.Store(&ownership{})
 	c, w, now := &control{Entry: e}, &workerState{}, time.Now()
-	beat := &wire.Heartbeat{}
+	heartbeat := &wire.Heartbeat{}
 	for _, step := range []struct {
 		name    string
 		prepare func()
@@ -59,10 +59,10 @@
 		{"unchanged", func() {}, false},
 		{"changed", func() { e.ownership.Store(&ownership{}) }, true},
 		{"later", func() { now = now.Add(entryListInterval) }, true},
-		{"begins a session", func() { beat = &wire.Heartbeat{RunningFull: true} }, true},
+		{"begins a session", func() { heartbeat = &wire.Heartbeat{RunningFull: true} }, true},
 	} {
 		step.prepare()
-		if got := c.shouldListEntries(w, beat, now); got != step.want {
+		if got := c.shouldListEntries(w, heartbeat, now); got != step.want {
 			t.Errorf("%s: got %t, want %t", step.name, got, step.want)
 		}
 	}
--- a/internal/entry/document.go
+++ b/internal/entry/document.go
@@ -40,7 +40,7 @@
 // putInForce puts a version in force that is newer than the present one. The
 // caller holds refresh.
 func (e *Entry) putInForce(v documentVersion) {
-	if held := e.currentVersion.Load(); held != nil && v.offset <= held.offset {
+	if current := e.currentVersion.Load(); current != nil && v.offset <= current.offset {
 		return
 	}
 	document, err := environment.Parse("document", v.raw)
@@ -67,7 +67,7 @@
 	offset := units.Offset(m.GetConfigOffset())
 	e.documentMu.Lock()
 	defer e.documentMu.Unlock()
-	if held := e.currentVersion.Load(); offset <= e.rejectedOffset || held != nil && offset <= held.offset {
+	if current := e.currentVersion.Load(); offset <= e.rejectedOffset || current != nil && offset <= current.offset {
 		return false
 	}
 	if len(m.GetConfigDocument()) == 0 {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -52,7 +52,7 @@
 	// Run watches this process for stalls until ctx ends.
 	Run(ctx context.Context) error
 	// ObserveHeartbeat takes over an agent's view of its endpoints.
-	ObserveHeartbeat(worker units.WorkerID, session *link.Session, beat ReceivedHeartbeat)
+	ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat ReceivedHeartbeat)
 	// SetDocument takes over a new document.
 	SetDocument(d *environment.Document)
 	// Shutdown turns readiness off, serves for notice, and then stops server
--- a/internal/entry/outbox.go
+++ b/internal/entry/outbox.go
@@ -65,12 +65,12 @@
 	o.retryableAt[key] = now.Add(proposalRetryDelay)
 	o.keys = append(o.keys, key)
 	o.entries = append(o.entries, entries...)
-	_, again := o.seenKeys[key]
+	_, seen := o.seenKeys[key]
 	if len(o.seenKeys) >= maxSeenKeys {
 		clear(o.seenKeys)
 	}
 	o.seenKeys[key] = struct{}{}
-	return !again
+	return !seen
 }
 
 // flush appends what was gathered, without waiting for the log.
--- a/internal/entry/ownership.go
+++ b/internal/entry/ownership.go
@@ -32,13 +32,13 @@
 func (o *ownership) owns(key string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if mine, ok := o.cache[key]; ok {
-		return mine
+	if owned, ok := o.cache[key]; ok {
+		return owned
 	}
 	if len(o.cache) >= maxOwnershipCache {
 		clear(o.cache)
 	}
-	mine := roster.Owner(key, o.live) == o.self
-	o.cache[key] = mine
-	return mine
+	owned := roster.Owner(key, o.live) == o.self
+	o.cache[key] = owned
+	return owned
 }
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -104,8 +104,8 @@
 		Capacity: m.GetCapacity().Units(), Committed: m.GetCommitted().Units(), Evictable: m.GetEvictable().Units(),
 		Age: now.Sub(w.lastHeartbeatAt), Draining: m.GetDraining(), Session: w.reachable(now) && m.GetLeaseValid(),
 	}
-	if known, ok := registered[w.id]; ok && known.Holds() && known.Epoch == units.Epoch(m.GetEpoch()) {
-		row.Epoch = known.Epoch
+	if registration, ok := registered[w.id]; ok && registration.Holds() && registration.Epoch == units.Epoch(m.GetEpoch()) {
+		row.Epoch = registration.Epoch
 	}
 	for _, e := range m.GetEndpoints() {
 		if e.GetState() != wire.EndpointState_ENDPOINT_STATE_GONE {
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -47,20 +47,20 @@
 
 // compareLists compares the newest full lists with the ledger.
 func (c *control) compareRunningLists(now time.Time) {
-	still := make(map[attemptKey]missingAttempt)
+	stillMissing := make(map[attemptKey]missingAttempt)
 	c.jobs.View(func(l *ledger.Ledger) {
 		for h := range l.Holders() {
 			w := c.workers[h.Worker]
 			if w == nil || !w.reachable(now) || w.holder() != h || w.runningEpoch != h.Epoch {
 				continue
 			}
-			c.reconcileWorker(l, h, w, still, now)
+			c.reconcileWorker(l, h, w, stillMissing, now)
 		}
 	})
-	c.missingAttempts = still
+	c.missingAttempts = stillMissing
 }
 
-func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerState, still map[attemptKey]missingAttempt, now time.Time) {
+func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerState, stillMissing map[attemptKey]missingAttempt, now time.Time) {
 	listed := w.mayRun()
 	for _, task := range l.TasksOn(h) {
 		row := l.Task(task)
@@ -68,11 +68,11 @@
 			continue
 		}
 		key := attemptKey{task, row.Attempt}
-		m, known := c.missingAttempts[key]
-		if !known {
+		m, seen := c.missingAttempts[key]
+		if !seen {
 			m = missingAttempt{since: now, firstListedAt: w.runningListedAt}
 		}
-		still[key] = m
+		stillMissing[key] = m
 		if now.Sub(m.since) < missingTimeout || !w.runningListedAt.After(m.firstListedAt) {
 			continue
 		}
--- a/internal/entry/reconcile_test.go
+++ b/internal/entry/reconcile_test.go
@@ -26,13 +26,13 @@
 	}
 	report := []*wire.TaskReport{{Task: wire.NewTaskRef(task, 1), Outcome: wire.Outcome_OUTCOME_COMPLETED}}
 	for _, c := range []struct {
-		name    string
-		started bool
-		running units.Attempt // in the full lists
-		reports []*wire.TaskReport
-		epoch   units.Epoch // of the agent
-		again   bool        // a second list arrives
-		want    int         // entries proposed
+		name       string
+		started    bool
+		running    units.Attempt // in the full lists
+		reports    []*wire.TaskReport
+		epoch      units.Epoch // of the agent
+		secondList bool        // a second list arrives
+		want       int         // entries proposed
 	}{
 		{"running", true, 1, nil, 7, true, 0},
 		{"reported", true, 0, report, 7, true, 0},
@@ -58,7 +58,7 @@
 			now := start.Add(time.Duration(second) * time.Second)
 			w := &workerState{id: "worker-1", session: &link.Session{}, lastHeartbeatAt: now, runningEpoch: c.epoch, runningListedAt: start,
 				heartbeat: &wire.Heartbeat{Epoch: uint64(c.epoch), Reports: c.reports}, runningAttempts: map[units.Task]units.Attempt{task: c.running}}
-			if c.again && second > 5 {
+			if c.secondList && second > 5 {
 				w.runningListedAt = start.Add(5 * time.Second)
 			}
 			control.workers["worker-1"] = w
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -23,18 +23,18 @@
 	if epoch == 0 || w.heartbeat.GetCapacity() == nil {
 		return // not described yet
 	}
-	var known roster.Worker
+	var registered roster.Worker
 	var found bool
-	c.members.View(func(r *roster.Roster) { known, found = r.Worker(w.id) })
+	c.members.View(func(r *roster.Roster) { registered, found = r.Worker(w.id) })
 	h := roster.Holder{Worker: w.id, Epoch: epoch}
 	switch {
-	case !found || known.Epoch < epoch:
+	case !found || registered.Epoch < epoch:
 		if c.shouldActOn("worker/"+string(w.id), h, now) {
 			c.proposeRegistration(w, h, now)
 		}
-	case known.Epoch == epoch && known.Holds() && w.heartbeat.GetWantsLessor() && units.Term(w.heartbeat.GetLeaseTerm()) == known.Term:
+	case registered.Epoch == epoch && registered.Holds() && w.heartbeat.GetWantsLessor() && units.Term(w.heartbeat.GetLeaseTerm()) == registered.Term:
 		if c.shouldActOn("worker/"+string(w.id), h, now) {
-			c.proposeLessor(w, known, now)
+			c.proposeLessor(w, registered, now)
 		}
 	default:
 		delete(c.requestedSince, h)
@@ -68,9 +68,9 @@
 	}
 }
 
-func (c *control) proposeLessor(w *workerState, known roster.Worker, now time.Time) {
-	place := roster.Place{Domain: known.Domain, Rack: known.Rack, Region: known.Region}
-	lessor, ok := c.chooseLessor(w.id, place, known.Lessor, now)
+func (c *control) proposeLessor(w *workerState, registered roster.Worker, now time.Time) {
+	place := roster.Place{Domain: registered.Domain, Rack: registered.Rack, Region: registered.Region}
+	lessor, ok := c.chooseLessor(w.id, place, registered.Lessor, now)
 	if !ok {
 		// Where only two workers are left, the current lessor in a new term is
 		// better than none: the lessee has given up the present term.
@@ -79,9 +79,9 @@
 	if !ok {
 		return
 	}
-	key := fmt.Sprintf("lessor/%s@%d/%d", w.id, known.Epoch, known.Term)
-	if c.membersOutbox.add(key, now, roster.EncodeLessorChanged(known.Holder(), known.Term+1, lessor)) {
-		c.event("worker", "lessorChanging", string(w.id), fmt.Sprintf("to %s, term %d", lessor.Worker, known.Term+1), "")
+	key := fmt.Sprintf("lessor/%s@%d/%d", w.id, registered.Epoch, registered.Term)
+	if c.membersOutbox.add(key, now, roster.EncodeLessorChanged(registered.Holder(), registered.Term+1, lessor)) {
+		c.event("worker", "lessorChanging", string(w.id), fmt.Sprintf("to %s, term %d", lessor.Worker, registered.Term+1), "")
 	}
 }
 
@@ -116,20 +116,20 @@
 func (c *control) proposeExpiries(lessor *workerState, now time.Time) {
 	for _, x := range lessor.heartbeat.GetExpiries() {
 		id := units.WorkerID(x.GetWorker())
-		var done bool
-		var known roster.Worker
+		var settled bool
+		var registered roster.Worker
 		c.members.View(func(r *roster.Roster) {
-			done = expirySettled(r, x)
-			known, _ = r.Worker(id)
+			settled = expirySettled(r, x)
+			registered, _ = r.Worker(id)
 		})
-		if done || known.Lessor != (roster.Holder{Worker: lessor.id, Epoch: units.Epoch(lessor.heartbeat.GetEpoch())}) {
+		if settled || registered.Lessor != (roster.Holder{Worker: lessor.id, Epoch: units.Epoch(lessor.heartbeat.GetEpoch())}) {
 			continue
 		}
 		if c.unrecordedActivations(lessor) {
 			continue
 		}
-		key := fmt.Sprintf("expire/%s@%d/%d", id, known.Epoch, known.Term)
-		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(known.Holder(), known.Term)) {
+		key := fmt.Sprintf("expire/%s@%d/%d", id, registered.Epoch, registered.Term)
+		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(registered.Holder(), registered.Term)) {
 			c.counters.expiries.Inc(1)
 			c.event("worker", "leaseExpired", string(id), "attested by "+string(lessor.id), "")
 		}
@@ -144,23 +144,23 @@
 		return
 	}
 	c.nextLessorCheckAt = now.Add(lessorCheckInterval)
-	due := c.lesseesOfEndedLessors()
-	for h, d := range due {
+	expiries := c.lesseesOfEndedLessors()
+	for h, expiry := range expiries {
 		since, ok := c.lessorEndedSince[h]
 		if !ok {
 			c.lessorEndedSince[h] = now
 			continue
 		}
-		if now.Sub(since) < d.wait || !c.ownership.Load().owns("worker/"+string(h.Worker)) || c.catchingUp(now) {
+		if now.Sub(since) < expiry.wait || !c.ownership.Load().owns("worker/"+string(h.Worker)) || c.catchingUp(now) {
 			continue
 		}
-		key := fmt.Sprintf("expire/%s@%d/%d", h.Worker, h.Epoch, d.term)
-		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(h, d.term)) {
+		key := fmt.Sprintf("expire/%s@%d/%d", h.Worker, h.Epoch, expiry.term)
+		if c.membersOutbox.add(key, now, roster.EncodeLeaseExpired(h, expiry.term)) {
 			c.event("worker", "leaseExpired", string(h.Worker), "its lessor has ended before", "")
 		}
 	}
 	for h := range c.lessorEndedSince {
-		if _, ok := due[h]; !ok {
+		if _, ok := expiries[h]; !ok {
 			delete(c.lessorEndedSince, h)
 		}
 	}
@@ -177,7 +177,7 @@
 
 // chained returns the workers in force whose lessor has ended.
 func (c *control) lesseesOfEndedLessors() map[roster.Holder]dependentExpiry {
-	due := make(map[roster.Holder]dependentExpiry)
+	expiries := make(map[roster.Holder]dependentExpiry)
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
 			if _, ok := r.ChainExpirable(w.ID); !ok || !w.Holds() {
@@ -190,10 +190,10 @@
 					continue
 				}
 			}
-			due[w.Holder()] = d
+			expiries[w.Holder()] = d
 		}
 	})
-	return due
+	return expiries
 }
 
 // accounted reports whether a lessor that has come back with a newer epoch has
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -28,16 +28,16 @@
 			holders = append(holders, ended{holder: h})
 		}
 	})
-	over := holders[:0]
+	replaced := holders[:0]
 	c.members.View(func(r *roster.Roster) {
 		for _, h := range holders {
 			newest, ok := r.Worker(h.holder.Worker)
 			if ok && newest.Holds() && newest.Epoch > h.holder.Epoch {
-				over = append(over, ended{h.holder, newest})
+				replaced = append(replaced, ended{h.holder, newest})
 			}
 		}
 	})
-	for _, h := range over {
+	for _, h := range replaced {
 		c.releaseAttempts(h.holder, h.newest, now)
 	}
 }
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -156,10 +156,10 @@
 // foreignDue reports whether another process's report has been outstanding for
 // foreignAfter.
 func (c *control) ownerTimedOut(key string, now time.Time) bool {
-	mark := "foreign/" + key
-	since, ok := c.jobsOutbox.retryableAt[mark]
+	waitKey := "foreign/" + key
+	since, ok := c.jobsOutbox.retryableAt[waitKey]
 	if !ok {
-		c.jobsOutbox.retryableAt[mark] = now.Add(ownerTimeout)
+		c.jobsOutbox.retryableAt[waitKey] = now.Add(ownerTimeout)
 		return false
 	}
 	return !now.Before(since)
@@ -196,8 +196,8 @@
 	current := c.jobs.Staleness(now) < maxLogStaleness
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, r := range m.GetReports() {
-			forgotten := current && l.Job(r.GetTask().Task().Job) == nil && c.unknownJobAge(r, now) > endedJobTimeout
-			if forgotten || isRecorded(l, units.WorkerID(m.GetWorker()), r) {
+			jobEnded := current && l.Job(r.GetTask().Task().Job) == nil && c.unknownJobAge(r, now) > endedJobTimeout
+			if jobEnded || isRecorded(l, units.WorkerID(m.GetWorker()), r) {
 				reply.ReportsAcknowledged = append(reply.ReportsAcknowledged, r.GetTask())
 			}
 		}
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -69,8 +69,8 @@
 	}
 	count := func(state ledger.State) {
 		job.Tasks.Total++
-		if of := taskCounters[state]; of != nil {
-			*of(&job.Tasks)++
+		if counter := taskCounters[state]; counter != nil {
+			*counter(&job.Tasks)++
 		}
 	}
 	for i, t := range j.Tasks {
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -47,8 +47,8 @@
 func (p *requestPath) Run(ctx context.Context) error { return p.table.Run(ctx) }
 
 // ObserveHeartbeat implements entry.RequestServer.
-func (p *requestPath) ObserveHeartbeat(worker units.WorkerID, session *link.Session, beat entry.ReceivedHeartbeat) {
-	p.table.Observe(worker, session, beat.Message, beat.ReceivedAt)
+func (p *requestPath) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
+	p.table.Observe(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, known := p.sessions[session]; known {
