--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -20,7 +20,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// backend answers the administration API from the folds.
+// backend implements the administration API from the replayed streams.
 type backend struct{ *Entry }
 
 func (e *Entry) administrationConfig() api.Config {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Ready implements administration.Backend. A process that has followed the log
-// once stays ready during an outage: requests need no log.
+// Ready implements administration.Backend. A process that has a document stays
+// ready during an outage of the log, because requests do not depend on the log.
 func (b backend) Ready(context.Context) error {
 	if b.draining.Load() {
 		return errors.New("stopping")
@@ -62,7 +62,7 @@
 		}
 	})
 	if v := b.currentVersion.Load(); v != nil && env == b.Settings.Environment {
-		// Version 0 asks for the newest, which may have come through an agent.
+		// Version 0 means the newest, which an agent may have forwarded.
 		if newer := found == nil || found.Offset < v.offset; newer && (version == 0 || version == v.offset) {
 			found = &configuration.Version{Environment: env, Offset: v.offset, Author: v.author, Document: v.raw}
 		}
@@ -78,8 +78,8 @@
 	return d, nil
 }
 
-// errBehind is the answer for what this process does not hold while it does not
-// follow the log: another process may hold it.
+// errLogNotRead is the error for a document or job that this process does not have
+// while it has not read the log to its tail. Another process may have it.
 func errLogNotRead() error {
 	return administration.Unavailable(administration.OutcomeNotRun, errors.New("the log has not been read to its tail"))
 }
@@ -132,7 +132,8 @@
 	return running, nil
 }
 
-// usedBy adds up what the team's open attempts of every priority commit.
+// teamUsage returns the resources committed to the team's open attempts of all
+// priorities.
 func teamUsage(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
 	for _, used := range l.Used(name) {
 		sum = sum.Add(used)
@@ -140,8 +141,8 @@
 	return sum
 }
 
-// jobID derives the id from the team and the key, so that a repeated submission
-// names the same job.
+// jobID derives the job ID from the team and the idempotency key, so that a
+// repeated submission refers to the same job.
 func jobID(team units.TeamName, key string) units.JobID {
 	sum := sha256.Sum256([]byte(string(team) + "\x00" + key))
 	return units.JobID("job-" + hex.EncodeToString(sum[:10]))
@@ -168,7 +169,8 @@
 	return b.Job(ctx, id)
 }
 
-// append records an entry of the jobs stream and waits until it is folded.
+// appendToJobs appends an entry to the jobs stream and waits until it has been
+// applied to the ledger.
 func (b backend) appendToJobs(ctx context.Context, entry []byte) error {
 	offset, err := b.writers.jobs.Append(ctx, entry)
 	if err == nil {
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -10,10 +10,11 @@
 	"wasabihill.example/wasabihill/pkg/administration"
 )
 
-// Guards against an entry process that started while the log is down and says
-// of a document or a job that it does not exist. The acceptance run got "the
-// environment has no document" for a job that was valid.
-func TestUnknownIsNotSaidBeforeTheLogIsRead(t *testing.T) {
+// Guards against an entry process that starts while the log is down and answers
+// that a document or job does not exist, instead of that it is unavailable. In an
+// acceptance run a valid job was rejected because "the environment has no
+// document".
+func TestNotFoundOnlyAfterTheLogIsRead(t *testing.T) {
 	e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 	e.prepare()
 	expectKind := func(want administration.Kind) {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -18,16 +18,17 @@
 const (
 	tickInterval     = 50 * time.Millisecond
 	announceInterval = 5 * time.Second
-	// proposalWait is how long a proposed entry is given to appear in the fold
-	// before it is proposed again; a group commit takes well under a second
-	// while the log answers.
+	// proposalRetryDelay is the time after which a proposed entry that has not been
+	// applied is proposed again. A group commit takes well under a second while
+	// the log is reachable.
 	proposalRetryDelay = 2 * time.Second
-	// heardWithin is the age of a heartbeat up to which a worker gets new tasks:
-	// two missed heartbeats of 500 ms and one late one.
+	// maxHeartbeatAge is the age of the last heartbeat up to which a worker is
+	// reachable and gets new tasks. It covers two missed heartbeats of 500 ms and
+	// a late one.
 	maxHeartbeatAge = 2 * time.Second
 )
 
-// workerRow is what this process knows of a worker from heartbeats.
+// workerState is the state of a worker from its heartbeats.
 type workerState struct {
 	id              units.WorkerID
 	session         *link.Session
@@ -38,10 +39,10 @@
 	runningAttempts   map[units.Task]units.Attempt
 	runningEpoch      units.Epoch
 	runningListedAt   time.Time // when that list arrived
-	reportedSilent    bool      // already reported as silent
-	callInFlightUntil time.Time // until when a launch or stop call may be on its way
+	reportedSilent    bool      // the silent event has been recorded
+	callInFlightUntil time.Time // a launch or stop call may be in flight until then
 	retryAt           time.Time
-	sentEntryList     *ownership // whose list of entry processes the agent has, and since when
+	sentEntryList     *ownership // ownership whose entry processes were listed to the agent last
 	sentEntryListAt   time.Time
 }
 
@@ -53,7 +54,7 @@
 	return w.session != nil && now.Sub(w.lastHeartbeatAt) < maxHeartbeatAge
 }
 
-// control is the state of the control loop. One goroutine owns it.
+// control is the state of the control loop. Only its goroutine accesses it.
 type control struct {
 	*Entry
 	workers                 map[units.WorkerID]*workerState
@@ -61,16 +62,16 @@
 	liveEntries             []roster.Entry
 	membersOutbox           outbox
 	jobsOutbox              outbox
-	nextAnnounceAt          time.Time                        // next announcement
-	nextWatcherCheckAt      time.Time                        // next comparison of the document's watchers with the ledger
-	lessorEndedSince        map[roster.Holder]time.Time      // workers whose lessor has ended, since when that is known
-	requestedSince          map[roster.Holder]time.Time      // epochs that wait for a registration or a lessor, since when
-	unknownJobSince         map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
-	missingAttempts         map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
-	nextReconcileAt         time.Time                        // next comparison of full lists with the ledger
-	registeredWorkers       map[units.WorkerID]roster.Worker // as of registeredAt in the members stream
+	nextAnnounceAt          time.Time                        // of this process
+	nextWatcherCheckAt      time.Time                        // comparison of the document's watchers with the ledger
+	lessorEndedSince        map[roster.Holder]time.Time      // time since when the lessor of a worker has been seen to have ended
+	requestedSince          map[roster.Holder]time.Time      // time of the first request of an epoch for a registration or a lessor
+	unknownJobSince         map[units.JobID]time.Time        // time of the first report about a job that the ledger does not have
+	missingAttempts         map[attemptKey]missingAttempt    // attempts that the newest full lists do not contain
+	nextReconcileAt         time.Time                        // comparison of full lists with the ledger
+	registeredWorkers       map[units.WorkerID]roster.Worker // as of registeredWorkersOffset in the members stream
 	registeredWorkersOffset units.Offset
-	nextLessorCheckAt       time.Time // next look for workers whose lessor has ended
+	nextLessorCheckAt       time.Time // search for workers whose lessor has ended
 	planner                 planner
 	counters                controlCounters
 	logWasReachable         bool
@@ -102,7 +103,7 @@
 	}
 }
 
-// run owns the control state until ctx ends.
+// run runs the control loop until ctx ends.
 func (c *control) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -118,8 +119,8 @@
 	}
 }
 
-// systems run in this order each tick: what is known first, then what follows
-// from it.
+// tickSteps holds the steps of a tick in their order: the state is updated first,
+// then the actions that follow from it are taken.
 var tickSteps = []struct {
 	name string
 	run  func(*control, time.Time)
@@ -148,22 +149,23 @@
 	c.recordLogState(now)
 }
 
-// reportLog records each change between a reachable and an unreachable log.
+// recordLogState records an event when the log becomes reachable or unreachable.
 func (c *control) recordLogState(now time.Time) {
 	reachable := c.logReachable(now)
 	if reachable == c.logWasReachable {
 		return
 	}
 	c.logWasReachable = reachable
-	kind, text := "logUnreachable", "no batch task starts until the log answers; requests and running tasks go on"
+	kind, text := "logUnreachable", "no batch task starts until the log is reachable again; requests and running tasks continue"
 	if reachable {
-		kind, text = "logReachable", "the log answers again"
+		kind, text = "logReachable", "the log is reachable again"
 	}
 	klog.InfoS("log service changed state", "reachable", reachable)
 	c.event("log", kind, c.config.Stream, text, "")
 }
 
-// updateMembership announces this process and follows which others are alive.
+// updateMembership announces this process and updates which entry processes are
+// alive.
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
@@ -202,8 +204,8 @@
 	return text
 }
 
-// findSilentWorkers reports workers whose heartbeats stopped and forgets those
-// that have been silent for long.
+// findSilentWorkers records an event for each worker whose heartbeats have stopped
+// and removes workers that have been silent for silentWorkerRetention.
 func (c *control) findSilentWorkers(now time.Time) {
 	for id, w := range c.workers {
 		switch age := now.Sub(w.lastHeartbeatAt); {
@@ -217,5 +219,5 @@
 	}
 }
 
-// forgetSilentAfter bounds the table when worker ids are never used again.
+// silentWorkerRetention bounds the table of workers if worker IDs are not reused.
 const silentWorkerRetention = 10 * time.Minute
--- a/internal/entry/description.go
+++ b/internal/entry/description.go
@@ -9,22 +9,22 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// descriptions keeps the fields of heartbeats that agents send once per session
-// and epoch: repeated in every heartbeat they were a seventh of its bytes.
+// descriptions stores the fields of heartbeats that agents send only once per
+// session and epoch. In every heartbeat they would be a seventh of its bytes.
 type descriptions struct {
 	mu       sync.Mutex
 	byWorker map[units.WorkerID]description
 }
 
-// description is what a heartbeat said about its worker and process.
+// description is the last heartbeat that described its worker and process.
 type description struct {
 	session *link.Session
 	message *wire.Heartbeat
 }
 
-// complete fills in what m leaves out from an earlier heartbeat of the same
-// session. The capacity belongs to an epoch; without one of m's own epoch it
-// stays empty, and the worker is neither registered nor given tasks.
+// fillOmitted sets the fields that m omits from an earlier heartbeat of the same
+// session. The capacity is valid for one epoch only. Without one for the epoch of
+// m it stays empty, and the worker is neither registered nor assigned tasks.
 func (d *descriptions) fillOmitted(m *wire.Heartbeat, session *link.Session) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,28 +40,29 @@
 	if !ok || stored.session != session {
 		return
 	}
-	description := stored.message
-	m.FailureDomain, m.Rack, m.Region = description.FailureDomain, description.Rack, description.Region
-	m.LinkAddress, m.Process = description.LinkAddress, description.Process
-	if description.Epoch == m.Epoch {
-		m.Capacity = description.Capacity
+	full := stored.message
+	m.FailureDomain, m.Rack, m.Region = full.FailureDomain, full.Rack, full.Region
+	m.LinkAddress, m.Process = full.LinkAddress, full.Process
+	if full.Epoch == m.Epoch {
+		m.Capacity = full.Capacity
 	}
 }
 
-// forget drops the description of a worker that has been silent for long.
+// remove drops the description of a worker.
 func (d *descriptions) remove(id units.WorkerID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.byWorker, id)
 }
 
-// listEvery is how often an agent is sent the list of entry processes when it
-// has not changed. It is well below the agent's forgetEntry of 35 s.
+// entryListInterval is the interval at which an agent receives the unchanged list of
+// entry processes. It is well below the agent's entryRetention of 35 s.
 const entryListInterval = 10 * time.Second
 
-// listsEntries reports whether the reply to m lists the entry processes: to an
-// agent that begins a session or an epoch, after a change, and now and then.
-// With twelve of them the list is larger than the rest of the reply.
+// shouldListEntries reports whether the reply to m lists the entry processes: at
+// the beginning of a session or epoch, after a change, and every
+// entryListInterval. With twelve entry processes the list is larger than the rest
+// of the reply.
 func (c *control) shouldListEntries(w *workerState, m *wire.Heartbeat, now time.Time) bool {
 	current := c.ownership.Load()
 	if w == nil {
--- a/internal/entry/description_test.go
+++ b/internal/entry/description_test.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against a worker that loses its domain or capacity when its agent
-// leaves unchanged fields out, and against one that gets those of another
-// session or, for the capacity, of another epoch.
+// Guards against a worker that loses its domain or capacity when its agent omits
+// unchanged fields, and against fields that come from another session or, for the
+// capacity, from another epoch.
 func TestDescriptionsComplete(t *testing.T) {
 	full := func(epoch uint64) *wire.Heartbeat {
 		return &wire.Heartbeat{Worker: "w", Epoch: epoch, FailureDomain: "a", Rack: "r", Region: "g", LinkAddress: "l", Process: "p",
@@ -34,18 +34,18 @@
 			m := &wire.Heartbeat{Worker: "w", Epoch: c.epoch}
 			d.fillOmitted(m, c.session)
 			if got := m.FailureDomain == "a" && m.LinkAddress == "l" && m.Process == "p"; got != c.wantDomain {
-				t.Errorf("described: got %t, want %t: %v", got, c.wantDomain, m)
+				t.Errorf("description filled in: got %t, want %t: %v", got, c.wantDomain, m)
 			}
 			if got := m.Capacity != nil; got != c.wantCapacity {
-				t.Errorf("capacity: got %t, want %t", got, c.wantCapacity)
+				t.Errorf("capacity filled in: got %t, want %t", got, c.wantCapacity)
 			}
 		})
 	}
 }
 
-// Guards against agents that never learn of an entry process that started after
-// them, and against a list in every reply.
-func TestListsEntries(t *testing.T) {
+// Guards against agents that never receive the address of an entry process that
+// started after them, and against a list in every reply.
+func TestShouldListEntries(t *testing.T) {
 	e := &Entry{}
 	e.ownership.Store(&ownership{})
 	c, w, now := &control{Entry: e}, &workerState{}, time.Now()
@@ -55,10 +55,10 @@
 		prepare func()
 		want    bool
 	}{
-		{"first", func() {}, true},
-		{"unchanged", func() {}, false},
-		{"changed", func() { e.ownership.Store(&ownership{}) }, true},
-		{"later", func() { now = now.Add(entryListInterval) }, true},
+		{"first heartbeat", func() {}, true},
+		{"unchanged list", func() {}, false},
+		{"changed list", func() { e.ownership.Store(&ownership{}) }, true},
+		{"after entryListInterval", func() { now = now.Add(entryListInterval) }, true},
 		{"begins a session", func() { heartbeat = &wire.Heartbeat{RunningFull: true} }, true},
 	} {
 		step.prepare()
--- a/internal/entry/document.go
+++ b/internal/entry/document.go
@@ -12,13 +12,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// updateDocument is the system that puts a new document in force without
-// waiting for a heartbeat.
+// updateDocument is the step of the tick that puts a new document in force, so
+// that it need not wait for a heartbeat.
 func (c *control) updateDocument(time.Time) { c.refreshDocument() }
 
-// refreshDocument puts the newest accepted document in force. It never goes back
-// to a lower offset. A version that does not pass the check of this program is
-// parsed once and then passed over.
+// refreshDocument puts the newest accepted document in force, unless it has a lower
+// offset than the current one. A version that cannot be parsed is parsed once and
+// then skipped.
 func (e *Entry) refreshDocument() {
 	e.documentMu.Lock()
 	defer e.documentMu.Unlock()
@@ -37,8 +37,8 @@
 	}
 }
 
-// putInForce puts a version in force that is newer than the present one. The
-// caller holds refresh.
+// putInForce makes v the current version if it is newer. The caller must hold
+// documentMu.
 func (e *Entry) putInForce(v documentVersion) {
 	if current := e.currentVersion.Load(); current != nil && v.offset <= current.offset {
 		return
@@ -46,7 +46,7 @@
 	document, err := environment.Parse("document", v.raw)
 	if err != nil {
 		e.rejectedOffset = v.offset
-		klog.InfoS("document not put in force", "environment", e.Settings.Environment, "version", v.offset, "err", err)
+		klog.InfoS("document cannot be parsed; the current version stays in force", "environment", e.Settings.Environment, "version", v.offset, "err", err)
 		return
 	}
 	v.document = document
@@ -58,10 +58,11 @@
 	e.event("config", "inForce", string(e.Settings.Environment), fmt.Sprintf("version %d by %s", v.offset, v.author), "")
 }
 
-// adoptDocument takes over a document that another entry process had read from
-// the log and gave to the agent, and reports whether the agent should send it.
-// So an accepted edit reaches an entry process that has lost the log, which
-// would otherwise show and apply the older version until the log is back.
+// acceptDocument puts the document of a heartbeat in force if it is newer than the
+// current one, and reports whether the agent should send its document. The agent
+// has the document from an entry process that read it from the log. Thus an
+// accepted edit reaches an entry process that cannot reach the log and would
+// otherwise show and apply the older version until the log is reachable again.
 func (e *Entry) acceptDocument(m *wire.Heartbeat) (wanted bool) {
 	e.refreshDocument()
 	offset := units.Offset(m.GetConfigOffset())
@@ -77,9 +78,10 @@
 	return false
 }
 
-// describeConfig says which document this process has and how certain it is
-// that there is no newer one. The staleness is taken before the document: the
-// evidence must never cover a read whose records are not in force here yet.
+// fillConfig sets the current document in the reply and the staleness of the config
+// stream, from which the agent derives how long the document counts as fresh. The
+// staleness is read before the document, so that it never covers a read whose
+// records are not in force in this process yet.
 func (e *Entry) fillConfig(offset units.Offset, reply *wire.HeartbeatReply) {
 	now := time.Now()
 	reply.LogReachable = e.logReachable(now)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry is the entry process: it answers callers, teams and operators,
-// follows the log, and dispatches tasks to agents.
+// Package entry implements the entry process. It answers callers, teams and
+// operators, follows the log, and dispatches tasks to agents.
 //
-// Read run.go for what runs, control.go for the state and its tick, then one
-// file for each thing the control loop does: heartbeat.go, registration.go,
-// reports.go, placement.go, launches.go, releases.go, reconcile.go, watchers.go.
-// backend.go, views.go and events.go answer the administration API.
+// The file run.go starts and stops the parts of the process, and control.go has
+// the state and the tick of the control loop. The steps of the control loop are in
+// heartbeat.go, registration.go, reports.go, placement.go, launches.go,
+// releases.go, reconcile.go and watchers.go. The administration API is implemented
+// in backend.go, views.go and events.go.
 package entry
 
 import (
@@ -33,7 +34,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind tells failures of the entry process apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of Error.
@@ -45,30 +46,31 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// RequestServer is the path of callers' requests as the entry process needs it.
+// RequestServer serves the requests of callers.
 type RequestServer interface {
-	// Server returns the server of the callers' listener.
+	// Server returns the HTTP server for the callers' listener.
 	Server() *http.Server
-	// Run watches this process for stalls until ctx ends.
+	// Run monitors this process for stalls until ctx ends.
 	Run(ctx context.Context) error
-	// ObserveHeartbeat takes over an agent's view of its endpoints.
+	// ObserveHeartbeat updates the endpoints of an agent from its heartbeat.
 	ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat ReceivedHeartbeat)
-	// SetDocument takes over a new document.
+	// SetDocument applies a new document.
 	SetDocument(d *environment.Document)
-	// Shutdown turns readiness off, serves for notice, and then stops server
-	// without cutting off a request.
+	// Shutdown turns readiness off, continues to serve for the duration notice,
+	// and then stops server after its requests have been answered.
 	Shutdown(ctx context.Context, server *http.Server, notice time.Duration)
 }
 
-// Entry is the entry process. Set the exported fields before Run.
+// Entry is one entry process. Set the exported fields before Run.
 type Entry struct {
 	Settings         *settings.Entry
 	Log              logservice.Service
-	NewRequestServer func(e *Entry) RequestServer // builds the request path; nil serves no callers
+	NewRequestServer func(e *Entry) RequestServer // nil means that callers' requests are answered with 404
 	MetricsScope     tally.Scope                  // nil for none
 	MetricsHandler   http.Handler                 // serves /metrics; nil for none
-	// DrainDelay is how long readiness is off before listeners close on a planned
-	// stop, so that the platform's balancer stops choosing this process first.
+	// DrainDelay is the time between the end of readiness and the closing of the
+	// listeners during a planned stop. It lets the platform's load balancer stop
+	// sending requests to this process first.
 	DrainDelay time.Duration
 
 	prepareOnce    sync.Once
@@ -85,15 +87,16 @@
 	requestServer  RequestServer
 	loopCalls      chan func(*control)
 	currentVersion atomic.Pointer[documentVersion]
-	documentMu     sync.Mutex   // of examined, unreadable, and of putting a document in force
-	examinedOffset units.Offset // newest version that has been looked at
-	rejectedOffset units.Offset // newest version that did not pass the check of this program
+	documentMu     sync.Mutex   // guards examinedOffset and rejectedOffset, and serializes changes of currentVersion
+	examinedOffset units.Offset // newest version that has been examined
+	rejectedOffset units.Offset // newest version that could not be parsed
 	ownership      atomic.Pointer[ownership]
 	draining       atomic.Bool
 	descriptions   descriptions
 }
 
-// version is the document in force with the offset that numbers it.
+// documentVersion is a version of the document. Its offset in the config stream is
+// the version number.
 type documentVersion struct {
 	offset   units.Offset
 	author   string
@@ -102,20 +105,22 @@
 }
 
 const (
-	// drainFor covers two heartbeats and a balancer that checks every second.
+	// defaultDrainDelay covers two heartbeats and a load balancer that checks
+	// readiness every second.
 	defaultDrainDelay = 3 * time.Second
-	// stopWithin bounds a planned stop when a request never ends.
+	// shutdownTimeout bounds a planned stop if a request does not end.
 	shutdownTimeout = 30 * time.Second
-	// jobsWindow spaces the appends of one process: 12 of them at 50 ms make
-	// 240 appends a second, within the several hundred that the log takes. At
-	// 20 ms they reach its limit, and p99 of an append grows from 60 to 105 ms.
+	// jobsAppendWindow is the least time between two appends of one process. Twelve
+	// processes at 50 ms make 240 appends per second, within the several hundred
+	// that the log accepts. At 20 ms they reach its limit, and the p99 latency of an
+	// append grows from 60 to 105 ms.
 	jobsAppendWindow = 50 * time.Millisecond
-	// reachable is the staleness up to which the log counts as reachable; a
-	// read at the tail returns at least every ReadWait.
+	// maxLogStaleness is the staleness up to which the log counts as reachable. A
+	// read at the tail returns at least once every ReadWait.
 	maxLogStaleness = 3 * time.Second
 )
 
-// prepare builds the parts once; Run calls it.
+// prepare builds the parts of the process once. Run calls it.
 func (e *Entry) prepare() { e.prepareOnce.Do(e.build) }
 
 func (e *Entry) build() {
@@ -144,7 +149,7 @@
 	e.agentListener = &link.Listener{Address: e.Settings.LinkAddress.String(), Handler: e.linkHandler()}
 }
 
-// Document returns the document in force and its offset, or nil and 0.
+// Document returns the current document and its offset, or nil and 0 without one.
 func (e *Entry) Document() (*environment.Document, units.Offset) {
 	v := e.currentVersion.Load()
 	if v == nil {
@@ -153,14 +158,14 @@
 	return v.document, v.offset
 }
 
-// logReachable reports whether the tails of the config and members streams were
-// read recently.
+// logReachable reports whether the tails of the config and members streams have
+// been read within maxLogStaleness.
 func (e *Entry) logReachable(now time.Time) bool {
 	return max(e.config.Staleness(now), e.members.Staleness(now)) < maxLogStaleness
 }
 
-// event records an event of this process. Without a cause it names the newest
-// known event about the same subject, of whichever process.
+// event records an event of this process. If cause is empty, the cause is the
+// newest event about the same subject that any process has reported.
 func (e *Entry) event(lane, kind, subject, text, cause string) {
 	if cause == "" {
 		cause = e.causes.Latest(subject)
@@ -168,7 +173,7 @@
 	e.causes.Note(subject, e.recorder.Record(lane, kind, subject, text, cause))
 }
 
-// collect keeps events of other processes.
+// collectEvents stores events of other processes.
 func (e *Entry) collectEvents(events []*wire.Event) {
 	received := timeline.FromWire(events)
 	e.collector.Add(received...)
@@ -177,7 +182,7 @@
 	}
 }
 
-// do runs fn on the control goroutine and waits for it.
+// runOnLoop runs fn on the control loop and waits until it has returned.
 func (e *Entry) runOnLoop(ctx context.Context, fn func(*control)) error {
 	done := make(chan struct{})
 	call := func(c *control) { fn(c); close(done) }
@@ -194,8 +199,8 @@
 	}
 }
 
-// LinkAddr returns the bound address of the agents' listener after Run has
-// started; tests use port 0.
+// LinkAddr returns the bound address of the agents' listener. Tests listen on
+// port 0.
 func (e *Entry) LinkAddr() (net.Addr, error) { return e.agentListener.Listen() }
 
 func checkDocument(raw []byte) error {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// cluster is a log, entry processes, and agents with their workers, all in this
-// process and connected over loopback.
+// testCluster consists of a log, entry processes, and agents with their workers,
+// all in this process and connected over loopback.
 type testCluster struct {
 	t       *testing.T
 	log     *logservice.Log
@@ -34,7 +34,7 @@
 	workers []*worker.Core
 }
 
-// member is a part that a test can stop.
+// testProcess is an entry process or agent that a test can stop.
 type testProcess[P any] struct {
 	part P
 	stop func()
@@ -69,7 +69,7 @@
 	go func() {
 		defer close(done)
 		if err := part.Run(ctx); err != nil {
-			t.Logf("%T ended: %v", part, err)
+			t.Logf("%T ended with error: %v", part, err)
 		}
 	}()
 	m := &testProcess[P]{part: part, stop: func() { cancel(); <-done }}
@@ -91,7 +91,7 @@
 			},
 			Log: c.log, DrainDelay: 10 * time.Millisecond,
 		}
-		e.prepare() // the test asks the process before Run has begun
+		e.prepare() // the test calls the process before Run has called prepare
 		c.entries = append(c.entries, startProcess(t, e))
 		seeds = append(seeds, link.String())
 	}
@@ -113,8 +113,8 @@
 			lessors[w.ID] = w.Lessor
 		}
 		for _, w := range list {
-			// Of three or more workers no two may stay each other's lessor:
-			// neither could take over the other's watchers in a log outage.
+			// Of three or more workers no two may remain each other's lessor:
+			// neither could run the other's watchers in a log outage.
 			if w.State == "ready" && w.Lessor != "" && (workers < 3 || lessors[w.Lessor] != w.ID) {
 				ready++
 			}
@@ -135,12 +135,12 @@
 // backend returns the administration API of the newest entry process.
 func (c *testCluster) backend() backend { return backend{c.entries[len(c.entries)-1].part} }
 
-// eventually waits for a condition; the bound only ends a run that hangs.
+// eventually waits for a condition. The timeout only ends a test that hangs.
 func (c *testCluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(time.Minute); !condition(); {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("never happened: %s", what)
+			c.t.Fatalf("did not happen within a minute: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -173,11 +173,12 @@
 		runs = append(runs, w.Runs()...)
 	}
 	if found := worker.Overlaps(runs); len(found) > 0 {
-		c.t.Errorf("tasks ran twice at a time:\n%s", strings.Join(found, "\n"))
+		c.t.Errorf("tasks ran twice at the same time:\n%s", strings.Join(found, "\n"))
 	}
 }
 
-// Guards against a break anywhere between submission and the recorded end.
+// Guards against a job that does not get from submission to its recorded end, and
+// against a repeated submission that creates a second job.
 func TestJobCompletes(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, 3, "")
@@ -194,8 +195,8 @@
 	c.checkTimeline(id)
 }
 
-// checkTimeline follows the causes of a task's last event back to its first,
-// from an entry process that need not have caused any of them.
+// checkTimeline follows the causes of a task's last event back to its first on
+// every entry process, also on one that has recorded none of these events.
 func (c *testCluster) checkTimeline(id units.JobID) {
 	c.t.Helper()
 	subject := string(id) + "/0"
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against a task that starts again while the killed agent's worker still
-// runs it, and against one that is lost with the worker.
+// Guards against a task that is started elsewhere while the worker of a replaced
+// agent still runs it, and against a task that is lost with its worker.
 func TestWorkerLostAndAgentReplaced(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, 3, "")
@@ -241,8 +242,8 @@
 	c.checkNoOverlap()
 }
 
-// Guards against a document that operators changed but agents ignore: no task
-// may start in a failure domain that is out, and its tasks move.
+// Guards against agents that ignore a changed document: no task may start in a
+// failure domain that is out of service, and the tasks in it must move.
 func TestFailureDomainOut(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, 3, "")
@@ -268,13 +269,13 @@
 	c.checkNoOverlap()
 	for _, r := range c.workers[0].Runs() {
 		if r.Start.After(accepted.Add(3 * time.Second)) {
-			t.Errorf("task %s started in the domain %s after it was taken out", r.Task, r.Start.Sub(accepted))
+			t.Errorf("task %s started %s after its failure domain was taken out of service", r.Task, r.Start.Sub(accepted))
 		}
 	}
 }
 
-// Guards against a watcher that stays down after its worker died, with the log
-// and without it.
+// Guards against a watcher that stays down after its worker is lost, with a
+// reachable log and during its outage.
 func TestWatcherContinues(t *testing.T) {
 	t.Parallel()
 	for _, outage := range []bool{false, true} {
@@ -299,7 +300,7 @@
 			})
 			c.log.SetFaults(logservice.Faults{Outage: outage})
 			if outage {
-				time.Sleep(4 * time.Second) // entry processes notice within 3 s
+				time.Sleep(4 * time.Second) // entry processes detect the outage within 3 s
 			}
 			c.workers[holder].SetFaults(worker.Faults{Unreachable: true})
 			c.agents[holder].stop()
@@ -320,15 +321,15 @@
 				return err == nil && len(job.Details) == 1 && job.Details[0].State == "running" &&
 					job.Details[0].Worker != c.workers[holder].Name
 			})
-			time.Sleep(time.Second) // a second start would follow within a few ticks
+			time.Sleep(time.Second) // a second start would occur within a few ticks
 			c.checkNoOverlap()
 		})
 	}
 }
 
-// Guards against a control loop that locks a fold twice: with a writer waiting
-// between the two read locks both wait for ever. It was seen in one of three
-// acceptance runs, as an entry process that answered nothing more.
+// Guards against a control loop that read-locks the state of a stream twice: if a
+// writer waits between the two locks, both wait forever. In one of three acceptance
+// runs an entry process stopped answering for this reason.
 func TestControlLoopUnderManyRecords(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1, 2, "")
@@ -366,9 +367,10 @@
 	}
 }
 
-// Guards against one death during a log outage that stops every worker: each
-// lessor that loses its own lease would refuse its lessee the next one.
-func TestLeasesOutliveADeathInAnOutage(t *testing.T) {
+// Guards against the loss of one worker during a log outage that stops all workers
+// one after another, because each lessor that loses its own lease stops granting
+// its lessee's.
+func TestLeasesOutliveAWorkerLossInAnOutage(t *testing.T) {
 	t.Parallel()
 	const workers = 6
 	c := newCluster(t, 2, workers, "")
@@ -395,7 +397,7 @@
 	c.log.SetFaults(logservice.Faults{Outage: true})
 	c.workers[0].SetFaults(worker.Faults{Unreachable: true})
 	c.agents[0].stop()
-	time.Sleep(45 * time.Second) // five leases: a chain of refusals would have stopped all
+	time.Sleep(45 * time.Second) // five leases: successive refusals would have stopped all workers
 	after := 0
 	for i, w := range c.workers {
 		if runningOn(w) > 0 && i > 0 {
@@ -403,7 +405,7 @@
 		}
 	}
 	if want := before - lessees; after < want {
-		t.Errorf("workers that still run tasks: got %d, want at least %d (%d before, %d had the lost one as lessor)", after, want, before, lessees)
+		t.Errorf("workers that still run tasks: got %d, want at least %d (%d before, %d had the lost worker as lessor)", after, want, before, lessees)
 	}
 	c.log.SetFaults(logservice.Faults{})
 	c.eventually("every task runs again", func() bool {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// peerTimeout bounds the question to another entry process; an answer
-	// without the events of one that is gone is better than none.
+	// peerTimeout bounds the request to another entry process. An answer without
+	// the events of an unreachable process is better than none.
 	peerTimeout = time.Second
-	// maxPeerEvents keeps a reply below the limit of a link message.
+	// maxPeerEvents keeps a reply below the size limit of a link message.
 	maxPeerEvents = 10_000
 )
 
-// Events implements administration.Backend. An agent sends its events to one
-// entry process, so all of them are asked.
+// Events implements administration.Backend. It queries all entry processes, because
+// an agent sends its events to only one of them.
 func (b backend) Events(ctx context.Context, accept func(timeline.Event) bool, limit int) ([]timeline.Event, error) {
 	b.collectOwnEvents()
 	var peers []roster.Entry
@@ -39,7 +39,7 @@
 	return b.collector.Events(accept, limit), nil
 }
 
-// collectOwn adds this process's events to those of others.
+// collectOwnEvents adds the events of this process to the collected ones.
 func (e *Entry) collectOwnEvents() {
 	e.collector.Add(e.recorder.After(e.collector.Acknowledged(e.runID), e.Settings.Limits.TimelineEvents)...)
 }
@@ -49,13 +49,13 @@
 	defer cancel()
 	session, err := link.Dial(ctx, peer.LinkAddress, nil)
 	if err != nil {
-		klog.V(1).InfoS("events of an entry process are missing", "entry", peer.ID, "err", err)
+		klog.V(1).InfoS("cannot connect to an entry process; its events are missing from the answer", "entry", peer.ID, "err", err)
 		return
 	}
 	defer session.Close()
 	var reply wire.EventsReply
 	if err := session.Call(ctx, "/link/events", &wire.EventsRequest{Limit: uint32(min(limit, maxPeerEvents))}, &reply); err != nil {
-		klog.V(1).InfoS("events of an entry process are missing", "entry", peer.ID, "err", err)
+		klog.V(1).InfoS("cannot read the events of an entry process; they are missing from the answer", "entry", peer.ID, "err", err)
 		return
 	}
 	e.collector.Add(timeline.FromWire(reply.GetEvents())...)
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -10,13 +10,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// ReceivedHeartbeat is a heartbeat with the local time of its arrival.
+// ReceivedHeartbeat is a heartbeat and the local time at which it was received.
 type ReceivedHeartbeat struct {
 	Message    *wire.Heartbeat
 	ReceivedAt time.Time
 }
 
-// heartbeat answers POST /link/heartbeat.
+// serveHeartbeat answers POST /link/heartbeat.
 func (e *Entry) serveHeartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	now := time.Now()
 	e.recorder.Observe(m.GetClock())
@@ -39,7 +39,8 @@
 	return reply, nil
 }
 
-// observe takes over what the heartbeat says.
+// applyHeartbeat updates the state of the worker from its heartbeat and proposes
+// what the heartbeat requests or reports.
 func (c *control) applyHeartbeat(m *wire.Heartbeat, session *link.Session, now time.Time) {
 	c.counters.heartbeats.Inc(1)
 	id := units.WorkerID(m.GetWorker())
@@ -49,7 +50,7 @@
 		c.workers[id] = w
 		c.event("worker", "connected", string(id), m.GetFailureDomain(), "")
 	} else if m.GetEpoch() < w.heartbeat.GetEpoch() {
-		return // from an agent that has been replaced
+		return // sent by an agent that has been replaced
 	}
 	if w.reportedSilent {
 		w.reportedSilent = false
@@ -69,7 +70,7 @@
 	c.proposeExpiries(w, now)
 }
 
-// answer fills in what the agent has to know.
+// fillReply sets the fields of the reply that depend on the control state.
 func (c *control) fillReply(m *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) {
 	id := units.WorkerID(m.GetWorker())
 	w := c.workers[id]
@@ -90,8 +91,8 @@
 	reply.WantRunning = w != nil && m.GetEpoch() > 0 && w.needsRunningList(units.Epoch(m.GetEpoch()), now)
 }
 
-// answerRegistration tells the agent its registration, its lessor, its lessees
-// and the watchers that it stands by for.
+// fillRegistration sets the registration of the worker, its lessor, its lessees, and
+// the watchers of the lessees, for which it holds standbys.
 func (c *control) fillRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	epoch := units.Epoch(m.GetEpoch())
 	w, ok := r.Worker(id)
@@ -120,10 +121,10 @@
 	}
 }
 
-// betterLessor reports whether the worker should ask for another lessor. Workers
-// that register at the same time find none yet, or each other: of such a pair
-// neither can take over the other's watchers in a log outage, because its own
-// lease ends with the other. One of the two changes.
+// betterLessorAvailable reports whether the worker should request another lessor.
+// Workers that register at the same time get no lessor or become each other's. In
+// such a pair neither can run the other's watchers in a log outage, because both
+// leases end together. One of the two then changes its lessor.
 func betterLessorAvailable(r *roster.Roster, w roster.Worker) bool {
 	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	if w.Lessor == (roster.Holder{}) {
@@ -137,8 +138,8 @@
 	return w.ID < lessor.ID || !hasOtherLessor(r, lessor, w)
 }
 
-// hasOtherLessor reports whether a worker other than its present lessor could
-// be its lessor without making another such pair.
+// hasOtherLessor reports whether a worker other than the present lessor can be the
+// lessor of w without forming another such pair.
 func hasOtherLessor(r *roster.Roster, w, lessor roster.Worker) bool {
 	place := roster.Place{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	chosen, ok := r.ChooseLessor(w.ID, place, func(h roster.Holder) bool { return h.Worker != lessor.ID })
@@ -146,8 +147,9 @@
 	return ok && other.Lessor.Worker != w.ID
 }
 
-// needsList reports whether the agent has to send a full list: the newest is
-// of another epoch or a minute old.
+// needsRunningList reports whether the agent must send a full list of its running
+// tasks, because the newest one is of another epoch or older than
+// maxRunningListAge.
 func (w *workerState) needsRunningList(epoch units.Epoch, now time.Time) bool {
 	return w.runningEpoch != epoch || now.Sub(w.runningListedAt) > maxRunningListAge
 }
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// callTimeout bounds one launch or stop call; the worker answers a start
-	// within milliseconds, and an unanswered call is repeated.
+	// callTimeout bounds one launch or stop call. The worker answers a start within
+	// milliseconds, and a call that times out is repeated.
 	callTimeout = 2 * time.Second
-	// retryAfter is the pause after a failed call to an agent.
+	// callRetryDelay is the delay after a failed call to an agent.
 	callRetryDelay = 500 * time.Millisecond
-	// maxLaunch bounds the tasks of one call, so that one answer is not delayed
-	// by many starts.
+	// maxTasksPerCall bounds the tasks of one launch call, so that its answer does
+	// not wait for too many starts.
 	maxTasksPerCall = 64
 )
 
-// launch sends the assigned attempts of this process's jobs to their agents
-// and tells agents to stop attempts of cancelled jobs. A call is repeated until
-// it is answered; agents answer a repetition in the same way.
+// launchTasks sends the assigned attempts of the jobs that this process owns to
+// their agents, and requests the stop of attempts of cancelled jobs. A call is
+// repeated until it is answered; agents give a repeated call the same answer.
 func (c *control) launchTasks(now time.Time) {
 	if c.catchingUp(now) && !c.logReachable(now) {
 		return
@@ -49,7 +49,7 @@
 	})
 	for _, b := range batches {
 		if now.Before(b.worker.callInFlightUntil) {
-			continue // an older epoch of the worker came first
+			continue // a call for an older epoch of the worker has just been sent
 		}
 		b.worker.callInFlightUntil = now.Add(2 * callTimeout)
 		go c.Entry.callAgent(b.worker.id, b.worker.session, b.launch, b.stop)
@@ -79,7 +79,8 @@
 	return launch, stop
 }
 
-// call runs on its own goroutine and hands the results to the control loop.
+// callAgent sends a launch and a stop call and passes the results to the control
+// loop. It runs in its own goroutine.
 func (e *Entry) callAgent(id units.WorkerID, session *link.Session, launch *wire.Launch, stop *wire.Stop) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -102,7 +103,7 @@
 	_ = e.runOnLoop(done, func(c *control) { c.applyCallResults(id, &reply, failed, time.Now()) })
 }
 
-// launched takes over the results of a call.
+// applyCallResults proposes the entries for the results of a launch call.
 func (c *control) applyCallResults(id units.WorkerID, reply *wire.LaunchReply, failed error, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
--- a/internal/entry/lessor_test.go
+++ b/internal/entry/lessor_test.go
@@ -7,18 +7,18 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against a pair of workers that stay each other's lessor, and against
-// both of a pair changing at once, which could make another pair.
-func TestBetterLessor(t *testing.T) {
+// Guards against a pair of workers that remain each other's lessor, and against a
+// change of both at the same time, which could form another pair.
+func TestBetterLessorAvailable(t *testing.T) {
 	holder := func(id units.WorkerID) roster.Holder { return roster.Holder{Worker: id, Epoch: 1} }
 	for _, c := range []struct {
 		name    string
 		lessors map[units.WorkerID]units.WorkerID
 		want    map[units.WorkerID]bool
 	}{
-		{"alone", map[units.WorkerID]units.WorkerID{"a": ""}, map[units.WorkerID]bool{}},
-		{"none yet", map[units.WorkerID]units.WorkerID{"a": "", "b": ""}, map[units.WorkerID]bool{"a": true, "b": true}},
-		{"only two", map[units.WorkerID]units.WorkerID{"a": "b", "b": "a"}, map[units.WorkerID]bool{}},
+		{"only worker", map[units.WorkerID]units.WorkerID{"a": ""}, map[units.WorkerID]bool{}},
+		{"two without lessors", map[units.WorkerID]units.WorkerID{"a": "", "b": ""}, map[units.WorkerID]bool{"a": true, "b": true}},
+		{"pair without others", map[units.WorkerID]units.WorkerID{"a": "b", "b": "a"}, map[units.WorkerID]bool{}},
 		{"pair among three", map[units.WorkerID]units.WorkerID{"a": "b", "b": "a", "c": "b"}, map[units.WorkerID]bool{"a": true}},
 		{"pair whose first has only its lessee left", map[units.WorkerID]units.WorkerID{"a": "b", "b": "a", "c": "a"}, map[units.WorkerID]bool{"b": true}},
 		{"ring", map[units.WorkerID]units.WorkerID{"a": "b", "b": "c", "c": "a"}, map[units.WorkerID]bool{}},
--- a/internal/entry/outbox.go
+++ b/internal/entry/outbox.go
@@ -9,31 +9,30 @@
 	"wasabihill.example/wasabihill/internal/stream"
 )
 
-// outbox gathers the entries that one tick proposes for a stream and remembers
-// for a while what was proposed, so that a tick does not propose again what is
-// about to appear in the fold. A repeated proposal does no harm; it costs an
-// entry.
+// outbox collects the entries that one tick proposes for a stream. It stores for a
+// while what was proposed, so that the next ticks do not propose again what is
+// about to be applied. A repeated proposal is harmless but costs an entry.
 type outbox struct {
 	writer      *stream.Writer
 	entries     [][]byte
-	retryableAt map[string]time.Time // key to the time from which it may be proposed again
+	retryableAt map[string]time.Time // time from which a key may be proposed again
 	inFlight    chan struct{}
 	failedKeys  chan []string
 	keys        []string
-	seenKeys    map[string]struct{} // keys whose first proposal has been reported to the caller
+	seenKeys    map[string]struct{} // keys that have been queued before
 }
 
 const (
-	// maxAppends bounds the appends that wait for a slow log; further proposals
-	// wait in the tables that they come from.
+	// maxPendingAppends bounds the appends that wait for a slow log. Further
+	// proposals are not queued and are made again by later ticks.
 	maxPendingAppends = 8
-	// maxTickEntries bounds one append to well below the log's record size.
+	// maxEntriesPerAppend keeps one append well below the record size of the log.
 	maxEntriesPerAppend = 1000
-	// maxReported bounds the keys that add remembers; after that a proposal that
-	// is repeated in a long outage may be reported a second time.
+	// maxSeenKeys bounds seenKeys. Beyond it, a proposal that is repeated in a long
+	// outage may be reported as new a second time.
 	maxSeenKeys = 16_384
-	// sweepAbove is the number of remembered keys above which old ones are
-	// dropped.
+	// pruneThreshold is the number of keys in retryableAt above which expired ones
+	// are dropped.
 	pruneThreshold = 4096
 )
 
@@ -44,10 +43,10 @@
 	}
 }
 
-// add queues entries that belong together under a key, unless the key was
-// proposed recently or the log is too slow to take more. It reports whether
-// they are queued for the first time, for events and counters: while the log is
-// down a proposal is repeated every proposalWait.
+// add queues entries that belong together under a key, unless the key was proposed
+// recently or too many appends are pending. It reports whether they are queued for
+// the first time, for events and counters: while the log is down, a proposal is
+// repeated every proposalRetryDelay.
 func (o *outbox) add(key string, now time.Time, entries ...[]byte) bool {
 	if until, ok := o.retryableAt[key]; ok && now.Before(until) {
 		return false
@@ -73,7 +72,7 @@
 	return !seen
 }
 
-// flush appends what was gathered, without waiting for the log.
+// flush appends the queued entries without waiting for the log.
 func (o *outbox) flush(ctx context.Context) {
 	for {
 		select {
@@ -92,7 +91,7 @@
 	select {
 	case o.inFlight <- struct{}{}:
 	default:
-		return // keep them for the next tick
+		return // keep the entries for the next tick
 	}
 	entries, keys := o.entries, o.keys
 	o.entries, o.keys = nil, nil
@@ -102,9 +101,9 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		klog.V(1).InfoS("append failed", "stream", o.writer.Stream, "entries", len(entries), "err", err)
+		klog.V(1).InfoS("append of proposed entries failed", "stream", o.writer.Stream, "entries", len(entries), "err", err)
 		if !stream.NotWritten(err) {
-			return // it may still take effect; proposalWait decides when to repeat
+			return // it may still take effect, so it is repeated after proposalRetryDelay
 		}
 		select {
 		case o.failedKeys <- keys:
--- a/internal/entry/ownership.go
+++ b/internal/entry/ownership.go
@@ -8,17 +8,17 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// owners answers whether this process is the owner of a key among a fixed set
-// of live entry processes. Ownership divides the work; it grants nothing.
+// ownership determines whether this process owns a key among a fixed set of live
+// entry processes. It only divides the work: correctness does not depend on it.
 type ownership struct {
 	self units.EntryID
-	live []units.EntryID // sorted; holds self
+	live []units.EntryID // sorted; contains self
 
 	mu    sync.Mutex
 	cache map[string]bool
 }
 
-// maxOwnersCache bounds the cache at about twice the jobs of a day.
+// maxOwnershipCache is about twice the number of jobs per day.
 const maxOwnershipCache = 32_768
 
 func newOwnership(self units.EntryID, live []units.EntryID) *ownership {
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -12,16 +12,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// planner connects the dispatcher to the tables of this process.
+// planner holds the dispatcher and its inputs from this process.
 type planner struct {
 	dispatcher      *dispatch.Dispatcher
 	interference    dispatch.Interference
-	evictionAllowed map[dispatch.Victim]bool // assignments that may evict, until they are launched
+	evictionAllowed map[dispatch.Victim]bool // assigned attempts that may evict others when they are launched
 	workers         []dispatch.Worker
 }
 
-// maxMayEvict bounds the remembered permissions; an assignment whose
-// permission is forgotten is refused and assigned anew.
+// maxEvictionPermissions bounds evictionAllowed. An attempt whose permission has
+// been dropped is refused by the agent, and its task is assigned again.
 const maxEvictionPermissions = 4096
 
 func newPlanner() planner {
@@ -32,7 +32,7 @@
 	}
 }
 
-// observe takes over what an agent's guard has learned.
+// recordInterference stores the slowdowns that the agent's guard has estimated.
 func (p *planner) recordInterference(w *workerState) {
 	for _, i := range w.heartbeat.GetInterference() {
 		kind := units.JobKind(i.GetJobKind())
@@ -43,7 +43,7 @@
 	}
 }
 
-// place runs the dispatcher and proposes what it decides.
+// placeTasks runs the dispatcher and proposes the entries for its decisions.
 func (c *control) placeTasks(now time.Time) {
 	v := c.currentVersion.Load()
 	if v == nil || c.draining.Load() {
@@ -54,8 +54,8 @@
 	for _, w := range c.workers {
 		c.planner.workers = append(c.planner.workers, c.dispatchWorker(w, registered, now))
 	}
-	// Taken before the view: a second read lock inside it would wait for ever
-	// behind a writer that waits for the first.
+	// Read this before View locks the ledger: a second read lock inside it would
+	// deadlock with a writer that waits for the first read lock.
 	reachableNow := c.logReachable(now) && c.jobs.Staleness(now) < maxLogStaleness
 	c.jobs.View(func(l *ledger.Ledger) {
 		proposals := c.planner.dispatcher.Tick(dispatch.Input{
@@ -77,9 +77,9 @@
 	})
 }
 
-// registrations returns the newest registration of every worker. The table is
-// built anew only when the members stream has moved, which is a few times a
-// second, while a tick comes 20 times a second.
+// currentRegistrations returns the newest registration of every worker. It rebuilds
+// the table only after a change of the members stream, which occurs a few times
+// per second, whereas there are 20 ticks per second.
 func (c *control) currentRegistrations() map[units.WorkerID]roster.Worker {
 	applied := c.members.Applied()
 	if c.registeredWorkers != nil && c.registeredWorkersOffset == applied {
@@ -95,8 +95,8 @@
 	return registered
 }
 
-// dispatchRow is the dispatcher's view of a worker. Only the registered epoch
-// may get tasks: the lessor of an unregistered one is not known yet.
+// dispatchWorker returns the dispatcher's input for a worker. Only a registered
+// epoch may be assigned tasks, because an unregistered one has no lessor yet.
 func (c *control) dispatchWorker(w *workerState, registered map[units.WorkerID]roster.Worker, now time.Time) dispatch.Worker {
 	m := w.heartbeat
 	row := dispatch.Worker{
@@ -115,7 +115,7 @@
 	return row
 }
 
-// proposalNames are the kinds of the time line's events.
+// proposalEventKinds maps each action to the kind of its timeline event.
 var proposalEventKinds = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
 
 func (c *control) propose(l *ledger.Ledger, p dispatch.Proposal, now time.Time) {
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// listAgainAfter is how often an agent is asked for the full list of what
-	// its worker runs: ten tasks and twelve entry processes cost 80 B/s.
+	// maxRunningListAge is the interval at which an agent is requested to send the
+	// full list of its running tasks. With ten tasks and twelve entry processes the
+	// lists cost 80 B/s.
 	maxRunningListAge = time.Minute
-	// missingFor is how long an attempt must be absent from full lists before it
-	// counts as lost; a list may have been composed just before a start that
-	// the ledger already holds.
+	// missingTimeout is how long an attempt must be missing from full lists before
+	// it counts as lost. A list may have been composed just before a start that the
+	// ledger already has.
 	missingTimeout = 10 * time.Second
-	// reconcileEvery spaces the comparisons.
+	// reconcileInterval is the interval between two comparisons.
 	reconcileInterval = time.Second
 )
 
-// missingAttempt is an attempt that the ledger holds for running and that the
-// newest full list of its worker does not contain.
+// missingAttempt is an attempt that is running according to the ledger but missing
+// from the newest full list of its worker.
 type missingAttempt struct {
-	since         time.Time // of the first list without it
-	firstListedAt time.Time // that list
+	since         time.Time // time at which it was first found missing
+	firstListedAt time.Time // time of the list in which it was first missing
 }
 
 type attemptKey struct {
@@ -32,11 +33,11 @@
 	attempt units.Attempt
 }
 
-// reconcile releases attempts that the ledger holds for running although the
-// agent of the same epoch lists them neither as running nor in a report. No
-// fault that is known leads there; without this, one that is not known would
-// leave a task open for ever. The agent starts no attempt again that it has
-// ended, so the next attempt cannot run beside it.
+// reconcile releases attempts that are running according to the ledger although the
+// agent of the same epoch lists them neither as running nor in a report. No known
+// fault causes this state, but an unknown one would leave the task open forever.
+// An agent never restarts an attempt that has ended, so the released attempt and
+// the next one cannot run at the same time.
 func (c *control) reconcile(now time.Time) {
 	if now.Before(c.nextReconcileAt) || c.catchingUp(now) {
 		return
@@ -84,8 +85,9 @@
 	}
 }
 
-// mayRun returns which attempts the worker may run according to the agent's
-// newest full list and the reports of its newest heartbeat.
+// mayRun returns a function that reports whether the worker may run an attempt
+// according to the agent's newest full list and the reports of its newest
+// heartbeat.
 func (w *workerState) mayRun() func(units.Task, units.Attempt) bool {
 	unreported := make(map[units.Task]bool, len(w.heartbeat.GetReports()))
 	for _, r := range w.heartbeat.GetReports() {
--- a/internal/entry/reconcile_test.go
+++ b/internal/entry/reconcile_test.go
@@ -12,8 +12,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against a task that stays open for ever because its outcome was lost,
-// and against a release of one that its worker runs or is about to report.
+// Guards against a task that stays open forever because its outcome was lost, and
+// against the release of one that its worker runs or is about to report.
 func TestReconcileReleasesOnlyLostAttempts(t *testing.T) {
 	task := units.Task{Job: "job-1"}
 	holder := ledger.Holder{Worker: "worker-1", Epoch: 7}
@@ -38,8 +38,8 @@
 		{"reported", true, 0, report, 7, true, 0},
 		{"not started", false, 0, nil, 7, true, 0},
 		{"another epoch", true, 0, nil, 8, true, 0},
-		{"one list without it", true, 0, nil, 7, false, 0},
-		{"lost", true, 0, nil, 7, true, 1},
+		{"missing from one list only", true, 0, nil, 7, false, 0},
+		{"missing from two lists", true, 0, nil, 7, true, 1},
 	} {
 		e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 		e.prepare()
@@ -65,7 +65,7 @@
 			control.compareRunningLists(now)
 		}
 		if got := min(len(control.jobsOutbox.entries), 1); got != c.want {
-			t.Errorf("%s: proposals: got %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: proposed entries: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// foreignAfter is how long this process leaves a worker or a report to its
-	// owner before it acts itself; a repeated record is ignored by the fold.
+	// ownerTimeout is how long this process waits for the owner of a worker or job
+	// to act before it acts itself. A duplicate record has no effect when it is
+	// applied.
 	ownerTimeout = 3 * time.Second
 )
 
-// register proposes the registration of a new epoch and a lessor for an agent
-// that asks for one.
+// register proposes the registration of a new epoch, or another lessor for an agent
+// that requests one.
 func (c *control) register(w *workerState, now time.Time) {
 	epoch := units.Epoch(w.heartbeat.GetEpoch())
 	if epoch == 0 || w.heartbeat.GetCapacity() == nil {
-		return // not described yet
+		return // the heartbeat does not describe the worker yet
 	}
 	var registered roster.Worker
 	var found bool
@@ -41,8 +42,8 @@
 	}
 }
 
-// mine reports whether this process acts on the key: as its owner, or because
-// the owner has not acted for foreignAfter.
+// shouldActOn reports whether this process must act on the key, because it owns the
+// key or because the owner has not acted for ownerTimeout.
 func (c *control) shouldActOn(key string, h roster.Holder, now time.Time) bool {
 	if c.ownership.Load().owns(key) {
 		return true
@@ -72,8 +73,8 @@
 	place := roster.Place{Domain: registered.Domain, Rack: registered.Rack, Region: registered.Region}
 	lessor, ok := c.chooseLessor(w.id, place, registered.Lessor, now)
 	if !ok {
-		// Where only two workers are left, the current lessor in a new term is
-		// better than none: the lessee has given up the present term.
+		// If only two workers are left, the current lessor in a new term is
+		// better than none: the lessee does not renew in the present term.
 		lessor, ok = c.chooseLessor(w.id, place, roster.Holder{}, now)
 	}
 	if !ok {
@@ -85,8 +86,8 @@
 	}
 }
 
-// chooseLessor picks a lessor that has been heard recently and is not the
-// current one, which did not answer.
+// chooseLessor chooses a lessor that is reachable and is not the current one, which
+// did not answer.
 func (c *control) chooseLessor(id units.WorkerID, at roster.Place, current roster.Holder, now time.Time) (chosen roster.Holder, ok bool) {
 	c.members.View(func(r *roster.Roster) {
 		chosen, ok = r.ChooseLessor(id, at, func(h roster.Holder) bool {
@@ -97,9 +98,9 @@
 	return chosen, ok
 }
 
-// settled reports whether the expiry is recorded or can no longer take effect.
-// It is false for an epoch that the roster does not hold yet: this process may
-// be behind.
+// expirySettled reports whether the expiry has been recorded or cannot take effect
+// any more. It returns false for an epoch that the roster does not have yet,
+// because this process may lag behind.
 func expirySettled(r *roster.Roster, x *wire.LeaseExpiry) bool {
 	w, ok := r.Worker(units.WorkerID(x.GetWorker()))
 	epoch, term := units.Epoch(x.GetEpoch()), units.Term(x.GetTerm())
@@ -109,10 +110,9 @@
 	return w.Epoch > epoch || w.Term > term || !w.Holds()
 }
 
-// acceptExpiries records the expiries that the agent attests as lessor. A
-// watcher that the lessor has activated meanwhile is recorded in the jobs
-// stream first: once the expiry is visible, any process may assign the task
-// anew.
+// proposeExpiries proposes the lease expiries that the agent reports as lessor. A
+// watcher that the lessor has activated must be recorded in the jobs stream
+// first, because any process may assign the task anew once the expiry is recorded.
 func (c *control) proposeExpiries(lessor *workerState, now time.Time) {
 	for _, x := range lessor.heartbeat.GetExpiries() {
 		id := units.WorkerID(x.GetWorker())
@@ -136,9 +136,9 @@
 	}
 }
 
-// expireChains records the expiry of workers whose lessor has ended and who
-// have not changed lessor, once the lessor can grant nothing any more and its
-// last grant has run out.
+// expireLesseesOfEndedLessors proposes the expiry of workers whose lessor has ended
+// and that have not changed their lessor, once the lessor cannot grant leases any
+// more and its last grant has expired.
 func (c *control) expireLesseesOfEndedLessors(now time.Time) {
 	if now.Before(c.nextLessorCheckAt) {
 		return
@@ -166,16 +166,18 @@
 	}
 }
 
-// chainEvery spaces the looks at all workers; the shortest wait is 9 s.
+// lessorCheckInterval is the interval between two searches for workers whose lessor
+// has ended. The shortest wait before such an expiry is 9 s.
 const lessorCheckInterval = time.Second
 
-// chainedExpiry is a worker whose lessor has ended.
+// dependentExpiry is the expiry of a worker whose lessor has ended.
 type dependentExpiry struct {
 	term units.Term
-	wait time.Duration // from when the end is known until the lease has certainly ended
+	wait time.Duration // from the recorded end of the lessor until the lease has certainly ended
 }
 
-// chained returns the workers in force whose lessor has ended.
+// lesseesOfEndedLessors returns the workers whose epoch is in force and whose lessor
+// has ended.
 func (c *control) lesseesOfEndedLessors() map[roster.Holder]dependentExpiry {
 	expiries := make(map[roster.Holder]dependentExpiry)
 	c.members.View(func(r *roster.Roster) {
@@ -196,10 +198,10 @@
 	return expiries
 }
 
-// accounted reports whether a lessor that has come back with a newer epoch has
-// said what its worker runs, and everything that it activated as a standby
-// before is recorded. Until then an expiry of its lessee would let a watcher
-// that it runs start elsewhere.
+// activationsAccountedFor reports whether a lessor that has returned with a newer
+// epoch has listed what its worker runs, and every standby that it has activated
+// is recorded. Otherwise the expiry of its lessee would allow a watcher that the
+// lessor runs to start on another worker too.
 func (c *control) activationsAccountedFor(lessor roster.Worker) bool {
 	w := c.workers[lessor.ID]
 	return w != nil && w.runningEpoch == lessor.Epoch && !c.unrecordedActivations(w)
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -10,10 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// releaseEndedEpochs releases attempts of an epoch that a newer one in force has
-// replaced. The newer agent has adopted what the worker still runs, so only
-// attempts that its full list does not hold are over. When the newest epoch has
-// itself ended, nothing of the worker runs, and the dispatcher releases all.
+// releaseEndedEpochs releases attempts of an epoch that has been replaced by a newer
+// one in force. The newer agent has adopted what the worker still runs, so only
+// attempts missing from its full list have ended. If the newest epoch has ended
+// too, the worker runs nothing, and the dispatcher releases all its attempts.
 func (c *control) releaseEndedEpochs(now time.Time) {
 	if c.catchingUp(now) {
 		return
@@ -65,8 +65,8 @@
 	})
 }
 
-// adopted returns which attempts of an ended epoch may still run, or nil while
-// that is not known.
+// adoptedAttempts returns a function that reports whether an attempt of an ended
+// epoch may still run, or nil if that is not known yet.
 func (c *control) adoptedAttempts(h ledger.Holder, newest roster.Worker) func(units.Task, units.Attempt) bool {
 	w := c.workers[h.Worker]
 	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.heartbeat.GetEpoch()) != newest.Epoch {
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -9,8 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// encodeReport turns a report about the current attempt of a task into the
-// entry that records it. A nil result means that there is nothing to record.
+// encodeReport holds the function that encodes the entry for a report with the
+// given outcome about the current attempt of a task. The function returns nil if
+// there is nothing to record.
 var encodeReport = map[wire.Outcome]func(r *wire.TaskReport, t *ledger.Task) []byte{
 	wire.Outcome_OUTCOME_STARTED: func(r *wire.TaskReport, t *ledger.Task) []byte {
 		if t.State != ledger.Assigned {
@@ -53,9 +54,9 @@
 	return ledger.EncodeReleased(t, a, why)
 }
 
-// recorded reports whether the ledger reflects a report, or holds a later fact
-// that makes it void. It is false for a job or an attempt that the ledger does
-// not hold: this process may be behind, and an agent forgets what is
+// isRecorded reports whether the ledger has recorded the report, or a later record
+// makes it obsolete. It returns false for a job or an attempt that the ledger does
+// not have: this process may lag behind, and an agent drops a report once it is
 // acknowledged.
 func isRecorded(l *ledger.Ledger, worker units.WorkerID, r *wire.TaskReport) bool {
 	task, attempt := reportedAttempt(r)
@@ -73,7 +74,7 @@
 	return r.GetOutcome() == wire.Outcome_OUTCOME_STARTED && row.State != ledger.Assigned
 }
 
-// activation reports whether the report says that a lessor has activated the
+// isActivation reports whether r is the report of a lessor that has activated the
 // standby of a watcher while the log was unreachable.
 func isActivation(l *ledger.Ledger, r *wire.TaskReport) bool {
 	task, attempt := reportedAttempt(r)
@@ -82,9 +83,8 @@
 		r.GetOutcome() == wire.Outcome_OUTCOME_STARTED
 }
 
-// acceptReports proposes the entries for the reports of a heartbeat. The owner
-// of the job records a report; another process that gets it too does so only
-// after the owner had time to.
+// proposeReports proposes the entries for the reports of a heartbeat. Another
+// process than the owner of the job does so only after ownerTimeout.
 func (c *control) proposeReports(w *workerState, now time.Time) {
 	if len(w.heartbeat.GetReports()) == 0 {
 		return
@@ -110,7 +110,7 @@
 	}
 	encode, row := encodeReport[r.GetOutcome()], l.Task(task)
 	if encode == nil || row == nil || row.Attempt != attempt {
-		return // unknown, or not reached yet
+		return // unknown outcome, or an attempt that the ledger does not have yet
 	}
 	if entry := encode(r, row); entry != nil && c.jobsOutbox.add(key, now, entry) {
 		c.event("job", outcomeEventKinds[r.GetOutcome()], task.String(),
@@ -125,8 +125,8 @@
 	wire.Outcome_OUTCOME_EXPIRED: "expired",
 }
 
-// recordActivation records in one append that the holder's attempt is over and
-// that the lessor runs the next one.
+// proposeActivation proposes, in one append, the entries that end the holder's
+// attempt and record that the lessor runs the next one.
 func (c *control) proposeActivation(l *ledger.Ledger, w *workerState, r *wire.TaskReport, key string, now time.Time) {
 	task, attempt := reportedAttempt(r)
 	row := l.Task(task)
@@ -142,8 +142,8 @@
 	}
 }
 
-// unrecordedActivations reports whether the agent's heartbeat carries an
-// activation that the ledger does not hold yet.
+// unrecordedActivations reports whether the newest heartbeat of the agent reports
+// an activation that the ledger does not have yet.
 func (c *control) unrecordedActivations(w *workerState) (found bool) {
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, r := range w.heartbeat.GetReports() {
@@ -153,8 +153,8 @@
 	return found
 }
 
-// foreignDue reports whether another process's report has been outstanding for
-// foreignAfter.
+// ownerTimedOut reports whether a report that another process owns has not been
+// recorded for ownerTimeout.
 func (c *control) ownerTimedOut(key string, now time.Time) bool {
 	waitKey := "foreign/" + key
 	since, ok := c.jobsOutbox.retryableAt[waitKey]
@@ -165,12 +165,12 @@
 	return !now.Before(since)
 }
 
-// forgottenAfter is how long a report about an unknown job is repeated while
-// the tail of the stream is followed, before the job counts as ended and
-// dropped: the assignment was recorded before the report was sent.
+// endedJobTimeout is the time after which an unknown job in reports counts as ended
+// and dropped from the ledger, if the ledger is current. It cannot be a new job,
+// because the assignment was recorded before the report was sent.
 const endedJobTimeout = 30 * time.Second
 
-// unknownFor returns how long reports about the job have come in.
+// unknownJobAge returns the time since the first report about the unknown job.
 func (c *control) unknownJobAge(r *wire.TaskReport, now time.Time) time.Duration {
 	job := units.JobID(r.GetTask().GetJob())
 	since, ok := c.unknownJobSince[job]
@@ -184,10 +184,10 @@
 	return now.Sub(since)
 }
 
-// maxUnknown bounds the table of unknown jobs.
+// maxUnknownJobs bounds the table of unknown jobs.
 const maxUnknownJobs = 4096
 
-// answerReports acknowledges the reports that the ledger reflects.
+// acknowledgeReports acknowledges the reports that are recorded or obsolete.
 func (c *control) acknowledgeReports(m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	if len(m.GetReports()) == 0 {
 		return
--- a/internal/entry/reports_test.go
+++ b/internal/entry/reports_test.go
@@ -9,7 +9,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// ledgerWith folds entries in order.
+// ledgerWith returns a ledger to which the entries have been applied in order.
 func ledgerWith(t *testing.T, entries ...[]byte) *ledger.Ledger {
 	t.Helper()
 	l := ledger.New()
@@ -21,10 +21,10 @@
 	return l
 }
 
-// Guards against an entry process that has not followed the log yet and
-// acknowledges what it cannot know: the agent then forgets an outcome that
-// nobody has recorded, and the task stays open for ever.
-func TestRecordedNeedsTheLedger(t *testing.T) {
+// Guards against an entry process that acknowledges a report before it has read the
+// records about the task. The agent would drop an outcome that is not recorded, and
+// the task would stay open forever.
+func TestReportRecordedNeedsTheLedger(t *testing.T) {
 	task := units.Task{Job: "job-1"}
 	holder := ledger.Holder{Worker: "worker-1", Epoch: 7}
 	submitted := ledger.EncodeSubmitted(&wire.JobSubmitted{Job: "job-1", Key: "k", Team: "team", Name: "plan", Tasks: 1,
@@ -41,10 +41,10 @@
 		want    bool
 	}{
 		{"empty ledger", nil, "worker-1", wire.Outcome_OUTCOME_COMPLETED, false},
-		{"behind the assignment", [][]byte{submitted}, "worker-1", wire.Outcome_OUTCOME_COMPLETED, false},
+		{"assignment not read yet", [][]byte{submitted}, "worker-1", wire.Outcome_OUTCOME_COMPLETED, false},
 		{"running", [][]byte{submitted, assigned, started}, "worker-1", wire.Outcome_OUTCOME_COMPLETED, false},
-		{"started and recorded", [][]byte{submitted, assigned, started}, "worker-1", wire.Outcome_OUTCOME_STARTED, true},
-		{"ended", [][]byte{submitted, assigned, started, ended}, "worker-1", wire.Outcome_OUTCOME_COMPLETED, true},
+		{"start recorded", [][]byte{submitted, assigned, started}, "worker-1", wire.Outcome_OUTCOME_STARTED, true},
+		{"end recorded", [][]byte{submitted, assigned, started, ended}, "worker-1", wire.Outcome_OUTCOME_COMPLETED, true},
 		{"assigned elsewhere", [][]byte{submitted, assigned}, "worker-2", wire.Outcome_OUTCOME_COMPLETED, true},
 	} {
 		report := &wire.TaskReport{Task: wire.NewTaskRef(task, 1), Outcome: c.outcome}
@@ -54,9 +54,9 @@
 	}
 }
 
-// Guards against an expiry that is acknowledged without being recorded, which
-// would leave the tasks of a dead worker assigned to it.
-func TestSettledNeedsTheRoster(t *testing.T) {
+// Guards against an expiry that is acknowledged without being recorded. The tasks of
+// a lost worker would stay assigned to it.
+func TestExpirySettledNeedsTheRoster(t *testing.T) {
 	x := &wire.LeaseExpiry{Worker: "worker-1", Epoch: 7, Term: 1}
 	register := func(epoch units.Epoch) []byte {
 		return roster.EncodeRegistered(roster.Worker{ID: "worker-1", Epoch: epoch, Domain: "a", Rack: "a", Region: "r", LinkAddress: "127.0.0.1:1",
@@ -68,7 +68,7 @@
 		want    bool
 	}{
 		{"empty roster", nil, false},
-		{"behind the registration", [][]byte{register(6)}, false},
+		{"registration not read yet", [][]byte{register(6)}, false},
 		{"in force", [][]byte{register(7)}, false},
 		{"replaced", [][]byte{register(7), register(8)}, true},
 	} {
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -17,12 +17,12 @@
 	"wasabihill.example/wasabihill/internal/stream"
 )
 
-// snapshotEvery is the number of entries of a stream between two snapshots.
+// entriesPerSnapshot is the number of entries between two snapshots of a stream.
 const entriesPerSnapshot = 20_000
 
-// Run serves until ctx ends, then stops gracefully: readiness goes off, the
-// process leaves the members, listeners close after DrainDelay, requests in
-// flight are answered, and sessions end last.
+// Run serves until ctx ends and then stops gracefully, in this order: readiness
+// ends, the process records that it leaves, the listeners close after DrainDelay,
+// requests in flight are answered, and the sessions with agents end.
 func (e *Entry) Run(ctx context.Context) error {
 	e.prepare()
 	if e.NewRequestServer != nil {
@@ -42,8 +42,8 @@
 		admins.Close()
 		return fault.Wrap("listen for agents", Listen, err)
 	}
-	// serving outlives ctx, so that requests in flight and their records end
-	// before the parts that they need.
+	// serving outlives ctx, so that requests in flight are answered and recorded
+	// before the parts that they depend on stop.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	group, serving := errgroup.WithContext(serving)
@@ -82,7 +82,7 @@
 	return l, nil
 }
 
-// follow runs the followers, the writers and the snapshotters.
+// startStreams starts the followers, the writers and the snapshotters.
 func (e *Entry) startStreams(ctx context.Context, group *errgroup.Group) {
 	for _, run := range []func(context.Context) error{
 		e.config.Run, e.members.Run, e.jobs.Run,
@@ -95,7 +95,8 @@
 	}
 }
 
-// snapshotter keeps a stream recoverable while this process owns it.
+// newSnapshotter returns the snapshotter of a stream. It writes snapshots only while
+// this process owns the stream.
 func newSnapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
 	return &stream.Snapshotter[S]{
 		Follower: f, Writer: w, Every: entriesPerSnapshot, Retention: e.Settings.LogRetention,
@@ -119,7 +120,7 @@
 	return &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: 5 * time.Second}
 }
 
-// shutdown ends the process gracefully in the order that Run describes.
+// shutdown stops the process gracefully in the order that Run describes.
 func (e *Entry) shutdown(ctx context.Context, callers, admins *http.Server) {
 	e.draining.Store(true)
 	e.event("entry", "draining", string(e.Settings.ID), "", "")
@@ -127,21 +128,21 @@
 	defer cancel()
 	leave, cancelLeave := context.WithTimeout(ctx, e.DrainDelay)
 	if _, err := e.writers.members.Append(leave, roster.EncodeEntryLeft(e.Settings.ID)); err != nil {
-		klog.InfoS("the planned stop was not recorded", "err", err)
+		klog.InfoS("cannot record the planned stop", "err", err)
 	}
 	cancelLeave()
 	if e.requestServer != nil {
 		e.requestServer.Shutdown(ctx, callers, e.DrainDelay)
 	} else if err := callers.Shutdown(ctx); err != nil {
-		klog.InfoS("requests were still in flight at the end of the planned stop", "err", err)
+		klog.InfoS("planned stop ended with requests of callers in flight", "err", err)
 	}
 	if err := admins.Shutdown(ctx); err != nil {
-		klog.InfoS("administration requests were still in flight at the end of the planned stop", "err", err)
+		klog.InfoS("planned stop ended with administration requests in flight", "err", err)
 	}
 	e.agentListener.Shutdown(ctx)
 }
 
-// linkHandler serves the calls of agents.
+// linkHandler serves the calls of agents and of other entry processes.
 func (e *Entry) linkHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /link/heartbeat", link.Handle(e.serveHeartbeat))
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -51,7 +51,7 @@
 	return job, err
 }
 
-// taskCounters says which count a task state adds to.
+// taskCounters returns the count that a task in each state adds to.
 var taskCounters = map[ledger.State]func(*administration.TaskCounts) *int{
 	ledger.Pending:        func(c *administration.TaskCounts) *int { return &c.Pending },
 	ledger.EvictedPending: func(c *administration.TaskCounts) *int { return &c.Pending },
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -13,8 +13,8 @@
 
 const watcherCheckInterval = time.Second
 
-// reconcileWatchers submits the watchers of the document that the ledger does
-// not hold and cancels those that the document no longer names.
+// reconcileWatchers submits the watchers of the document that the ledger does not
+// have, and cancels those that the document does not contain any more.
 func (c *control) reconcileWatchers(now time.Time) {
 	v := c.currentVersion.Load()
 	if v == nil || now.Before(c.nextWatcherCheckAt) || !c.logReachable(now) {
@@ -34,7 +34,7 @@
 				continue
 			}
 			if j.Cancelled {
-				present[j.Name] = present[j.Name] || ok // its last attempt has not stopped yet
+				present[j.Name] = present[j.Name] || ok // wait until the last attempt of a cancelled watcher has stopped
 				continue
 			}
 			if c.ownership.Load().owns(string(j.ID)) {
@@ -54,8 +54,8 @@
 	return j.Team == w.Team && j.Priority == w.Priority && j.Size == w.Size
 }
 
-// submitWatcher submits a watcher under the id "watcher/<name>", with the
-// document's offset added when that id has been used before.
+// submitWatcher submits a watcher under the ID "watcher/<name>", or
+// "watcher/<name>@<offset of the document>" if the ledger already has that ID.
 func (c *control) submitWatcher(l *ledger.Ledger, w environment.Watcher, offset units.Offset, now time.Time) {
 	id := units.JobID(ledger.WatcherPrefix + w.Name)
 	if l.Job(id) != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// standbysFor returns the watchers that run on a holder.
+// standbysOf returns the watchers that run on a holder, as standbys for its lessor.
 func (c *control) standbysOf(h roster.Holder) []*wire.Standby {
 	var list []*wire.Standby
 	c.jobs.View(func(l *ledger.Ledger) {
