--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// reportsTo reports whether a heartbeat to e carries the report of t.
+// shouldReport reports whether a heartbeat to e carries the report of t.
 func (a *Agent) shouldReport(e *entry, t *task, now time.Time) bool {
 	launcher := a.launchingEntry(t, now)
 	return launcher == nil || launcher == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -34,7 +34,7 @@
 	session         *link.Session
 	heartbeat       *wire.Heartbeat // the newest
 	lastHeartbeatAt time.Time
-	// running holds the attempts of the newest full list; valid for epoch
+	// runningAttempts has the attempts of the newest full list. It is valid for
 	// runningEpoch only.
 	runningAttempts   map[units.Task]units.Attempt
 	runningEpoch      units.Epoch
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -24,8 +24,8 @@
 // missingAttempt is an attempt that is running according to the ledger but missing
 // from the newest full list of its worker.
 type missingAttempt struct {
-	since         time.Time // time at which it was first found missing
-	firstListedAt time.Time // time of the list in which it was first missing
+	since          time.Time // time at which it was first found to be missing
+	listReceivedAt time.Time // when the list without it was received
 }
 
 type attemptKey struct {
@@ -46,7 +46,7 @@
 	c.compareRunningLists(now)
 }
 
-// compareLists compares the newest full lists with the ledger.
+// compareRunningLists compares the newest full lists with the ledger.
 func (c *control) compareRunningLists(now time.Time) {
 	stillMissing := make(map[attemptKey]missingAttempt)
 	c.jobs.View(func(l *ledger.Ledger) {
@@ -71,10 +71,10 @@
 		key := attemptKey{task, row.Attempt}
 		m, seen := c.missingAttempts[key]
 		if !seen {
-			m = missingAttempt{since: now, firstListedAt: w.runningListedAt}
+			m = missingAttempt{since: now, listReceivedAt: w.runningListedAt}
 		}
 		stillMissing[key] = m
-		if now.Sub(m.since) < missingTimeout || !w.runningListedAt.After(m.firstListedAt) {
+		if now.Sub(m.since) < missingTimeout || !w.runningListedAt.After(m.listReceivedAt) {
 			continue
 		}
 		entry := ledger.EncodeReleased(task, row.Attempt, ledger.Release{Reason: "the worker does not run it"})
