--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -301,6 +301,7 @@
 	}
 }
 
+// event counts and records a change of state.
 func (a *Agent) event(kind, subject, text string) {
 	a.MetricsScope.Counter(kind).Inc(1)
 	if a.RecordEvent != nil {
--- a/internal/agent/decisions.go
+++ b/internal/agent/decisions.go
@@ -20,11 +20,13 @@
 	highest   map[units.Task]units.Attempt
 }
 
+// attemptID identifies an attempt of a task.
 type attemptID struct {
 	task   units.Task
 	number units.Attempt
 }
 
+// decision is the recorded answer about an attempt.
 type decision struct {
 	outcome wire.Outcome // STARTED or REFUSED
 	reason  string
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -99,6 +99,8 @@
 	}
 }
 
+// rendezvousWeight is the weight of the entry process for this worker in rendezvous
+// hashing.
 func (a *Agent) rendezvousWeight(e *entry) uint64 {
 	return xxhash.Sum64String(string(a.WorkerID) + "\x00" + e.address)
 }
@@ -125,6 +127,7 @@
 	}
 }
 
+// requestHeartbeat requests an early heartbeat to e.
 func (e *entry) requestHeartbeat() {
 	select {
 	case e.wake <- struct{}{}:
@@ -269,6 +272,8 @@
 	interval time.Duration // until the next heartbeat
 }
 
+// sendHeartbeat sends one heartbeat, applies its reply, and returns the interval until
+// the next heartbeat.
 func (a *Agent) sendHeartbeat(ctx context.Context, e *entry, session Session) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -24,6 +24,7 @@
 	suspectedUntil time.Time
 }
 
+// record records the end of an attempt. A completed attempt clears the record.
 func (f *failureRecord) record(job units.JobID, outcome wire.Outcome, now time.Time) {
 	if outcome == wire.Outcome_OUTCOME_COMPLETED {
 		*f = failureRecord{}
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// guardInputs returns the measurements of endpoints and of running batch tasks.
 func (a *Agent) guardInputs(now time.Time) guard.Inputs {
 	document := a.config.document
 	in := guard.Inputs{Now: now, Enabled: document.Guards.Enabled, Ratio: document.Guards.LatencyRatio}
@@ -69,6 +70,7 @@
 	return in
 }
 
+// latencyOf returns the latency of the service and since when it has that value.
 func (a *Agent) latencyOf(name units.ServiceName, value time.Duration, now time.Time) latencySample {
 	if a.guardState.latencies == nil {
 		a.guardState.latencies = make(map[units.ServiceName]latencySample)
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -63,6 +63,8 @@
 	return h, sent
 }
 
+// runningRefs returns the attempts that have not ended or whose end must not be
+// reported yet. It omits standbys that are not being activated.
 func (a *Agent) runningRefs(now time.Time) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, t := range a.tasks {
@@ -94,6 +96,8 @@
 	return sent
 }
 
+// isReportDelayed reports whether the end of the task must not be reported yet because
+// of watcherReportDelay.
 func (a *Agent) isReportDelayed(t *task, now time.Time) bool {
 	if t.isBatch() || t.outcomeToReport() != wire.Outcome_OUTCOME_EXPIRED {
 		return false
@@ -101,6 +105,7 @@
 	return now.Sub(t.phaseSince) < watcherReportDelay || a.logReachableSince.IsZero() || now.Sub(a.logReachableSince) < watcherReportDelay
 }
 
+// newReport returns the report of the outcome that is reported next.
 func (t *task) newReport() *wire.TaskReport {
 	r := &wire.TaskReport{Task: t.ref(), Outcome: t.outcomeToReport()}
 	if t.phase == phaseEnded && !t.startUnrecorded {
@@ -136,6 +141,7 @@
 	a.updateEntries(reply.Entries, now)
 }
 
+// acknowledgeReports marks the reports that an entry process has acknowledged.
 func (a *Agent) acknowledgeReports(acknowledged []*wire.TaskRef, reports []sentReport, now time.Time) {
 	for _, ref := range acknowledged {
 		key := attemptID{ref.Task(), units.Attempt(ref.GetAttempt())}
@@ -187,6 +193,8 @@
 // the log. It is false without recent answers, when the state of the log is unknown.
 func (a *Agent) logDown(now time.Time) bool { return a.anyEntry(now, false) && !a.anyEntry(now, true) }
 
+// anyEntry reports whether any entry process has recently answered that the log is
+// reachable or unreachable, as given.
 func (a *Agent) anyEntry(now time.Time, reachable bool) bool {
 	for _, e := range a.entries {
 		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxAnswerAge && e.logReachable == reachable {
--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -179,6 +179,8 @@
 	a.event("lessorWanted", string(a.WorkerID), string(l.lessor))
 }
 
+// requestLease sends a lease request to the lessor. The reply is applied on the
+// control loop if the epoch and the term are still the same.
 func (a *Agent) requestLease() {
 	l := &a.lease
 	l.requestInFlight = true
@@ -261,6 +263,7 @@
 	}
 }
 
+// handleLeaseReply extends the lease if it was granted and schedules the next request.
 func (a *Agent) handleLeaseReply(sent time.Time, reply *wire.LeaseReply, err error) {
 	l := &a.lease
 	now := time.Now()
--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// hasLessees reports whether any lessee has a lease that has not expired.
 func (a *Agent) hasLessees() bool {
 	for _, l := range a.lessees {
 		if !l.expired {
@@ -163,6 +164,7 @@
 	return out
 }
 
+// activatingStandbyOf reports whether a standby of the holder is being activated.
 func (a *Agent) activatingStandbyOf(holder units.WorkerID) bool {
 	for _, t := range a.tasks {
 		if t.holder == holder && t.activateAs != 0 {
@@ -172,6 +174,7 @@
 	return false
 }
 
+// acknowledgeExpiries marks the expiries that an entry process has acknowledged.
 func (a *Agent) acknowledgeExpiries(acknowledged []*wire.LeaseExpiry) {
 	for _, e := range acknowledged {
 		l := a.lessees[units.WorkerID(e.Worker)]
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -27,6 +27,8 @@
 	})
 }
 
+// stopAttempt stops the attempt, or records that it must not start if it is not on
+// the worker yet.
 func (a *Agent) stopAttempt(ref *wire.TaskRef, reason string) {
 	now := time.Now()
 	name, number := ref.Task(), units.Attempt(ref.GetAttempt())
@@ -85,6 +87,7 @@
 	return true
 }
 
+// evict checkpoints and stops the task, unless it is being stopped already.
 func (a *Agent) evict(t *task, reason string, now time.Time) {
 	if t.intent != intentKeep {
 		return
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -93,6 +93,7 @@
 
 func (t *task) priority() units.Priority { return t.spec.GetPriority().Units() }
 
+// setPhase moves the task to phase p and resets its retries.
 func (t *task) setPhase(p phase, now time.Time) {
 	t.phase, t.phaseSince, t.failedCalls, t.retryAt = p, now, 0, time.Time{}
 }
@@ -214,6 +215,7 @@
 	}
 }
 
+// reconcileStandby stops or activates a standby as intended.
 func (a *Agent) reconcileStandby(t *task, now time.Time) {
 	switch {
 	case t.intent != intentKeep:
@@ -223,6 +225,8 @@
 	}
 }
 
+// reconcileRunning evicts or stops a running task as intended. After three failed
+// checkpoints it stops the task without one.
 func (a *Agent) reconcileRunning(t *task, _ time.Time) {
 	switch {
 	case t.intent == intentEvict && t.failedCalls < 3:
@@ -232,6 +236,8 @@
 	}
 }
 
+// reconcileEnded removes an ended task, also from the worker's table, once its end
+// has been acknowledged or need not be reported.
 func (a *Agent) reconcileEnded(t *task, _ time.Time) {
 	if !t.suppressReport && !t.acknowledged {
 		return
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -94,6 +94,7 @@
 	})
 }
 
+// holdWorker acquires the next epoch and reads the task table under it.
 func (a *Agent) holdWorker() (workerapi.Holder, workerapi.Table, time.Time, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, workerCallTimeout)
 	defer cancel()
@@ -109,6 +110,7 @@
 	return holder, table, received, err
 }
 
+// adoptTable begins the epoch with the tasks of the worker's table.
 func (a *Agent) adoptTable(holder workerapi.Holder, table workerapi.Table, received time.Time, resume bool) {
 	a.epoch, a.capacity = holder.Epoch, holder.Capacity
 	a.decisions.reset()
@@ -202,6 +204,7 @@
 	t.setPhase(phaseEnded, now)
 }
 
+// maxResources returns the maximum of each resource.
 func maxResources(a, b units.Resources) units.Resources {
 	return units.Resources{Processors: max(a.Processors, b.Processors), Memory: max(a.Memory, b.Memory), Accelerators: max(a.Accelerators, b.Accelerators)}
 }
@@ -220,6 +223,7 @@
 	}
 }
 
+// pollTable reads the worker's table and applies it on the control loop.
 func (a *Agent) pollTable(now time.Time) {
 	w := &a.worker
 	w.pollInFlight, w.pollSoon, w.polledAt = true, false, now
@@ -311,6 +315,8 @@
 	a.reconcileAll(received)
 }
 
+// applyRow updates the agent's task from its row in the worker's table, and adopts a
+// row that the agent does not track.
 func (a *Agent) applyRow(row workerapi.Task, sent, received time.Time) {
 	t := a.tasks[row.Task]
 	if t == nil {
@@ -337,6 +343,7 @@
 	}
 }
 
+// updateUsage updates the measured usage and the processor share of the task.
 func (a *Agent) updateUsage(t *task, row workerapi.Task, received time.Time) {
 	t.peakUsage = maxResources(t.peakUsage, row.Usage)
 	t.usage, t.usageMeasuredAt = row.Usage, received.Add(-row.UsageAge)
--- a/internal/agent/workercalls.go
+++ b/internal/agent/workercalls.go
@@ -34,6 +34,7 @@
 	})
 }
 
+// scheduleRetry delays the next call for t by retryInterval.
 func (a *Agent) scheduleRetry(t *task) {
 	t.failedCalls++
 	t.retryAt = time.Now().Add(retryInterval)
@@ -59,6 +60,8 @@
 	}, func(err error) { a.handleStartResult(t, err) })
 }
 
+// handleStartResult applies the result of a start call. An error that leaves open
+// whether the task started is resolved by the next table read.
 func (a *Agent) handleStartResult(t *task, err error) {
 	now := time.Now()
 	switch {
@@ -114,6 +117,8 @@
 	})
 }
 
+// recordActivation records that the standby runs as the given attempt. Its start
+// must be reported before its end.
 func (a *Agent) recordActivation(t *task, as units.Attempt) {
 	if t.phase == phaseStandby {
 		t.attempt, t.holder, t.activateAs, t.startUnrecorded = as, "", 0, true
@@ -131,6 +136,7 @@
 	}, func(error) { a.scheduleRetry(t); a.worker.pollSoon = true })
 }
 
+// callStop stops the task. The task table then shows its end.
 func (a *Agent) callStop(t *task) {
 	epoch := a.epoch
 	a.callWorker(t, func(ctx callContext) error {
@@ -138,6 +144,7 @@
 	}, func(error) { a.scheduleRetry(t); a.worker.pollSoon = true })
 }
 
+// callThrottle limits the task to a share of its processors.
 func (a *Agent) callThrottle(t *task, share float64) {
 	epoch := a.epoch
 	a.callWorker(t, func(ctx callContext) error {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -136,6 +136,7 @@
 	{"launch", (*control).launchTasks},
 }
 
+// tick runs the steps of the control loop and appends the proposed entries.
 func (c *control) tick(ctx context.Context, now time.Time) {
 	if c.config.Applied() == 0 && c.config.Staleness(now) > time.Hour {
 		return // nothing has been read yet
@@ -193,6 +194,7 @@
 	}
 }
 
+// joinIDs returns the IDs separated by commas.
 func joinIDs(ids []units.EntryID) string {
 	text := ""
 	for i, id := range ids {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -44,6 +44,7 @@
 	e.collector.Add(e.recorder.After(e.collector.Acknowledged(e.runID), e.Settings.Limits.TimelineEvents)...)
 }
 
+// collectEventsFrom adds the events that another entry process has collected.
 func (e *Entry) collectEventsFrom(ctx context.Context, peer roster.Entry, limit int) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// callsForHolder returns the launch and the stop call for the attempts on a holder.
 func (c *control) callsForHolder(l *ledger.Ledger, h ledger.Holder, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
--- a/internal/entry/ownership.go
+++ b/internal/entry/ownership.go
@@ -29,6 +29,7 @@
 	return &ownership{self: self, live: live, cache: make(map[string]bool)}
 }
 
+// owns reports whether this process owns the key.
 func (o *ownership) owns(key string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -118,6 +118,7 @@
 // proposalEventKinds maps each action to the kind of its timeline event.
 var proposalEventKinds = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
 
+// propose queues the entry for a proposal of the dispatcher.
 func (c *control) propose(l *ledger.Ledger, p dispatch.Proposal, now time.Time) {
 	entry := p.Encode()
 	if row := l.Task(p.Task); p.Action == dispatch.Release && row != nil && row.State == ledger.Stopping {
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -28,6 +28,7 @@
 	listReceivedAt time.Time // when the list without it was received
 }
 
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	task    units.Task
 	attempt units.Attempt
@@ -61,6 +62,8 @@
 	c.missingAttempts = stillMissing
 }
 
+// reconcileWorker adds the missing attempts of one worker to stillMissing and proposes
+// the release of those that count as lost.
 func (c *control) reconcileWorker(l *ledger.Ledger, h ledger.Holder, w *workerState, stillMissing map[attemptKey]missingAttempt, now time.Time) {
 	listed := w.mayRun()
 	for _, task := range l.TasksOn(h) {
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -56,6 +56,7 @@
 	return now.Sub(since) > ownerTimeout
 }
 
+// proposeRegistration proposes to register the epoch, with a lessor if one is available.
 func (c *control) proposeRegistration(w *workerState, h roster.Holder, now time.Time) {
 	m := w.heartbeat
 	place := roster.Place{Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion())}
@@ -69,6 +70,7 @@
 	}
 }
 
+// proposeLessor proposes another lessor in a new term.
 func (c *control) proposeLessor(w *workerState, registered roster.Worker, now time.Time) {
 	place := roster.Place{Domain: registered.Domain, Rack: registered.Rack, Region: registered.Region}
 	lessor, ok := c.chooseLessor(w.id, place, registered.Lessor, now)
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -42,6 +42,8 @@
 	}
 }
 
+// releaseAttempts releases the attempts on an ended epoch that the newest epoch of the
+// worker has not adopted.
 func (c *control) releaseAttempts(h ledger.Holder, newest roster.Worker, now time.Time) {
 	adopted := c.adoptedAttempts(h, newest)
 	if adopted == nil {
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -98,6 +98,7 @@
 	})
 }
 
+// proposeReport proposes the entry for one report, if this process must act on it.
 func (c *control) proposeReport(l *ledger.Ledger, w *workerState, r *wire.TaskReport, now time.Time) {
 	task, attempt := reportedAttempt(r)
 	key := fmt.Sprintf("%s/%s#%d", r.GetOutcome(), task, attempt)
@@ -118,6 +119,7 @@
 	}
 }
 
+// outcomeEventKinds maps each outcome to the kind of its timeline event.
 var outcomeEventKinds = map[wire.Outcome]string{
 	wire.Outcome_OUTCOME_STARTED: "started", wire.Outcome_OUTCOME_REFUSED: "refused",
 	wire.Outcome_OUTCOME_COMPLETED: "completed", wire.Outcome_OUTCOME_FAILED: "failed",
--- a/internal/entry/views.go
+++ b/internal/entry/views.go
@@ -62,6 +62,8 @@
 	ledger.Failed:         func(c *administration.TaskCounts) *int { return &c.Failed },
 }
 
+// describeJob returns the administration API's view of a job, with its tasks if details
+// is set.
 func describeJob(j *ledger.Job, details bool) administration.Job {
 	job := administration.Job{
 		ID: j.ID, Team: j.Team, Name: j.Name, Kind: j.JobKind, Priority: j.Priority.String(),
@@ -92,6 +94,7 @@
 	return job
 }
 
+// jobState derives the state of a job from the counts of its tasks.
 func jobState(j *ledger.Job, counts administration.TaskCounts) string {
 	switch {
 	case j.Cancelled:
@@ -132,6 +135,8 @@
 	return list, err
 }
 
+// describeWorker returns the administration API's view of a worker. The parameter
+// row is its state from heartbeats, or nil without any.
 func describeWorker(w roster.Worker, row *workerState, now time.Time) administration.Worker {
 	view := administration.Worker{
 		ID: w.ID, Epoch: w.Epoch, FailureDomain: w.Domain, Rack: w.Rack, Region: w.Region,
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -50,6 +50,7 @@
 	})
 }
 
+// sameWatcher reports whether the job was submitted with the same parameters.
 func sameWatcher(j *ledger.Job, w environment.Watcher) bool {
 	return j.Team == w.Team && j.Priority == w.Priority && j.Size == w.Size
 }
