--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -59,7 +59,7 @@
 		watcher := newBatchSpec(0, 500)
 		watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
 		// The first two become each other's lessor, so the lessor of the third
-		// keeps its lease when the third dies.
+		// keeps its lease when the third is killed.
 		for _, name := range []string{"w1", "w2", "w3"} {
 			sim.start(name)
 			time.Sleep(2 * time.Second)
