--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,68 +18,70 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// process is anything that acts as the agent of a worker.
+// process is an agent of a worker: the real one or a faulty variant.
 type process interface{ Run(context.Context) error }
 
-// world is three workers, one per failure domain, their agents and the platform.
-type world struct {
-	t        *testing.T
-	mu       sync.Mutex // guards the maps below and events
-	ctx      context.Context
-	network  *entries.Network
-	platform *entries.Platform
-	cores    map[string]*worker.Core
-	gates    map[string]*gate
-	agents   map[string]process
-	errors   map[string]chan error
-	variant  func(*world, string, workerapi.Worker, *gate) process
-	events   []string
+// simulation holds three workers, one per failure domain, their agents, and a
+// simulated platform that dispatches tasks and checks the guarantees.
+type simulation struct {
+	t            *testing.T
+	mu           sync.Mutex // guards the maps below and events
+	ctx          context.Context
+	network      *entries.Network
+	platform     *entries.Platform
+	cores        map[string]*worker.Core
+	processGates map[string]*gate
+	agents       map[string]process
+	errors       map[string]chan error
+	newProcess   func(*simulation, string, workerapi.Worker, *gate) process
+	events       []string
 }
 
 var domains = map[string]units.DomainName{"w1": "a", "w2": "b", "w3": "c"}
 
-func newWorld(t *testing.T, ctx context.Context, seed uint64, noise float64) *world {
+func newSimulation(t *testing.T, ctx context.Context, seed uint64, noise float64) *simulation {
 	n := entries.NewNetwork(ctx, seed, noise)
-	w := &world{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, gates: map[string]*gate{}, agents: map[string]process{},
-		errors: map[string]chan error{}, variant: realAgent}
-	w.platform = entries.NewPlatform(seed, n)
+	sim := &simulation{t: t, ctx: ctx, network: n, cores: map[string]*worker.Core{}, processGates: map[string]*gate{}, agents: map[string]process{},
+		errors: map[string]chan error{}, newProcess: newRealAgent}
+	sim.platform = entries.NewPlatform(seed, n)
 	for name := range domains {
-		w.cores[name] = &worker.Core{Name: units.WorkerID(name), Capacity: units.Resources{Processors: 8000, Memory: 16 * units.GiB}, UsageLag: 2 * time.Second}
+		sim.cores[name] = &worker.Core{Name: units.WorkerID(name), Capacity: units.Resources{Processors: 8000, Memory: 16 * units.GiB}, UsageLag: 2 * time.Second}
 	}
-	return w
+	return sim
 }
 
-func (w *world) start(names ...string) {
+func (sim *simulation) start(names ...string) {
 	for _, name := range names {
 		g := newGate()
-		process := w.variant(w, name, &gatedWorker{Worker: w.cores[name], gate: g}, g)
+		process := sim.newProcess(sim, name, &gatedWorker{Worker: sim.cores[name], gate: g}, g)
 		failed := make(chan error, 1)
-		w.mu.Lock()
-		w.gates[name], w.agents[name], w.errors[name] = g, process, failed
-		w.mu.Unlock()
-		go func() { failed <- process.Run(w.ctx) }()
+		sim.mu.Lock()
+		sim.processGates[name], sim.agents[name], sim.errors[name] = g, process, failed
+		sim.mu.Unlock()
+		go func() { failed <- process.Run(sim.ctx) }()
 	}
 }
 
-// dial connects a process to an entry or to another agent.
-func (w *world) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
-	if err := g.pass(); err != nil {
+// dial connects a process to the simulated entry process or to another agent.
+func (sim *simulation) dial(name string, g *gate, address string, handler http.Handler) (Session, error) {
+	if err := g.wait(); err != nil {
 		return nil, err
 	}
 	if address == "entry" {
-		return gatedSession{w.network.Connect(name, "entry", w.platform.Accept(gated(g, handler))), g}, nil
+		return gatedSession{sim.network.Connect(name, "entry", sim.platform.Accept(gateHandler(g, handler))), g}, nil
 	}
-	s, err := w.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
+	s, err := sim.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
 	if err != nil {
 		return nil, err
 	}
 	return gatedSession{s, g}, nil
 }
 
-// gated serves nothing while the process is paused or dead.
-func gated(g *gate, handler http.Handler) http.Handler {
+// gateHandler holds requests while the process is paused and drops them once it
+// is killed.
+func gateHandler(g *gate, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if g.pass() == nil {
+		if g.wait() == nil {
 			handler.ServeHTTP(w, r)
 		}
 	})
@@ -91,78 +93,78 @@
 }
 
 func (s gatedSession) Call(ctx context.Context, path string, message, reply Message) error {
-	if err := s.pass(); err != nil {
+	if err := s.wait(); err != nil {
 		return err
 	}
 	if err := s.Session.Call(ctx, path, message, reply); err != nil {
 		return err
 	}
-	return s.pass()
+	return s.wait()
 }
 
-func realAgent(w *world, name string, access workerapi.Worker, g *gate) process {
+func newRealAgent(sim *simulation, name string, access workerapi.Worker, g *gate) process {
 	a := &Agent{
 		WorkerID: units.WorkerID(name), Domain: domains[name], Rack: "rack", Region: "r", LinkAddress: "link/" + name,
-		Worker: access, Entries: []string{"entry"},
+		Worker: access, EntryAddresses: []string{"entry"},
 		EndpointReports: func() []*wire.EndpointReport {
 			return []*wire.EndpointReport{{Service: "desk", State: wire.EndpointState_ENDPOINT_STATE_READY, Slots: 8}}
 		},
 		Dial: func(_ context.Context, address string, handler http.Handler) (Session, error) {
-			return w.dial(name, g, address, handler)
+			return sim.dial(name, g, address, handler)
 		},
 		Listen: func(_ context.Context, address string, handler http.Handler) (func(context.Context), error) {
-			w.network.Serve(address, gated(g, handler))
+			sim.network.Serve(address, gateHandler(g, handler))
 			return func(context.Context) {}, nil
 		},
 	}
-	a.Events = func(kind, subject, text string) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.events = append(w.events, fmt.Sprintf("%s %s %s %s %s", time.Now().Format("05.000"), name, kind, subject, text))
+	a.RecordEvent = func(kind, subject, text string) {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		sim.events = append(sim.events, fmt.Sprintf("%s %s %s %s %s", time.Now().Format("05.000"), name, kind, subject, text))
 	}
 	return a
 }
 
-func batch(run time.Duration, cores units.Millicores) *wire.TaskSpec {
+func newBatchSpec(run time.Duration, cores units.Millicores) *wire.TaskSpec {
 	return &wire.TaskSpec{Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: wire.Priority_PRIORITY_NORMAL, JobKind: "cut", Team: "moulds",
 		RunMilliseconds: run.Milliseconds(), Size: wire.FromResources(units.Resources{Processors: cores, Memory: units.GiB})}
 }
 
-// pauseLoop stops everything the process does for d, like SIGSTOP.
-func (w *world) pauseLoop(name string, d time.Duration) {
-	process, g := w.current(name)
+// pauseProcess stops everything that the process does for d, like SIGSTOP.
+func (sim *simulation) pauseProcess(name string, d time.Duration) {
+	process, g := sim.current(name)
 	if a, ok := process.(*Agent); ok {
 		go a.post(func() { time.Sleep(d) })
 	}
 	g.pause(d)
 }
 
-// restart kills the process at once and starts its successor.
-func (w *world) restart(name string) {
-	_, g := w.current(name)
+// restart kills the process and starts its successor at once.
+func (sim *simulation) restart(name string) {
+	_, g := sim.current(name)
 	g.kill()
-	w.start(name)
+	sim.start(name)
 }
 
-func (w *world) current(name string) (process, *gate) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.agents[name], w.gates[name]
+func (sim *simulation) current(name string) (process, *gate) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.agents[name], sim.processGates[name]
 }
 
-// check returns every violated guarantee.
-func (w *world) check() []string {
+// violations returns a description of every violated guarantee.
+func (sim *simulation) violations() []string {
 	var runs []worker.Run
-	for _, c := range w.cores {
+	for _, c := range sim.cores {
 		runs = append(runs, c.Runs()...)
 	}
-	return w.platform.Check(runs, domains)
+	return sim.platform.Check(runs, domains)
 }
 
-// settle waits, at most for limit, until every batch task has ended.
-func (w *world) settle(limit time.Duration) bool {
+// waitForBatchTasks waits until every batch task has ended, at most for limit.
+func (sim *simulation) waitForBatchTasks(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		if w.platform.Done() {
+		if sim.platform.Done() {
 			return true
 		}
 	}
@@ -170,76 +172,79 @@
 }
 
 // simulate runs a scenario in fake time and returns the violations.
-func simulate(t *testing.T, seed uint64, noise float64, scenario func(*world)) (problems []string) {
+func simulate(t *testing.T, seed uint64, noise float64, scenario func(*simulation)) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(t, ctx, seed, noise)
-		go w.platform.Dispatch(ctx)
-		scenario(w)
-		problems = w.check()
+		sim := newSimulation(t, ctx, seed, noise)
+		go sim.platform.Dispatch(ctx)
+		scenario(sim)
+		problems = sim.violations()
 		if t.Failed() || len(problems) > 0 {
-			for _, e := range w.events {
+			for _, e := range sim.events {
 				t.Log(e)
 			}
 		}
 		cancel()
-		time.Sleep(time.Minute) // lets every process end
+		time.Sleep(time.Minute) // time for every process to end
 	})
 	return problems
 }
 
-func wantNone(t *testing.T, problems []string) {
+func expectNoViolations(t *testing.T, problems []string) {
 	t.Helper()
 	for _, p := range problems {
 		t.Error(p)
 	}
 }
 
-// Guards against an agent that does not get tasks from launch to end.
+// Guards against tasks that do not get from launch to end, and against rows of
+// ended tasks that stay in the worker's table.
 func TestTasksComplete(t *testing.T) {
-	wantNone(t, simulate(t, 1, 0, func(w *world) {
-		w.start("w1", "w2", "w3")
+	expectNoViolations(t, simulate(t, 1, 0, func(sim *simulation) {
+		sim.start("w1", "w2", "w3")
 		for i := range uint32(12) {
-			w.platform.Submit(i, batch(5*time.Second, 2000))
+			sim.platform.Submit(i, newBatchSpec(5*time.Second, 2000))
 		}
-		if !w.settle(time.Minute) {
-			w.t.Error("tasks are unfinished after a minute")
+		if !sim.waitForBatchTasks(time.Minute) {
+			sim.t.Error("tasks have not ended after one minute")
 		}
-		for name, core := range w.cores {
+		for name, core := range sim.cores {
 			time.Sleep(2 * time.Second)
-			if table, _ := core.Tasks(w.ctx); len(table.Tasks) != 0 {
-				w.t.Errorf("worker %s: got %d rows left, want every ended task forgotten", name, len(table.Tasks))
+			if table, _ := core.Tasks(sim.ctx); len(table.Tasks) != 0 {
+				sim.t.Errorf("worker %s: got %d rows in the task table, want 0 after all tasks ended", name, len(table.Tasks))
 			}
 		}
 	}))
 }
 
-// Guards against an agent that goes on after a newer epoch holds its worker.
+// Guards against an agent that continues to act after a second agent has acquired
+// a newer epoch of its worker.
 func TestSecondAgentFencesTheFirst(t *testing.T) {
-	wantNone(t, simulate(t, 2, 0, func(w *world) {
-		w.start("w1", "w2", "w3")
-		w.platform.Submit(0, batch(30*time.Second, 2000))
+	expectNoViolations(t, simulate(t, 2, 0, func(sim *simulation) {
+		sim.start("w1", "w2", "w3")
+		sim.platform.Submit(0, newBatchSpec(30*time.Second, 2000))
 		time.Sleep(5 * time.Second)
-		first := w.errors["w1"]
-		w.start("w1")
+		first := sim.errors["w1"]
+		sim.start("w1")
 		select {
 		case err := <-first:
 			if !fault.Is(err, Fenced) {
-				w.t.Errorf("first agent: got %v, want kind %s", err, Fenced)
+				sim.t.Errorf("first agent: got %v, want kind %s", err, Fenced)
 			}
 		case <-time.After(5 * time.Second):
-			w.t.Error("first agent still acts 5 s after the second took over")
+			sim.t.Error("first agent still runs 5 s after the second acquired the worker")
 		}
-		if !w.settle(time.Minute) {
-			w.t.Error("the task is unfinished after a minute")
+		if !sim.waitForBatchTasks(time.Minute) {
+			sim.t.Error("the task has not ended after one minute")
 		}
 	}))
 }
 
-// killAfter ends the process right after the next such operation took effect.
-func (w *world) killAfter(name, op string) {
-	process, _ := w.current(name)
+// killAfter kills the process right after its next call of the operation has
+// taken effect on the worker.
+func (sim *simulation) killAfter(name, op string) {
+	process, _ := sim.current(name)
 	if a, ok := process.(*Agent); ok {
-		a.Worker.(*gatedWorker).armKill(op)
+		a.Worker.(*gatedWorker).setKillAfter(op)
 	}
 }
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -9,19 +9,19 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// config is the newest document and the evidence of its freshness.
-type config struct {
+// configState is the newest document and until when it counts as fresh.
+type configState struct {
 	document   *environment.Document
 	offset     units.Offset // of document; never falls
-	raw        []byte       // document as it was received, for an entry that lags behind
+	raw        []byte       // document as received, to send to an entry process that lacks it
 	author     string
 	freshUntil time.Time    // tasks may start before this instant
 	rejected   units.Offset // offset of a document that could not be parsed
 }
 
-// parsedDocument is the result of the last parse. Replies of several entries
-// carry the same document at the same time, twelve of them to an agent that
-// starts; parsing takes milliseconds.
+// parsedDocument caches the result of the last parse, which takes milliseconds.
+// The replies of several entry processes carry the same document at the same
+// time, for example twelve of them when an agent starts.
 type parsedDocument struct {
 	mu       sync.Mutex
 	offset   uint64 // 0 for none
@@ -29,25 +29,26 @@
 	err      error
 }
 
-// parse returns the document that has that offset, which names its contents.
+// parse returns the parsed document. The offset identifies its contents.
 func (a *Agent) parse(offset uint64, data []byte) (*environment.Document, error) {
-	a.parsed.mu.Lock()
-	defer a.parsed.mu.Unlock()
-	if offset != 0 && offset == a.parsed.offset {
-		return a.parsed.document, a.parsed.err
+	a.lastParsed.mu.Lock()
+	defer a.lastParsed.mu.Unlock()
+	if offset != 0 && offset == a.lastParsed.offset {
+		return a.lastParsed.document, a.lastParsed.err
 	}
 	parse := a.ParseDocument
 	if parse == nil {
 		parse = func(text []byte) (*environment.Document, error) { return environment.Parse("configuration", text) }
 	}
 	document, err := parse(data)
-	a.parsed.offset, a.parsed.document, a.parsed.err = offset, document, err
+	a.lastParsed.offset, a.lastParsed.document, a.lastParsed.err = offset, document, err
 	return document, err
 }
 
-// applyConfiguration takes in a newer document and the age of the entry's last
-// read at the tail. The entry read at the tail no earlier than staleness before
-// it handled the heartbeat, which was after the heartbeat was sent.
+// applyConfiguration applies a newer document and extends freshUntil. The entry
+// process read the tail of the config stream at most the reported staleness
+// before it handled the heartbeat, and thus at most that long before the
+// heartbeat was sent.
 func (a *Agent) applyConfiguration(reply *wire.HeartbeatReply, document *environment.Document, err error, sent time.Time) {
 	offset := units.Offset(reply.ConfigOffset)
 	if offset > a.config.offset && err != nil && a.config.rejected != offset {
@@ -58,8 +59,8 @@
 		a.config.document, a.config.offset = document, offset
 		a.config.raw, a.config.author = reply.ConfigDocument, reply.ConfigAuthor
 		a.event("configurationApplied", string(document.Environment), "")
-		if a.Document != nil {
-			a.Document(document)
+		if a.OnDocument != nil {
+			a.OnDocument(document)
 		}
 		a.evacuate(time.Now())
 	}
@@ -67,7 +68,7 @@
 		return
 	}
 	staleness := time.Duration(min(reply.ConfigStalenessMilliseconds, 1<<30)) * time.Millisecond
-	if until := sent.Add(freshness - staleness); until.After(a.config.freshUntil) {
+	if until := sent.Add(maxConfigAge - staleness); until.After(a.config.freshUntil) {
 		a.config.freshUntil = until
 	}
 }
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -18,169 +18,181 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatSpacing is the least time between two heartbeats of an agent on
-	// average. Above four entries each gets them less often, twelve every 1.3 s:
-	// at full rate they cost more than twice the traffic that a node may use, and
-	// an endpoint stays eligible while an entry hears of it within 2 s.
-	heartbeatSpacing = 110 * time.Millisecond
-	// fewEntries is up to how many entries every one of them gets each report
-	// at once.
-	fewEntries = 5
-	// heartbeatTimeout is when a silent session is given up and redialled.
+	// minHeartbeatSpacing is the least average time between two heartbeats of an
+	// agent. With more than four entry processes each of them receives heartbeats
+	// less often, twelve every 1.3 s. At the full rate twelve cost more than twice
+	// the traffic that a node may use, and an endpoint stays eligible while an
+	// entry process receives a heartbeat about it within 2 s.
+	minHeartbeatSpacing = 110 * time.Millisecond
+	// maxBroadcastEntries is the number of entry processes up to which each report
+	// goes to all of them at once.
+	maxBroadcastEntries = 5
+	// heartbeatTimeout bounds one heartbeat call and one dial. A session that
+	// exceeds it is closed and redialed.
 	heartbeatTimeout = 1500 * time.Millisecond
-	firstBackoff     = 100 * time.Millisecond
-	// longestBackoff lets an agent find a returned entry within its lease.
-	longestBackoff = 3 * time.Second
-	// forgetEntry is how long an entry that is neither a seed nor listed nor
-	// answering is kept; entries count as dead after 15 s themselves, and need
-	// not list the live ones in every reply.
-	forgetEntry = 35 * time.Second
-	maxEntries  = 64
-	// urgentInterval is the least time between heartbeats that are sent early.
-	urgentInterval = 100 * time.Millisecond
+	minRedialBackoff = 100 * time.Millisecond
+	// maxRedialBackoff is short enough for an agent to reconnect to a restarted
+	// entry process within its lease.
+	maxRedialBackoff = 3 * time.Second
+	// entryRetention is how long an entry process is kept that is not a seed, is
+	// not listed and does not answer. Entry processes count each other as dead
+	// after 15 s and need not list the live ones in every reply.
+	entryRetention = 35 * time.Second
+	maxEntries     = 64
+	// earlyHeartbeatDelay delays a heartbeat that is requested early and thus
+	// bounds the rate of such heartbeats.
+	earlyHeartbeatDelay = 100 * time.Millisecond
 )
 
-// entry is one entry process that the agent keeps a session with.
+// entry is an entry process that the agent maintains a session with.
 type entry struct {
 	address string
-	name    string // of the entry process, once it has answered
+	name    string // empty until it has answered
 	seed    bool
-	rank    int // by hash of worker and address, 0 first to get what must be acted on
+	rank    int // position by rendezvous hashing; the events go to rank 0
 	cancel  context.CancelFunc
-	early   chan struct{} // asks for a heartbeat before the interval is over
+	wake    chan struct{} // requests a heartbeat before the interval ends
 
-	session      Session
-	listedAt     time.Time
-	answeredAt   time.Time // send time of the last heartbeat that was answered
-	logReachable bool
-	logRead      time.Time // when the entry last read the tail of the log, at the earliest
-	wantRunning  bool      // the next heartbeat lists all running tasks
-	wantConfig   bool      // the next heartbeat carries the document
-	sentRunning  bool      // the heartbeat that is out lists them
-	described    bool      // has answered a heartbeat with the fields that rarely change
-	interference uint64    // version that the entry has
-	composed     uint64    // version in the heartbeat that is out
+	session             Session
+	listedAt            time.Time
+	answeredAt          time.Time // send time of the last heartbeat that was answered
+	logReachable        bool
+	logReadAt           time.Time // earliest time of its last read at the tail of the log
+	wantRunning         bool      // the next heartbeat lists all running tasks
+	wantConfig          bool      // the next heartbeat carries the document
+	runningListSent     bool      // the heartbeat in flight lists them
+	hasDescription      bool      // it has answered a heartbeat that described the worker
+	interferenceVersion uint64    // version that it has received
+	interferenceSent    uint64    // version in the heartbeat in flight
 }
 
-// addEntry starts the goroutine that keeps a session with the address.
+// addEntry starts the goroutine that maintains a session with the address.
 func (a *Agent) addEntry(address string, seed bool) {
 	if a.entries[address] != nil || address == "" || len(a.entries) >= maxEntries {
 		return
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
-	e := &entry{address: address, seed: seed, cancel: cancel, early: make(chan struct{}, 1), listedAt: time.Now()}
+	e := &entry{address: address, seed: seed, cancel: cancel, wake: make(chan struct{}, 1), listedAt: time.Now()}
 	a.entries[address] = e
 	a.rankEntries(time.Now())
-	a.spawn(func() { a.keepSession(ctx, e) })
+	a.spawn(func() { a.maintainSession(ctx, e) })
 }
 
-// rankEntries orders the entries by rendezvous hashing, those that answer first.
+// rankEntries ranks the entry processes by rendezvous hashing, those that have
+// answered recently first.
 func (a *Agent) rankEntries(now time.Time) {
 	ordered := make([]*entry, 0, len(a.entries))
 	for _, e := range a.entries {
 		ordered = append(ordered, e)
 	}
-	silent := func(e *entry) int {
-		if now.Sub(e.answeredAt) < recent {
+	unresponsive := func(e *entry) int {
+		if now.Sub(e.answeredAt) < maxAnswerAge {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(ordered, func(x, y *entry) int {
-		return cmp.Or(cmp.Compare(silent(x), silent(y)), cmp.Compare(a.hash(y), a.hash(x)), cmp.Compare(x.address, y.address))
+		return cmp.Or(cmp.Compare(unresponsive(x), unresponsive(y)), cmp.Compare(a.rendezvousWeight(y), a.rendezvousWeight(x)), cmp.Compare(x.address, y.address))
 	})
 	for i, e := range ordered {
 		e.rank = i
 	}
 }
 
-func (a *Agent) hash(e *entry) uint64 {
+// rendezvousWeight is the weight of the entry process for this worker in rendezvous
+// hashing.
+func (a *Agent) rendezvousWeight(e *entry) uint64 {
 	return xxhash.Sum64String(string(a.WorkerID) + "\x00" + e.address)
 }
 
-// learnEntries takes in the live entries that a reply lists.
-func (a *Agent) learnEntries(listed []*wire.EntryAddress, now time.Time) {
+// updateEntries adds the live entry processes that a reply lists.
+func (a *Agent) updateEntries(listed []*wire.EntryAddress, now time.Time) {
 	for _, l := range listed {
-		if e := a.known(l, now); e != nil {
+		if e := a.findEntry(l, now); e != nil {
 			e.listedAt = now
 			continue
 		}
-		if !a.leaving {
+		if !a.stopping {
 			a.addEntry(l.Address, false)
 		}
 	}
 }
 
-// beatEarly sends a heartbeat to every entry without waiting for the interval:
-// the end of a task frees room that the entries can use at once, and an endpoint
-// that leaves must get no new requests.
-func (a *Agent) beatEarly() {
+// requestHeartbeats requests an early heartbeat to every entry process. The end
+// of a task frees resources that they can use at once, and a leaving endpoint
+// must receive no new requests.
+func (a *Agent) requestHeartbeats() {
 	for _, e := range a.entries {
-		e.beatSoon()
+		e.requestHeartbeat()
 	}
 }
 
-func (e *entry) beatSoon() {
+// requestHeartbeat requests an early heartbeat to e.
+func (e *entry) requestHeartbeat() {
 	select {
-	case e.early <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// reportElsewhere is how long the report of a task goes only to the entry that
-// launched it. Others act on a report only after 3 s, and sent to all twelve
-// entries the reports of one start a second cost more than the heartbeats.
-const reportElsewhere = 2 * time.Second
+// launcherOnlyPeriod is how long the report of a task goes only to the entry
+// process that launched it. The others act on a report only after 3 s, and at one
+// start per second the reports to all twelve entry processes cost more than the
+// heartbeats.
+const launcherOnlyPeriod = 2 * time.Second
 
-// launcher returns the entry that launched the task, or nil when all entries
-// are to hear of it: there are few, or that one has not answered recently.
-func (a *Agent) launcher(t *task, now time.Time) *entry {
-	if len(a.entries) <= fewEntries || t.launchedBy == "" {
+// launchingEntry returns the entry process that launched the task. It returns nil
+// if the report must go to all of them, because there are few or because the
+// launching one has not answered recently.
+func (a *Agent) launchingEntry(t *task, now time.Time) *entry {
+	if len(a.entries) <= maxBroadcastEntries || t.launchedBy == "" {
 		return nil
 	}
 	for _, e := range a.entries {
-		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < recent {
+		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < maxAnswerAge {
 			return e
 		}
 	}
 	return nil
 }
 
-// reportsTo reports whether a heartbeat to e carries the report of t.
-func (a *Agent) reportsTo(e *entry, t *task, now time.Time) bool {
-	first := a.launcher(t, now)
-	return first == nil || first == e || now.Sub(t.reportSince) > reportElsewhere
+// shouldReport reports whether a heartbeat to e carries the report of t.
+func (a *Agent) shouldReport(e *entry, t *task, now time.Time) bool {
+	launcher := a.launchingEntry(t, now)
+	return launcher == nil || launcher == e || now.Sub(t.reportPendingSince) > launcherOnlyPeriod
 }
 
-// beatAfterEnd sends the end of a task early to the entry that launched it; the
-// others learn of the free room with their next heartbeat.
-func (a *Agent) beatAfterEnd(t *task, now time.Time) {
-	first := a.launcher(t, now)
-	if first == nil {
-		a.beatEarly()
+// requestHeartbeatAfterEnd requests an early heartbeat to the entry process that
+// launched the ended task. The others receive the freed resources with their next
+// regular heartbeat.
+func (a *Agent) requestHeartbeatAfterEnd(t *task, now time.Time) {
+	launcher := a.launchingEntry(t, now)
+	if launcher == nil {
+		a.requestHeartbeats()
 		return
 	}
-	first.beatSoon()
+	launcher.requestHeartbeat()
 }
 
-// known returns the row of a listed entry: by its address, or by its name where
-// a seed address reaches it under another one.
-func (a *Agent) known(l *wire.EntryAddress, now time.Time) *entry {
+// findEntry returns the state of a listed entry process. It matches the address,
+// or the name if a seed address reaches the same process under another address.
+func (a *Agent) findEntry(l *wire.EntryAddress, now time.Time) *entry {
 	if e := a.entries[l.Address]; e != nil {
 		return e
 	}
 	for _, e := range a.entries {
-		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < recent {
+		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < maxAnswerAge {
 			return e
 		}
 	}
 	return nil
 }
 
-// dropEntries ends the sessions of entries that are gone.
-func (a *Agent) dropEntries(now time.Time) {
+// removeGoneEntries ends the sessions of entry processes that have been neither
+// listed nor answering for entryRetention.
+func (a *Agent) removeGoneEntries(now time.Time) {
 	for address, e := range a.entries {
-		if !e.seed && now.Sub(e.listedAt) > forgetEntry && now.Sub(e.answeredAt) > forgetEntry {
+		if !e.seed && now.Sub(e.listedAt) > entryRetention && now.Sub(e.answeredAt) > entryRetention {
 			e.cancel()
 			delete(a.entries, address)
 		}
@@ -198,34 +210,34 @@
 	return open
 }
 
-// keepSession dials the entry with backoff and jitter and sends heartbeats
-// until ctx ends.
-func (a *Agent) keepSession(ctx context.Context, e *entry) {
-	backoff := firstBackoff
+// maintainSession dials the entry process with backoff and jitter and sends
+// heartbeats until ctx ends.
+func (a *Agent) maintainSession(ctx context.Context, e *entry) {
+	backoff := minRedialBackoff
 	for ctx.Err() == nil {
 		dialing, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		session, err := a.dial(dialing, e.address)
 		cancel()
 		if err == nil {
-			if a.beatUntilSilent(ctx, e, session) {
-				backoff = firstBackoff
+			if a.sendHeartbeats(ctx, e, session) {
+				backoff = minRedialBackoff
 			}
-			if a.draining.Load() {
-				return // drain ends the session when its requests are answered
+			if a.drainingSessions.Load() {
+				return // drain closes the session once its requests are answered
 			}
 			session.Close()
 		}
 		if !pause.For(ctx, backoff/2+rand.N(backoff)) {
 			return
 		}
-		backoff = min(2*backoff, longestBackoff)
+		backoff = min(2*backoff, maxRedialBackoff)
 	}
 }
 
-// beatUntilSilent sends heartbeats on one session until one is not answered, and reports
-// whether any was.
-func (a *Agent) beatUntilSilent(ctx context.Context, e *entry, session Session) (answered bool) {
-	if !a.post(func() { e.session, e.wantRunning, e.described, e.interference = session, true, false, 0 }) {
+// sendHeartbeats sends heartbeats on one session until one of them is not
+// answered. It reports whether any of them was.
+func (a *Agent) sendHeartbeats(ctx context.Context, e *entry, session Session) (answered bool) {
+	if !a.post(func() { e.session, e.wantRunning, e.hasDescription, e.interferenceVersion = session, true, false, 0 }) {
 		return false
 	}
 	defer a.post(func() {
@@ -233,8 +245,8 @@
 			e.session = nil
 		}
 	})
-	for ctx.Err() == nil && !closed(session.Done()) {
-		interval, err := a.beatOnce(ctx, e, session)
+	for ctx.Err() == nil && !isClosed(session.Done()) {
+		interval, err := a.sendHeartbeat(ctx, e, session)
 		if err != nil && !fault.Is(err, link.Rejected) {
 			return answered
 		}
@@ -242,8 +254,8 @@
 		timer := time.NewTimer(interval - interval/10 + rand.N(interval/5))
 		select {
 		case <-timer.C:
-		case <-e.early:
-			pause.For(ctx, urgentInterval)
+		case <-e.wake:
+			pause.For(ctx, earlyHeartbeatDelay)
 		case <-session.Done():
 		case <-ctx.Done():
 		}
@@ -252,20 +264,22 @@
 	return answered
 }
 
-// beat is one heartbeat on its way.
-type beat struct {
+// outgoingHeartbeat is a heartbeat in flight.
+type outgoingHeartbeat struct {
 	message  *wire.Heartbeat
 	reports  []sentReport
 	sent     time.Time
-	interval time.Duration // until the next one
+	interval time.Duration // until the next heartbeat
 }
 
-func (a *Agent) beatOnce(ctx context.Context, e *entry, session Session) (time.Duration, error) {
+// sendHeartbeat sends one heartbeat, applies its reply, and returns the interval until
+// the next heartbeat.
+func (a *Agent) sendHeartbeat(ctx context.Context, e *entry, session Session) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	b, err := ask(ctx, a, func() (beat, error) {
-		b := beat{sent: time.Now(), interval: max(heartbeatInterval, heartbeatSpacing*time.Duration(len(a.entries)))}
-		b.message, b.reports = a.compose(e, b.sent)
+	b, err := runOnLoop(ctx, a, func() (outgoingHeartbeat, error) {
+		b := outgoingHeartbeat{sent: time.Now(), interval: max(heartbeatInterval, minHeartbeatSpacing*time.Duration(len(a.entries)))}
+		b.message, b.reports = a.composeHeartbeat(e, b.sent)
 		return b, nil
 	})
 	if err != nil {
@@ -280,7 +294,7 @@
 	if len(reply.ConfigDocument) > 0 {
 		document, parseErr = a.parse(reply.ConfigOffset, reply.ConfigDocument)
 	}
-	_, err = ask(ctx, a, func() (struct{}, error) {
+	_, err = runOnLoop(ctx, a, func() (struct{}, error) {
 		a.applyReply(e, reply, document, parseErr, b.sent, b.reports)
 		return struct{}{}, nil
 	})
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -8,41 +8,43 @@
 )
 
 const (
-	// failuresInRow is how many attempts in a row of different jobs must fail
-	// before the worker, not the jobs, is suspected.
-	failuresInRow = 5
-	// firstPause and longestPause bound how long a suspected worker gets
-	// nothing; every further failure doubles the pause.
-	firstPause   = 30 * time.Second
-	longestPause = 10 * time.Minute
+	// maxConsecutiveFailures is the number of consecutive failed attempts of
+	// different jobs at which the worker is suspected instead of the jobs.
+	maxConsecutiveFailures = 5
+	// minSuspectBackoff and maxSuspectBackoff bound the time for which a suspected
+	// worker refuses tasks. Every further failure doubles it.
+	minSuspectBackoff = 30 * time.Second
+	maxSuspectBackoff = 10 * time.Minute
 )
 
-// failures is the worker's failure record.
-type failures struct {
-	jobs  []units.JobID // of the latest failures in a row, distinct
-	pause time.Duration
-	until time.Time
+// failureRecord tracks consecutive failures of attempts on the worker.
+type failureRecord struct {
+	jobs           []units.JobID // distinct jobs of the latest consecutive failures
+	backoff        time.Duration
+	suspectedUntil time.Time
 }
 
-func (f *failures) ended(job units.JobID, outcome wire.Outcome, now time.Time) {
+// record records the end of an attempt. A completed attempt clears the record.
+func (f *failureRecord) record(job units.JobID, outcome wire.Outcome, now time.Time) {
 	if outcome == wire.Outcome_OUTCOME_COMPLETED {
-		*f = failures{}
+		*f = failureRecord{}
 	}
 	if outcome != wire.Outcome_OUTCOME_FAILED {
 		return
 	}
-	for _, known := range f.jobs {
-		if known == job {
+	for _, seen := range f.jobs {
+		if seen == job {
 			return
 		}
 	}
 	f.jobs = append(f.jobs, job)
-	if len(f.jobs) >= failuresInRow {
-		f.pause = min(max(2*f.pause, firstPause), longestPause)
-		f.until = now.Add(f.pause)
-		// One more failure after the pause suspects the worker again.
-		f.jobs = append(f.jobs[:0:0], f.jobs[len(f.jobs)-failuresInRow+1:]...)
+	if len(f.jobs) >= maxConsecutiveFailures {
+		f.backoff = min(max(2*f.backoff, minSuspectBackoff), maxSuspectBackoff)
+		f.suspectedUntil = now.Add(f.backoff)
+		// Keep all but one, so that a single failure after the backoff makes the
+		// worker suspected again.
+		f.jobs = append(f.jobs[:0:0], f.jobs[len(f.jobs)-maxConsecutiveFailures+1:]...)
 	}
 }
 
-func (f *failures) suspected(now time.Time) bool { return now.Before(f.until) }
+func (f *failureRecord) suspected(now time.Time) bool { return now.Before(f.suspectedUntil) }
--- a/internal/agent/guarding.go
+++ b/internal/agent/guard.go
@@ -8,30 +8,32 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// guardInterval is half the usual period of the measurements it decides on.
+// guardInterval is half the usual period of the measurements that the guard
+// decides on.
 const guardInterval = 500 * time.Millisecond
 
 type guardState struct {
 	tickAt    time.Time
-	latencies map[units.ServiceName]latency
+	latencies map[units.ServiceName]latencySample
 }
 
-// latency is a reported latency and when it last changed: an unchanged value
-// means that no request was served, which is not a new measurement.
-type latency struct {
-	value time.Duration
-	at    time.Time
+// latencySample is a reported latency and when it last changed. An unchanged
+// value is not a new measurement: no request was served meanwhile.
+type latencySample struct {
+	value     time.Duration
+	changedAt time.Time
 }
 
-// tickGuard runs the control loop that protects the endpoints.
+// tickGuard runs the guard, which throttles or evicts batch tasks to protect the
+// latency of the endpoints.
 func (a *Agent) tickGuard(now time.Time) {
-	if a.Guard == nil || a.config.document == nil || !a.adopted || now.Sub(a.guarded.tickAt) < guardInterval {
+	if a.Guard == nil || a.config.document == nil || !a.adopted || now.Sub(a.guardState.tickAt) < guardInterval {
 		return
 	}
-	a.guarded.tickAt = now
+	a.guardState.tickAt = now
 	for _, action := range a.Guard.Tick(a.guardInputs(now)) {
 		t := a.tasks[action.Task]
-		if t == nil || t.attempt != action.Attempt || t.phase != running || t.intent != keep || t.busy {
+		if t == nil || t.attempt != action.Attempt || t.phase != phaseRunning || t.intent != intentKeep || t.callInFlight {
 			continue
 		}
 		if action.Kind == guard.Evict {
@@ -42,45 +44,48 @@
 	}
 }
 
+// guardInputs returns the measurements of endpoints and of running batch tasks.
 func (a *Agent) guardInputs(now time.Time) guard.Inputs {
 	document := a.config.document
 	in := guard.Inputs{Now: now, Enabled: document.Guards.Enabled, LatencyRatio: document.Guards.LatencyRatio}
-	for _, report := range a.endpoints {
+	for _, report := range a.offeredEndpoints {
 		name := units.ServiceName(report.Service)
 		service := document.Service(name)
 		if service == nil || report.LatencyMicroseconds <= 0 {
 			continue
 		}
-		measured := a.measured(name, time.Duration(report.LatencyMicroseconds)*time.Microsecond, now)
-		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, MeasuredAt: measured.at})
+		measured := a.latencyOf(name, time.Duration(report.LatencyMicroseconds)*time.Microsecond, now)
+		in.Services = append(in.Services, guard.Service{Name: name, Latency: measured.value, Target: service.LatencyTarget, MeasuredAt: measured.changedAt})
 	}
 	for _, t := range a.tasks {
-		if t.phase != running || !t.isBatch() || t.intent != keep {
+		if t.phase != phaseRunning || !t.isBatch() || t.intent != intentKeep {
 			continue
 		}
 		in.Tasks = append(in.Tasks, guard.Task{
 			Task: t.name, Attempt: t.attempt, Kind: units.JobKind(t.spec.GetJobKind()), Priority: t.priority(),
 			OverQuota: a.OverQuota != nil && a.OverQuota(units.TeamName(t.spec.GetTeam())),
-			Share:     t.share, Usage: t.usage.Processors, MeasuredAt: t.usageAt,
+			Share:     t.processorShare, Usage: t.usage.Processors, MeasuredAt: t.usageMeasuredAt,
 		})
 	}
 	return in
 }
 
-func (a *Agent) measured(name units.ServiceName, value time.Duration, now time.Time) latency {
-	if a.guarded.latencies == nil {
-		a.guarded.latencies = make(map[units.ServiceName]latency)
+// latencyOf returns the latency of the service and since when it has that value.
+func (a *Agent) latencyOf(name units.ServiceName, value time.Duration, now time.Time) latencySample {
+	if a.guardState.latencies == nil {
+		a.guardState.latencies = make(map[units.ServiceName]latencySample)
 	}
-	known := a.guarded.latencies[name]
-	if known.value != value {
-		known = latency{value, now}
-		a.guarded.latencies[name] = known
+	sample := a.guardState.latencies[name]
+	if sample.value != value {
+		sample = latencySample{value, now}
+		a.guardState.latencies[name] = sample
 	}
-	return known
+	return sample
 }
 
-// interference returns what the guard has learned since the given version.
-func (a *Agent) interference(since uint64) ([]*wire.Interference, uint64) {
+// interferenceSince returns the slowdowns that the guard has estimated since the
+// given version, and the current version.
+func (a *Agent) interferenceSince(since uint64) ([]*wire.Interference, uint64) {
 	if a.Guard == nil {
 		return nil, since
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -10,34 +10,36 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// watcherHold is how long the end of a watcher whose lease lapsed is held back,
-// counted from its end and from when the log was reachable again. The lessor may
-// have activated the standby as the next attempt while the log was unreachable;
-// its report must be recorded before anyone assigns that attempt elsewhere.
-const watcherHold = 10 * time.Second
-
-// maxReports bounds a heartbeat; the rest follows in the next one.
-const maxReports = 256
-
-// sentReport identifies what a heartbeat carried: an acknowledgement counts
-// only for the outcome that was in the heartbeat it answers.
+// watcherReportDelay delays the report that a watcher ended because its lease
+// expired, counted from its end and from when the log became reachable again. The
+// lessor may have activated the standby as the next attempt while the log was
+// unreachable. That activation must be recorded before an entry process assigns
+// the attempt number to another worker.
+const watcherReportDelay = 10 * time.Second
+
+// maxReportsPerHeartbeat bounds the size of a heartbeat. Further reports follow in
+// the next one.
+const maxReportsPerHeartbeat = 256
+
+// sentReport identifies a report in a heartbeat. An acknowledgement applies only
+// to the outcome in the heartbeat that it answers.
 type sentReport struct {
-	attempt attempt
+	attempt attemptID
 	outcome wire.Outcome
 }
 
-// compose builds the heartbeat for one entry.
-func (a *Agent) compose(e *entry, now time.Time) (*wire.Heartbeat, []sentReport) {
+// composeHeartbeat returns the heartbeat for one entry process and the reports in it.
+func (a *Agent) composeHeartbeat(e *entry, now time.Time) (*wire.Heartbeat, []sentReport) {
 	full := e.wantRunning && a.adopted
-	e.sentRunning = full
+	e.runningListSent = full
 	h := &wire.Heartbeat{
 		Worker: string(a.WorkerID), Epoch: uint64(a.epoch),
 		Clock: a.clock(), ConfigOffset: uint64(a.config.offset), RunningFull: full,
-		Draining: a.leaving || a.evacuation() != "", Endpoints: a.reports(),
+		Draining: a.stopping || a.evacuationReason() != "", Endpoints: a.endpointsToReport(),
 	}
-	if full || !e.described || !a.OmitUnchanged {
+	if full || !e.hasDescription || !a.OmitUnchanged {
 		h.FailureDomain, h.Rack, h.Region, h.LinkAddress = string(a.Domain), string(a.Rack), string(a.Region), cmp.Or(a.AdvertisedLinkAddress, a.LinkAddress)
-		h.Process, h.Capacity = a.Process, wire.FromResources(a.capacity)
+		h.Process, h.Capacity = a.ProcessName, wire.FromResources(a.capacity)
 	}
 	if e.wantConfig {
 		h.ConfigDocument, h.ConfigAuthor = a.config.raw, a.config.author
@@ -46,11 +48,11 @@
 		h.Epoch, h.Capacity = 0, nil
 		return h, nil
 	}
-	h.Committed, h.Evictable = wire.FromResources(a.committed()), wire.FromResources(a.evictable())
+	h.Committed, h.Evictable = wire.FromResources(a.committedResources()), wire.FromResources(a.evictableResources())
 	h.LeaseTerm, h.LeaseValid, h.Registered = uint64(a.lease.term), a.lease.valid(now), a.lease.registered
-	h.WantsLessor = a.lease.wants
-	h.Expiries = a.expiries(now)
-	h.Interference, e.composed = a.interference(e.interference)
+	h.WantsLessor = a.lease.lessorRequested
+	h.Expiries = a.reportableExpiries(now)
+	h.Interference, e.interferenceSent = a.interferenceSince(e.interferenceVersion)
 	if e.rank == 0 && a.PendingEvents != nil {
 		h.Events = a.PendingEvents()
 	}
@@ -61,64 +63,69 @@
 	return h, sent
 }
 
+// runningRefs returns the attempts that have not ended or whose end must not be
+// reported yet. It omits standbys that are not being activated.
 func (a *Agent) runningRefs(now time.Time) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, t := range a.tasks {
-		if (t.phase != ended || a.heldBack(t, now)) && (t.holder == "" || t.activateAs != 0) {
+		if (t.phase != phaseEnded || a.isReportDelayed(t, now)) && (t.holder == "" || t.activateAs != 0) {
 			refs = append(refs, t.ref())
 		}
 	}
 	return refs
 }
 
-// addReports adds the reports that are not yet acknowledged, oldest first.
+// addReports adds the unacknowledged reports to h, oldest first, and returns them.
 func (a *Agent) addReports(e *entry, h *wire.Heartbeat, now time.Time) []sentReport {
 	var pending []*task
 	for _, t := range a.tasks {
-		if t.phase != running && t.phase != ended || t.silent || t.acknowledged || a.heldBack(t, now) || !a.reportsTo(e, t, now) {
+		if t.phase != phaseRunning && t.phase != phaseEnded || t.suppressReport || t.acknowledged || a.isReportDelayed(t, now) || !a.shouldReport(e, t, now) {
 			continue
 		}
 		pending = append(pending, t)
 	}
 	slices.SortFunc(pending, func(x, y *task) int {
-		return cmp.Or(x.reportSince.Compare(y.reportSince), cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
+		return cmp.Or(x.reportPendingSince.Compare(y.reportPendingSince), cmp.Compare(x.name.Job, y.name.Job), cmp.Compare(x.name.Index, y.name.Index))
 	})
-	pending = pending[:min(len(pending), maxReports)]
+	pending = pending[:min(len(pending), maxReportsPerHeartbeat)]
 	sent := make([]sentReport, len(pending))
 	for i, t := range pending {
-		sent[i] = sentReport{attempt{t.name, t.attempt}, t.reported()}
-		h.Reports = append(h.Reports, t.report())
+		sent[i] = sentReport{attemptID{t.name, t.attempt}, t.outcomeToReport()}
+		h.Reports = append(h.Reports, t.newReport())
 	}
 	return sent
 }
 
-func (a *Agent) heldBack(t *task, now time.Time) bool {
-	if t.isBatch() || t.reported() != wire.Outcome_OUTCOME_EXPIRED {
+// isReportDelayed reports whether the end of the task must not be reported yet because
+// of watcherReportDelay.
+func (a *Agent) isReportDelayed(t *task, now time.Time) bool {
+	if t.isBatch() || t.outcomeToReport() != wire.Outcome_OUTCOME_EXPIRED {
 		return false
 	}
-	return now.Sub(t.since) < watcherHold || a.logSince.IsZero() || now.Sub(a.logSince) < watcherHold
+	return now.Sub(t.phaseSince) < watcherReportDelay || a.logReachableSince.IsZero() || now.Sub(a.logReachableSince) < watcherReportDelay
 }
 
-func (t *task) report() *wire.TaskReport {
-	r := &wire.TaskReport{Task: t.ref(), Outcome: t.reported()}
-	if t.phase == ended && !t.startFirst {
-		r.Checkpoint, r.Reason, r.RunMilliseconds = t.checkpoint, t.reason, t.ran.Milliseconds()
-		if !t.peak.IsZero() {
-			r.Used = wire.FromResources(t.peak)
+// newReport returns the report of the outcome that is reported next.
+func (t *task) newReport() *wire.TaskReport {
+	r := &wire.TaskReport{Task: t.ref(), Outcome: t.outcomeToReport()}
+	if t.phase == phaseEnded && !t.startUnrecorded {
+		r.Checkpoint, r.Reason, r.RunMilliseconds = t.checkpoint, t.reason, t.runTime.Milliseconds()
+		if !t.peakUsage.IsZero() {
+			r.Used = wire.FromResources(t.peakUsage)
 		}
 	}
 	return r
 }
 
-// applyReply takes in the answer to a heartbeat sent at the given instant.
+// applyReply applies the reply to a heartbeat that was sent at the given time.
 func (a *Agent) applyReply(e *entry, reply *wire.HeartbeatReply, document *environment.Document, parseErr error, sent time.Time, reports []sentReport) {
 	now := time.Now()
 	e.name, e.answeredAt, e.logReachable = reply.Entry, sent, reply.LogReachable
-	e.logRead = sent.Add(-time.Duration(min(max(reply.ConfigStalenessMilliseconds, 0), 1<<30)) * time.Millisecond)
-	e.interference = e.composed
-	e.described = e.described || e.sentRunning
+	e.logReadAt = sent.Add(-time.Duration(min(max(reply.ConfigStalenessMilliseconds, 0), 1<<30)) * time.Millisecond)
+	e.interferenceVersion = e.interferenceSent
+	e.hasDescription = e.hasDescription || e.runningListSent
 	e.wantConfig = reply.WantConfig
-	e.wantRunning = reply.WantRunning || e.wantRunning && !e.sentRunning
+	e.wantRunning = reply.WantRunning || e.wantRunning && !e.runningListSent
 	a.observeClock(reply.Clock)
 	a.acknowledgeReports(reply.ReportsAcknowledged, reports, now)
 	a.acknowledgeExpiries(reply.ExpiriesAcknowledged)
@@ -131,60 +138,66 @@
 		a.applyLessees(reply.Lessees, sent, now)
 	}
 	a.applyStandbys(reply.Standbys, now)
-	a.learnEntries(reply.Entries, now)
+	a.updateEntries(reply.Entries, now)
 }
 
+// acknowledgeReports marks the reports that an entry process has acknowledged.
 func (a *Agent) acknowledgeReports(acknowledged []*wire.TaskRef, reports []sentReport, now time.Time) {
 	for _, ref := range acknowledged {
-		key := attempt{ref.Task(), units.Attempt(ref.GetAttempt())}
+		key := attemptID{ref.Task(), units.Attempt(ref.GetAttempt())}
 		t := a.tasks[key.task]
-		if t == nil || t.attempt != key.number || !slices.Contains(reports, sentReport{key, t.reported()}) {
+		if t == nil || t.attempt != key.number || !slices.Contains(reports, sentReport{key, t.outcomeToReport()}) {
 			continue
 		}
-		t.startFirst, t.acknowledged = false, t.reported() == t.outcome
-		a.drive(t, now)
+		t.startUnrecorded, t.acknowledged = false, t.outcomeToReport() == t.outcome
+		a.reconcile(t, now)
 	}
 }
 
-// recent is how old an answer of an entry may be to say something about the
-// log now.
-const recent = 2 * time.Second
+// maxAnswerAge bounds the age of the last answer of an entry process that counts
+// as responsive and whose view of the log counts as current.
+const maxAnswerAge = 2 * time.Second
 
-// tickLog notes since when the log has been reachable without a break.
-func (a *Agent) tickLog(now time.Time) {
+// trackLogReachability updates since when the log has been reachable without
+// interruption.
+func (a *Agent) trackLogReachability(now time.Time) {
 	switch {
 	case !a.logReachable(now):
-		a.logSince = time.Time{}
-	case a.logSince.IsZero():
-		a.logSince = now
+		a.logReachableSince = time.Time{}
+	case a.logReachableSince.IsZero():
+		a.logReachableSince = now
 	}
 }
 
-// logJustRead is how old the newest read of the log may be that shows that the
-// log answers now. A follower at the tail reads several times a second; that
-// the log is unreachable shows only after 3 s.
-const logJustRead = time.Second
+// maxLogReadAge bounds the age of the newest read of the log that shows that the
+// log answers at present. A follower at the tail reads several times a second,
+// whereas entry processes report the log as unreachable only after 3 s.
+const maxLogReadAge = time.Second
 
-// logAnswers reports whether an entry has just read the log.
-func (a *Agent) logAnswers(now time.Time) bool {
+// logReadRecently reports whether an entry process has read the log within
+// maxLogReadAge.
+func (a *Agent) logReadRecently(now time.Time) bool {
 	for _, e := range a.entries {
-		if !e.answeredAt.IsZero() && now.Sub(e.logRead) < logJustRead {
+		if !e.answeredAt.IsZero() && now.Sub(e.logReadAt) < maxLogReadAge {
 			return true
 		}
 	}
 	return false
 }
 
-// logReachable reports whether an entry has recently said that it reaches the log.
+// logReachable reports whether an entry process has recently reported that it
+// reaches the log.
 func (a *Agent) logReachable(now time.Time) bool { return a.anyEntry(now, true) }
 
-// logDown reports whether entries answer and none of them reaches the log. It
-// is false without answers: then nothing is known.
+// logDown reports whether entry processes answer and none of them reaches
+// the log. It is false without recent answers, when the state of the log is unknown.
 func (a *Agent) logDown(now time.Time) bool { return a.anyEntry(now, false) && !a.anyEntry(now, true) }
 
+// anyEntry reports whether any entry process has recently answered that the log is
+// reachable or unreachable, as given.
 func (a *Agent) anyEntry(now time.Time, reachable bool) bool {
 	for _, e := range a.entries {
-		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < recent && e.logReachable == reachable {
+		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxAnswerAge && e.logReachable == reachable {
 			return true
 		}
 	}
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -27,141 +27,143 @@
 	os.Exit(code)
 }
 
-// fault is one entry of a generated history.
+// event is one fault of a generated history.
 type event struct {
-	kind string
-	name string // worker
-	op   string
-	at   time.Duration
-	long time.Duration
+	kind   string
+	worker string
+	op     string // operation of the worker that a kill or a lost reply follows
+	at     time.Duration
+	lasts  time.Duration
 }
 
 func (e event) String() string {
-	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.name, e.op, e.at, e.long)
+	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.worker, e.op, e.at, e.lasts)
 }
 
-// injections carry out the events.
-var injections = map[string]func(*world, event){
-	// pause stops the process, possibly past its lease, and wakes it.
-	"pause": func(w *world, e event) { w.pauseLoop(e.name, e.long) },
-	// kill ends the process right after an operation took effect on the
-	// worker and starts its successor later.
-	"kill": func(w *world, e event) {
-		w.killAfter(e.name, e.op)
-		time.Sleep(e.long)
-		w.restart(e.name)
+// faults holds the function that injects each kind of fault.
+var faults = map[string]func(*simulation, event){
+	// pause stops the agent, possibly beyond the end of its lease, and resumes it.
+	"pause": func(sim *simulation, e event) { sim.pauseProcess(e.worker, e.lasts) },
+	// kill kills the agent right after an operation has taken effect on the worker
+	// and starts its successor later.
+	"kill": func(sim *simulation, e event) {
+		sim.killAfter(e.worker, e.op)
+		time.Sleep(e.lasts)
+		sim.restart(e.worker)
 	},
-	// double starts a second agent while the first goes on.
-	"double": func(w *world, e event) { w.start(e.name) },
-	"cutFromEntries": func(w *world, e event) {
-		w.network.SetCut(e.name, "entry", true)
-		time.Sleep(e.long)
-		w.network.SetCut(e.name, "entry", false)
+	// double starts a second agent while the first one still runs.
+	"double": func(sim *simulation, e event) { sim.start(e.worker) },
+	"cutFromEntries": func(sim *simulation, e event) {
+		sim.network.SetCut(e.worker, "entry", true)
+		time.Sleep(e.lasts)
+		sim.network.SetCut(e.worker, "entry", false)
 	},
-	"isolate": func(w *world, e event) {
+	"isolate": func(sim *simulation, e event) {
 		others := []string{"w1", "w2", "w3", "entry"}
 		for _, o := range others {
-			w.network.SetCut(e.name, o, true)
+			sim.network.SetCut(e.worker, o, true)
 		}
-		time.Sleep(e.long)
+		time.Sleep(e.lasts)
 		for _, o := range others {
-			w.network.SetCut(e.name, o, false)
+			sim.network.SetCut(e.worker, o, false)
 		}
 	},
-	"logDown": func(w *world, e event) {
-		w.platform.SetLog(false)
-		time.Sleep(e.long)
-		w.platform.SetLog(true)
+	"logDown": func(sim *simulation, e event) {
+		sim.platform.SetLog(false)
+		time.Sleep(e.lasts)
+		sim.platform.SetLog(true)
 	},
-	// domainOut takes a domain out while the entries cannot read it, and lets
-	// new tasks arrive meanwhile: so many that some are assigned to the domain.
-	"domainOut": func(w *world, e event) {
-		w.platform.Freeze(true)
-		w.platform.Publish([]string{string(domains[e.name])}, nil)
+	// domainOut takes a failure domain out of service while the entry processes
+	// cannot read that change, and submits enough tasks meanwhile that some are
+	// assigned to the domain.
+	"domainOut": func(sim *simulation, e event) {
+		sim.platform.Freeze(true)
+		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(4 * time.Second)
 		for i := range uint32(tasksWhileOut) {
-			w.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, batch(2*time.Second, 1000))
+			sim.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, newBatchSpec(2*time.Second, 1000))
 		}
-		time.Sleep(e.long)
-		w.platform.Freeze(false)
-		w.platform.Publish([]string{string(domains[e.name])}, nil)
+		time.Sleep(e.lasts)
+		sim.platform.Freeze(false)
+		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(5 * time.Second)
-		w.platform.Publish(nil, nil)
+		sim.platform.Publish(nil, nil)
 	},
-	// replace puts a new instance in the place of the worker.
-	"replace": func(w *world, e event) { w.cores[e.name].Restart() },
-	// drain empties a worker for a while.
-	"drain": func(w *world, e event) {
-		w.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.name)})
-		time.Sleep(e.long)
-		w.platform.Publish(nil, nil)
+	// replace replaces the worker by a new instance.
+	"replace": func(sim *simulation, e event) { sim.cores[e.worker].Restart() },
+	// drain drains a worker for a while.
+	"drain": func(sim *simulation, e event) {
+		sim.platform.Publish(nil, []units.WorkerID{units.WorkerID(e.worker)})
+		time.Sleep(e.lasts)
+		sim.platform.Publish(nil, nil)
 	},
-	"loseReplies": func(w *world, e event) {
-		w.cores[e.name].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
+	"loseReplies": func(sim *simulation, e event) {
+		sim.cores[e.worker].SetFaults(worker.Faults{LoseReplies: 2, LoseOp: e.op})
 	},
-	"slowWorker": func(w *world, e event) {
-		w.cores[e.name].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
-		time.Sleep(e.long)
-		w.cores[e.name].SetFaults(worker.Faults{})
+	"slowWorker": func(sim *simulation, e event) {
+		sim.cores[e.worker].SetFaults(worker.Faults{Delay: 1500 * time.Millisecond, Speed: 0.5})
+		time.Sleep(e.lasts)
+		sim.cores[e.worker].SetFaults(worker.Faults{})
 	},
 }
 
-// tasksWhileOut is how many tasks arrive while a domain is out. Each is assigned
-// to one of three workers at random; with 6 of them every eleventh history offered
-// the domain nothing.
+// tasksWhileOut is the number of tasks submitted while a domain is out of service.
+// Each is assigned to one of three workers at random. With 6 tasks, one history in
+// eleven assigned none to the domain.
 const tasksWhileOut = 30
 
 func drawHistory(rt *rapid.T) []event {
 	kinds := []string{"pause", "kill", "double", "cutFromEntries", "isolate", "logDown", "loseReplies", "slowWorker", "domainOut", "drain", "replace"}
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) event {
 		return event{
-			kind: rapid.SampledFrom(kinds).Draw(rt, "kind"),
-			name: rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(rt, "worker"),
-			op:   rapid.SampledFrom([]string{"start", "tasks", "forget", "renew"}).Draw(rt, "op"),
-			at:   time.Duration(rapid.IntRange(3000, 40000).Draw(rt, "at")) * time.Millisecond,
-			long: time.Duration(rapid.IntRange(200, 25000).Draw(rt, "for")) * time.Millisecond,
+			kind:   rapid.SampledFrom(kinds).Draw(rt, "kind"),
+			worker: rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(rt, "worker"),
+			op:     rapid.SampledFrom([]string{"start", "tasks", "forget", "renew"}).Draw(rt, "op"),
+			at:     time.Duration(rapid.IntRange(3000, 40000).Draw(rt, "at")) * time.Millisecond,
+			lasts:  time.Duration(rapid.IntRange(200, 25000).Draw(rt, "for")) * time.Millisecond,
 		}
 	}), 1, 6).Draw(rt, "history")
 }
 
-// play runs a history over ten tasks and two watchers, heals everything, and
-// returns the violations.
-func play(t *testing.T, history []event, seed uint64, noise float64, variant func(*world) func(*world)) []string {
-	return simulate(t, seed, noise, func(w *world) {
-		healed := variant(w)
-		w.start("w1", "w2", "w3")
+// runHistory runs ten batch tasks and two watchers while it injects the faults of
+// the history, ends all faults, and returns the violations.
+func runHistory(t *testing.T, history []event, seed uint64, noise float64, setUp func(*simulation) func(*simulation)) []string {
+	return simulate(t, seed, noise, func(sim *simulation) {
+		afterFaults := setUp(sim)
+		sim.start("w1", "w2", "w3")
 		for i := range uint32(10) {
-			w.platform.Submit(i, batch(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
+			sim.platform.Submit(i, newBatchSpec(time.Duration(3+i)*time.Second, 2000+500*units.Millicores(i%3)))
 		}
 		for i := range uint32(2) {
-			watcher := batch(0, 500)
+			watcher := newBatchSpec(0, 500)
 			watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
-			w.platform.Submit(100+i, watcher)
+			sim.platform.Submit(100+i, watcher)
 		}
 		ordered := slices.Clone(history)
 		slices.SortFunc(ordered, func(a, b event) int { return int(a.at - b.at) })
 		start := time.Now()
 		for _, e := range ordered {
 			time.Sleep(e.at - time.Since(start))
-			go injections[e.kind](w, e)
+			go faults[e.kind](sim, e)
 		}
 		time.Sleep(70*time.Second - time.Since(start))
-		w.network.SetNoise(0)
-		healed(w)
+		sim.network.SetNoise(0)
+		afterFaults(sim)
 	})
 }
 
-// Guards against an agent that, under any mix of pauses, restarts, rivals,
-// partitions, log outages and lost or late messages, runs a task in two places,
-// runs a refused attempt, commits more than the worker has, or loses a task.
+// Guards against a task that runs on two workers, a refused attempt that runs, a
+// worker that is committed beyond its capacity, and a lost task, under any mix of
+// pauses, restarts, second agents, partitions, log outages, and lost or late
+// messages.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := drawHistory(rt)
 		seed := rapid.Uint64().Draw(rt, "seed")
-		problems := play(t, history, seed, 0.1, func(*world) func(*world) {
-			return func(w *world) {
-				if !w.settle(2 * time.Minute) {
-					w.platform.Problem("tasks are unfinished two minutes after the faults ended")
+		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
+			return func(sim *simulation) {
+				if !sim.waitForBatchTasks(2 * time.Minute) {
+					sim.platform.Problem("tasks have not ended two minutes after the last fault")
 				}
 			}
 		})
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// launchWait bounds how long a launch request is held open; tasks that are
-	// undecided by then are left out of the reply and the entry repeats them.
-	launchWait = 1500 * time.Millisecond
-	// patience is how long a launch waits for room, a lease or fresh evidence
-	// before it is refused, so that an entry can place the task elsewhere.
-	patience = 3 * time.Second
-	// leaseReserve is the least time left on the agent's lease for a start: a
-	// shorter one would likely end before the next renewal.
-	leaseReserve = time.Second
-	// maxTasks bounds a request and the rows that wait for a decision.
+	// launchReplyTimeout bounds how long a launch request is held open. Tasks that
+	// are undecided by then are omitted from the reply, and the entry process
+	// repeats their launch.
+	launchReplyTimeout = 1500 * time.Millisecond
+	// launchTimeout is how long a launch waits for free resources, a lease or a
+	// fresh configuration before it is refused, so that the task can be placed on
+	// another worker.
+	launchTimeout = 3 * time.Second
+	// minRemainingLease is the least remaining time of the agent's lease at which
+	// it starts a task. A shorter lease would likely end before the next renewal.
+	minRemainingLease = time.Second
+	// maxTasks bounds the tasks of one request and the tasks that the agent tracks.
 	maxTasks = 4096
 )
 
@@ -30,20 +32,20 @@
 		return nil, fault.New("launch", NotReady, "%d tasks in one request", len(l.Tasks))
 	}
 	results := make(chan *wire.LaunchResult, len(l.Tasks))
-	reply, err := ask(ctx, a, func() (*wire.LaunchReply, error) {
+	reply, err := runOnLoop(ctx, a, func() (*wire.LaunchReply, error) {
 		a.observeClock(l.Clock)
-		if err := a.ready(l); err != nil {
+		if err := a.checkLaunchable(l); err != nil {
 			return nil, err
 		}
 		for _, task := range l.Tasks {
-			a.launch(l, task, results)
+			a.handleLaunch(l, task, results)
 		}
 		return &wire.LaunchReply{Clock: a.clock()}, nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(launchWait)
+	timer := time.NewTimer(launchReplyTimeout)
 	defer timer.Stop()
 	for len(reply.Results) < len(l.Tasks) {
 		select {
@@ -58,13 +60,14 @@
 	return reply, nil
 }
 
-// ready reports why no launch can be decided now. It is not a refusal: nothing
-// is remembered and the entry repeats the launch.
-func (a *Agent) ready(l *wire.Launch) error {
+// checkLaunchable returns an error if the agent cannot decide on the launch at
+// present. That is not a refusal: nothing is recorded, and the entry process
+// repeats the launch.
+func (a *Agent) checkLaunchable(l *wire.Launch) error {
 	switch {
 	case l.Worker != string(a.WorkerID):
 		return fault.New("launch", NotReady, "this is worker %s, not %s", a.WorkerID, l.Worker)
-	case !a.adopted || a.failure != nil:
+	case !a.adopted || a.runError != nil:
 		return fault.New("launch", NotReady, "worker %s is not held", a.WorkerID)
 	case units.Epoch(l.Epoch) > a.epoch:
 		return fault.New("launch", NotReady, "epoch %d is newer than %d", l.Epoch, a.epoch)
@@ -72,116 +75,117 @@
 	return nil
 }
 
-// launch decides on one attempt or queues it. A known attempt gets the answer
-// it got before.
-func (a *Agent) launch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
-	if a.Caused != nil {
-		a.Caused(request.GetTask().Task().String(), request.GetCause())
+// handleLaunch decides on one attempt or queues it. A repeated launch gets the
+// answer that was given before.
+func (a *Agent) handleLaunch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
+	if a.RecordCause != nil {
+		a.RecordCause(request.GetTask().Task().String(), request.GetCause())
 	}
 	now := time.Now()
 	name, number := request.GetTask().Task(), units.Attempt(request.GetTask().GetAttempt())
 	t := a.tasks[name]
 	if t != nil && t.holder != "" {
-		if a.launchStandby(l, t, number, results, now) {
+		if a.handleStandbyLaunch(l, t, number, results, now) {
 			return
 		}
 		t = a.tasks[name]
 	}
 	if t != nil && t.attempt == number {
 		t.launchedBy = l.Entry
-		a.repeat(t, results)
+		a.answerRepeatedLaunch(t, results)
 		return
 	}
 	candidate := &task{name: name, attempt: number, spec: request.GetSpec(), size: request.GetSpec().GetSize().Units(),
-		mayEvict: request.MayEvict, giveUp: now.Add(patience), launchedBy: l.Entry, results: []chan<- *wire.LaunchResult{results}}
+		mayEvict: request.MayEvict, launchDeadline: now.Add(launchTimeout), launchedBy: l.Entry, resultChannels: []chan<- *wire.LaunchResult{results}}
 	if candidate.spec == nil {
 		candidate.spec = &wire.TaskSpec{}
 	}
-	if s, ok := a.memory.answer(name, number); ok {
-		candidate.answer(s.outcome, s.reason)
+	if s, ok := a.decisions.lookup(name, number); ok {
+		candidate.sendResult(s.outcome, s.reason)
 		return
 	}
 	if units.Epoch(l.Epoch) != a.epoch {
-		return // it may have run under the older epoch; the end of that releases it
+		return // it may have run under the older epoch; the end of that epoch releases it
 	}
-	if a.memory.superseded(name, number) || t != nil && t.attempt > number {
-		return // nothing certain is known about an attempt this old
+	if a.decisions.superseded(name, number) || t != nil && t.attempt > number {
+		return // the outcome of an attempt this old is not certain
 	}
-	if t != nil && t.phase != ended {
-		// A newer attempt was assigned, so this one has been released.
-		t.intent, t.reason, t.silent = stop, "superseded", true
-		a.drive(t, now)
+	if t != nil && t.phase != phaseEnded {
+		// A newer attempt has been assigned, so the running one has been released.
+		t.intent, t.reason, t.suppressReport = intentStop, "superseded", true
+		a.reconcile(t, now)
 		return
 	}
-	if reason := a.never(candidate); reason != "" {
+	if reason := a.permanentRefusal(candidate); reason != "" {
 		a.refuse(candidate, reason)
 		return
 	}
-	candidate.move(waiting, now)
+	candidate.setPhase(phasePending, now)
 	a.tasks[name] = candidate
-	a.drive(candidate, now)
+	a.reconcile(candidate, now)
 }
 
-// repeat answers a launch of an attempt that the agent has a row of.
-func (a *Agent) repeat(t *task, results chan<- *wire.LaunchResult) {
+// answerRepeatedLaunch answers the launch of an attempt that the agent tracks.
+func (a *Agent) answerRepeatedLaunch(t *task, results chan<- *wire.LaunchResult) {
 	switch t.phase {
-	case ended:
-		if s, ok := a.memory.answer(t.name, t.attempt); ok {
+	case phaseEnded:
+		if s, ok := a.decisions.lookup(t.name, t.attempt); ok {
 			results <- &wire.LaunchResult{Task: t.ref(), Outcome: s.outcome, Reason: s.reason}
 		}
-	case running:
+	case phaseRunning:
 		results <- &wire.LaunchResult{Task: t.ref(), Outcome: wire.Outcome_OUTCOME_STARTED}
 	default:
-		t.results = append(t.results, results)
-		if len(t.results) > maxRepeats {
-			t.results = t.results[1:]
+		t.resultChannels = append(t.resultChannels, results)
+		if len(t.resultChannels) > maxLaunchCallers {
+			t.resultChannels = t.resultChannels[1:]
 		}
 	}
 }
 
-// maxRepeats bounds the callers that wait for one undecided launch.
-const maxRepeats = 16
+// maxLaunchCallers bounds the calls that wait for the result of one launch.
+const maxLaunchCallers = 16
 
-// never returns why the attempt will never start here, or "".
-func (a *Agent) never(t *task) string {
+// permanentRefusal returns why the attempt can never start on this worker, or "".
+func (a *Agent) permanentRefusal(t *task) string {
 	if t.attempt == 0 || t.size.Processors < 0 || t.size.Memory < 0 || t.size.Accelerators < 0 || t.spec.GetRunMilliseconds() < 0 {
 		return "malformed task"
 	}
 	if len(a.tasks) >= maxTasks {
 		return "too many tasks"
 	}
-	return a.closed(t)
+	return a.refusalReason(t)
 }
 
-// closed returns why the worker takes no work like t at present, or "".
-func (a *Agent) closed(t *task) string {
+// refusalReason returns why the worker refuses tasks such as t at present, or "".
+func (a *Agent) refusalReason(t *task) string {
 	now := time.Now()
 	switch {
-	case a.leaving:
+	case a.stopping:
 		return "the agent is stopping"
 	case a.config.document != nil && a.config.document.DomainIsOut(a.Domain):
 		return fmt.Sprintf("failure domain %s is out of service", a.Domain)
 	case a.config.document != nil && a.config.document.IsDrained(a.WorkerID):
 		return fmt.Sprintf("worker %s is drained", a.WorkerID)
-	case !t.size.Fits(a.capacity.Sub(a.reserved())):
+	case !t.size.Fits(a.capacity.Sub(a.reservedResources())):
 		return fmt.Sprintf("larger than worker %s", a.WorkerID)
 	case a.failures.suspected(now):
-		return fmt.Sprintf("%d tasks in a row of different jobs failed here", failuresInRow)
+		return fmt.Sprintf("%d tasks in a row of different jobs failed here", maxConsecutiveFailures)
 	}
 	return ""
 }
 
-// admit starts a waiting task once it has a lease, fresh evidence and room.
+// admit starts a pending task once the agent has a lease, a fresh configuration
+// and enough free resources. It refuses the task when the launch times out.
 func (a *Agent) admit(t *task, now time.Time) {
-	if reason := a.closed(t); reason != "" {
+	if reason := a.refusalReason(t); reason != "" {
 		a.refuse(t, reason)
 		return
 	}
-	reason := a.unready(now)
+	reason := a.startBlocker(now)
 	if reason == "" {
-		if !t.size.Fits(a.capacity.Sub(a.committed())) {
+		if !t.size.Fits(a.capacity.Sub(a.committedResources())) {
 			reason = "no room"
-			if !t.mayEvict || !a.evictFor(t, now) {
+			if !t.mayEvict || !a.evictForTask(t, now) {
 				a.refuse(t, reason)
 				return
 			}
@@ -190,19 +194,19 @@
 			return
 		}
 	}
-	if !now.Before(t.giveUp) {
+	if !now.Before(t.launchDeadline) {
 		a.refuse(t, reason)
 	}
 }
 
-// unready returns what is missing for any start at present, or "".
-func (a *Agent) unready(now time.Time) string {
+// startBlocker returns why no task can be started at present, or "".
+func (a *Agent) startBlocker(now time.Time) string {
 	switch {
 	case !a.adopted:
 		return "the worker is not held"
 	case !a.lease.registered:
 		return "the epoch is not registered"
-	case a.lease.deadlineAt(now).Sub(now) < leaseReserve:
+	case a.lease.deadlineAt(now).Sub(now) < minRemainingLease:
 		return "no valid lease"
 	case a.awaitsEndpoint(now):
 		return "the endpoint has not announced itself yet"
@@ -212,24 +216,25 @@
 	return ""
 }
 
-// startDeadline is when a start that is sent now must have taken effect.
+// startDeadline returns the time by which a start that is sent now must have
+// taken effect.
 func (a *Agent) startDeadline() time.Time {
-	until := a.config.freshUntil.Add(startGrace)
+	until := a.config.freshUntil.Add(startGracePeriod)
 	if lease := a.lease.deadlineAt(time.Now()); lease.Before(until) {
 		return lease
 	}
 	return until
 }
 
-// refuse answers that the attempt was not started and never will be under this
-// epoch, and remembers it.
+// refuse answers that the attempt was not started and will not be started under
+// this epoch, and records that decision.
 func (a *Agent) refuse(t *task, reason string) {
-	if t.holder == "" { // an attempt admitted as a standby runs elsewhere
-		a.memory.remember(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
+	if t.holder == "" { // the attempt of a standby runs on its holder
+		a.decisions.record(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
 	}
 	if a.tasks[t.name] == t {
 		delete(a.tasks, t.name)
 	}
-	t.answer(wire.Outcome_OUTCOME_REFUSED, reason)
+	t.sendResult(wire.Outcome_OUTCOME_REFUSED, reason)
 	a.event("taskRefused", t.name.String(), reason)
 }
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -15,24 +15,24 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// naiveAgent starts whatever it is told to under any lease, takes the worker
-// back when it is fenced, takes a lost reply for a failed start and never asks
-// how old its configuration is. It shows that the checker sees what the agent
-// must not do.
+// naiveAgent is an agent with faults: it starts every launched task under any
+// lease, acquires the worker again when it is fenced, treats a lost reply as a
+// failed start, and ignores the age of its configuration. It shows that the
+// checker detects what an agent must not do.
 type naiveAgent struct {
-	world  *world
-	name   string
-	worker workerapi.Worker
-	gate   *gate
+	simulation *simulation
+	name       string
+	worker     workerapi.Worker
+	gate       *gate
 
 	mu      sync.Mutex
 	holder  workerapi.Holder
-	held    time.Time
+	heldAt  time.Time
 	session Session
 }
 
-func newNaive(w *world, name string, access workerapi.Worker, g *gate) process {
-	return &naiveAgent{world: w, name: name, worker: access, gate: g}
+func newNaiveAgent(sim *simulation, name string, access workerapi.Worker, g *gate) process {
+	return &naiveAgent{simulation: sim, name: name, worker: access, gate: g}
 }
 
 func (n *naiveAgent) Run(ctx context.Context) error {
@@ -42,7 +42,7 @@
 	mux.HandleFunc("POST /link/stop", link.Handle(func(context.Context, *wire.Stop) (*wire.StopReply, error) { return &wire.StopReply{}, nil }))
 	for ctx.Err() == nil {
 		if n.session == nil {
-			n.session, _ = n.world.dial(n.name, n.gate, "entry", mux)
+			n.session, _ = n.simulation.dial(n.name, n.gate, "entry", mux)
 		}
 		n.step(ctx)
 		time.Sleep(500 * time.Millisecond)
@@ -54,16 +54,17 @@
 	holder, err := n.worker.Hold(ctx, n.name)
 	if err == nil {
 		n.mu.Lock()
-		n.holder, n.held = holder, time.Now()
+		n.holder, n.heldAt = holder, time.Now()
 		n.mu.Unlock()
 	}
 }
 
-// lease is eight seconds from now on the worker's clock, whoever granted it.
+// lease returns a deadline of leaseDuration from now on the worker's clock,
+// without any grant.
 func (n *naiveAgent) lease() (units.Epoch, workerapi.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.holder.Epoch, n.holder.Clock + workerapi.Clock(time.Since(n.held)+leaseDuration)
+	return n.holder.Epoch, n.holder.Clock + workerapi.Clock(time.Since(n.heldAt)+leaseDuration)
 }
 
 func (n *naiveAgent) step(ctx context.Context) {
@@ -74,20 +75,20 @@
 		return
 	}
 	epoch, until := n.lease()
-	beat := &wire.Heartbeat{Worker: n.name, Epoch: uint64(epoch), Capacity: wire.FromResources(n.holder.Capacity), RunningFull: true, Registered: true}
+	heartbeat := &wire.Heartbeat{Worker: n.name, Epoch: uint64(epoch), Capacity: wire.FromResources(n.holder.Capacity), RunningFull: true, Registered: true}
 	var names []units.Task
 	for _, t := range table.Tasks {
 		if t.State == workerapi.Running {
 			names = append(names, t.Task)
-			beat.Running = append(beat.Running, wire.NewTaskRef(t.Task, t.Attempt))
+			heartbeat.Running = append(heartbeat.Running, wire.NewTaskRef(t.Task, t.Attempt))
 		}
-		beat.Reports = append(beat.Reports, &wire.TaskReport{Task: wire.NewTaskRef(t.Task, t.Attempt), Outcome: naiveOutcome(t.State), Checkpoint: t.Checkpoint})
+		heartbeat.Reports = append(heartbeat.Reports, &wire.TaskReport{Task: wire.NewTaskRef(t.Task, t.Attempt), Outcome: naiveOutcome(t.State), Checkpoint: t.Checkpoint})
 	}
 	if _, err := n.worker.Renew(ctx, epoch, until, names); fault.Is(err, workerapi.Fenced) {
 		n.hold(ctx)
 	}
 	if n.session != nil {
-		_ = n.session.Call(ctx, "/link/heartbeat", beat, &wire.HeartbeatReply{})
+		_ = n.session.Call(ctx, "/link/heartbeat", heartbeat, &wire.HeartbeatReply{})
 	}
 }
 
@@ -115,26 +116,26 @@
 	return reply, nil
 }
 
-// Guards against a checker that would pass anything: the naive agent must break
-// the rules under the faults that the agent passes, and the agent must not.
-func TestNaiveAgentIsCaught(t *testing.T) {
+// Guards against a checker that detects no violation: under the same faults the
+// naive agent must violate the guarantees and the real agent must not.
+func TestNaiveAgentViolatesGuarantees(t *testing.T) {
 	cases := []struct {
 		name   string
 		events []event
 		want   string // part of a violation
 	}{
-		{"pause past the lease", []event{{kind: "pause", name: "w1", at: 1500 * time.Millisecond, long: 20 * time.Second}}, "ran until"},
-		{"isolated past the lease", []event{{kind: "isolate", name: "w2", at: 1500 * time.Millisecond, long: 25 * time.Second}}, "ran until"},
-		{"lost replies of starts", []event{{kind: "loseReplies", name: "w1", op: "start", at: 0}, {kind: "loseReplies", name: "w2", op: "start", at: 0}, {kind: "loseReplies", name: "w3", op: "start", at: 0}}, "was refused but ran"},
-		{"domain out while cut off", []event{{kind: "domainOut", name: "w3", at: time.Second, long: 30 * time.Second}}, "after it was taken out"},
+		{"paused beyond the lease", []event{{kind: "pause", worker: "w1", at: 1500 * time.Millisecond, lasts: 20 * time.Second}}, "ran until"},
+		{"isolated beyond the lease", []event{{kind: "isolate", worker: "w2", at: 1500 * time.Millisecond, lasts: 25 * time.Second}}, "ran until"},
+		{"replies to starts are lost", []event{{kind: "loseReplies", worker: "w1", op: "start", at: 0}, {kind: "loseReplies", worker: "w2", op: "start", at: 0}, {kind: "loseReplies", worker: "w3", op: "start", at: 0}}, "was refused but ran"},
+		{"domain out of service while entry processes cannot read it", []event{{kind: "domainOut", worker: "w3", at: time.Second, lasts: 30 * time.Second}}, "after it was taken out"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			wantNone(t, play(t, c.events, 7, 0, func(*world) func(*world) { return func(*world) {} }))
-			problems := play(t, c.events, 7, 0, func(w *world) func(*world) {
-				w.variant = newNaive
-				w.platform.Naive = true
-				return func(*world) {}
+			expectNoViolations(t, runHistory(t, c.events, 7, 0, func(*simulation) func(*simulation) { return func(*simulation) {} }))
+			problems := runHistory(t, c.events, 7, 0, func(sim *simulation) func(*simulation) {
+				sim.newProcess = newNaiveAgent
+				sim.platform.Naive = true
+				return func(*simulation) {}
 			})
 			all := strings.Join(problems, "\n")
 			if !strings.Contains(all, c.want) {
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -22,104 +22,105 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Guards against leases that can never be granted again once every agent has
-// lost its own, and against agents that restart together.
+// Guards against leases that can never be granted again after all agents have lost
+// theirs at the same time: isolated, paused or restarted together.
 func TestAllLeasesLost(t *testing.T) {
-	for name, strike := range map[string]func(*world, string){
-		"isolated": func(w *world, name string) { injections["isolate"](w, event{name: name, long: 15 * time.Second}) },
-		"paused":   func(w *world, name string) { w.pauseLoop(name, 15*time.Second) },
-		"restarted": func(w *world, name string) {
-			_, g := w.current(name)
+	for name, injectFault := range map[string]func(*simulation, string){
+		"isolated": func(s *simulation, name string) { faults["isolate"](s, event{worker: name, lasts: 15 * time.Second}) },
+		"paused":   func(sim *simulation, name string) { sim.pauseProcess(name, 15*time.Second) },
+		"restarted": func(sim *simulation, name string) {
+			_, g := sim.current(name)
 			g.kill()
 			time.Sleep(15 * time.Second)
-			w.start(name)
+			sim.start(name)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantNone(t, simulate(t, 3, 0, func(w *world) {
-				w.start("w1", "w2", "w3")
+			expectNoViolations(t, simulate(t, 3, 0, func(sim *simulation) {
+				sim.start("w1", "w2", "w3")
 				time.Sleep(3 * time.Second)
 				for name := range domains {
-					go strike(w, name)
+					go injectFault(sim, name)
 				}
 				time.Sleep(16 * time.Second)
-				w.platform.Submit(0, batch(20*time.Second, 2000))
-				if !w.settle(45 * time.Second) {
-					w.t.Error("a task of 20 s is unfinished after 45 s")
+				sim.platform.Submit(0, newBatchSpec(20*time.Second, 2000))
+				if !sim.waitForBatchTasks(45 * time.Second) {
+					sim.t.Error("a task of 20 s has not ended after 45 s")
 				}
 			}))
 		})
 	}
 }
 
-// Guards against a watcher that nobody runs while the log is down, and against
-// one that runs twice when the log returns.
-func TestStandbyTakesOverWhileTheLogIsDown(t *testing.T) {
-	wantNone(t, simulate(t, 4, 0, func(w *world) {
-		watcher := batch(0, 500)
+// Guards against a watcher that stays down when its worker dies during a log
+// outage, and against one that runs twice once the log is reachable again.
+func TestStandbyRunsWhileTheLogIsDown(t *testing.T) {
+	expectNoViolations(t, simulate(t, 4, 0, func(sim *simulation) {
+		watcher := newBatchSpec(0, 500)
 		watcher.Kind = wire.TaskKind_TASK_KIND_WATCHER
 		// The first two become each other's lessor, so the lessor of the third
-		// keeps its lease when the third dies.
+		// keeps its lease when the third is killed.
 		for _, name := range []string{"w1", "w2", "w3"} {
-			w.start(name)
+			sim.start(name)
 			time.Sleep(2 * time.Second)
 		}
-		w.platform.Publish(nil, []units.WorkerID{"w1", "w2"})
+		sim.platform.Publish(nil, []units.WorkerID{"w1", "w2"})
 		time.Sleep(2 * time.Second)
-		w.platform.Submit(0, watcher)
+		sim.platform.Submit(0, watcher)
 		time.Sleep(3 * time.Second)
-		w.platform.Publish(nil, nil)
+		sim.platform.Publish(nil, nil)
 		time.Sleep(5 * time.Second)
-		_, holder := w.platform.Attempt(units.Task{Job: "job"})
+		_, holder := sim.platform.Attempt(units.Task{Job: "job"})
 		if holder != "w3" {
-			w.t.Fatalf("the watcher runs on %q, want w3", holder)
+			sim.t.Fatalf("the watcher runs on %q, want w3", holder)
 		}
-		w.platform.SetLog(false)
+		sim.platform.SetLog(false)
 		time.Sleep(3 * time.Second)
-		w.gates[holder].kill()
+		sim.processGates[holder].kill()
 		died := time.Now()
 		for time.Since(died) < 12*time.Second {
 			time.Sleep(200 * time.Millisecond)
-			for name, core := range w.cores {
+			for name, core := range sim.cores {
 				runs := core.Runs()
 				if name == holder || len(runs) == 0 {
 					continue
 				}
 				t.Logf("the standby runs %s after the holder died", runs[0].Start.Sub(died).Round(time.Millisecond))
-				w.platform.SetLog(true)
+				sim.platform.SetLog(true)
 				time.Sleep(20 * time.Second)
-				if attempt, now := w.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
-					w.t.Errorf("recorded: got attempt %d on %q, want %d on %s", attempt, now, runs[0].Attempt, name)
+				if attempt, now := sim.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
+					sim.t.Errorf("recorded: got attempt %d on %q, want %d on %s", attempt, now, runs[0].Attempt, name)
 				}
 				return
 			}
 		}
-		w.t.Error("nobody watches 12 s after the holder died")
+		sim.t.Error("no standby runs 12 s after the holder died")
 	}))
 }
 
-// alone is one agent whose messages a test sends by hand.
-func alone(t *testing.T, test func(w *world, send func(path string, message, reply Message) error)) {
-	wantNone(t, simulate(t, 5, 0, func(w *world) {
-		w.start("w1")
+// withSingleAgent runs a test with one agent and a function that sends messages to
+// it.
+func withSingleAgent(t *testing.T, test func(sim *simulation, send func(path string, message, reply Message) error)) {
+	expectNoViolations(t, simulate(t, 5, 0, func(sim *simulation) {
+		sim.start("w1")
 		time.Sleep(3 * time.Second)
-		test(w, func(path string, message, reply Message) error {
-			ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+		test(sim, func(path string, message, reply Message) error {
+			ctx, cancel := context.WithTimeout(sim.ctx, 5*time.Second)
 			defer cancel()
-			return w.network.Connect("entry", "w1", w.platform.Handler("w1")).Call(ctx, path, message, reply)
+			return sim.network.Connect("entry", "w1", sim.platform.Handler("w1")).Call(ctx, path, message, reply)
 		})
 	}))
 }
 
-func launchOf(epoch uint64, mayEvict bool, index, attempt uint32, spec *wire.TaskSpec) *wire.Launch {
+func newLaunch(epoch uint64, mayEvict bool, index, attempt uint32, spec *wire.TaskSpec) *wire.Launch {
 	return &wire.Launch{Worker: "w1", Epoch: epoch, Tasks: []*wire.LaunchTask{
 		{Task: &wire.TaskRef{Job: "x", Index: index, Attempt: attempt}, Spec: spec, MayEvict: mayEvict}}}
 }
 
-// Guards against a message that is late, repeated, reordered or meant for
-// another epoch changing an answer that was given before.
-func TestAnswersStand(t *testing.T) {
-	alone(t, func(w *world, send func(string, Message, Message) error) {
+// Guards against an answer that changes when a message arrives late, repeatedly,
+// out of order or for another epoch.
+func TestLaunchAnswersDoNotChange(t *testing.T) {
+	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
 		if err := send("/link/stop", stop, &wire.StopReply{}); err != nil {
 			t.Fatal(err)
@@ -129,14 +130,14 @@
 			launch *wire.Launch
 			want   wire.Outcome // UNSPECIFIED for no answer
 		}{
-			{"first", launchOf(1, false, 0, 2, batch(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
-			{"repeated", launchOf(1, false, 0, 2, batch(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
-			{"lower attempt", launchOf(1, false, 0, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
-			{"stopped before", launchOf(1, false, 2, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
-			{"too large", launchOf(1, false, 3, 1, batch(time.Second, 9000)), wire.Outcome_OUTCOME_REFUSED},
-			{"too large, now small", launchOf(1, false, 3, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
-			{"older epoch", launchOf(0, false, 4, 1, batch(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
-			{"negative size", launchOf(1, false, 5, 1, batch(time.Second, -1)), wire.Outcome_OUTCOME_REFUSED},
+			{"first", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
+			{"repeated", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
+			{"lower attempt", newLaunch(1, false, 0, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
+			{"stopped before its launch", newLaunch(1, false, 2, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"too large", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 9000)), wire.Outcome_OUTCOME_REFUSED},
+			{"too large, repeated with a smaller size", newLaunch(1, false, 3, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_REFUSED},
+			{"older epoch", newLaunch(0, false, 4, 1, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_UNSPECIFIED},
+			{"negative size", newLaunch(1, false, 5, 1, newBatchSpec(time.Second, -1)), wire.Outcome_OUTCOME_REFUSED},
 		}
 		check := func(when string) {
 			for _, s := range steps {
@@ -151,34 +152,34 @@
 				}
 			}
 		}
-		check("at once")
+		check("immediately")
 		time.Sleep(5 * time.Second) // the task has ended and is forgotten
-		check("later")
-		if err := send("/link/launch", launchOf(2, false, 6, 1, batch(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
+		check("after the task ended")
+		if err := send("/link/launch", newLaunch(2, false, 6, 1, newBatchSpec(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
 			t.Error("launch of a newer epoch: got an answer, want an error")
 		}
-		if got := len(w.cores["w1"].Runs()); got != 1 {
+		if got := len(sim.cores["w1"].Runs()); got != 1 {
 			t.Errorf("got %d runs, want 1", got)
 		}
 	})
 }
 
-// Guards against an eviction that is not needed or hits the wrong task, and
-// against a start before the room is free.
-func TestEvictsLowerPriority(t *testing.T) {
-	alone(t, func(w *world, send func(string, Message, Message) error) {
+// Guards against an eviction that is not needed or stops the wrong task, and
+// against a start before the resources are free.
+func TestEvictsOnlyLowerPriority(t *testing.T) {
+	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		spec := func(p wire.Priority, cores units.Millicores) *wire.TaskSpec {
-			s := batch(time.Hour, cores)
+			s := newBatchSpec(time.Hour, cores)
 			s.Priority = p
 			return s
 		}
 		// One core of eight is reserved for the service.
 		launches := []*wire.Launch{
-			launchOf(1, false, 0, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
-			launchOf(1, false, 1, 1, spec(wire.Priority_PRIORITY_LOW, 3000)),
-			launchOf(1, true, 2, 1, spec(wire.Priority_PRIORITY_HIGH, 3000)),
-			launchOf(1, true, 3, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
-			launchOf(1, false, 4, 1, spec(wire.Priority_PRIORITY_URGENT, 2000)),
+			newLaunch(1, false, 0, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
+			newLaunch(1, false, 1, 1, spec(wire.Priority_PRIORITY_LOW, 3000)),
+			newLaunch(1, true, 2, 1, spec(wire.Priority_PRIORITY_HIGH, 3000)),
+			newLaunch(1, true, 3, 1, spec(wire.Priority_PRIORITY_NORMAL, 3000)),
+			newLaunch(1, false, 4, 1, spec(wire.Priority_PRIORITY_URGENT, 2000)),
 		}
 		var got []wire.Outcome
 		for _, l := range launches {
@@ -192,7 +193,7 @@
 		if want := []wire.Outcome{started, started, started, refused, refused}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
-		for _, r := range w.cores["w1"].Runs() {
+		for _, r := range sim.cores["w1"].Runs() {
 			if evicted := r.State == workerapi.Checkpointed; evicted != (r.Task == "x/1") {
 				t.Errorf("task %s: got %s, want only x/1 checkpointed", r.Task, r.State)
 			}
@@ -200,8 +201,8 @@
 	})
 }
 
-// Guards against a lease on the worker that outlasts the agent's own, however
-// late its readings of the worker's clock arrive.
+// Guards against task leases on the worker that outlast the agent's own lease
+// because readings of the worker's clock arrive late.
 func TestWorkerClockIsNeverLate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		origin := time.Unix(5000, 0)
@@ -212,23 +213,24 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, 5e9).Draw(rt, "pause")))
 			read := workerapi.Clock(now.Sub(origin) + ahead)
 			now = now.Add(time.Duration(rapid.Int64Range(0, 2e9).Draw(rt, "delay")))
-			w.observe(read, now)
+			w.observeClock(read, now)
 			deadline := now.Add(leaseDuration)
-			if got, latest := w.clockAt(deadline), workerapi.Clock(deadline.Sub(origin)+ahead); got > latest {
+			if got, latest := w.workerClockAt(deadline), workerapi.Clock(deadline.Sub(origin)+ahead); got > latest {
 				rt.Fatalf("deadline on the worker: got %v, want at most %v", got, latest)
 			}
 		}
 	})
 }
 
-// Guards against a guard that is not connected to the worker and the endpoint.
+// Guards against a guard that does not receive the latency of the endpoint or does
+// not throttle tasks on the worker.
 func TestGuardThrottles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(t, ctx, 6, 0)
+		sim := newSimulation(t, ctx, 6, 0)
 		reports, began := int64(0), time.Now()
-		w.variant = func(w *world, name string, access workerapi.Worker, g *gate) process {
-			a := realAgent(w, name, access, g).(*Agent)
+		sim.newProcess = func(sim *simulation, name string, access workerapi.Worker, g *gate) process {
+			a := newRealAgent(sim, name, access, g).(*Agent)
 			a.Guard = &guard.Controller{}
 			a.EndpointReports = func() []*wire.EndpointReport {
 				reports++ // each report is a new measurement
@@ -240,14 +242,14 @@
 			}
 			return a
 		}
-		w.platform.EnableGuards()
-		w.start("w1")
-		go w.platform.Dispatch(ctx)
+		sim.platform.EnableGuards()
+		sim.start("w1")
+		go sim.platform.Dispatch(ctx)
 		time.Sleep(8 * time.Second)
-		w.platform.Submit(0, batch(time.Hour, 2000))
+		sim.platform.Submit(0, newBatchSpec(time.Hour, 2000))
 		throttled := false
 		for end := time.Now().Add(8 * time.Second); time.Now().Before(end) && !throttled; time.Sleep(100 * time.Millisecond) {
-			table, err := w.cores["w1"].Tasks(ctx)
+			table, err := sim.cores["w1"].Tasks(ctx)
 			throttled = err == nil && len(table.Tasks) == 1 && table.Tasks[0].Throttle < 1
 		}
 		if !throttled {
@@ -258,8 +260,8 @@
 	})
 }
 
-// Guards against a planned stop that cuts off a request in flight or leaves the
-// entry to find out by itself. It uses real sessions.
+// Guards against a planned stop that cuts off a request in flight or ends sessions
+// without notice to the entry process. It uses real sessions.
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	platform := entries.NewPlatform(1, nil)
 	sessions := make(chan *link.Session, 64)
@@ -279,7 +281,7 @@
 	go listener.Run(serving)
 	started, finish := make(chan struct{}), make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
-	a := &Agent{WorkerID: "w1", Domain: "a", LinkAddress: net.JoinHostPort("127.0.0.1", "0"), Entries: []string{address.String()},
+	a := &Agent{WorkerID: "w1", Domain: "a", LinkAddress: net.JoinHostPort("127.0.0.1", "0"), EntryAddresses: []string{address.String()},
 		Worker: &worker.Core{Name: "w1", Capacity: units.Resources{Processors: 1000}},
 		RequestHandler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			close(started)
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -20,7 +20,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// backend answers the administration API from the folds.
+// backend implements the administration API from the replayed streams.
 type backend struct{ *Entry }
 
 func (e *Entry) administrationConfig() api.Config {
@@ -29,17 +29,17 @@
 		Backend: backend{e}, Environment: e.Settings.Environment,
 		OperatorToken: e.Settings.OperatorToken, TeamTokens: e.Settings.TeamTokens,
 		Requests: limits.AdminRequests, Body: limits.AdminBody, HeaderBytes: limits.HeaderBytes, Timeout: limits.AdminTimeout,
-		Scope: e.Scope, MetricsHandler: e.Metrics,
+		Scope: e.MetricsScope, MetricsHandler: e.MetricsHandler,
 	}
 }
 
-// Ready implements administration.Backend. A process that has followed the log
-// once stays ready during an outage: requests need no log.
+// Ready implements administration.Backend. A process that has a document stays
+// ready during an outage of the log, because requests do not depend on the log.
 func (b backend) Ready(context.Context) error {
 	if b.draining.Load() {
 		return errors.New("stopping")
 	}
-	if b.document.Load() == nil {
+	if b.currentVersion.Load() == nil {
 		return errors.New("no document is in force yet")
 	}
 	return nil
@@ -61,14 +61,14 @@
 			}
 		}
 	})
-	if v := b.document.Load(); v != nil && env == b.Settings.Environment {
-		// Version 0 asks for the newest, which may have come through an agent.
+	if v := b.currentVersion.Load(); v != nil && env == b.Settings.Environment {
+		// Version 0 means the newest, which an agent may have forwarded.
 		if newer := found == nil || found.Offset < v.offset; newer && (version == 0 || version == v.offset) {
 			found = &configuration.Version{Environment: env, Offset: v.offset, Author: v.author, Document: v.raw}
 		}
 	}
-	if found == nil && b.config.Staleness(time.Now()) > reachable {
-		return administration.Document{}, errBehind()
+	if found == nil && b.config.Staleness(time.Now()) > maxLogStaleness {
+		return administration.Document{}, errLogNotRead()
 	}
 	if found == nil {
 		return administration.Document{}, administration.Errorf(administration.KindNotFound, "environment %q has no such document", env)
@@ -78,9 +78,9 @@
 	return d, nil
 }
 
-// errBehind is the answer for what this process does not hold while it does not
-// follow the log: another process may hold it.
-func errBehind() error {
+// errLogNotRead is the error for a document or job that this process does not have
+// while it has not read the log to its tail. Another process may have it.
+func errLogNotRead() error {
 	return administration.Unavailable(administration.OutcomeNotRun, errors.New("the log has not been read to its tail"))
 }
 
@@ -126,22 +126,23 @@
 	}
 	b.jobs.View(func(l *ledger.Ledger) {
 		for _, name := range l.Teams() {
-			running[name] = usedBy(l, name)
+			running[name] = teamUsage(l, name)
 		}
 	})
 	return running, nil
 }
 
-// usedBy adds up what the team's open attempts of every priority commit.
-func usedBy(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
+// teamUsage returns the resources committed to the team's open attempts of all
+// priorities.
+func teamUsage(l *ledger.Ledger, name units.TeamName) (sum units.Resources) {
 	for _, used := range l.TeamUsage(name) {
 		sum = sum.Add(used)
 	}
 	return sum
 }
 
-// jobID derives the id from the team and the key, so that a repeated submission
-// names the same job.
+// jobID derives the job ID from the team and the idempotency key, so that a
+// repeated submission refers to the same job.
 func jobID(team units.TeamName, key string) units.JobID {
 	sum := sha256.Sum256([]byte(string(team) + "\x00" + key))
 	return units.JobID("job-" + hex.EncodeToString(sum[:10]))
@@ -161,15 +162,16 @@
 			JobKind: string(s.Kind), Size: wire.FromResources(s.Size), RunMilliseconds: s.RunTime.Milliseconds(),
 		},
 	})
-	if err := b.append(ctx, entry); err != nil {
+	if err := b.appendToJobs(ctx, entry); err != nil {
 		return administration.Job{}, err
 	}
 	b.event("job", "submitted", string(id), fmt.Sprintf("%d tasks for %s", s.Tasks, s.Team), "")
 	return b.Job(ctx, id)
 }
 
-// append records an entry of the jobs stream and waits until it is folded.
-func (b backend) append(ctx context.Context, entry []byte) error {
+// appendToJobs appends an entry to the jobs stream and waits until it has been
+// applied to the ledger.
+func (b backend) appendToJobs(ctx context.Context, entry []byte) error {
 	offset, err := b.writers.jobs.Append(ctx, entry)
 	if err == nil {
 		err = b.jobs.Wait(ctx, offset)
@@ -190,7 +192,7 @@
 		return job, err
 	}
 	if job.State == "pending" || job.State == "running" {
-		if err := b.append(ctx, ledger.EncodeCancelled(id, reason)); err != nil {
+		if err := b.appendToJobs(ctx, ledger.EncodeCancelled(id, reason)); err != nil {
 			return administration.Job{}, err
 		}
 		b.event("job", "cancelled", string(id), reason, "")
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -10,13 +10,14 @@
 	"wasabihill.example/wasabihill/pkg/administration"
 )
 
-// Guards against an entry process that started while the log is down and says
-// of a document or a job that it does not exist. The acceptance run got "the
-// environment has no document" for a job that was valid.
-func TestUnknownIsNotSaidBeforeTheLogIsRead(t *testing.T) {
+// Guards against an entry process that starts while the log is down and answers
+// that a document or job does not exist, instead of that it is unavailable. In an
+// acceptance run a valid job was rejected because "the environment has no
+// document".
+func TestNotFoundOnlyAfterTheLogIsRead(t *testing.T) {
 	e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 	e.prepare()
-	ask := func(want administration.Kind) {
+	expectKind := func(want administration.Kind) {
 		t.Helper()
 		_, documentErr := backend{e}.Document(t.Context(), "production", 0)
 		_, jobErr := backend{e}.Job(t.Context(), "job-1")
@@ -26,15 +27,15 @@
 			}
 		}
 	}
-	ask(administration.KindUnavailable)
+	expectKind(administration.KindUnavailable)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
 	go func() { _ = e.config.Run(ctx); done <- struct{}{} }()
 	go func() { _ = e.jobs.Run(ctx); done <- struct{}{} }()
-	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && max(e.config.Staleness(time.Now()), e.jobs.Staleness(time.Now())) > reachable; {
+	for limit := time.Now().Add(30 * time.Second); time.Now().Before(limit) && max(e.config.Staleness(time.Now()), e.jobs.Staleness(time.Now())) > maxLogStaleness; {
 		time.Sleep(10 * time.Millisecond)
 	}
-	ask(administration.KindNotFound)
+	expectKind(administration.KindNotFound)
 	cancel()
 	<-done
 	<-done
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -16,64 +16,65 @@
 )
 
 const (
-	tickEvery     = 50 * time.Millisecond
-	announceEvery = 5 * time.Second
-	// proposalWait is how long a proposed entry is given to appear in the fold
-	// before it is proposed again; a group commit takes well under a second
-	// while the log answers.
-	proposalWait = 2 * time.Second
-	// heardWithin is the age of a heartbeat up to which a worker gets new tasks:
-	// two missed heartbeats of 500 ms and one late one.
-	heardWithin = 2 * time.Second
+	tickInterval     = 50 * time.Millisecond
+	announceInterval = 5 * time.Second
+	// proposalRetryDelay is the time after which a proposed entry that has not been
+	// applied is proposed again. A group commit takes well under a second while
+	// the log is reachable.
+	proposalRetryDelay = 2 * time.Second
+	// maxHeartbeatAge is the age of the last heartbeat up to which a worker is
+	// reachable and gets new tasks. It covers two missed heartbeats of 500 ms and
+	// a late one.
+	maxHeartbeatAge = 2 * time.Second
 )
 
-// workerRow is what this process knows of a worker from heartbeats.
-type workerRow struct {
-	id      units.WorkerID
-	session *link.Session
-	beat    *wire.Heartbeat // the newest
-	heard   time.Time
-	// running holds the attempts of the newest full list; valid for epoch
+// workerState is the state of a worker from its heartbeats.
+type workerState struct {
+	id              units.WorkerID
+	session         *link.Session
+	heartbeat       *wire.Heartbeat // the newest
+	lastHeartbeatAt time.Time
+	// runningAttempts has the attempts of the newest full list. It is valid for
 	// runningEpoch only.
-	running      map[units.Task]units.Attempt
-	runningEpoch units.Epoch
-	runningAt    time.Time // when that list arrived
-	silent       bool      // already reported as silent
-	launching    time.Time // until when a launch or stop call may be on its way
-	retryAt      time.Time
-	listed       *owners // whose list of entry processes the agent has, and since when
-	listedAt     time.Time
+	runningAttempts   map[units.Task]units.Attempt
+	runningEpoch      units.Epoch
+	runningListedAt   time.Time // when that list arrived
+	reportedSilent    bool      // the silent event has been recorded
+	callInFlightUntil time.Time // a launch or stop call may be in flight until then
+	retryAt           time.Time
+	sentEntryList     *ownership // ownership whose entry processes were listed to the agent last
+	sentEntryListAt   time.Time
 }
 
-func (w *workerRow) holder() ledger.WorkerEpoch {
-	return ledger.WorkerEpoch{Worker: w.id, Epoch: units.Epoch(w.beat.GetEpoch())}
+func (w *workerState) holder() ledger.WorkerEpoch {
+	return ledger.WorkerEpoch{Worker: w.id, Epoch: units.Epoch(w.heartbeat.GetEpoch())}
 }
 
-func (w *workerRow) reachable(now time.Time) bool {
-	return w.session != nil && now.Sub(w.heard) < heardWithin
+func (w *workerState) reachable(now time.Time) bool {
+	return w.session != nil && now.Sub(w.lastHeartbeatAt) < maxHeartbeatAge
 }
 
-// control is the state of the control loop. One goroutine owns it.
+// control is the state of the control loop. Only its goroutine accesses it.
 type control struct {
 	*Entry
-	workers      map[units.WorkerID]*workerRow
-	liveness     roster.EntryLiveness
-	live         []roster.Entry
-	membersOut   outbox
-	jobsOut      outbox
-	announceAt   time.Time                        // next announcement
-	watchersAt   time.Time                        // next comparison of the document's watchers with the ledger
-	chain        map[roster.WorkerEpoch]time.Time // workers whose lessor has ended, since when that is known
-	asking       map[roster.WorkerEpoch]time.Time // epochs that wait for a registration or a lessor, since when
-	unknown      map[units.JobID]time.Time        // jobs in reports that the ledger does not hold, first seen
-	missing      map[attemptKey]missingAttempt    // attempts that newest full lists do not hold
-	reconcileAt  time.Time                        // next comparison of full lists with the ledger
-	registered   map[units.WorkerID]roster.Worker // as of registeredAt in the members stream
-	registeredAt units.Offset
-	chainAt      time.Time // next look for workers whose lessor has ended
-	planner      planner
-	counters     controlCounters
-	logUp        bool
+	workers                 map[units.WorkerID]*workerState
+	liveness                roster.EntryLiveness
+	liveEntries             []roster.Entry
+	membersOutbox           outbox
+	jobsOutbox              outbox
+	nextAnnounceAt          time.Time                        // of this process
+	nextWatcherCheckAt      time.Time                        // comparison of the document's watchers with the ledger
+	lessorEndedSince        map[roster.WorkerEpoch]time.Time // time since when the lessor of a worker has been seen to have ended
+	requestedSince          map[roster.WorkerEpoch]time.Time // time of the first request of an epoch for a registration or a lessor
+	unknownJobSince         map[units.JobID]time.Time        // time of the first report about a job that the ledger does not have
+	missingAttempts         map[attemptKey]missingAttempt    // attempts that the newest full lists do not contain
+	nextReconcileAt         time.Time                        // comparison of full lists with the ledger
+	registeredWorkers       map[units.WorkerID]roster.Worker // as of registeredWorkersOffset in the members stream
+	registeredWorkersOffset units.Offset
+	nextLessorCheckAt       time.Time // search for workers whose lessor has ended
+	planner                 planner
+	counters                controlCounters
+	logWasReachable         bool
 }
 
 type controlCounters struct {
@@ -82,17 +83,17 @@
 }
 
 func newControl(e *Entry) *control {
-	s := e.Scope.SubScope("entry")
+	s := e.MetricsScope.SubScope("entry")
 	return &control{
-		Entry:      e,
-		workers:    make(map[units.WorkerID]*workerRow),
-		membersOut: newOutbox(e.writers.members),
-		jobsOut:    newOutbox(e.writers.jobs),
-		chain:      make(map[roster.WorkerEpoch]time.Time),
-		asking:     make(map[roster.WorkerEpoch]time.Time),
-		unknown:    make(map[units.JobID]time.Time),
-		planner:    newPlanner(),
-		logUp:      true,
+		Entry:            e,
+		workers:          make(map[units.WorkerID]*workerState),
+		membersOutbox:    newOutbox(e.writers.members),
+		jobsOutbox:       newOutbox(e.writers.jobs),
+		lessorEndedSince: make(map[roster.WorkerEpoch]time.Time),
+		requestedSince:   make(map[roster.WorkerEpoch]time.Time),
+		unknownJobSince:  make(map[units.JobID]time.Time),
+		planner:          newPlanner(),
+		logWasReachable:  true,
 		counters: controlCounters{
 			heartbeats: s.Counter("heartbeats"), proposals: s.Counter("proposals"),
 			launches: s.Counter("launches"), rejections: s.Counter("launch_rejections"),
@@ -102,15 +103,15 @@
 	}
 }
 
-// run owns the control state until ctx ends.
+// run runs the control loop until ctx ends.
 func (c *control) run(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case call := <-c.calls:
+		case call := <-c.loopCalls:
 			call(c)
 		case <-ticker.C:
 			c.tick(ctx, time.Now())
@@ -118,79 +119,82 @@
 	}
 }
 
-// systems run in this order each tick: what is known first, then what follows
-// from it.
-var systems = []struct {
+// tickSteps holds the steps of a tick in their order: the state is updated first,
+// then the actions that follow from it are taken.
+var tickSteps = []struct {
 	name string
 	run  func(*control, time.Time)
 }{
 	{"membership", (*control).updateMembership},
 	{"document", (*control).updateDocument},
 	{"silence", (*control).findSilentWorkers},
-	{"expiry", (*control).expireChains},
+	{"expiry", (*control).expireLesseesOfEndedLessors},
 	{"release", (*control).releaseEndedEpochs},
 	{"reconcile", (*control).reconcile},
 	{"watchers", (*control).reconcileWatchers},
-	{"placement", (*control).place},
-	{"launch", (*control).launch},
+	{"placement", (*control).placeTasks},
+	{"launch", (*control).launchTasks},
 }
 
+// tick runs the steps of the control loop and appends the proposed entries.
 func (c *control) tick(ctx context.Context, now time.Time) {
 	if c.config.Applied() == 0 && c.config.Staleness(now) > time.Hour {
 		return // nothing has been read yet
 	}
-	for _, s := range systems {
+	for _, s := range tickSteps {
 		s.run(c, now)
 	}
-	c.membersOut.flush(ctx)
-	c.jobsOut.flush(ctx)
+	c.membersOutbox.flush(ctx)
+	c.jobsOutbox.flush(ctx)
 	c.counters.workers.Update(float64(len(c.workers)))
-	c.reportLog(now)
+	c.recordLogState(now)
 }
 
-// reportLog records each change between a reachable and an unreachable log.
-func (c *control) reportLog(now time.Time) {
-	up := c.logReachable(now)
-	if up == c.logUp {
+// recordLogState records an event when the log becomes reachable or unreachable.
+func (c *control) recordLogState(now time.Time) {
+	reachable := c.logReachable(now)
+	if reachable == c.logWasReachable {
 		return
 	}
-	c.logUp = up
-	kind, text := "logUnreachable", "no batch task starts until the log answers; requests and running tasks go on"
-	if up {
-		kind, text = "logReachable", "the log answers again"
+	c.logWasReachable = reachable
+	kind, text := "logUnreachable", "no batch task starts until the log is reachable again; requests and running tasks continue"
+	if reachable {
+		kind, text = "logReachable", "the log is reachable again"
 	}
-	klog.InfoS("log service changed state", "reachable", up)
+	klog.InfoS("log service changed state", "reachable", reachable)
 	c.event("log", kind, c.config.Stream, text, "")
 }
 
-// updateMembership announces this process and follows which others are alive.
+// updateMembership announces this process and updates which entry processes are
+// alive.
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
-		c.live = c.liveness.LiveEntries(r, now)
+		c.liveEntries = c.liveness.LiveEntries(r, now)
 	})
-	ids := make([]units.EntryID, 0, len(c.live)+1)
-	for _, l := range c.live {
+	ids := make([]units.EntryID, 0, len(c.liveEntries)+1)
+	for _, l := range c.liveEntries {
 		ids = append(ids, l.ID)
 	}
 	if !slices.Contains(ids, c.Settings.ID) {
 		ids = append(ids, c.Settings.ID)
 		slices.Sort(ids)
 	}
-	if current := c.owners.Load(); !slices.Equal(current.live, ids) {
-		c.owners.Store(newOwners(c.Settings.ID, ids))
+	if current := c.ownership.Load(); !slices.Equal(current.live, ids) {
+		c.ownership.Store(newOwnership(c.Settings.ID, ids))
 		klog.InfoS("entry processes changed", "live", ids)
 		c.event("entry", "members", string(c.Settings.ID), joinIDs(ids), "")
 	}
-	if !now.Before(c.announceAt) && !c.draining.Load() {
-		c.announceAt = now.Add(announceEvery)
-		c.membersOut.add("announce", now, roster.EncodeEntryAnnounced(roster.Entry{
+	if !now.Before(c.nextAnnounceAt) && !c.draining.Load() {
+		c.nextAnnounceAt = now.Add(announceInterval)
+		c.membersOutbox.add("announce", now, roster.EncodeEntryAnnounced(roster.Entry{
 			ID: c.Settings.ID, LinkAddress: c.Settings.AdvertisedLinkAddress.String(),
 			Domain: c.Settings.FailureDomain, Region: c.Settings.Region,
 		}))
 	}
 }
 
+// joinIDs returns the IDs separated by commas.
 func joinIDs(ids []units.EntryID) string {
 	text := ""
 	for i, id := range ids {
@@ -202,20 +206,20 @@
 	return text
 }
 
-// findSilentWorkers reports workers whose heartbeats stopped and forgets those
-// that have been silent for long.
+// findSilentWorkers records an event for each worker whose heartbeats have stopped
+// and removes workers that have been silent for silentWorkerRetention.
 func (c *control) findSilentWorkers(now time.Time) {
 	for id, w := range c.workers {
-		switch age := now.Sub(w.heard); {
-		case age > forgetSilentAfter:
+		switch age := now.Sub(w.lastHeartbeatAt); {
+		case age > silentWorkerRetention:
 			delete(c.workers, id)
-			c.descriptions.forget(id)
-		case age > heardWithin && !w.silent:
-			w.silent = true
-			c.event("worker", "silent", string(id), "no heartbeat for "+heardWithin.String(), "")
+			c.descriptions.remove(id)
+		case age > maxHeartbeatAge && !w.reportedSilent:
+			w.reportedSilent = true
+			c.event("worker", "silent", string(id), "no heartbeat for "+maxHeartbeatAge.String(), "")
 		}
 	}
 }
 
-// forgetSilentAfter bounds the table when worker ids are never used again.
-const forgetSilentAfter = 10 * time.Minute
+// silentWorkerRetention bounds the table of workers if worker IDs are not reused.
+const silentWorkerRetention = 10 * time.Minute
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry is the entry process: it answers callers, teams and operators,
-// follows the log, and dispatches tasks to agents.
+// Package entry implements the entry process. It answers callers, teams and
+// operators, follows the log, and dispatches tasks to agents.
 //
-// Read run.go for what runs, control.go for the state and its tick, then one
-// file for each thing the control loop does: heartbeat.go, registration.go,
-// reports.go, placement.go, launches.go, releases.go, reconcile.go, watchers.go.
-// backend.go, views.go and events.go answer the administration API.
+// The file run.go starts and stops the parts of the process, and control.go has
+// the state and the tick of the control loop. The steps of the control loop are in
+// heartbeat.go, registration.go, reports.go, placement.go, launches.go,
+// releases.go, reconcile.go and watchers.go. The administration API is implemented
+// in backend.go, views.go and events.go.
 package entry
 
 import (
@@ -33,7 +34,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind tells failures of the entry process apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of Error.
@@ -45,56 +46,58 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Requests is the path of callers' requests as the entry process needs it.
-type Requests interface {
-	// Server returns the server of the callers' listener.
+// RequestServer serves the requests of callers.
+type RequestServer interface {
+	// Server returns the HTTP server for the callers' listener.
 	Server() *http.Server
-	// Run watches this process for stalls until ctx ends.
+	// Run monitors this process for stalls until ctx ends.
 	Run(ctx context.Context) error
-	// Observe takes over an agent's view of its endpoints.
-	Observe(worker units.WorkerID, session *link.Session, beat Beat)
-	// Update takes over a new document.
-	Update(d *environment.Document)
-	// Shutdown turns readiness off, serves for notice, and then stops server
-	// without cutting off a request.
+	// ObserveHeartbeat updates the endpoints of an agent from its heartbeat.
+	ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat ReceivedHeartbeat)
+	// SetDocument applies a new document.
+	SetDocument(d *environment.Document)
+	// Shutdown turns readiness off, continues to serve for the duration notice,
+	// and then stops server after its requests have been answered.
 	Shutdown(ctx context.Context, server *http.Server, notice time.Duration)
 }
 
-// Entry is the entry process. Set the exported fields before Run.
+// Entry is one entry process. Set the exported fields before Run.
 type Entry struct {
-	Settings *settings.Entry
-	Log      logservice.Service
-	Requests func(e *Entry) Requests // builds the request path; nil serves no callers
-	Scope    tally.Scope             // nil for none
-	Metrics  http.Handler            // serves /metrics; nil for none
-	// DrainFor is how long readiness is off before listeners close on a planned
-	// stop, so that the platform's balancer stops choosing this process first.
-	DrainFor time.Duration
-
-	prepared     sync.Once
-	runID        string
-	recorder     *timeline.Recorder
-	collector    *timeline.Collector
-	causes       timeline.LatestEvents
-	config       *stream.Follower[*configuration.State]
-	members      *stream.Follower[*roster.Roster]
-	jobs         *stream.Follower[*ledger.Ledger]
-	writers      struct{ config, members, jobs *stream.Writer }
-	publisher    *configuration.Publisher
-	agents       *link.Listener
-	requests     Requests
-	calls        chan func(*control)
-	document     atomic.Pointer[version]
-	refresh      sync.Mutex   // of examined, unreadable, and of putting a document in force
-	examined     units.Offset // newest version that has been looked at
-	unreadable   units.Offset // newest version that did not pass the check of this program
-	owners       atomic.Pointer[owners]
-	draining     atomic.Bool
-	descriptions descriptions
+	Settings         *settings.Entry
+	Log              logservice.Service
+	NewRequestServer func(e *Entry) RequestServer // nil means that callers' requests are answered with 404
+	MetricsScope     tally.Scope                  // nil for none
+	MetricsHandler   http.Handler                 // serves /metrics; nil for none
+	// DrainDelay is the time between the end of readiness and the closing of the
+	// listeners during a planned stop. It lets the platform's load balancer stop
+	// sending requests to this process first.
+	DrainDelay time.Duration
+
+	prepareOnce    sync.Once
+	runID          string
+	recorder       *timeline.Recorder
+	collector      *timeline.Collector
+	causes         timeline.LatestEvents
+	config         *stream.Follower[*configuration.State]
+	members        *stream.Follower[*roster.Roster]
+	jobs           *stream.Follower[*ledger.Ledger]
+	writers        struct{ config, members, jobs *stream.Writer }
+	publisher      *configuration.Publisher
+	agentListener  *link.Listener
+	requestServer  RequestServer
+	loopCalls      chan func(*control)
+	currentVersion atomic.Pointer[documentVersion]
+	documentMu     sync.Mutex   // guards examinedOffset and rejectedOffset, and serializes changes of currentVersion
+	examinedOffset units.Offset // newest version that has been examined
+	rejectedOffset units.Offset // newest version that could not be parsed
+	ownership      atomic.Pointer[ownership]
+	draining       atomic.Bool
+	descriptions   descriptions
 }
 
-// version is the document in force with the offset that numbers it.
-type version struct {
+// documentVersion is a version of the document. Its offset in the config stream is
+// the version number.
+type documentVersion struct {
 	offset   units.Offset
 	author   string
 	raw      []byte
@@ -102,36 +105,38 @@
 }
 
 const (
-	// drainFor covers two heartbeats and a balancer that checks every second.
-	drainFor = 3 * time.Second
-	// stopWithin bounds a planned stop when a request never ends.
-	stopWithin = 30 * time.Second
-	// jobsWindow spaces the appends of one process: 12 of them at 50 ms make
-	// 240 appends a second, within the several hundred that the log takes. At
-	// 20 ms they reach its limit, and p99 of an append grows from 60 to 105 ms.
-	jobsWindow = 50 * time.Millisecond
-	// reachable is the staleness up to which the log counts as reachable; a
-	// read at the tail returns at least every ReadWait.
-	reachable = 3 * time.Second
+	// defaultDrainDelay covers two heartbeats and a load balancer that checks
+	// readiness every second.
+	defaultDrainDelay = 3 * time.Second
+	// shutdownTimeout bounds a planned stop if a request does not end.
+	shutdownTimeout = 30 * time.Second
+	// jobsAppendWindow is the least time between two appends of one process. Twelve
+	// processes at 50 ms make 240 appends per second, within the several hundred
+	// that the log accepts. At 20 ms they reach its limit, and the p99 latency of an
+	// append grows from 60 to 105 ms.
+	jobsAppendWindow = 50 * time.Millisecond
+	// maxLogStaleness is the staleness up to which the log counts as reachable. A
+	// read at the tail returns at least once every ReadWait.
+	maxLogStaleness = 3 * time.Second
 )
 
-// prepare builds the parts once; Run calls it.
-func (e *Entry) prepare() { e.prepared.Do(e.build) }
+// prepare builds the parts of the process once. Run calls it.
+func (e *Entry) prepare() { e.prepareOnce.Do(e.build) }
 
 func (e *Entry) build() {
 	var id [6]byte
 	_, _ = rand.Read(id[:])
 	e.runID = string(e.Settings.ID) + "-" + hex.EncodeToString(id[:])
-	if e.Scope == nil {
-		e.Scope = tally.NoopScope
+	if e.MetricsScope == nil {
+		e.MetricsScope = tally.NoopScope
 	}
-	if e.DrainFor == 0 {
-		e.DrainFor = drainFor
+	if e.DrainDelay == 0 {
+		e.DrainDelay = defaultDrainDelay
 	}
 	e.recorder = timeline.NewRecorder(e.runID, e.Settings.Limits.TimelineEvents, time.Now)
 	e.collector = timeline.NewCollector(e.Settings.Limits.TimelineEvents)
-	e.calls = make(chan func(*control), 256)
-	e.owners.Store(newOwners(e.Settings.ID, nil))
+	e.loopCalls = make(chan func(*control), 256)
+	e.ownership.Store(newOwnership(e.Settings.ID, nil))
 
 	env := string(e.Settings.Environment)
 	e.config = &stream.Follower[*configuration.State]{Log: e.Log, Stream: configuration.Stream, State: &configuration.State{}, Decode: configuration.DecodePayload}
@@ -139,28 +144,28 @@
 	e.jobs = &stream.Follower[*ledger.Ledger]{Log: e.Log, Stream: "jobs." + env, State: ledger.New()}
 	e.writers.config = &stream.Writer{Log: e.Log, Stream: configuration.Stream, ID: e.runID} // snapshots only
 	e.writers.members = &stream.Writer{Log: e.Log, Stream: e.members.Stream, ID: e.runID}
-	e.writers.jobs = &stream.Writer{Log: e.Log, Stream: e.jobs.Stream, ID: e.runID, Window: jobsWindow}
+	e.writers.jobs = &stream.Writer{Log: e.Log, Stream: e.jobs.Stream, ID: e.runID, Window: jobsAppendWindow}
 	e.publisher = &configuration.Publisher{Log: e.Log, Follower: e.config, Check: checkDocument}
-	e.agents = &link.Listener{Address: e.Settings.LinkAddress.String(), Handler: e.linkHandler()}
+	e.agentListener = &link.Listener{Address: e.Settings.LinkAddress.String(), Handler: e.linkHandler()}
 }
 
-// Document returns the document in force and its offset, or nil and 0.
+// Document returns the current document and its offset, or nil and 0 without one.
 func (e *Entry) Document() (*environment.Document, units.Offset) {
-	v := e.document.Load()
+	v := e.currentVersion.Load()
 	if v == nil {
 		return nil, 0
 	}
 	return v.document, v.offset
 }
 
-// logReachable reports whether the tails of the config and members streams were
-// read recently.
+// logReachable reports whether the tails of the config and members streams have
+// been read within maxLogStaleness.
 func (e *Entry) logReachable(now time.Time) bool {
-	return max(e.config.Staleness(now), e.members.Staleness(now)) < reachable
+	return max(e.config.Staleness(now), e.members.Staleness(now)) < maxLogStaleness
 }
 
-// event records an event of this process. Without a cause it names the newest
-// known event about the same subject, of whichever process.
+// event records an event of this process. If cause is empty, the cause is the
+// newest event about the same subject that any process has reported.
 func (e *Entry) event(lane, kind, subject, text, cause string) {
 	if cause == "" {
 		cause = e.causes.Get(subject)
@@ -168,8 +173,8 @@
 	e.causes.Set(subject, e.recorder.Record(lane, kind, subject, text, cause))
 }
 
-// collect keeps events of other processes.
-func (e *Entry) collect(events []*wire.Event) {
+// collectEvents stores events of other processes.
+func (e *Entry) collectEvents(events []*wire.Event) {
 	received := timeline.FromWire(events)
 	e.collector.Add(received...)
 	for _, event := range received {
@@ -177,12 +182,12 @@
 	}
 }
 
-// do runs fn on the control goroutine and waits for it.
-func (e *Entry) do(ctx context.Context, fn func(*control)) error {
+// runOnLoop runs fn on the control loop and waits until it has returned.
+func (e *Entry) runOnLoop(ctx context.Context, fn func(*control)) error {
 	done := make(chan struct{})
 	call := func(c *control) { fn(c); close(done) }
 	select {
-	case e.calls <- call:
+	case e.loopCalls <- call:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -194,9 +199,9 @@
 	}
 }
 
-// LinkAddr returns the bound address of the agents' listener after Run has
-// started; tests use port 0.
-func (e *Entry) LinkAddr() (net.Addr, error) { return e.agents.Listen() }
+// LinkAddr returns the bound address of the agents' listener. Tests listen on
+// port 0.
+func (e *Entry) LinkAddr() (net.Addr, error) { return e.agentListener.Listen() }
 
 func checkDocument(raw []byte) error {
 	_, err := environment.Parse("document", raw)
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -10,28 +10,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Beat is a heartbeat with the local time of its arrival.
-type Beat struct {
-	Message *wire.Heartbeat
-	At      time.Time
+// ReceivedHeartbeat is a heartbeat and the local time at which it was received.
+type ReceivedHeartbeat struct {
+	Message    *wire.Heartbeat
+	ReceivedAt time.Time
 }
 
-// heartbeat answers POST /link/heartbeat.
-func (e *Entry) heartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
+// serveHeartbeat answers POST /link/heartbeat.
+func (e *Entry) serveHeartbeat(ctx context.Context, m *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 	now := time.Now()
 	e.recorder.UpdateClock(m.GetClock())
-	e.collect(m.GetEvents())
+	e.collectEvents(m.GetEvents())
 	session := link.SessionFromContext(ctx)
-	e.descriptions.complete(m, session)
-	if e.requests != nil && session != nil {
-		e.requests.Observe(units.WorkerID(m.GetWorker()), session, Beat{Message: m, At: now})
+	e.descriptions.fillOmitted(m, session)
+	if e.requestServer != nil && session != nil {
+		e.requestServer.ObserveHeartbeat(units.WorkerID(m.GetWorker()), session, ReceivedHeartbeat{Message: m, ReceivedAt: now})
 	}
 	reply := &wire.HeartbeatReply{Entry: string(e.Settings.ID)}
-	if err := e.do(ctx, func(c *control) { c.observe(m, session, now); c.answer(m, reply, now) }); err != nil {
+	if err := e.runOnLoop(ctx, func(c *control) { c.applyHeartbeat(m, session, now); c.fillReply(m, reply, now) }); err != nil {
 		return nil, err
 	}
-	reply.WantConfig = e.adoptDocument(m)
-	e.describeConfig(units.Offset(m.GetConfigOffset()), reply)
+	reply.WantConfig = e.acceptDocument(m)
+	e.fillConfig(units.Offset(m.GetConfigOffset()), reply)
 	if len(m.GetEvents()) > 0 {
 		reply.EventsAcknowledged = e.collector.LastSequence(m.GetProcess())
 	}
@@ -39,60 +39,61 @@
 	return reply, nil
 }
 
-// observe takes over what the heartbeat says.
-func (c *control) observe(m *wire.Heartbeat, session *link.Session, now time.Time) {
+// applyHeartbeat updates the state of the worker from its heartbeat and proposes
+// what the heartbeat requests or reports.
+func (c *control) applyHeartbeat(m *wire.Heartbeat, session *link.Session, now time.Time) {
 	c.counters.heartbeats.Inc(1)
 	id := units.WorkerID(m.GetWorker())
 	w := c.workers[id]
 	if w == nil {
-		w = &workerRow{id: id}
+		w = &workerState{id: id}
 		c.workers[id] = w
 		c.event("worker", "connected", string(id), m.GetFailureDomain(), "")
-	} else if m.GetEpoch() < w.beat.GetEpoch() {
-		return // from an agent that has been replaced
+	} else if m.GetEpoch() < w.heartbeat.GetEpoch() {
+		return // sent by an agent that has been replaced
 	}
-	if w.silent {
-		w.silent = false
+	if w.reportedSilent {
+		w.reportedSilent = false
 		c.event("worker", "heardAgain", string(id), "", "")
 	}
-	w.beat, w.session, w.heard = m, session, now
+	w.heartbeat, w.session, w.lastHeartbeatAt = m, session, now
 	if m.GetRunningFull() {
-		w.running = make(map[units.Task]units.Attempt, len(m.GetRunning()))
+		w.runningAttempts = make(map[units.Task]units.Attempt, len(m.GetRunning()))
 		for _, r := range m.GetRunning() {
-			w.running[r.Task()] = units.Attempt(r.GetAttempt())
+			w.runningAttempts[r.Task()] = units.Attempt(r.GetAttempt())
 		}
-		w.runningEpoch, w.runningAt = units.Epoch(m.GetEpoch()), now
+		w.runningEpoch, w.runningListedAt = units.Epoch(m.GetEpoch()), now
 	}
-	c.planner.observe(w)
+	c.planner.recordInterference(w)
 	c.register(w, now)
-	c.acceptReports(w, now)
-	c.acceptExpiries(w, now)
+	c.proposeReports(w, now)
+	c.proposeExpiries(w, now)
 }
 
-// answer fills in what the agent has to know.
-func (c *control) answer(m *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) {
+// fillReply sets the fields of the reply that depend on the control state.
+func (c *control) fillReply(m *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) {
 	id := units.WorkerID(m.GetWorker())
 	w := c.workers[id]
-	if c.listsEntries(w, m, now) {
-		for _, l := range c.live {
+	if c.shouldListEntries(w, m, now) {
+		for _, l := range c.liveEntries {
 			reply.Entries = append(reply.Entries, &wire.EntryAddress{Entry: string(l.ID), Address: l.LinkAddress})
 		}
 	}
 	c.members.View(func(r *roster.Roster) {
-		c.answerRegistration(r, id, m, reply)
+		c.fillRegistration(r, id, m, reply)
 		for _, x := range m.GetExpiries() {
-			if settled(r, x) {
+			if expirySettled(r, x) {
 				reply.ExpiriesAcknowledged = append(reply.ExpiriesAcknowledged, x)
 			}
 		}
 	})
-	c.answerReports(m, reply)
-	reply.WantRunning = w != nil && m.GetEpoch() > 0 && w.needsList(units.Epoch(m.GetEpoch()), now)
+	c.acknowledgeReports(m, reply)
+	reply.WantRunning = w != nil && m.GetEpoch() > 0 && w.needsRunningList(units.Epoch(m.GetEpoch()), now)
 }
 
-// answerRegistration tells the agent its registration, its lessor, its lessees
-// and the watchers that it stands by for.
-func (c *control) answerRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
+// fillRegistration sets the registration of the worker, its lessor, its lessees, and
+// the watchers of the lessees, for which it holds standbys.
+func (c *control) fillRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	epoch := units.Epoch(m.GetEpoch())
 	w, ok := r.Worker(id)
 	if !ok {
@@ -104,7 +105,7 @@
 		return
 	}
 	reply.LeaseTerm = uint64(w.Term)
-	reply.LessorAvailable = betterLessor(r, w)
+	reply.LessorAvailable = betterLessorAvailable(r, w)
 	if uint64(w.Term) != m.GetLeaseTerm() {
 		// The agent reads these only when it begins the term.
 		reply.Lessor, reply.LessorEpoch = string(w.Lessor.Worker), uint64(w.Lessor.Epoch)
@@ -116,15 +117,15 @@
 		reply.Lessees = append(reply.Lessees, &wire.Lessee{
 			Worker: string(name), Epoch: uint64(lessee.Epoch), Term: uint64(lessee.Term),
 		})
-		reply.Standbys = append(reply.Standbys, c.standbysFor(lessee.WorkerEpoch())...)
+		reply.Standbys = append(reply.Standbys, c.standbysOf(lessee.WorkerEpoch())...)
 	}
 }
 
-// betterLessor reports whether the worker should ask for another lessor. Workers
-// that register at the same time find none yet, or each other: of such a pair
-// neither can take over the other's watchers in a log outage, because its own
-// lease ends with the other. One of the two changes.
-func betterLessor(r *roster.Roster, w roster.Worker) bool {
+// betterLessorAvailable reports whether the worker should request another lessor.
+// Workers that register at the same time get no lessor or become each other's. In
+// such a pair neither can run the other's watchers in a log outage, because both
+// leases end together. One of the two then changes its lessor.
+func betterLessorAvailable(r *roster.Roster, w roster.Worker) bool {
 	place := roster.Location{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	if w.Lessor == (roster.WorkerEpoch{}) {
 		_, ok := r.ChooseLessor(w.ID, place, nil)
@@ -137,8 +138,8 @@
 	return w.ID < lessor.ID || !hasOtherLessor(r, lessor, w)
 }
 
-// hasOtherLessor reports whether a worker other than its present lessor could
-// be its lessor without making another such pair.
+// hasOtherLessor reports whether a worker other than the present lessor can be the
+// lessor of w without forming another such pair.
 func hasOtherLessor(r *roster.Roster, w, lessor roster.Worker) bool {
 	place := roster.Location{Domain: w.Domain, Rack: w.Rack, Region: w.Region}
 	chosen, ok := r.ChooseLessor(w.ID, place, func(h roster.WorkerEpoch) bool { return h.Worker != lessor.ID })
@@ -146,8 +147,9 @@
 	return ok && other.Lessor.Worker != w.ID
 }
 
-// needsList reports whether the agent has to send a full list: the newest is
-// of another epoch or a minute old.
-func (w *workerRow) needsList(epoch units.Epoch, now time.Time) bool {
-	return w.runningEpoch != epoch || now.Sub(w.runningAt) > listAgainAfter
+// needsRunningList reports whether the agent must send a full list of its running
+// tasks, because the newest one is of another epoch or older than
+// maxRunningListAge.
+func (w *workerState) needsRunningList(epoch units.Epoch, now time.Time) bool {
+	return w.runningEpoch != epoch || now.Sub(w.runningListedAt) > maxRunningListAge
 }
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// callTimeout bounds one launch or stop call; the worker answers a start
-	// within milliseconds, and an unanswered call is repeated.
+	// callTimeout bounds one launch or stop call. The worker answers a start within
+	// milliseconds, and a call that times out is repeated.
 	callTimeout = 2 * time.Second
-	// retryAfter is the pause after a failed call to an agent.
-	retryAfter = 500 * time.Millisecond
-	// maxLaunch bounds the tasks of one call, so that one answer is not delayed
-	// by many starts.
-	maxLaunch = 64
+	// callRetryDelay is the delay after a failed call to an agent.
+	callRetryDelay = 500 * time.Millisecond
+	// maxTasksPerCall bounds the tasks of one launch call, so that its answer does
+	// not wait for too many starts.
+	maxTasksPerCall = 64
 )
 
-// launch sends the assigned attempts of this process's jobs to their agents
-// and tells agents to stop attempts of cancelled jobs. A call is repeated until
-// it is answered; agents answer a repetition in the same way.
-func (c *control) launch(now time.Time) {
+// launchTasks sends the assigned attempts of the jobs that this process owns to
+// their agents, and requests the stop of attempts of cancelled jobs. A call is
+// repeated until it is answered; agents give a repeated call the same answer.
+func (c *control) launchTasks(now time.Time) {
 	if c.catchingUp(now) && !c.logReachable(now) {
 		return
 	}
 	type batch struct {
-		worker *workerRow
+		worker *workerState
 		launch *wire.Launch
 		stop   *wire.Stop
 	}
@@ -38,39 +38,40 @@
 	c.jobs.View(func(l *ledger.Ledger) {
 		for h := range l.WorkerEpochs() {
 			w := c.workers[h.Worker]
-			if w == nil || now.Before(w.launching) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.beat.GetEpoch()) < h.Epoch {
+			if w == nil || now.Before(w.callInFlightUntil) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.heartbeat.GetEpoch()) < h.Epoch {
 				continue
 			}
-			launch, stop := c.callsFor(l, h, w)
+			launch, stop := c.callsForHolder(l, h, w)
 			if len(launch.Tasks) > 0 || len(stop.Tasks) > 0 {
 				batches = append(batches, batch{w, launch, stop})
 			}
 		}
 	})
 	for _, b := range batches {
-		if now.Before(b.worker.launching) {
-			continue // an older epoch of the worker came first
+		if now.Before(b.worker.callInFlightUntil) {
+			continue // a call for an older epoch of the worker has just been sent
 		}
-		b.worker.launching = now.Add(2 * callTimeout)
-		go c.Entry.call(b.worker.id, b.worker.session, b.launch, b.stop)
+		b.worker.callInFlightUntil = now.Add(2 * callTimeout)
+		go c.Entry.callAgent(b.worker.id, b.worker.session, b.launch, b.stop)
 	}
 }
 
-func (c *control) callsFor(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerRow) (*wire.Launch, *wire.Stop) {
+// callsForHolder returns the launch and the stop call for the attempts on a holder.
+func (c *control) callsForHolder(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
-	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.beat.GetEpoch(), Reason: "cancelled"}
+	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.heartbeat.GetEpoch(), Reason: "cancelled"}
 	for _, task := range l.TasksOn(h) {
-		if !c.owners.Load().owns(string(task.Job)) {
+		if !c.ownership.Load().owns(string(task.Job)) {
 			continue
 		}
 		row := l.Task(task)
 		ref := wire.NewTaskRef(task, row.Attempt)
 		switch {
-		case row.State == ledger.Assigned && units.Epoch(w.beat.GetEpoch()) == h.Epoch && len(launch.Tasks) < maxLaunch:
+		case row.State == ledger.Assigned && units.Epoch(w.heartbeat.GetEpoch()) == h.Epoch && len(launch.Tasks) < maxTasksPerCall:
 			job := l.Job(task.Job)
 			launch.Tasks = append(launch.Tasks, &wire.LaunchTask{
-				Task: ref, Spec: job.LaunchSpec(task.Index), Cause: c.causes.Get(task.String()), MayEvict: c.planner.mayEvict[dispatch.TaskAttempt{Task: task, Attempt: row.Attempt}],
+				Task: ref, Spec: job.LaunchSpec(task.Index), Cause: c.causes.Get(task.String()), MayEvict: c.planner.evictionAllowed[dispatch.TaskAttempt{Task: task, Attempt: row.Attempt}],
 			})
 		case row.State == ledger.Stopping:
 			stop.Tasks = append(stop.Tasks, ref)
@@ -79,8 +80,9 @@
 	return launch, stop
 }
 
-// call runs on its own goroutine and hands the results to the control loop.
-func (e *Entry) call(id units.WorkerID, session *link.Session, launch *wire.Launch, stop *wire.Stop) {
+// callAgent sends a launch and a stop call and passes the results to the control
+// loop. It runs in its own goroutine.
+func (e *Entry) callAgent(id units.WorkerID, session *link.Session, launch *wire.Launch, stop *wire.Stop) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var reply wire.LaunchReply
@@ -99,18 +101,18 @@
 	}
 	done, cancelDone := context.WithTimeout(context.Background(), callTimeout)
 	defer cancelDone()
-	_ = e.do(done, func(c *control) { c.launched(id, &reply, failed, time.Now()) })
+	_ = e.runOnLoop(done, func(c *control) { c.applyCallResults(id, &reply, failed, time.Now()) })
 }
 
-// launched takes over the results of a call.
-func (c *control) launched(id units.WorkerID, reply *wire.LaunchReply, failed error, now time.Time) {
+// applyCallResults proposes the entries for the results of a launch call.
+func (c *control) applyCallResults(id units.WorkerID, reply *wire.LaunchReply, failed error, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
 		return
 	}
-	w.launching = time.Time{}
+	w.callInFlightUntil = time.Time{}
 	if failed != nil {
-		w.retryAt = now.Add(retryAfter)
+		w.retryAt = now.Add(callRetryDelay)
 	}
 	c.counters.launches.Inc(int64(len(reply.GetResults())))
 	c.jobs.View(func(l *ledger.Ledger) {
@@ -119,8 +121,8 @@
 			if result.GetOutcome() == wire.Outcome_OUTCOME_REFUSED {
 				c.counters.rejections.Inc(1)
 			}
-			if !recorded(l, id, report) {
-				c.record(l, w, report, now)
+			if !isRecorded(l, id, report) {
+				c.proposeReport(l, w, report, now)
 			}
 		}
 	})
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -12,29 +12,29 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// planner connects the dispatcher to the tables of this process.
+// planner holds the dispatcher and its inputs from this process.
 type planner struct {
-	dispatcher   *dispatch.Dispatcher
-	interference dispatch.Interference
-	mayEvict     map[dispatch.TaskAttempt]bool // assignments that may evict, until they are launched
-	rows         []dispatch.Worker
+	dispatcher      *dispatch.Dispatcher
+	interference    dispatch.Interference
+	evictionAllowed map[dispatch.TaskAttempt]bool // assigned attempts that may evict others when they are launched
+	workers         []dispatch.Worker
 }
 
-// maxMayEvict bounds the remembered permissions; an assignment whose
-// permission is forgotten is refused and assigned anew.
-const maxMayEvict = 4096
+// maxEvictionPermissions bounds evictionAllowed. An attempt whose permission has
+// been dropped is refused by the agent, and its task is assigned again.
+const maxEvictionPermissions = 4096
 
 func newPlanner() planner {
 	return planner{
-		dispatcher:   dispatch.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		interference: make(dispatch.Interference),
-		mayEvict:     make(map[dispatch.TaskAttempt]bool),
+		dispatcher:      dispatch.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		interference:    make(dispatch.Interference),
+		evictionAllowed: make(map[dispatch.TaskAttempt]bool),
 	}
 }
 
-// observe takes over what an agent's guard has learned.
-func (p *planner) observe(w *workerRow) {
-	for _, i := range w.beat.GetInterference() {
+// recordInterference stores the slowdowns that the agent's guard has estimated.
+func (p *planner) recordInterference(w *workerState) {
+	for _, i := range w.heartbeat.GetInterference() {
 		kind := units.JobKind(i.GetJobKind())
 		if p.interference[kind] == nil {
 			p.interference[kind] = make(map[units.ServiceName]float64)
@@ -43,30 +43,30 @@
 	}
 }
 
-// place runs the dispatcher and proposes what it decides.
-func (c *control) place(now time.Time) {
-	v := c.document.Load()
+// placeTasks runs the dispatcher and proposes the entries for its decisions.
+func (c *control) placeTasks(now time.Time) {
+	v := c.currentVersion.Load()
 	if v == nil || c.draining.Load() {
 		return
 	}
-	c.planner.rows = c.planner.rows[:0]
-	registered := c.registrations()
+	c.planner.workers = c.planner.workers[:0]
+	registered := c.currentRegistrations()
 	for _, w := range c.workers {
-		c.planner.rows = append(c.planner.rows, c.dispatchRow(w, registered, now))
+		c.planner.workers = append(c.planner.workers, c.dispatchWorker(w, registered, now))
 	}
-	// Taken before the view: a second read lock inside it would wait for ever
-	// behind a writer that waits for the first.
-	reachableNow := c.logReachable(now) && c.jobs.Staleness(now) < reachable
+	// Read this before View locks the ledger: a second read lock inside it would
+	// deadlock with a writer that waits for the first read lock.
+	reachableNow := c.logReachable(now) && c.jobs.Staleness(now) < maxLogStaleness
 	c.jobs.View(func(l *ledger.Ledger) {
 		proposals := c.planner.dispatcher.Tick(dispatch.Input{
-			Now: now, Ledger: l, Document: v.document, Workers: c.planner.rows, Interference: c.planner.interference,
+			Now: now, Ledger: l, Document: v.document, Workers: c.planner.workers, Interference: c.planner.interference,
 			LogReachable: reachableNow,
-			OwnsJob:      func(id units.JobID) bool { return c.owners.Load().owns(string(id)) },
+			OwnsJob:      func(id units.JobID) bool { return c.ownership.Load().owns(string(id)) },
 			EpochEnded: func(h ledger.WorkerEpoch) bool {
 				w, ok := registered[h.Worker]
 				return ok && !w.Active() && w.Epoch >= h.Epoch
 			},
-			DispatcherCount: len(c.owners.Load().live),
+			DispatcherCount: len(c.ownership.Load().live),
 		})
 		for _, p := range proposals {
 			c.propose(l, p, now)
@@ -77,35 +77,35 @@
 	})
 }
 
-// registrations returns the newest registration of every worker. The table is
-// built anew only when the members stream has moved, which is a few times a
-// second, while a tick comes 20 times a second.
-func (c *control) registrations() map[units.WorkerID]roster.Worker {
+// currentRegistrations returns the newest registration of every worker. It rebuilds
+// the table only after a change of the members stream, which occurs a few times
+// per second, whereas there are 20 ticks per second.
+func (c *control) currentRegistrations() map[units.WorkerID]roster.Worker {
 	applied := c.members.Applied()
-	if c.registered != nil && c.registeredAt == applied {
-		return c.registered
+	if c.registeredWorkers != nil && c.registeredWorkersOffset == applied {
+		return c.registeredWorkers
 	}
-	registered := make(map[units.WorkerID]roster.Worker, len(c.registered))
+	registered := make(map[units.WorkerID]roster.Worker, len(c.registeredWorkers))
 	c.members.View(func(r *roster.Roster) {
 		for _, w := range r.Workers() {
 			registered[w.ID] = w
 		}
 	})
-	c.registered, c.registeredAt = registered, applied
+	c.registeredWorkers, c.registeredWorkersOffset = registered, applied
 	return registered
 }
 
-// dispatchRow is the dispatcher's view of a worker. Only the registered epoch
-// may get tasks: the lessor of an unregistered one is not known yet.
-func (c *control) dispatchRow(w *workerRow, registered map[units.WorkerID]roster.Worker, now time.Time) dispatch.Worker {
-	m := w.beat
+// dispatchWorker returns the dispatcher's input for a worker. Only a registered
+// epoch may be assigned tasks, because an unregistered one has no lessor yet.
+func (c *control) dispatchWorker(w *workerState, registered map[units.WorkerID]roster.Worker, now time.Time) dispatch.Worker {
+	m := w.heartbeat
 	row := dispatch.Worker{
 		ID: w.id, Domain: units.DomainName(m.GetFailureDomain()), Rack: units.RackName(m.GetRack()), Region: units.RegionName(m.GetRegion()),
 		Capacity: m.GetCapacity().Units(), Committed: m.GetCommitted().Units(), Evictable: m.GetEvictable().Units(),
-		HeartbeatAge: now.Sub(w.heard), Draining: m.GetDraining(), HasSession: w.reachable(now) && m.GetLeaseValid(),
+		HeartbeatAge: now.Sub(w.lastHeartbeatAt), Draining: m.GetDraining(), HasSession: w.reachable(now) && m.GetLeaseValid(),
 	}
-	if known, ok := registered[w.id]; ok && known.Active() && known.Epoch == units.Epoch(m.GetEpoch()) {
-		row.Epoch = known.Epoch
+	if registration, ok := registered[w.id]; ok && registration.Active() && registration.Epoch == units.Epoch(m.GetEpoch()) {
+		row.Epoch = registration.Epoch
 	}
 	for _, e := range m.GetEndpoints() {
 		if e.GetState() != wire.EndpointState_ENDPOINT_STATE_GONE {
@@ -115,21 +115,22 @@
 	return row
 }
 
-// proposalNames are the kinds of the time line's events.
-var proposalNames = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
+// proposalEventKinds maps each action to the kind of its timeline event.
+var proposalEventKinds = map[dispatch.Action]string{dispatch.Assign: "assigned", dispatch.Release: "released", dispatch.Fail: "failed"}
 
+// propose queues the entry for a proposal of the dispatcher.
 func (c *control) propose(l *ledger.Ledger, p dispatch.Proposal, now time.Time) {
 	entry := p.Encode()
 	if row := l.Task(p.Task); p.Action == dispatch.Release && row != nil && row.State == ledger.Stopping {
 		entry = ledger.EncodeEnded(p.Task, p.Attempt, wire.Outcome_OUTCOME_STOPPED, 0, units.Resources{})
 	}
 	if p.MayEvict {
-		if len(c.planner.mayEvict) >= maxMayEvict {
-			clear(c.planner.mayEvict)
+		if len(c.planner.evictionAllowed) >= maxEvictionPermissions {
+			clear(c.planner.evictionAllowed)
 		}
-		c.planner.mayEvict[dispatch.TaskAttempt{Task: p.Task, Attempt: p.Attempt}] = true
+		c.planner.evictionAllowed[dispatch.TaskAttempt{Task: p.Task, Attempt: p.Attempt}] = true
 	}
-	if !c.jobsOut.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.WorkerEpoch.Worker), now, entry) {
+	if !c.jobsOutbox.add(fmt.Sprintf("%d/%s#%d/%s", p.Action, p.Task, p.Attempt, p.WorkerEpoch.Worker), now, entry) {
 		return
 	}
 	c.counters.proposals.Inc(1)
@@ -137,6 +138,6 @@
 	if p.Action == dispatch.Release {
 		cause = c.causes.Get(string(p.WorkerEpoch.Worker)) // the end of the worker's epoch
 	}
-	c.event("job", proposalNames[p.Action], p.Task.String(),
+	c.event("job", proposalEventKinds[p.Action], p.Task.String(),
 		fmt.Sprintf("attempt %d %s %s", p.Attempt, p.WorkerEpoch.Worker, p.Reason), cause)
 }
--- a/internal/entry/reconcile_test.go
+++ b/internal/entry/reconcile_test.go
@@ -12,8 +12,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against a task that stays open for ever because its outcome was lost,
-// and against a release of one that its worker runs or is about to report.
+// Guards against a task that stays open forever because its outcome was lost, and
+// against the release of one that its worker runs or is about to report.
 func TestReconcileReleasesOnlyLostAttempts(t *testing.T) {
 	task := units.Task{Job: "job-1"}
 	holder := ledger.WorkerEpoch{Worker: "worker-1", Epoch: 7}
@@ -26,20 +26,20 @@
 	}
 	report := []*wire.TaskReport{{Task: wire.NewTaskRef(task, 1), Outcome: wire.Outcome_OUTCOME_COMPLETED}}
 	for _, c := range []struct {
-		name    string
-		started bool
-		running units.Attempt // in the full lists
-		reports []*wire.TaskReport
-		epoch   units.Epoch // of the agent
-		again   bool        // a second list arrives
-		want    int         // entries proposed
+		name       string
+		started    bool
+		running    units.Attempt // in the full lists
+		reports    []*wire.TaskReport
+		epoch      units.Epoch // of the agent
+		secondList bool        // a second list arrives
+		want       int         // entries proposed
 	}{
 		{"running", true, 1, nil, 7, true, 0},
 		{"reported", true, 0, report, 7, true, 0},
 		{"not started", false, 0, nil, 7, true, 0},
 		{"another epoch", true, 0, nil, 8, true, 0},
-		{"one list without it", true, 0, nil, 7, false, 0},
-		{"lost", true, 0, nil, 7, true, 1},
+		{"missing from one list only", true, 0, nil, 7, false, 0},
+		{"missing from two lists", true, 0, nil, 7, true, 1},
 	} {
 		e := &Entry{Log: &logservice.Log{}, Settings: &settings.Entry{ID: "entry-1", Environment: "production", Limits: settings.EntryLimits{TimelineEvents: 10}}}
 		e.prepare()
@@ -56,16 +56,16 @@
 		start := time.Now()
 		for second := range 20 {
 			now := start.Add(time.Duration(second) * time.Second)
-			w := &workerRow{id: "worker-1", session: &link.Session{}, heard: now, runningEpoch: c.epoch, runningAt: start,
-				beat: &wire.Heartbeat{Epoch: uint64(c.epoch), Reports: c.reports}, running: map[units.Task]units.Attempt{task: c.running}}
-			if c.again && second > 5 {
-				w.runningAt = start.Add(5 * time.Second)
+			w := &workerState{id: "worker-1", session: &link.Session{}, lastHeartbeatAt: now, runningEpoch: c.epoch, runningListedAt: start,
+				heartbeat: &wire.Heartbeat{Epoch: uint64(c.epoch), Reports: c.reports}, runningAttempts: map[units.Task]units.Attempt{task: c.running}}
+			if c.secondList && second > 5 {
+				w.runningListedAt = start.Add(5 * time.Second)
 			}
 			control.workers["worker-1"] = w
-			control.compareLists(now)
+			control.compareRunningLists(now)
 		}
-		if got := min(len(control.jobsOut.entries), 1); got != c.want {
-			t.Errorf("%s: proposals: got %d, want %d", c.name, got, c.want)
+		if got := min(len(control.jobsOutbox.entries), 1); got != c.want {
+			t.Errorf("%s: proposed entries: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -10,10 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// releaseEndedEpochs releases attempts of an epoch that a newer one in force has
-// replaced. The newer agent has adopted what the worker still runs, so only
-// attempts that its full list does not hold are over. When the newest epoch has
-// itself ended, nothing of the worker runs, and the dispatcher releases all.
+// releaseEndedEpochs releases attempts of an epoch that has been replaced by a newer
+// one in force. The newer agent has adopted what the worker still runs, so only
+// attempts missing from its full list have ended. If the newest epoch has ended
+// too, the worker runs nothing, and the dispatcher releases all its attempts.
 func (c *control) releaseEndedEpochs(now time.Time) {
 	if c.catchingUp(now) {
 		return
@@ -28,36 +28,38 @@
 			holders = append(holders, ended{holder: h})
 		}
 	})
-	over := holders[:0]
+	replaced := holders[:0]
 	c.members.View(func(r *roster.Roster) {
 		for _, h := range holders {
 			newest, ok := r.Worker(h.holder.Worker)
 			if ok && newest.Active() && newest.Epoch > h.holder.Epoch {
-				over = append(over, ended{h.holder, newest})
+				replaced = append(replaced, ended{h.holder, newest})
 			}
 		}
 	})
-	for _, h := range over {
-		c.releaseOn(h.holder, h.newest, now)
+	for _, h := range replaced {
+		c.releaseAttempts(h.holder, h.newest, now)
 	}
 }
 
-func (c *control) releaseOn(h ledger.WorkerEpoch, newest roster.Worker, now time.Time) {
-	adopted := c.adopted(h, newest)
+// releaseAttempts releases the attempts on an ended epoch that the newest epoch of the
+// worker has not adopted.
+func (c *control) releaseAttempts(h ledger.WorkerEpoch, newest roster.Worker, now time.Time) {
+	adopted := c.adoptedAttempts(h, newest)
 	if adopted == nil {
 		return
 	}
 	c.jobs.View(func(l *ledger.Ledger) {
 		for _, task := range l.TasksOn(h) {
 			row := l.Task(task)
-			if adopted(task, row.Attempt) || !c.owners.Load().owns(string(task.Job)) {
+			if adopted(task, row.Attempt) || !c.ownership.Load().owns(string(task.Job)) {
 				continue
 			}
 			entry := ledger.EncodeReleased(task, row.Attempt, ledger.Release{Reason: "worker epoch ended"})
 			if row.State == ledger.Stopping {
 				entry = ledger.EncodeEnded(task, row.Attempt, wire.Outcome_OUTCOME_STOPPED, 0, units.Resources{})
 			}
-			if c.jobsOut.add(fmt.Sprintf("release/%s#%d", task, row.Attempt), now, entry) {
+			if c.jobsOutbox.add(fmt.Sprintf("release/%s#%d", task, row.Attempt), now, entry) {
 				c.counters.releases.Inc(1)
 				c.event("job", "released", task.String(), fmt.Sprintf("attempt %d: epoch %d of %s ended", row.Attempt, h.Epoch, h.Worker), "")
 			}
@@ -65,11 +67,11 @@
 	})
 }
 
-// adopted returns which attempts of an ended epoch may still run, or nil while
-// that is not known.
-func (c *control) adopted(h ledger.WorkerEpoch, newest roster.Worker) func(units.Task, units.Attempt) bool {
+// adoptedAttempts returns a function that reports whether an attempt of an ended
+// epoch may still run, or nil if that is not known yet.
+func (c *control) adoptedAttempts(h ledger.WorkerEpoch, newest roster.Worker) func(units.Task, units.Attempt) bool {
 	w := c.workers[h.Worker]
-	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.beat.GetEpoch()) != newest.Epoch {
+	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.heartbeat.GetEpoch()) != newest.Epoch {
 		return nil
 	}
 	return w.mayRun()
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -17,16 +17,16 @@
 	"wasabihill.example/wasabihill/internal/stream"
 )
 
-// snapshotEvery is the number of entries of a stream between two snapshots.
-const snapshotEvery = 20_000
+// entriesPerSnapshot is the number of entries between two snapshots of a stream.
+const entriesPerSnapshot = 20_000
 
-// Run serves until ctx ends, then stops gracefully: readiness goes off, the
-// process leaves the members, listeners close after DrainFor, requests in
-// flight are answered, and sessions end last.
+// Run serves until ctx ends and then stops gracefully, in this order: readiness
+// ends, the process records that it leaves, the listeners close after DrainDelay,
+// requests in flight are answered, and the sessions with agents end.
 func (e *Entry) Run(ctx context.Context) error {
 	e.prepare()
-	if e.Requests != nil {
-		e.requests = e.Requests(e)
+	if e.NewRequestServer != nil {
+		e.requestServer = e.NewRequestServer(e)
 	}
 	callers, err := listen(e.Settings.CallerAddress.String())
 	if err != nil {
@@ -37,21 +37,21 @@
 		callers.Close()
 		return err
 	}
-	if _, err := e.agents.Listen(); err != nil {
+	if _, err := e.agentListener.Listen(); err != nil {
 		callers.Close()
 		admins.Close()
 		return fault.Wrap("listen for agents", Listen, err)
 	}
-	// serving outlives ctx, so that requests in flight and their records end
-	// before the parts that they need.
+	// serving outlives ctx, so that requests in flight are answered and recorded
+	// before the parts that they depend on stop.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	group, serving := errgroup.WithContext(serving)
-	e.follow(serving, group)
+	e.startStreams(serving, group)
 	group.Go(func() error { return newControl(e).run(serving) })
-	group.Go(func() error { return e.agents.Run(serving) })
-	if e.requests != nil {
-		group.Go(func() error { return e.requests.Run(serving) })
+	group.Go(func() error { return e.agentListener.Run(serving) })
+	if e.requestServer != nil {
+		group.Go(func() error { return e.requestServer.Run(serving) })
 	}
 	callerServer := e.callerServer()
 	adminServer := administration.NewServer(e.administrationConfig()).HTTPServer()
@@ -82,24 +82,25 @@
 	return l, nil
 }
 
-// follow runs the followers, the writers and the snapshotters.
-func (e *Entry) follow(ctx context.Context, group *errgroup.Group) {
+// startStreams starts the followers, the writers and the snapshotters.
+func (e *Entry) startStreams(ctx context.Context, group *errgroup.Group) {
 	for _, run := range []func(context.Context) error{
 		e.config.Run, e.members.Run, e.jobs.Run,
 		e.writers.config.Run, e.writers.members.Run, e.writers.jobs.Run,
-		snapshotter(e, e.config, e.writers.config).Run,
-		snapshotter(e, e.members, e.writers.members).Run,
-		snapshotter(e, e.jobs, e.writers.jobs).Run,
+		newSnapshotter(e, e.config, e.writers.config).Run,
+		newSnapshotter(e, e.members, e.writers.members).Run,
+		newSnapshotter(e, e.jobs, e.writers.jobs).Run,
 	} {
 		group.Go(func() error { return run(ctx) })
 	}
 }
 
-// snapshotter keeps a stream recoverable while this process owns it.
-func snapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
+// newSnapshotter returns the snapshotter of a stream. It writes snapshots only while
+// this process owns the stream.
+func newSnapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
 	return &stream.Snapshotter[S]{
-		Follower: f, Writer: w, Every: snapshotEvery, Retention: e.Settings.LogRetention,
-		Owner: func() bool { return e.owners.Load().owns("stream/" + f.Stream) },
+		Follower: f, Writer: w, Every: entriesPerSnapshot, Retention: e.Settings.LogRetention,
+		Owner: func() bool { return e.ownership.Load().owns("stream/" + f.Stream) },
 	}
 }
 
@@ -113,38 +114,38 @@
 }
 
 func (e *Entry) callerServer() *http.Server {
-	if e.requests != nil {
-		return e.requests.Server()
+	if e.requestServer != nil {
+		return e.requestServer.Server()
 	}
 	return &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: 5 * time.Second}
 }
 
-// shutdown ends the process gracefully in the order that Run describes.
+// shutdown stops the process gracefully in the order that Run describes.
 func (e *Entry) shutdown(ctx context.Context, callers, admins *http.Server) {
 	e.draining.Store(true)
 	e.event("entry", "draining", string(e.Settings.ID), "", "")
-	ctx, cancel := context.WithTimeout(ctx, stopWithin)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	leave, cancelLeave := context.WithTimeout(ctx, e.DrainFor)
+	leave, cancelLeave := context.WithTimeout(ctx, e.DrainDelay)
 	if _, err := e.writers.members.Append(leave, roster.EncodeEntryLeft(e.Settings.ID)); err != nil {
-		klog.InfoS("the planned stop was not recorded", "err", err)
+		klog.InfoS("cannot record the planned stop", "err", err)
 	}
 	cancelLeave()
-	if e.requests != nil {
-		e.requests.Shutdown(ctx, callers, e.DrainFor)
+	if e.requestServer != nil {
+		e.requestServer.Shutdown(ctx, callers, e.DrainDelay)
 	} else if err := callers.Shutdown(ctx); err != nil {
-		klog.InfoS("requests were still in flight at the end of the planned stop", "err", err)
+		klog.InfoS("planned stop ended with requests of callers in flight", "err", err)
 	}
 	if err := admins.Shutdown(ctx); err != nil {
-		klog.InfoS("administration requests were still in flight at the end of the planned stop", "err", err)
+		klog.InfoS("planned stop ended with administration requests in flight", "err", err)
 	}
-	e.agents.Shutdown(ctx)
+	e.agentListener.Shutdown(ctx)
 }
 
-// linkHandler serves the calls of agents.
+// linkHandler serves the calls of agents and of other entry processes.
 func (e *Entry) linkHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /link/heartbeat", link.Handle(e.heartbeat))
+	mux.Handle("POST /link/heartbeat", link.Handle(e.serveHeartbeat))
 	mux.Handle("POST /link/events", link.Handle(e.serveEvents))
 	return mux
 }
