--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -291,7 +291,7 @@
 func (a *Agent) applyTable(table workerapi.Table, sent, received time.Time) {
 	if table.Epoch != a.epoch {
 		if a.worker.clockReset(table.Clock, sent) {
-			a.event("workerRestarted", string(a.WorkerID), "the worker's clock was reset")
+			a.event("workerRestarted", string(a.WorkerID), "its clock began anew")
 			a.acquireWorker(true)
 			return
 		}
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -157,9 +157,9 @@
 		return
 	}
 	c.logWasReachable = reachable
-	kind, text := "logUnreachable", "no batch task starts until the log is reachable again; requests and running tasks continue"
+	kind, text := "logUnreachable", "no batch task starts until the log answers; requests and running tasks go on"
 	if reachable {
-		kind, text = "logReachable", "the log is reachable again"
+		kind, text = "logReachable", "the log answers again"
 	}
 	klog.InfoS("log service changed state", "reachable", reachable)
 	c.event("log", kind, c.config.Stream, text, "")
