--- a/internal/dispatch/interference.go
+++ b/internal/dispatch/interference.go
@@ -26,8 +26,8 @@
 // the agent can throttle a single task, but several force it to evict. Urgent
 // tasks are exempt from the limit of one.
 func (d *Dispatcher) interferenceCost(r *workerRow, q *request) (float64, bool) {
-	x := d.addedSlowdown(q.job.JobKind, r)
-	if x == 0 {
+	added := d.addedSlowdown(q.job.JobKind, r)
+	if added == 0 {
 		return 0, true
 	}
 	if !r.slowdownLoaded {
@@ -38,11 +38,11 @@
 			}
 		}
 	}
-	if r.slowdown+x <= d.policy.slowdownLimit {
-		return costPerSlowdown * x, true
+	if r.slowdown+added <= d.policy.slowdownLimit {
+		return costPerSlowdown * added, true
 	}
 	if r.slowdown > 0 && q.batch() {
 		return 0, false
 	}
-	return costExcessSlowdown + costPerSlowdown*x, true
+	return costExcessSlowdown + costPerSlowdown*added, true
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -23,7 +23,7 @@
 	mayPreempt   bool
 	spread       *spreadCount // computed when the first worker with free capacity is rated
 	spreadLoaded bool
-	noCapacity   bool // no worker had enough free capacity, cost and interference aside
+	noCapacity   bool // no worker had free capacity for it, costs aside
 }
 
 func (q *request) task() units.Task         { return units.Task{Job: q.job.ID, Index: q.index} }
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -9,11 +9,11 @@
 // rebuilt when the document is replaced.
 type policy struct {
 	document      *environment.Document
-	outOfService  map[units.DomainName]bool // false for a domain in service, absent for an unknown one
+	outOfService  map[units.DomainName]bool // false for domains in service, absent for unknown ones
 	drained       map[units.WorkerID]bool
 	teams         map[units.TeamName]environment.Team
 	services      map[units.ServiceName]units.Resources
-	slowdownLimit float64 // tolerated by the services of one worker together
+	slowdownLimit float64 // slowdown tolerated on one worker, for all its tasks together
 }
 
 func (p *policy) update(doc *environment.Document) {
--- a/internal/dispatch/preemption.go
+++ b/internal/dispatch/preemption.go
@@ -12,7 +12,7 @@
 const (
 	maxPreemptionsPerTick = 32 // victims lose their work since the last checkpoint
 	maxReclaimsPerTick    = 4
-	maxScansPerTick       = 256 // of all rows, in one tick
+	maxScansPerTick       = 256 // searches over the workers after which preemption stops
 	// reclaimAfter is how long a task within its team's quota waits for capacity
 	// before borrowed attempts are evicted for it.
 	reclaimAfter = 2 * time.Second
@@ -82,6 +82,8 @@
 	return false
 }
 
+// assignWithEviction proposes the task for a worker that must evict other tasks
+// first. The resources of the victims count as free at once.
 func (d *Dispatcher) assignWithEviction(q *request, r *workerRow, victims []TaskAttempt) {
 	d.preemptions++
 	d.Stats.Preemptions++
--- a/internal/dispatch/queues.go
+++ b/internal/dispatch/queues.go
@@ -24,9 +24,9 @@
 	// maxFailedScans limits the scans of one walk that find no worker. A size at
 	// least as large as one that failed before is not scanned again.
 	maxFailedScans = 96
-	// lowestFirstTicks is the mean number of ticks between two that start with
-	// the lower priorities, so that a stream of higher-priority tasks cannot
-	// starve them.
+	// Every lowestFirstTicks-th tick on average first places a task of each
+	// priority below urgent, lowest first, so that a stream of higher-priority
+	// tasks cannot starve lower ones.
 	lowestFirstTicks = 20
 	// Delays before a task is retried, by the reason why the last attempt ended.
 	// Each further failure doubles the delay up to maxFailureRetryDelay.
@@ -105,35 +105,35 @@
 
 // walkPriority places tasks of one priority: repeatedly the oldest task of the
 // team with the least share.
-func (d *Dispatcher) walkPriority(p units.Priority, pass *walk) {
-	pass.jobVisitsLeft = d.jobVisitLimit
+func (d *Dispatcher) walkPriority(p units.Priority, w *walk) {
+	w.jobVisitsLeft = d.jobVisitLimit
 	d.teamMissLimit = max(minMissesPerTeam, maxJobVisits/max(1, len(d.teams)))
 	for i := range d.teams {
 		d.teams[i].cursors[p] = cursor{}
 	}
-	for pass.startsLeft > 0 && d.startsLeft > 0 && pass.failedScansLeft > 0 && pass.jobVisitsLeft > 0 {
-		t := d.teamWithLeastShare(p, pass)
+	for w.startsLeft > 0 && d.startsLeft > 0 && w.failedScansLeft > 0 && w.jobVisitsLeft > 0 {
+		t := d.teamWithLeastShare(p, w)
 		if t == nil {
 			return
 		}
 		// Shares change only with a start, so the team stays first until then.
-		startsBefore := pass.startsLeft
-		for startsBefore == pass.startsLeft && !d.queueDone(t, p) && pass.failedScansLeft > 0 && pass.jobVisitsLeft > 0 {
-			d.placeNext(t, p, pass)
+		startsBefore := w.startsLeft
+		for startsBefore == w.startsLeft && !d.queueDone(t, p) && w.failedScansLeft > 0 && w.jobVisitsLeft > 0 {
+			d.placeNext(t, p, w)
 		}
 	}
 }
 
 // teamWithLeastShare returns the team with the least share among those with
 // tasks left in this walk, or nil.
-func (d *Dispatcher) teamWithLeastShare(p units.Priority, pass *walk) *teamRow {
+func (d *Dispatcher) teamWithLeastShare(p units.Priority, w *walk) *teamRow {
 	var best *teamRow
 	for i := range d.teams {
 		t := &d.teams[i]
 		if t.cursors[p].done || (best != nil && t.share >= best.share) {
 			continue
 		}
-		if pass.borrowing && !t.mayBorrow || d.queueDone(t, p) {
+		if w.borrowing && !t.mayBorrow || d.queueDone(t, p) {
 			t.cursors[p].done = true
 			continue
 		}
@@ -154,18 +154,18 @@
 
 // placeNext tries to place the next task of the team's queue and advances its
 // cursor.
-func (d *Dispatcher) placeNext(t *teamRow, p units.Priority, pass *walk) {
+func (d *Dispatcher) placeNext(t *teamRow, p units.Priority, w *walk) {
 	c := &t.cursors[p]
 	j := d.in.Ledger.WaitingJobs(t.name, p)[c.job]
 	if c.task == 0 {
 		d.Stats.JobsVisited++
 		if !d.ownsJob(j.ID) {
 			if c.nextJob(); c.job%foreignJobsPerVisit == 0 {
-				pass.jobVisitsLeft--
+				w.jobVisitsLeft--
 			}
 			return
 		}
-		pass.jobVisitsLeft--
+		w.jobVisitsLeft--
 	}
 	if j.IsWatcher() || c.task >= len(j.Waiting()) {
 		c.nextJob()
@@ -173,25 +173,25 @@
 	}
 	index := j.Waiting()[c.task]
 	if c.task++; c.task%tasksPerVisit == 0 {
-		pass.jobVisitsLeft-- // reading many proposed or delayed tasks of a large job is not free
+		w.jobVisitsLeft-- // reading many proposed or delayed tasks of a large job is not free
 	}
 	if !d.mayPropose(j, index) || d.proposeFailure(j, index) {
 		return
 	}
 	size := d.commitSize(j, &j.Tasks[index])
 	overQuota := !t.withinQuota(size, p)
-	if overQuota != pass.borrowing {
+	if overQuota != w.borrowing {
 		// The other tasks of the job have the same size; a smaller job may fit
 		// the quota.
 		c.nextJob()
 		return
 	}
 	scansBefore := d.scans
-	if d.place(request{job: j, index: index, team: t, size: size, overQuota: overQuota, mayPreempt: pass.mayPreempt}) {
-		pass.startsLeft--
+	if d.place(request{job: j, index: index, team: t, size: size, overQuota: overQuota, mayPreempt: w.mayPreempt}) {
+		w.startsLeft--
 		return
 	}
-	pass.failedScansLeft -= d.scans - scansBefore
+	w.failedScansLeft -= d.scans - scansBefore
 	d.Stats.Unplaced++
 	c.nextJob()
 	if c.misses++; c.misses == d.teamMissLimit-1 {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -13,11 +13,11 @@
 
 // markReleaseProposed reports whether a release of the attempt was proposed
 // within proposalTimeout. If not, it records one for now.
-func (d *Dispatcher) markReleaseProposed(v TaskAttempt) bool {
-	if at, ok := d.proposedReleases[v]; ok && d.in.Now.Sub(at) <= proposalTimeout {
+func (d *Dispatcher) markReleaseProposed(a TaskAttempt) bool {
+	if at, ok := d.proposedReleases[a]; ok && d.in.Now.Sub(at) <= proposalTimeout {
 		return true
 	}
-	d.proposedReleases[v] = d.in.Now
+	d.proposedReleases[a] = d.in.Now
 	return false
 }
 
@@ -28,23 +28,23 @@
 	if d.in.EpochEnded == nil {
 		return
 	}
-	for v, at := range d.proposedReleases {
+	for a, at := range d.proposedReleases {
 		if d.in.Now.Sub(at) > proposalTimeout {
-			delete(d.proposedReleases, v)
+			delete(d.proposedReleases, a)
 		}
 	}
 	var ended []ledger.WorkerEpoch
-	for h := range d.in.Ledger.WorkerEpochs() {
-		if d.in.EpochEnded(h) {
-			ended = append(ended, h)
+	for epoch := range d.in.Ledger.WorkerEpochs() {
+		if d.in.EpochEnded(epoch) {
+			ended = append(ended, epoch)
 		}
 	}
 	slices.SortFunc(ended, func(a, b ledger.WorkerEpoch) int {
 		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Epoch, b.Epoch))
 	})
 	left := maxReleasesPerTick
-	for _, h := range ended {
-		for _, task := range d.in.Ledger.TasksOn(h) {
+	for _, epoch := range ended {
+		for _, task := range d.in.Ledger.TasksOn(epoch) {
 			if left == 0 {
 				return
 			}
@@ -53,7 +53,7 @@
 				continue
 			}
 			left--
-			d.proposals = append(d.proposals, Proposal{Action: Release, Task: task, Attempt: attempt, WorkerEpoch: h, Reason: "lease expired"})
+			d.proposals = append(d.proposals, Proposal{Action: Release, Task: task, Attempt: attempt, WorkerEpoch: epoch, Reason: "lease expired"})
 		}
 	}
 }
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -123,7 +123,7 @@
 		q.overQuota = !t.withinQuota(q.size, j.Priority)
 		switch _, ok := d.cost(r, &q); {
 		case !ok || (q.overQuota && !t.mayBorrow):
-			delete(d.reservations, r.ID) // more than capacity is missing now
+			delete(d.reservations, r.ID) // a reservation does not help: the cost or the quota rules the worker out
 		case d.fits(r, &q):
 			d.assign(&q, r, false, nil)
 		}
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -55,9 +55,9 @@
 	clear(d.byWorker)
 	for i := range d.in.Workers {
 		w := &d.in.Workers[i]
-		h := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
-		launching := d.in.Ledger.LaunchingOn(h)
-		r := workerRow{Worker: w, epoch: h, launching: launching.Count, launchLimit: maxLaunching, commitLimit: w.Capacity,
+		epoch := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
+		launching := d.in.Ledger.LaunchingOn(epoch)
+		r := workerRow{Worker: w, epoch: epoch, launching: launching.Count, launchLimit: maxLaunching, commitLimit: w.Capacity,
 			free: w.Capacity.Sub(w.Committed).Sub(launching.Committed), evictable: w.Evictable}
 		for _, s := range w.Services {
 			r.reserved = r.reserved.Add(d.policy.services[s])
@@ -97,8 +97,8 @@
 }
 
 func (d *Dispatcher) addCapacity(c units.Resources) {
-	for _, s := range d.capacities {
-		if c == s {
+	for _, known := range d.capacities {
+		if c == known {
 			return
 		}
 	}
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -41,8 +41,8 @@
 }
 
 // topologicalOrder repeatedly takes the event with the lowest clock among those
-// without unplaced predecessors. successors and predecessorCounts describe the graph;
-// topologicalOrder changes predecessorCounts.
+// whose predecessors are all taken. successors and predecessorCounts describe the
+// graph; topologicalOrder modifies predecessorCounts.
 func topologicalOrder(events []Event, successors [][]int, predecessorCounts []int) []Event {
 	ready := &clockHeap{events: events}
 	for i := range events {
--- a/internal/timeline/recorder.go
+++ b/internal/timeline/recorder.go
@@ -1,5 +1,5 @@
 // The ring buffer is bounded and events are numbered, so that an agent that cannot
-// reach any entry process neither grows nor has an event collected twice.
+// reach any entry process neither grows nor sends an event twice.
 
 package timeline
 
