--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -7,12 +7,12 @@
 
 // maxPending bounds what waits for the connection; a full buffer blocks yamux,
 // whose write timeout then ends the session.
-const maxPending = 256 << 10
+const maxPendingBytes = 256 << 10
 
 // coalescedConn joins the writes that yamux makes while an earlier one is on
 // its way. yamux writes the header and the body of every frame separately,
 // which costs two system calls and two packets per frame.
-type coalescedConn struct {
+type coalescingConn struct {
 	net.Conn
 	mu      sync.Mutex
 	changed sync.Cond
@@ -20,17 +20,17 @@
 	err     error // set once; later writes fail with it
 }
 
-func coalesce(conn net.Conn) *coalescedConn {
-	c := &coalescedConn{Conn: conn}
+func newCoalescingConn(conn net.Conn) *coalescingConn {
+	c := &coalescingConn{Conn: conn}
 	c.changed.L = &c.mu
 	go c.flush()
 	return c
 }
 
-func (c *coalescedConn) Write(b []byte) (int, error) {
+func (c *coalescingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.err == nil && len(c.pending) >= maxPending {
+	for c.err == nil && len(c.pending) >= maxPendingBytes {
 		c.changed.Wait()
 	}
 	if c.err != nil {
@@ -42,12 +42,12 @@
 }
 
 // Close also stops the flushing goroutine; what is still pending is dropped.
-func (c *coalescedConn) Close() error {
+func (c *coalescingConn) Close() error {
 	c.fail(net.ErrClosed)
 	return c.Conn.Close()
 }
 
-func (c *coalescedConn) fail(err error) {
+func (c *coalescingConn) fail(err error) {
 	c.mu.Lock()
 	if c.err == nil {
 		c.err = err
@@ -56,8 +56,8 @@
 	c.mu.Unlock()
 }
 
-func (c *coalescedConn) flush() {
-	var spare []byte
+func (c *coalescingConn) flush() {
+	var recycled []byte
 	for {
 		c.mu.Lock()
 		for c.err == nil && len(c.pending) == 0 {
@@ -68,7 +68,7 @@
 			return
 		}
 		out := c.pending
-		c.pending = spare[:0]
+		c.pending = recycled[:0]
 		c.changed.Broadcast()
 		c.mu.Unlock()
 		if _, err := c.Conn.Write(out); err != nil {
@@ -77,9 +77,9 @@
 			c.Conn.Close()
 			return
 		}
-		spare = out
-		if cap(spare) > maxPending {
-			spare = nil // one large burst must not hold memory for the session's life
+		recycled = out
+		if cap(recycled) > maxPendingBytes {
+			recycled = nil // one large burst must not hold memory for the session's life
 		}
 	}
 }
--- a/internal/link/keepalive_test.go
+++ b/internal/link/keepalive_test.go
@@ -11,7 +11,7 @@
 // Guards against a process that drops every session, and with it the requests in
 // flight, when it runs again after a pause: the timeout of a ping was due during
 // the pause, and the answer lies unread in the socket.
-func TestKeepAliveOutlivesStall(t *testing.T) {
+func TestKeepAliveSurvivesStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answers := []struct {
 			after time.Duration
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -27,7 +27,7 @@
 }
 
 // pair returns both ends of a session: the dialled one and the accepted one.
-func pair(t testing.TB, dialled, accepted http.Handler) (*Session, *Listener) {
+func newSessionPair(t testing.TB, dialled, accepted http.Handler) (*Session, *Listener) {
 	t.Helper()
 	l := &Listener{Address: "127.0.0.1:0", Handler: accepted}
 	address, err := l.Listen()
@@ -45,14 +45,14 @@
 		s.Close()
 		cancel()
 		<-ended
-		over, stop := context.WithCancel(context.Background())
+		expired, stop := context.WithCancel(context.Background())
 		stop()
-		l.Shutdown(over)
+		l.Shutdown(expired)
 	})
 	return s, l
 }
 
-func get(ctx context.Context, path string) *http.Request {
+func newRequest(ctx context.Context, path string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://link"+path, nil)
 	if err != nil {
 		panic(err)
@@ -64,7 +64,7 @@
 // the peer closed it without an answer: it would be executed twice.
 func TestRequestIsSentAtMostOnce(t *testing.T) {
 	var executed atomic.Int64
-	s, _ := pair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/cut" {
 			executed.Add(1)
 			panic(http.ErrAbortHandler)
@@ -72,12 +72,12 @@
 	}))
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		executed.Store(0)
-		response, err := s.RoundTrip(get(t.Context(), "/ok"))
+		response, err := s.RoundTrip(newRequest(t.Context(), "/ok"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		response.Body.Close()
-		r := get(t.Context(), "/cut")
+		r := newRequest(t.Context(), "/cut")
 		r.Method = method
 		r.Header.Set("Idempotency-Key", "1")
 		if _, err := s.RoundTrip(r); !fault.Is(err, Unknown) {
@@ -93,7 +93,7 @@
 // was written, which would lose a retry that is allowed.
 func TestErrorKinds(t *testing.T) {
 	release := make(chan struct{})
-	s, _ := pair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
 			<-release
 		}
@@ -101,16 +101,16 @@
 	defer close(release)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := s.RoundTrip(get(ended, "/")); !fault.Is(err, NotSent) {
+	if _, err := s.RoundTrip(newRequest(ended, "/")); !fault.Is(err, NotSent) {
 		t.Errorf("cancelled before the send: got %v, want %s", err, NotSent)
 	}
 	short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := s.RoundTrip(get(short, "/wait")); !fault.Is(err, Unknown) {
+	if _, err := s.RoundTrip(newRequest(short, "/wait")); !fault.Is(err, Unknown) {
 		t.Errorf("cancelled after the send: got %v, want %s", err, Unknown)
 	}
 	s.Close()
-	if _, err := s.RoundTrip(get(t.Context(), "/")); !fault.Is(err, NotSent) {
+	if _, err := s.RoundTrip(newRequest(t.Context(), "/")); !fault.Is(err, NotSent) {
 		t.Errorf("closed session: got %v, want %s", err, NotSent)
 	}
 	if _, err := Dial(ended, "127.0.0.1:1", nil); !fault.Is(err, NotSent) {
@@ -128,13 +128,13 @@
 	})
 	for _, side := range []string{"dialled", "accepted"} {
 		executed.Store(0)
-		s, l := pair(t, handler, handler)
+		s, l := newSessionPair(t, handler, handler)
 		var answered, cut atomic.Int64
 		var wait sync.WaitGroup
 		for range 32 {
 			wait.Go(func() {
 				for range 10_000 { // ends with the session
-					response, err := s.RoundTrip(get(context.Background(), "/"))
+					response, err := s.RoundTrip(newRequest(context.Background(), "/"))
 					switch {
 					case fault.Is(err, NotSent):
 						return
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := s.RoundTrip(get(t.Context(), "/")); !fault.Is(err, Unknown) {
+	if _, err := s.RoundTrip(newRequest(t.Context(), "/")); !fault.Is(err, Unknown) {
 		t.Errorf("request on a silent connection: got %v, want %s", err, Unknown)
 	}
 	<-s.Done()
@@ -193,7 +193,7 @@
 		}
 		return &wire.StopReply{Clock: q.Clock}, nil
 	})
-	s, _ := pair(t, nil, handler)
+	s, _ := newSessionPair(t, nil, handler)
 	valid, err := proto.Marshal(&wire.Stop{Worker: "worker-1", Reason: strings.Repeat("x", 1000)})
 	if err != nil {
 		t.Fatal(err)
@@ -206,9 +206,9 @@
 	}{
 		{"valid", bytes.NewReader(valid), int64(len(valid)), http.StatusOK},
 		{"truncated message", bytes.NewReader(valid[:500]), 500, http.StatusBadRequest},
-		{"oversized", bytes.NewReader(make([]byte, maxMessage+1)), maxMessage + 1, http.StatusRequestEntityTooLarge},
+		{"oversized", bytes.NewReader(make([]byte, maxMessageBytes+1)), maxMessageBytes + 1, http.StatusRequestEntityTooLarge},
 	} {
-		r := get(t.Context(), "/stop")
+		r := newRequest(t.Context(), "/stop")
 		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(c.body), c.length
 		response, err := s.RoundTrip(r)
 		if err != nil {
@@ -242,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if response, err := first.RoundTrip(get(ctx, "/")); err != nil {
+	if response, err := first.RoundTrip(newRequest(ctx, "/")); err != nil {
 		t.Fatal(err)
 	} else {
 		response.Body.Close()
@@ -259,7 +259,7 @@
 }
 
 func BenchmarkRoundTrip(b *testing.B) {
-	s, _ := pair(b, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(b, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	}))
 	body := make([]byte, 512)
@@ -267,7 +267,7 @@
 	b.SetParallelism(16)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			r := get(context.Background(), "/")
+			r := newRequest(context.Background(), "/")
 			r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(bytes.NewReader(body)), int64(len(body))
 			response, err := s.RoundTrip(r)
 			if err != nil {
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -71,7 +71,7 @@
 				}
 				continue
 			}
-			l.admit(conn)
+			l.startSession(conn)
 		}
 	})
 	return group.Wait()
@@ -80,17 +80,17 @@
 // acceptBackoff keeps a failing accept from using a whole core.
 const acceptBackoff = 50 * time.Millisecond
 
-func (l *Listener) admit(conn net.Conn) {
+func (l *Listener) startSession(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.sessions) >= l.MaxSessions {
 		conn.Close()
 		return
 	}
-	shared := coalesce(conn)
-	mux, err := yamux.Server(shared, muxConfig())
+	buffered := newCoalescingConn(conn)
+	mux, err := yamux.Server(buffered, yamuxConfig())
 	if err != nil {
-		shared.Close()
+		buffered.Close()
 		return
 	}
 	s := newSession(mux, l.Handler, conn.RemoteAddr().String())
@@ -106,13 +106,13 @@
 // Shutdown ends every session gracefully, bounded by ctx.
 func (l *Listener) Shutdown(ctx context.Context) {
 	l.mu.Lock()
-	open := make([]*Session, 0, len(l.sessions))
+	sessions := make([]*Session, 0, len(l.sessions))
 	for s := range l.sessions {
-		open = append(open, s)
+		sessions = append(sessions, s)
 	}
 	l.mu.Unlock()
 	var wait sync.WaitGroup
-	for _, s := range open {
+	for _, s := range sessions {
 		wait.Go(func() { s.Shutdown(ctx) })
 	}
 	wait.Wait()
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -34,12 +34,12 @@
 	writeTimeout      = 1800 * time.Millisecond
 	// stalledAfter is how late a timeout may fire before it shows that this
 	// process did not run, so that the answer may wait in its socket unread.
-	stalledAfter = 200 * time.Millisecond
+	maxTimerDelay = 200 * time.Millisecond
 	// maxMessage bounds a control message; the configuration document is the
 	// largest part of one.
-	maxMessage = 4 << 20
+	maxMessageBytes = 4 << 20
 	// maxHeader bounds the header block of a request on a session.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// maxStreams bounds the streams that one side opens on a session. It is
 	// below yamux's accept backlog, past which the peer resets streams and the
 	// outcome of their requests is unknown.
@@ -74,13 +74,13 @@
 
 // Session is one connection to a peer. It is safe for concurrent use.
 type Session struct {
-	mux       *yamux.Session
-	transport *Transport
-	server    *http.Server
-	accept    *streamListener
-	remote    string
-	outgoing  gate // requests to the peer; shut when either side announces the end
-	incoming  atomic.Int64
+	mux           *yamux.Session
+	transport     *Transport
+	server        *http.Server
+	listener      *streamListener
+	remote        string
+	outgoing      requestTracker // requests to the peer; shut when either side announces the end
+	incomingCount atomic.Int64
 }
 
 type sessionKey struct{}
@@ -98,16 +98,16 @@
 	if err != nil {
 		return nil, fault.Wrap("dial", NotSent, err)
 	}
-	shared := coalesce(conn)
-	mux, err := yamux.Client(shared, muxConfig())
+	buffered := newCoalescingConn(conn)
+	mux, err := yamux.Client(buffered, yamuxConfig())
 	if err != nil {
-		shared.Close()
+		buffered.Close()
 		return nil, fault.Wrap("dial", NotSent, err)
 	}
 	return newSession(mux, handler, address), nil
 }
 
-func muxConfig() *yamux.Config {
+func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.EnableKeepAlive = false // keepAlive tells a stalled process from a silent peer
 	c.ConnectionWriteTimeout = writeTimeout
@@ -124,22 +124,22 @@
 		MaxConnections:     maxStreams,
 		MaxIdleConnections: maxIdleStreams,
 		IdleTimeout:        idleStreamTimeout,
-		MaxHeaderBytes:     maxHeader,
+		MaxHeaderBytes:     maxHeaderBytes,
 	})
-	s.accept = &streamListener{mux: mux}
-	s.accept.open, s.accept.stop = context.WithCancel(context.Background())
+	s.listener = &streamListener{mux: mux}
+	s.listener.ctx, s.listener.cancel = context.WithCancel(context.Background())
 	// The server has no idle timeout: only the opener closes an idle stream,
 	// so that no request meets a stream that is being closed.
 	s.server = &http.Server{
-		Handler:           s.serve(handler),
-		MaxHeaderBytes:    maxHeader,
+		Handler:           s.wrapHandler(handler),
+		MaxHeaderBytes:    maxHeaderBytes,
 		ReadHeaderTimeout: headerTimeout,
 		ErrorLog:          log.New(io.Discard, "", 0),
 		ConnContext:       func(ctx context.Context, _ net.Conn) context.Context { return context.WithValue(ctx, sessionKey{}, s) },
 	}
 	go func() {
 		// Serve returns when the session ends or Shutdown is called.
-		_ = s.server.Serve(s.accept)
+		_ = s.server.Serve(s.listener)
 	}()
 	go keepAlive(mux.CloseChan(), func() error { _, err := mux.Ping(); return err }, func() { mux.Close() })
 	return s
@@ -163,7 +163,7 @@
 		switch {
 		case err == nil:
 			timer.Reset(keepAliveInterval)
-		case timedOut && time.Since(start) > writeTimeout+stalledAfter:
+		case timedOut && time.Since(start) > writeTimeout+maxTimerDelay:
 			timer.Reset(0)
 		default:
 			end()
@@ -173,15 +173,15 @@
 }
 
 // serve answers the session's own messages and bounds the peer's requests.
-func (s *Session) serve(handler http.Handler) http.Handler {
+func (s *Session) wrapHandler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == goAwayPath {
-			s.outgoing.wait(r.Context())
+			s.outgoing.closeAndWait(r.Context())
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		defer s.incoming.Add(-1)
-		if s.incoming.Add(1) > maxStreams || handler == nil {
+		defer s.incomingCount.Add(-1)
+		if s.incomingCount.Add(1) > maxStreams || handler == nil {
 			w.Header().Set(headers.OutcomeHeader, string(headers.NotRun))
 			http.Error(w, "too many requests on this session", http.StatusServiceUnavailable)
 			return
@@ -198,11 +198,11 @@
 
 // Ending reports whether either side has announced the end of the session;
 // new requests fail with NotSent.
-func (s *Session) Ending() bool { return s.outgoing.isShut() || s.mux.IsClosed() }
+func (s *Session) Ending() bool { return s.outgoing.isClosed() || s.mux.IsClosed() }
 
 // Close ends the session at once; requests in flight fail.
 func (s *Session) Close() {
-	s.accept.Close()
+	s.listener.Close()
 	s.mux.Close()
 	s.server.Close()
 	s.transport.CloseIdle()
@@ -213,33 +213,33 @@
 // requests of both sides have been answered, and closes. When ctx ends first it
 // closes at once.
 func (s *Session) Shutdown(ctx context.Context) {
-	s.outgoing.shut()
+	s.outgoing.close()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://link"+goAwayPath, nil)
 	if err == nil {
 		if response, err := s.transport.RoundTrip(request); err == nil {
 			response.Body.Close()
 		}
 	}
-	s.outgoing.wait(ctx)
+	s.outgoing.closeAndWait(ctx)
 	_ = s.server.Shutdown(ctx)
 	s.Close()
 }
 
-var errEnding = errors.New("session is ending")
+var errSessionEnding = errors.New("session is ending")
 
 // RoundTrip sends one HTTP request over a stream of its own, at most once. An
 // error has kind NotSent when no byte of the request was written, else Unknown.
 // The caller closes the response body.
 func (s *Session) RoundTrip(r *http.Request) (*http.Response, error) {
-	if !s.outgoing.enter() {
-		return nil, fault.Wrap("request", NotSent, errEnding)
+	if !s.outgoing.begin() {
+		return nil, fault.Wrap("request", NotSent, errSessionEnding)
 	}
 	response, err := s.transport.RoundTrip(r)
 	if err != nil {
-		s.outgoing.leave()
+		s.outgoing.end()
 		return nil, err
 	}
-	response.Body = &gatedBody{ReadCloser: response.Body, gate: &s.outgoing}
+	response.Body = &trackedBody{ReadCloser: response.Body, tracker: &s.outgoing}
 	return response, nil
 }
 
@@ -259,14 +259,14 @@
 		return err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxMessage+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes+1))
 	switch {
 	case err != nil:
 		return fault.Wrap("call "+path, Unknown, err)
 	case response.StatusCode != http.StatusOK:
 		return fault.New("call "+path, Rejected, "status %d: %s", response.StatusCode, bytes.TrimSpace(data))
-	case len(data) > maxMessage:
-		return fault.New("call "+path, Invalid, "reply exceeds %d bytes", maxMessage)
+	case len(data) > maxMessageBytes:
+		return fault.New("call "+path, Invalid, "reply exceeds %d bytes", maxMessageBytes)
 	}
 	if err := proto.Unmarshal(data, reply); err != nil {
 		return fault.Wrap("call "+path, Invalid, err)
@@ -281,7 +281,7 @@
 	proto.Message
 }, R proto.Message](fn func(ctx context.Context, q PQ) (R, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err != nil {
 			status := http.StatusBadRequest
 			var tooLarge *http.MaxBytesError
@@ -317,14 +317,14 @@
 // stops accepting without closing the session, so that Shutdown can let
 // requests in flight finish.
 type streamListener struct {
-	mux  *yamux.Session
-	open context.Context // ended by Close
-	stop context.CancelFunc
+	mux    *yamux.Session
+	ctx    context.Context // ended by Close
+	cancel context.CancelFunc
 }
 
 // Accept must return when the listener is closed: Server.Shutdown waits for it.
 func (l *streamListener) Accept() (net.Conn, error) {
-	stream, err := l.mux.AcceptStreamWithContext(l.open)
+	stream, err := l.mux.AcceptStreamWithContext(l.ctx)
 	if err != nil {
 		return nil, net.ErrClosed
 	}
@@ -332,7 +332,7 @@
 }
 
 func (l *streamListener) Close() error {
-	l.stop()
+	l.cancel()
 	return nil
 }
 
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &sentConn{Conn: conn}, nil
+			return &writeTrackingConn{Conn: conn}, nil
 		},
 		DisableKeepAlives:      o.MaxIdleConnections == 0,
 		MaxConnsPerHost:        o.MaxConnections,
@@ -53,15 +53,15 @@
 func (t *Transport) CloseIdle() { t.http.CloseIdleConnections() }
 
 // attempt remembers the connection that carries a request.
-type attempt struct{ conn *sentConn }
+type connRecorder struct{ conn *writeTrackingConn }
 
-func (a *attempt) gotConn(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*sentConn)
+func (r *connRecorder) gotConn(info httptrace.GotConnInfo) {
+	conn, ok := info.Conn.(*writeTrackingConn)
 	if !ok {
 		return
 	}
-	conn.begin()
-	a.conn = conn
+	conn.beginRequest()
+	r.conn = conn
 }
 
 // RoundTrip sends r on a connection that carries no other request. An error
@@ -71,8 +71,8 @@
 	if err := r.Context().Err(); err != nil {
 		return nil, fault.Wrap("request", NotSent, err)
 	}
-	var a attempt
-	trace := &httptrace.ClientTrace{GotConn: a.gotConn}
+	var recorder connRecorder
+	trace := &httptrace.ClientTrace{GotConn: recorder.gotConn}
 	r = preventReplay(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
 	response, err := t.http.RoundTrip(r)
 	if err == nil {
@@ -80,7 +80,7 @@
 	}
 	// Without a connection nothing was written: the request was still waiting
 	// for one. With one, sealing it stops a write that has not begun yet.
-	if a.conn == nil || a.conn.seal() {
+	if recorder.conn == nil || recorder.conn.seal() {
 		return nil, fault.Wrap("request", NotSent, err)
 	}
 	return nil, fault.Wrap("request", Unknown, err)
@@ -109,35 +109,35 @@
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-var errSealed = errors.New("request was abandoned before it was written")
+var errRequestAbandoned = errors.New("request was abandoned before it was written")
 
 // sentConn records whether the request that holds it has written anything.
-type sentConn struct {
+type writeTrackingConn struct {
 	net.Conn
 	mu      sync.Mutex
 	written bool
 	sealed  bool
 }
 
-func (c *sentConn) begin() {
+func (c *writeTrackingConn) beginRequest() {
 	c.mu.Lock()
 	c.written = false
 	c.mu.Unlock()
 }
 
 // seal refuses later writes and reports whether none was made since begin.
-func (c *sentConn) seal() bool {
+func (c *writeTrackingConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 	return !c.written
 }
 
-func (c *sentConn) Write(b []byte) (int, error) {
+func (c *writeTrackingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errRequestAbandoned
 	}
 	c.written = true
 	c.mu.Unlock()
