--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// maxPending bounds what waits for the connection; a full buffer blocks yamux,
-// whose write timeout then ends the session.
+// maxPendingBytes bounds the data that waits for the connection. A full buffer
+// blocks yamux, whose write timeout then ends the session.
 const maxPendingBytes = 256 << 10
 
-// coalescedConn joins the writes that yamux makes while an earlier one is on
-// its way. yamux writes the header and the body of every frame separately,
+// coalescingConn merges the writes that yamux makes while an earlier write is
+// in progress. yamux writes the header and the body of every frame separately,
 // which costs two system calls and two packets per frame.
 type coalescingConn struct {
 	net.Conn
 	mu      sync.Mutex
 	changed sync.Cond
 	pending []byte
-	err     error // set once; later writes fail with it
+	err     error // the first error; later writes return it
 }
 
 func newCoalescingConn(conn net.Conn) *coalescingConn {
@@ -41,7 +41,7 @@
 	return len(b), nil
 }
 
-// Close also stops the flushing goroutine; what is still pending is dropped.
+// Close also stops the flushing goroutine. Pending data is dropped.
 func (c *coalescingConn) Close() error {
 	c.fail(net.ErrClosed)
 	return c.Conn.Close()
@@ -73,13 +73,13 @@
 		c.mu.Unlock()
 		if _, err := c.Conn.Write(out); err != nil {
 			c.fail(err)
-			// yamux notices a failed connection by its reads.
+			// yamux detects a failed connection when it reads.
 			c.Conn.Close()
 			return
 		}
 		recycled = out
 		if cap(recycled) > maxPendingBytes {
-			recycled = nil // one large burst must not hold memory for the session's life
+			recycled = nil // a single large burst must not retain memory for the rest of the session
 		}
 	}
 }
--- a/internal/link/keepalive_test.go
+++ b/internal/link/keepalive_test.go
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/yamux"
 )
 
-// Guards against a process that drops every session, and with it the requests in
-// flight, when it runs again after a pause: the timeout of a ping was due during
-// the pause, and the answer lies unread in the socket.
+// Guards against a process that closes every session, and so fails the requests
+// in flight, when it resumes after a pause: the timeout of a ping expired
+// during the pause while the reply was waiting in the socket.
 func TestKeepAliveSurvivesStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answers := []struct {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -21,12 +21,13 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http lingers 500 ms on a connection after a request that was too
-	// large, longer than goleak waits; it then ends by itself.
+	// After a request that is too large, net/http keeps the connection for 500 ms,
+	// which is longer than goleak waits. The goroutine then ends by itself.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// pair returns both ends of a session: the dialled one and the accepted one.
+// newSessionPair opens a session and returns its dialled end and the listener
+// of the accepted end.
 func newSessionPair(t testing.TB, dialled, accepted http.Handler) (*Session, *Listener) {
 	t.Helper()
 	l := &Listener{Address: "127.0.0.1:0", Handler: accepted}
@@ -60,8 +61,8 @@
 	return r
 }
 
-// Guards against a request that net/http sends again on a reused stream after
-// the peer closed it without an answer: it would be executed twice.
+// Guards against a request that runs twice because net/http sends it again on a
+// reused stream that the peer closed without a response.
 func TestRequestIsSentAtMostOnce(t *testing.T) {
 	var executed atomic.Int64
 	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -89,8 +90,8 @@
 	}
 }
 
-// Guards against a NotSent that is wrong, and against an Unknown where no byte
-// was written, which would lose a retry that is allowed.
+// Guards against kind NotSent for a request that was sent, and against kind
+// Unknown when no byte was written, which would prevent a permitted retry.
 func TestErrorKinds(t *testing.T) {
 	release := make(chan struct{})
 	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against a shutdown that cuts off a request: each one must be answered
-// or be NotSent, whichever side stops.
+// Guards against a shutdown that interrupts a request. Whichever side shuts
+// down, every request must be answered or fail with kind NotSent.
 func TestShutdownCutsOffNoRequest(t *testing.T) {
 	var executed atomic.Int64
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -133,7 +134,7 @@
 		var wait sync.WaitGroup
 		for range 32 {
 			wait.Go(func() {
-				for range 10_000 { // ends with the session
+				for range 10_000 { // stops when the session ends
 					response, err := s.RoundTrip(newRequest(context.Background(), "/"))
 					switch {
 					case fault.Is(err, NotSent):
@@ -159,7 +160,7 @@
 		wait.Wait()
 		cancel()
 		if cut.Load() != 0 || answered.Load() != executed.Load() {
-			t.Errorf("%s side stops: got %d cut off, %d answered, %d executed", side, cut.Load(), answered.Load(), executed.Load())
+			t.Errorf("%s side shuts down: got %d interrupted, %d answered, %d executed; want 0 interrupted and every execution answered", side, cut.Load(), answered.Load(), executed.Load())
 		}
 	}
 }
@@ -168,7 +169,7 @@
 // a request on it that is reported as not sent.
 func TestSilentConnectionEndsSession(t *testing.T) {
 	if got, want := keepAliveInterval+writeTimeout, 3*time.Second; got >= want {
-		t.Errorf("silence is found after %v, want less than %v", got, want)
+		t.Errorf("a silent connection is detected after %v, want less than %v", got, want)
 	}
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,6 +187,8 @@
 	<-s.Done()
 }
 
+// Checks the status of valid, truncated and oversized messages, and the errors
+// of calls.
 func TestMalformedMessages(t *testing.T) {
 	handler := Handle(func(_ context.Context, q *wire.Stop) (*wire.StopReply, error) {
 		if q.Worker == "none" {
@@ -229,6 +232,7 @@
 	}
 }
 
+// Checks that a listener closes the connections above its session limit.
 func TestSessionLimit(t *testing.T) {
 	l := &Listener{Address: "127.0.0.1:0", Handler: http.NotFoundHandler(), MaxSessions: 1}
 	address, err := l.Listen()
--- a/internal/link/listener.go
+++ b/internal/link/listener.go
@@ -16,20 +16,20 @@
 
 // Listener accepts sessions of peers. Set the exported fields before Run.
 type Listener struct {
-	Address     string       // IP:port to listen on; port 0 picks one
+	Address     string       // IP:port to listen on; port 0 selects a free port
 	Handler     http.Handler // serves the peers' requests
-	MaxSessions int          // most sessions at a time; 0 means defaultSessions
+	MaxSessions int          // concurrent sessions; 0 means defaultSessions
 
 	mu       sync.Mutex
 	listener net.Listener
 	sessions map[*Session]struct{}
 }
 
-// defaultSessions admits every agent of the target of 1,000 workers twice over,
-// so that reconnecting agents are not refused while old sessions time out.
+// defaultSessions is twice the target of 1,000 workers, so that reconnecting
+// agents are not rejected while their old sessions time out.
 const defaultSessions = 2048
 
-// Listen binds the address. Run calls it when it has not been called.
+// Listen binds the address. Run calls it if necessary.
 func (l *Listener) Listen() (net.Addr, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,8 +47,8 @@
 	return l.listener.Addr(), nil
 }
 
-// Run accepts sessions until ctx ends, then stops accepting and returns without
-// ending the sessions; Shutdown ends them.
+// Run accepts sessions until ctx ends. It then stops accepting and returns
+// without ending the sessions; Shutdown ends them.
 func (l *Listener) Run(ctx context.Context) error {
 	if _, err := l.Listen(); err != nil {
 		return err
@@ -65,7 +65,8 @@
 				if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 					return nil
 				}
-				// Out of descriptors, most likely: sessions that end free some.
+				// The process has probably run out of file descriptors. Sessions
+				// that end free some.
 				if !pause.For(ctx, acceptBackoff) {
 					return nil
 				}
@@ -77,9 +78,11 @@
 	return group.Wait()
 }
 
-// acceptBackoff keeps a failing accept from using a whole core.
+// acceptBackoff keeps a failing accept loop from using a whole core.
 const acceptBackoff = 50 * time.Millisecond
 
+// startSession starts a session on the connection, or closes it when there are
+// too many sessions.
 func (l *Listener) startSession(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +106,7 @@
 	}()
 }
 
-// Shutdown ends every session gracefully, bounded by ctx.
+// Shutdown shuts down every session gracefully until ctx ends.
 func (l *Listener) Shutdown(ctx context.Context) {
 	l.mu.Lock()
 	sessions := make([]*Session, 0, len(l.sessions))
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -1,11 +1,11 @@
-// Package link connects the processes of wasabihill: yamux sessions over TCP
-// that carry HTTP/1.1 in both directions. Control messages are protobuf bodies;
-// requests of callers pass as they are.
+// Package link connects the processes of wasabihill with yamux sessions over
+// TCP that carry HTTP/1.1 in both directions. Control messages are protobuf
+// bodies; requests of callers are forwarded unchanged.
 //
-// A request has a stream to itself until its response has been read, so a
-// response cannot reach another caller; idle streams are used again. Transport
-// keeps net/http from sending a request twice on a reused stream, which would
-// break at-most-once execution.
+// A request has a stream to itself until its response has been read, so that a
+// response cannot reach another caller. Idle streams are reused. Transport
+// prevents net/http from sending a request twice on a reused stream, which
+// would break at-most-once execution.
 package link
 
 import (
@@ -27,41 +27,43 @@
 )
 
 const (
-	// keepAliveInterval and writeTimeout (also the timeout of a keepalive)
-	// bound the detection of a silent connection to 2.8 s, below the 3 s that
-	// the lease duration leaves room for.
+	// keepAliveInterval and writeTimeout (which is also the timeout of a
+	// keepalive) bound the detection of a silent connection to 2.8 s. The lease
+	// duration allows for 3 s.
 	keepAliveInterval = time.Second
 	writeTimeout      = 1800 * time.Millisecond
-	// stalledAfter is how late a timeout may fire before it shows that this
-	// process did not run, so that the answer may wait in its socket unread.
+	// maxTimerDelay is the largest delay of a timeout that counts as normal. A
+	// longer delay shows that this process did not run, so that the reply may
+	// still be unread in the socket.
 	maxTimerDelay = 200 * time.Millisecond
-	// maxMessage bounds a control message; the configuration document is the
-	// largest part of one.
+	// maxMessageBytes bounds a control message. The largest part of one is the
+	// configuration document.
 	maxMessageBytes = 4 << 20
-	// maxHeader bounds the header block of a request on a session.
+	// maxHeaderBytes bounds the header block of a request on a session.
 	maxHeaderBytes = 64 << 10
 	// maxStreams bounds the streams that one side opens on a session. It is
-	// below yamux's accept backlog, past which the peer resets streams and the
-	// outcome of their requests is unknown.
+	// below yamux's accept backlog: above the backlog the peer resets streams,
+	// and the outcome of their requests is unknown.
 	maxStreams    = 1000
 	acceptBacklog = 1024
 	// maxIdleStreams bounds the memory of idle streams, about 20 KiB each with
 	// their buffers on both sides.
 	maxIdleStreams = 64
-	// headerTimeout frees a stream whose request header never completes. It
-	// also runs on a stream that was opened and not used yet, so idle streams
-	// must be closed by their opener well before.
+	// headerTimeout closes a stream whose request header never completes. It
+	// also applies to a stream that was opened and not used yet, so the opener
+	// must close idle streams well before.
 	headerTimeout     = 10 * time.Second
 	idleStreamTimeout = 5 * time.Second
-	// goAwayPath carries the announcement that a peer is about to close the
-	// session. It is answered when the receiver has no request under way.
+	// goAwayPath is the path of the message that announces that the sender is
+	// about to close the session. The receiver replies when it has no request
+	// in flight.
 	goAwayPath = "/link/goaway"
 )
 
-// Kind tells failures of a call apart.
+// Kind classifies the failures of a call.
 type Kind string
 
-// The kinds of Error.
+// Kinds of Error.
 const (
 	NotSent  Kind = "notSent"  // no byte of the request left this process
 	Unknown  Kind = "unknown"  // the peer may have acted on the request
@@ -79,20 +81,21 @@
 	server        *http.Server
 	listener      *streamListener
 	remote        string
-	outgoing      requestTracker // requests to the peer; shut when either side announces the end
+	outgoing      requestTracker // requests to the peer; closed when either side announces the end of the session
 	incomingCount atomic.Int64
 }
 
 type sessionKey struct{}
 
-// FromContext returns the session on which the request of ctx arrived, or nil.
+// SessionFromContext returns the session on which the request of ctx arrived,
+// or nil.
 func SessionFromContext(ctx context.Context) *Session {
 	s, _ := ctx.Value(sessionKey{}).(*Session)
 	return s
 }
 
-// Dial connects to address and serves requests of the peer with handler until
-// the session ends. An error has kind NotSent.
+// Dial connects to address and serves the peer's requests with handler until
+// the session ends. Its errors have kind NotSent.
 func Dial(ctx context.Context, address string, handler http.Handler) (*Session, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -109,11 +112,11 @@
 
 func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.EnableKeepAlive = false // keepAlive tells a stalled process from a silent peer
+	c.EnableKeepAlive = false // keepAlive distinguishes a stall of this process from a silent peer
 	c.ConnectionWriteTimeout = writeTimeout
 	c.StreamOpenTimeout = 0 // requests carry their own deadlines
 	c.AcceptBacklog = acceptBacklog
-	c.LogOutput = io.Discard // session ends are logged by their owners, once
+	c.LogOutput = io.Discard // the owner of a session logs its end, once
 	return c
 }
 
@@ -128,8 +131,8 @@
 	})
 	s.listener = &streamListener{mux: mux}
 	s.listener.ctx, s.listener.cancel = context.WithCancel(context.Background())
-	// The server has no idle timeout: only the opener closes an idle stream,
-	// so that no request meets a stream that is being closed.
+	// The server has no idle timeout: only the opener closes an idle stream, so
+	// that no request is sent on a stream that is being closed.
 	s.server = &http.Server{
 		Handler:           s.wrapHandler(handler),
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -145,9 +148,10 @@
 	return s
 }
 
-// keepAlive calls end when the peer leaves a ping unanswered while this process
-// could have read the answer. After a stall (a pause, no processor time) the
-// timeout and the answer are due at once, and the timeout proves nothing.
+// keepAlive calls end when the peer does not answer a ping although this
+// process could have read the reply. After a stall of this process (a pause or
+// no processor time) the timeout fires while the reply may be waiting in the
+// socket, so it proves nothing and the ping is repeated.
 func keepAlive(done <-chan struct{}, ping func() error, end func()) {
 	timer := time.NewTimer(keepAliveInterval)
 	defer timer.Stop()
@@ -172,7 +176,8 @@
 	}
 }
 
-// serve answers the session's own messages and bounds the peer's requests.
+// wrapHandler returns a handler that answers the session's own messages, limits
+// the peer's concurrent requests and passes them to handler.
 func (s *Session) wrapHandler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == goAwayPath {
@@ -196,11 +201,11 @@
 // Done is closed when the session has ended.
 func (s *Session) Done() <-chan struct{} { return s.mux.CloseChan() }
 
-// Ending reports whether either side has announced the end of the session;
-// new requests fail with NotSent.
+// Ending reports whether either side has announced the end of the session. New
+// requests then fail with kind NotSent.
 func (s *Session) Ending() bool { return s.outgoing.isClosed() || s.mux.IsClosed() }
 
-// Close ends the session at once; requests in flight fail.
+// Close ends the session at once. Requests in flight fail.
 func (s *Session) Close() {
 	s.listener.Close()
 	s.mux.Close()
@@ -208,10 +213,10 @@
 	s.transport.CloseIdle()
 }
 
-// Shutdown ends the session without cutting off a request: it asks the peer to
-// send no more, serves what the peer has sent until then, waits until the
-// requests of both sides have been answered, and closes. When ctx ends first it
-// closes at once.
+// Shutdown ends the session without interrupting a request. It asks the peer to
+// send no more requests, serves those that the peer has sent until then, waits
+// until the requests of both sides have been answered, and closes the session.
+// When ctx ends first it closes the session at once.
 func (s *Session) Shutdown(ctx context.Context) {
 	s.outgoing.close()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://link"+goAwayPath, nil)
@@ -228,8 +233,8 @@
 var errSessionEnding = errors.New("session is ending")
 
 // RoundTrip sends one HTTP request over a stream of its own, at most once. An
-// error has kind NotSent when no byte of the request was written, else Unknown.
-// The caller closes the response body.
+// error has kind NotSent when no byte of the request was written, otherwise
+// Unknown. The caller must close the response body.
 func (s *Session) RoundTrip(r *http.Request) (*http.Response, error) {
 	if !s.outgoing.begin() {
 		return nil, fault.Wrap("request", NotSent, errSessionEnding)
@@ -243,7 +248,8 @@
 	return response, nil
 }
 
-// Call posts a protobuf message to path and decodes the peer's reply.
+// Call posts a protobuf message to path and decodes the peer's reply into
+// reply.
 func (s *Session) Call(ctx context.Context, path string, message, reply proto.Message) error {
 	body, err := proto.Marshal(message)
 	if err != nil {
@@ -274,8 +280,9 @@
 	return nil
 }
 
-// Handle adapts fn to an HTTP handler for protobuf messages of type Q answered
-// by R. An error of fn becomes status 409 with its text.
+// Handle returns an HTTP handler that decodes a protobuf message of type Q,
+// calls fn and encodes its reply. An error of fn becomes status 409 with the
+// error's text.
 func Handle[Q any, PQ interface {
 	*Q
 	proto.Message
@@ -306,23 +313,24 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		// Nobody reads these headers, and net/http would add 76 bytes of them to
-		// every reply.
+		// No receiver reads these headers, and net/http would add 76 bytes of them
+		// to every reply.
 		w.Header()["Date"], w.Header()["Content-Type"] = nil, nil
 		_, _ = w.Write(out)
 	}
 }
 
-// streamListener hands the streams of a session to an http.Server. Closing it
-// stops accepting without closing the session, so that Shutdown can let
+// streamListener accepts the streams of a session for an http.Server. Closing
+// it stops accepting without closing the session, so that Shutdown can let
 // requests in flight finish.
 type streamListener struct {
 	mux    *yamux.Session
-	ctx    context.Context // ended by Close
+	ctx    context.Context // cancelled by Close
 	cancel context.CancelFunc
 }
 
-// Accept must return when the listener is closed: Server.Shutdown waits for it.
+// Accept returns when the listener is closed, because Server.Shutdown waits for
+// it.
 func (l *streamListener) Accept() (net.Conn, error) {
 	stream, err := l.mux.AcceptStreamWithContext(l.ctx)
 	if err != nil {
--- a/internal/link/tracker.go
+++ b/internal/link/tracker.go
@@ -6,15 +6,16 @@
 	"sync"
 )
 
-// gate counts the requests under way and can be shut for new ones.
+// requestTracker counts the requests in flight. After close it rejects new
+// ones.
 type requestTracker struct {
 	mu      sync.Mutex
 	count   int
 	closed  bool
-	drained chan struct{} // closed when shut and count is 0; nil until shut
+	drained chan struct{} // closed when closed is set and count is 0; nil before close
 }
 
-// enter reports false when the gate is shut.
+// begin counts a new request. It returns false when the tracker is closed.
 func (t *requestTracker) begin() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -34,8 +35,8 @@
 	}
 }
 
-// shut refuses new requests and returns a channel that is closed when none is
-// under way.
+// close rejects new requests and returns a channel that is closed when no
+// request is in flight.
 func (t *requestTracker) close() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +56,8 @@
 	return t.closed
 }
 
-// wait waits until none is under way or ctx ends.
+// closeAndWait closes the tracker and waits until no request is in flight or
+// ctx ends.
 func (t *requestTracker) closeAndWait(ctx context.Context) {
 	select {
 	case <-t.close():
@@ -63,7 +65,7 @@
 	}
 }
 
-// gatedBody leaves the gate when the response body is closed.
+// trackedBody ends the request when the response body is closed.
 type trackedBody struct {
 	io.ReadCloser
 	tracker *requestTracker
--- a/internal/link/transport.go
+++ b/internal/link/transport.go
@@ -13,10 +13,10 @@
 	"wasabihill.example/wasabihill/internal/fault"
 )
 
-// Transport sends each request at most once and tells whether any byte of a
-// failed request may have left this process. It reuses idle connections, which
-// net/http does safely only for requests that it cannot replay; RoundTrip
-// therefore makes every request impossible to replay.
+// Transport sends each request at most once and reports whether any byte of a
+// failed request may have left this process. It reuses idle connections.
+// net/http does that safely only for requests that it cannot replay, so
+// RoundTrip prevents the replay of every request.
 type Transport struct {
 	http *http.Transport
 }
@@ -24,13 +24,13 @@
 // Options configures a Transport.
 type Options struct {
 	Dial               func(ctx context.Context) (net.Conn, error)
-	MaxConnections     int           // most connections at a time; 0 means no limit
-	MaxIdleConnections int           // most idle connections kept; 0 opens a connection for each request
-	IdleTimeout        time.Duration // must be below the peer's, or a request meets a closing connection
-	MaxHeaderBytes     int64         // most bytes of a response header block
+	MaxConnections     int           // concurrent connections; 0 means no limit
+	MaxIdleConnections int           // idle connections kept; 0 opens a connection for each request
+	IdleTimeout        time.Duration // must be below the peer's, or a request may be sent on a connection that the peer is closing
+	MaxHeaderBytes     int64         // of a response header block
 }
 
-// NewTransport returns a transport to the one peer that o.Dial reaches.
+// NewTransport returns a transport to the single peer that o.Dial connects to.
 func NewTransport(o Options) *Transport {
 	return &Transport{http: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -49,10 +49,11 @@
 	}}
 }
 
-// CloseIdle closes the idle connections; those in use finish their request.
+// CloseIdle closes the idle connections. Connections in use finish their
+// request.
 func (t *Transport) CloseIdle() { t.http.CloseIdleConnections() }
 
-// attempt remembers the connection that carries a request.
+// connRecorder records the connection that carries a request.
 type connRecorder struct{ conn *writeTrackingConn }
 
 func (r *connRecorder) gotConn(info httptrace.GotConnInfo) {
@@ -64,9 +65,9 @@
 	r.conn = conn
 }
 
-// RoundTrip sends r on a connection that carries no other request. An error
-// has kind NotSent only when no byte was handed to a connection and none will
-// be; else it is Unknown.
+// RoundTrip sends r on a connection that carries no other request. An error has
+// kind NotSent only when no byte was written to a connection and none will be;
+// otherwise it has kind Unknown.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if err := r.Context().Err(); err != nil {
 		return nil, fault.Wrap("request", NotSent, err)
@@ -78,19 +79,20 @@
 	if err == nil {
 		return response, nil
 	}
-	// Without a connection nothing was written: the request was still waiting
-	// for one. With one, sealing it stops a write that has not begun yet.
+	// Without a connection nothing was written, because the request was still
+	// waiting for one. With a connection, sealing prevents a write that has not
+	// started yet.
 	if recorder.conn == nil || recorder.conn.seal() {
 		return nil, fault.Wrap("request", NotSent, err)
 	}
 	return nil, fault.Wrap("request", Unknown, err)
 }
 
-// replayedMethods are those that net/http sends again on a reused connection
-// that fails, when the request has no body or a body with GetBody.
+// replayedMethods are the methods that net/http sends again when a reused
+// connection fails and the request has no body or a body with GetBody.
 var replayedMethods = map[string]bool{"": true, http.MethodGet: true, http.MethodHead: true, http.MethodOptions: true, http.MethodTrace: true}
 
-// preventReplay changes r, a copy that the caller does not see.
+// preventReplay modifies r, which must be a copy that the caller does not see.
 func preventReplay(r *http.Request) *http.Request {
 	r.GetBody = nil
 	if r.Body != nil && r.Body != http.NoBody {
@@ -102,8 +104,8 @@
 	return r
 }
 
-// emptyBody is an empty body that net/http does not recognise as empty, so
-// that it does not replay the request.
+// emptyBody is an empty body that net/http does not recognize as empty, so that
+// it does not replay the request.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
@@ -111,7 +113,7 @@
 
 var errRequestAbandoned = errors.New("request was abandoned before it was written")
 
-// sentConn records whether the request that holds it has written anything.
+// writeTrackingConn records whether the current request has written anything.
 type writeTrackingConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -125,7 +127,8 @@
 	c.mu.Unlock()
 }
 
-// seal refuses later writes and reports whether none was made since begin.
+// seal makes later writes fail and reports whether none was made since
+// beginRequest.
 func (c *writeTrackingConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
