--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -21,13 +21,14 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http lingers 500 ms on a connection after a request that was too
-	// large, longer than goleak waits; it then ends by itself.
+	// After a request that is too large, net/http keeps the connection for 500 ms,
+	// which is longer than goleak waits. The goroutine then ends by itself.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// pair returns both ends of a session: the dialled one and the accepted one.
-func pair(t testing.TB, dialled, accepted http.Handler) (*Session, *Listener) {
+// newSessionPair opens a session and returns its dialled end and the listener
+// of the accepted end.
+func newSessionPair(t testing.TB, dialled, accepted http.Handler) (*Session, *Listener) {
 	t.Helper()
 	l := &Listener{Address: "127.0.0.1:0", Handler: accepted}
 	address, err := l.Listen()
@@ -45,14 +46,14 @@
 		s.Close()
 		cancel()
 		<-ended
-		over, stop := context.WithCancel(context.Background())
+		expired, stop := context.WithCancel(context.Background())
 		stop()
-		l.Shutdown(over)
+		l.Shutdown(expired)
 	})
 	return s, l
 }
 
-func get(ctx context.Context, path string) *http.Request {
+func newRequest(ctx context.Context, path string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://link"+path, nil)
 	if err != nil {
 		panic(err)
@@ -60,11 +61,11 @@
 	return r
 }
 
-// Guards against a request that net/http sends again on a reused stream after
-// the peer closed it without an answer: it would be executed twice.
+// Guards against a request that runs twice because net/http sends it again on a
+// reused stream that the peer closed without a response.
 func TestRequestIsSentAtMostOnce(t *testing.T) {
 	var executed atomic.Int64
-	s, _ := pair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/cut" {
 			executed.Add(1)
 			panic(http.ErrAbortHandler)
@@ -72,12 +73,12 @@
 	}))
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		executed.Store(0)
-		response, err := s.RoundTrip(get(t.Context(), "/ok"))
+		response, err := s.RoundTrip(newRequest(t.Context(), "/ok"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		response.Body.Close()
-		r := get(t.Context(), "/cut")
+		r := newRequest(t.Context(), "/cut")
 		r.Method = method
 		r.Header.Set("Idempotency-Key", "1")
 		if _, err := s.RoundTrip(r); !fault.Is(err, Unknown) {
@@ -89,11 +90,11 @@
 	}
 }
 
-// Guards against a NotSent that is wrong, and against an Unknown where no byte
-// was written, which would lose a retry that is allowed.
+// Guards against kind NotSent for a request that was sent, and against kind
+// Unknown when no byte was written, which would prevent a permitted retry.
 func TestErrorKinds(t *testing.T) {
 	release := make(chan struct{})
-	s, _ := pair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(t, nil, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
 			<-release
 		}
@@ -101,16 +102,16 @@
 	defer close(release)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := s.RoundTrip(get(ended, "/")); !fault.Is(err, NotSent) {
+	if _, err := s.RoundTrip(newRequest(ended, "/")); !fault.Is(err, NotSent) {
 		t.Errorf("cancelled before the send: got %v, want %s", err, NotSent)
 	}
 	short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := s.RoundTrip(get(short, "/wait")); !fault.Is(err, Unknown) {
+	if _, err := s.RoundTrip(newRequest(short, "/wait")); !fault.Is(err, Unknown) {
 		t.Errorf("cancelled after the send: got %v, want %s", err, Unknown)
 	}
 	s.Close()
-	if _, err := s.RoundTrip(get(t.Context(), "/")); !fault.Is(err, NotSent) {
+	if _, err := s.RoundTrip(newRequest(t.Context(), "/")); !fault.Is(err, NotSent) {
 		t.Errorf("closed session: got %v, want %s", err, NotSent)
 	}
 	if _, err := Dial(ended, "127.0.0.1:1", nil); !fault.Is(err, NotSent) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against a shutdown that cuts off a request: each one must be answered
-// or be NotSent, whichever side stops.
+// Guards against a shutdown that interrupts a request. Whichever side shuts
+// down, every request must be answered or fail with kind NotSent.
 func TestShutdownCutsOffNoRequest(t *testing.T) {
 	var executed atomic.Int64
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -128,13 +129,13 @@
 	})
 	for _, side := range []string{"dialled", "accepted"} {
 		executed.Store(0)
-		s, l := pair(t, handler, handler)
+		s, l := newSessionPair(t, handler, handler)
 		var answered, cut atomic.Int64
 		var wait sync.WaitGroup
 		for range 32 {
 			wait.Go(func() {
-				for range 10_000 { // ends with the session
-					response, err := s.RoundTrip(get(context.Background(), "/"))
+				for range 10_000 { // stops when the session ends
+					response, err := s.RoundTrip(newRequest(context.Background(), "/"))
 					switch {
 					case fault.Is(err, NotSent):
 						return
@@ -159,7 +160,7 @@
 		wait.Wait()
 		cancel()
 		if cut.Load() != 0 || answered.Load() != executed.Load() {
-			t.Errorf("%s side stops: got %d cut off, %d answered, %d executed", side, cut.Load(), answered.Load(), executed.Load())
+			t.Errorf("%s side shuts down: got %d interrupted, %d answered, %d executed; want 0 interrupted and every execution answered", side, cut.Load(), answered.Load(), executed.Load())
 		}
 	}
 }
@@ -168,7 +169,7 @@
 // a request on it that is reported as not sent.
 func TestSilentConnectionEndsSession(t *testing.T) {
 	if got, want := keepAliveInterval+writeTimeout, 3*time.Second; got >= want {
-		t.Errorf("silence is found after %v, want less than %v", got, want)
+		t.Errorf("a silent connection is detected after %v, want less than %v", got, want)
 	}
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -180,12 +181,14 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := s.RoundTrip(get(t.Context(), "/")); !fault.Is(err, Unknown) {
+	if _, err := s.RoundTrip(newRequest(t.Context(), "/")); !fault.Is(err, Unknown) {
 		t.Errorf("request on a silent connection: got %v, want %s", err, Unknown)
 	}
 	<-s.Done()
 }
 
+// Checks the status of valid, truncated and oversized messages, and the errors
+// of calls.
 func TestMalformedMessages(t *testing.T) {
 	handler := Handle(func(_ context.Context, q *wire.Stop) (*wire.StopReply, error) {
 		if q.Worker == "none" {
@@ -193,7 +196,7 @@
 		}
 		return &wire.StopReply{Clock: q.Clock}, nil
 	})
-	s, _ := pair(t, nil, handler)
+	s, _ := newSessionPair(t, nil, handler)
 	valid, err := proto.Marshal(&wire.Stop{Worker: "worker-1", Reason: strings.Repeat("x", 1000)})
 	if err != nil {
 		t.Fatal(err)
@@ -206,9 +209,9 @@
 	}{
 		{"valid", bytes.NewReader(valid), int64(len(valid)), http.StatusOK},
 		{"truncated message", bytes.NewReader(valid[:500]), 500, http.StatusBadRequest},
-		{"oversized", bytes.NewReader(make([]byte, maxMessage+1)), maxMessage + 1, http.StatusRequestEntityTooLarge},
+		{"oversized", bytes.NewReader(make([]byte, maxMessageBytes+1)), maxMessageBytes + 1, http.StatusRequestEntityTooLarge},
 	} {
-		r := get(t.Context(), "/stop")
+		r := newRequest(t.Context(), "/stop")
 		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(c.body), c.length
 		response, err := s.RoundTrip(r)
 		if err != nil {
@@ -229,6 +232,7 @@
 	}
 }
 
+// Checks that a listener closes the connections above its session limit.
 func TestSessionLimit(t *testing.T) {
 	l := &Listener{Address: "127.0.0.1:0", Handler: http.NotFoundHandler(), MaxSessions: 1}
 	address, err := l.Listen()
@@ -242,7 +246,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if response, err := first.RoundTrip(get(ctx, "/")); err != nil {
+	if response, err := first.RoundTrip(newRequest(ctx, "/")); err != nil {
 		t.Fatal(err)
 	} else {
 		response.Body.Close()
@@ -259,7 +263,7 @@
 }
 
 func BenchmarkRoundTrip(b *testing.B) {
-	s, _ := pair(b, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s, _ := newSessionPair(b, nil, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	}))
 	body := make([]byte, 512)
@@ -267,7 +271,7 @@
 	b.SetParallelism(16)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			r := get(context.Background(), "/")
+			r := newRequest(context.Background(), "/")
 			r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(bytes.NewReader(body)), int64(len(body))
 			response, err := s.RoundTrip(r)
 			if err != nil {
