--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -26,7 +26,7 @@
 	freeRetry     bool           // a retry adds no load: the endpoint is leaving or nothing was sent
 	status        int
 	header        http.Header
-	contentLength int64         // as declared by the endpoint; -1 if it is not
+	contentLength int64         // as declared by the endpoint; -1 if undeclared
 	body          []byte        // the whole body, or its beginning when remainder is set
 	remainder     io.ReadCloser // the rest of a large response after body
 	cancel        context.CancelFunc
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,7 +69,7 @@
 	budget             *routing.RetryBudget
 	active             atomic.Int64
 	draining           atomic.Bool
-	services           sync.Map       // units.ServiceName -> *service
+	services           sync.Map       // units.ServiceName -> *serviceState
 	backgroundAttempts sync.WaitGroup // attempts of idempotent requests; those that lost are ending
 }
 
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -31,13 +31,13 @@
 
 // entryProcess is the request path of an entry process.
 type entryProcess struct {
-	gateway    *gateway.Gateway
-	table      *routing.Table
-	links      *link.Listener
-	server     *http.Server
-	url        string
-	drainDelay time.Duration // between readiness off and closing the listener
-	stop       func()
+	gateway         *gateway.Gateway
+	table           *routing.Table
+	sessionListener *link.Listener
+	server          *http.Server
+	url             string
+	drainDelay      time.Duration // between readiness off and closing the listener
+	stop            func()
 }
 
 func newEntry(t testing.TB, o gateway.Options) *entryProcess {
@@ -50,8 +50,8 @@
 		e.table.RecordHeartbeat(units.WorkerID(h.Worker), link.SessionFromContext(ctx), h, time.Now())
 		return &wire.HeartbeatReply{}, nil
 	})
-	e.links = &link.Listener{Address: "127.0.0.1:0", Handler: heartbeat}
-	if _, err := e.links.Listen(); err != nil {
+	e.sessionListener = &link.Listener{Address: "127.0.0.1:0", Handler: heartbeat}
+	if _, err := e.sessionListener.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	e.server = e.gateway.Server()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = e.links.Run(ctx) })
+	wait.Go(func() { _ = e.sessionListener.Run(ctx) })
 	wait.Go(func() { _ = e.table.Run(ctx) })
 	wait.Go(func() { _ = e.server.Serve(callers) })
 	e.stop = sync.OnceFunc(func() {
@@ -70,7 +70,7 @@
 		defer done()
 		e.gateway.Shutdown(stop, e.server, e.drainDelay)
 		cancel()
-		e.links.Shutdown(stop)
+		e.sessionListener.Shutdown(stop)
 		wait.Wait()
 	})
 	t.Cleanup(e.stop)
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var sessions []*link.Session
 	for _, e := range entries {
-		address, err := e.links.Listen()
+		address, err := e.sessionListener.Listen()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	h := &faultyProxy{address: l.Addr().String()}
-	entry, err := e.links.Listen()
+	entry, err := e.sessionListener.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -321,9 +321,9 @@
 	return e.leader != nil || e.session != nil
 }
 
-// leaderProcessEnded queries the process at the leader's address whether it leads
-// the leader's term. It returns true when a process of that name answers that
-// it does not, as after a restart, and false without an answer.
+// leaderProcessEnded queries the process at the leader's address. It returns
+// true when a process of the leader's name answers that it does not lead the
+// leader's term, as after a restart, and false without an answer.
 func (e *Entry) leaderProcessEnded(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
@@ -358,9 +358,9 @@
 	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
 }
 
-// requestSupport requests from every other entry process a promise not to claim the
-// leadership. It returns when the promises expire, and false unless every
-// process promised.
+// requestSupport requests a promise from every other entry process not to claim
+// the leadership. It returns the time at which the promises expire, and false
+// unless every process promised.
 func (e *Entry) requestSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
 	e.mu.Lock()
 	addresses := make([]string, 0, len(e.peers))
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -41,8 +41,8 @@
 	unavailableRetryAfter = time.Second
 )
 
-// leader runs the scheduler for one term. One goroutine runs the scheduler; the
-// others send it events.
+// leader runs the scheduler for one term. Only one of its goroutines accesses
+// scheduler, agents, submissions and cancellations; the others send it events.
 type leader struct {
 	term      leadership.Term
 	settings  *Settings
@@ -56,7 +56,7 @@
 	scheduler     *scheduler.Scheduler
 	writer        *jobstore.Writer
 	agents        map[units.WorkerID]*agentConn
-	pending       map[workflow.JobID]*submission
+	submissions   map[workflow.JobID]*submission
 	cancellations []cancellation
 	group         *errgroup.Group
 	ctx           context.Context
@@ -77,7 +77,7 @@
 func (l *leader) run() error {
 	ctx := l.ctx
 	l.agents = make(map[units.WorkerID]*agentConn)
-	l.pending = make(map[workflow.JobID]*submission)
+	l.submissions = make(map[workflow.JobID]*submission)
 	l.writer = jobstore.New(l.store, uint64(l.term))
 	if err := l.recover(ctx); err != nil {
 		return err
@@ -296,7 +296,7 @@
 // replyUnknownJob returns the reply for a job without a durable record. A job
 // whose record is being written may exist soon.
 func (l *leader) replyUnknownJob(id workflow.JobID) Reply {
-	if l.pending[id] != nil {
+	if l.submissions[id] != nil {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 	}
 	return Reply{Outcome: JobNotFound}
@@ -308,7 +308,7 @@
 		answer <- Reply{Outcome: Accepted, Reason: "known"}
 		return
 	}
-	if s := l.pending[id]; s != nil {
+	if s := l.submissions[id]; s != nil {
 		s.waiters = append(s.waiters, answer)
 		return
 	}
@@ -322,13 +322,13 @@
 		return
 	}
 	s := &submission{waiters: []chan Reply{answer}}
-	l.pending[id] = s
+	l.submissions[id] = s
 	record := durable.Record{Key: scheduler.JobKey(id), Value: value}
 	l.writer.Write([]durable.Record{record}, func() { l.enqueue(func() { l.jobAccepted(r, s) }) })
 }
 
 func (l *leader) jobAccepted(r Request, s *submission) {
-	delete(l.pending, r.ID)
+	delete(l.submissions, r.ID)
 	klog.InfoS("job accepted", "job", r.ID, "queue", r.Queue, "priority", r.Policy.Priority, "steps", r.Job.Summary())
 	l.scheduler.Accept(r.Job, r.Policy, now())
 	for _, waiter := range s.waiters {
@@ -337,7 +337,7 @@
 }
 
 func (l *leader) cancel(r Request, answer chan Reply) {
-	if l.pending[r.ID] != nil {
+	if l.submissions[r.ID] != nil {
 		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 		return
 	}
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -15,8 +15,8 @@
 	// way to the one that the agent reports. It spans a few heartbeats, so that
 	// a recovered endpoint is soon used again.
 	latencyDecayTime = 3 * time.Second
-	// initialLatency is the lower bound of the expected latency, and its value
-	// while nothing has been reported.
+	// initialLatency is assumed for an endpoint without a reported latency. It
+	// is also the lower bound of a reported latency.
 	initialLatency = time.Millisecond
 	// failuresToEject is the number of consecutive failures that eject an
 	// endpoint.
