--- a/internal/node/agentconn.go
+++ b/internal/node/agentconn.go
@@ -135,12 +135,12 @@
 		}
 		at := now()
 		l.metrics.countReport(len(in.GetEnded()), len(in.GetRejected()))
-		l.scheduler.Report(a.worker, in, at)
+		l.scheduler.ApplyReport(a.worker, in, at)
 		granted := l.isLeading()
 		if granted {
-			l.scheduler.Granted(a.worker, in, at)
+			l.scheduler.ExtendLease(a.worker, in, at)
 		}
-		born, number := l.scheduler.Recorded(a.worker)
+		born, number := l.scheduler.DurableEnds(a.worker)
 		answer <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
 	})
 	select {
@@ -182,14 +182,14 @@
 		}
 		l.enqueue(func() {
 			if a.session == session {
-				l.scheduler.Sent(orders.Worker, tasks, reply.GetSequence())
+				l.scheduler.ConfirmStarts(orders.Worker, tasks, reply.GetSequence())
 			}
 		})
 	}()
 }
 
 func ordersToWire(o scheduler.Orders) *wire.Orders {
-	message := &wire.Orders{Runner: o.Runner, Recorded: o.Recorded, RecordedBornUnixMs: o.Born}
+	message := &wire.Orders{Runner: o.RunnerID, Recorded: o.DurableEnds, RecordedBornUnixMs: o.RunnerStartUnixMs}
 	for _, s := range o.Starts {
 		message.Starts = append(message.Starts, startToWire(s))
 	}
@@ -203,17 +203,17 @@
 	return message
 }
 
-func startToWire(s runner.Start) *wire.StartOrder {
+func startToWire(s runner.StartOrder) *wire.StartOrder {
 	return &wire.StartOrder{
 		Task: s.Task.String(), Attempt: int64(s.Attempt), Spec: s.Spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket,
-		Fills: s.Fills, LatencyTargetMs: s.Target.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
+		Fills: s.BestEffort, LatencyTargetMs: s.LatencyTarget.Milliseconds(), Image: s.Image, Millicores: int64(s.Processors),
 	}
 }
 
 func estimatesToWire(estimates []interference.Estimate) []*wire.PairEstimate {
 	pairs := make([]*wire.PairEstimate, len(estimates))
 	for i, e := range estimates {
-		pairs[i] = &wire.PairEstimate{Serving: e.Serving, Filling: e.Filling, LossPerCore: e.PerCore, Variance: e.Variance}
+		pairs[i] = &wire.PairEstimate{Serving: e.LatencyCriticalImage, Filling: e.BestEffortImage, LossPerCore: e.LossPerCore, Variance: e.Variance}
 	}
 	return pairs
 }
--- a/internal/node/agentconn_test.go
+++ b/internal/node/agentconn_test.go
@@ -19,14 +19,14 @@
 	l := &leader{scheduler: scheduler.New(time.Second, time.Minute), agents: make(map[units.WorkerID]*agentConn)}
 	configuration := &operations.Configuration{Routes: []operations.Route{{Queue: "q", Policy: workflow.Policy{Service: "desk"}}}}
 	configuration.Index()
-	l.scheduler.SetOperations(operations.State{Configuration: configuration})
+	l.scheduler.SetOperatorState(operations.State{Configuration: configuration})
 	oldConn, newConn := &agentConn{worker: "w"}, &agentConn{worker: "w"}
 	oldSession, newSession := &link.Session{}, &link.Session{}
 	l.agents["w"] = oldConn
 	l.agentAttached(oldConn, oldSession)
 	l.agents["w"] = newConn
 	l.agentAttached(newConn, newSession)
-	l.scheduler.Report("w", &wire.WorkerReport{Sequence: 1, Runner: &wire.RunnerState{Id: "r", Service: "desk", Millicores: 1000, MemoryBytes: 1 << 30}}, now())
+	l.scheduler.ApplyReport("w", &wire.WorkerReport{Sequence: 1, Runner: &wire.RunnerState{Id: "r", Service: "desk", Millicores: 1000, MemoryBytes: 1 << 30}}, now())
 	l.agentDetached(oldConn, oldSession)
 	l.scheduler.Accept(&workflow.Job{ID: "j", Queue: "q", Steps: []workflow.Step{{Count: 1}}, Submitted: time.Now()}, workflow.Policy{Service: "desk"}, now())
 	l.scheduler.Tick(now(), true)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -87,8 +87,8 @@
 func (e *Entry) newElector() *leadership.Elector {
 	return &leadership.Elector{
 		Store: e.Store, Name: e.Settings.Name, Address: e.Settings.advertisedAddress(), FirstStart: e.Settings.FirstStart,
-		Handicap: e.Settings.claimDelay(), Lead: e.lead, OnChange: e.followLeader, Support: e.requestSupport,
-		Vacant: e.leaderProcessEnded, Connected: e.connected,
+		ClaimDelay: e.Settings.claimDelay(), RunLeader: e.lead, OnChange: e.followLeader, RequestPromises: e.requestSupport,
+		LeaderExited: e.leaderProcessEnded, Connected: e.connected,
 	}
 }
 
@@ -157,7 +157,7 @@
 		metrics:   e.metrics, events: make(chan func(), eventQueueSize),
 	}
 	l.group, l.ctx = errgroup.WithContext(ctx)
-	e.Feed.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperations(state) }) })
+	e.Feed.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperatorState(state) }) })
 	e.metrics.countTerm()
 	e.setLeader(l)
 	defer e.setLeader(nil)
@@ -311,7 +311,7 @@
 // handleVacancy reports whether this process leads the given term or has just
 // claimed it. Otherwise the process renounces that term.
 func (e *Entry) handleVacancy(_ context.Context, in *wire.VacancyRequest) (*wire.VacancyReply, error) {
-	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.Renounce(leadership.Term(in.GetTerm()))}, nil
+	return &wire.VacancyReply{Name: e.Settings.Name, Leads: e.elector.ConfirmOrRenounce(leadership.Term(in.GetTerm()))}, nil
 }
 
 // connected reports whether this process leads or has a session to the leader.
@@ -379,7 +379,7 @@
 		klog.InfoS("leadership is not supported", "term", term, "err", err)
 		return 0, false
 	}
-	return sent.Add(leadership.PromiseFor), true
+	return sent.Add(leadership.PromiseDuration), true
 }
 
 func (e *Entry) requestPeerSupport(ctx context.Context, address string, term leadership.Term) error {
@@ -393,7 +393,7 @@
 		return err
 	}
 	if !reply.GetPromised() {
-		e.elector.Observe(leadership.Term(reply.GetTerm()))
+		e.elector.ObserveTerm(leadership.Term(reply.GetTerm()))
 		return fault.New("support", link.Rejected, "%s: store reachable %t, term %d", address, reply.GetStoreReachable(), reply.GetTerm())
 	}
 	return nil
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -71,7 +71,7 @@
 	waiter chan Reply
 }
 
-func now() scheduler.Now { return scheduler.Now{Boot: bootclock.Now(), Wall: time.Now()} }
+func now() scheduler.Timestamp { return scheduler.Timestamp{Boot: bootclock.Now(), Wall: time.Now()} }
 
 // run leads until ctx ends or a later term has begun.
 func (l *leader) run() error {
@@ -94,12 +94,12 @@
 		return err
 	}
 	fenced := time.Now()
-	items, err := l.writer.Load(ctx)
+	items, err := l.writer.LoadSnapshot(ctx)
 	if err != nil {
 		return err
 	}
 	l.scheduler = scheduler.New(grantDuration+grantMargin, l.settings.FinishedJobRetention)
-	l.scheduler.SetOperations(l.feed.State())
+	l.scheduler.SetOperatorState(l.feed.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 
 func (l *leader) loadMembers(ctx context.Context) ([]member, error) {
 	for {
-		snapshot, err := l.store.Newest(ctx, membersTopic)
+		snapshot, err := l.store.ReadSnapshot(ctx, membersTopic)
 		if err == nil {
 			var members []member
 			for _, item := range snapshot.Items {
@@ -167,7 +167,7 @@
 		timer.Reset(idleInterval)
 		if time.Since(lastExpire) > expireInterval {
 			lastExpire = time.Now()
-			if records := l.scheduler.Expired(now()); len(records) > 0 {
+			if records := l.scheduler.RemoveExpired(now()); len(records) > 0 {
 				l.writer.Write(records, nil)
 			}
 		}
@@ -221,7 +221,7 @@
 
 // mayStart reports whether tasks may start now: this process leads, and its
 // copy of the operators' records is recent.
-func (l *leader) mayStart(at scheduler.Now) bool {
+func (l *leader) mayStart(at scheduler.Timestamp) bool {
 	current, ok := l.feed.Current()
 	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
@@ -229,7 +229,7 @@
 // flushCommitted records that the flush is durable and answers the
 // cancellations that it covers.
 func (l *leader) flushCommitted(flush uint64) {
-	l.scheduler.Committed(flush)
+	l.scheduler.CommitFlush(flush)
 	for len(l.cancellations) > 0 && l.cancellations[0].flush <= flush {
 		l.cancellations[0].waiter <- Reply{Outcome: Found}
 		l.cancellations = l.cancellations[1:]
@@ -248,7 +248,7 @@
 	if known := l.agents[id]; known != nil && known.address == m.address {
 		return
 	}
-	l.scheduler.Join(id, now())
+	l.scheduler.AddWorker(id, now())
 	l.connectAgent(m)
 }
 
@@ -280,7 +280,7 @@
 	case Submit:
 		l.submit(r, answer)
 	case Lookup:
-		state, known := l.scheduler.State(r.ID)
+		state, known := l.scheduler.JobState(r.ID)
 		if !known {
 			answer <- l.replyUnknownJob(r.ID)
 			return
@@ -289,7 +289,7 @@
 	case Cancel:
 		l.cancel(r, answer)
 	case Count:
-		answer <- Reply{Outcome: Found, Pending: l.scheduler.Pending(r.Queue)}
+		answer <- Reply{Outcome: Found, Pending: l.scheduler.PendingJobs(r.Queue)}
 	}
 }
 
@@ -304,7 +304,7 @@
 
 func (l *leader) submit(r Request, answer chan Reply) {
 	id := r.ID
-	if l.scheduler.Known(id) {
+	if l.scheduler.HasJob(id) {
 		answer <- Reply{Outcome: Accepted, Reason: "known"}
 		return
 	}
@@ -341,7 +341,7 @@
 		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 		return
 	}
-	if !l.scheduler.Known(r.ID) {
+	if !l.scheduler.HasJob(r.ID) {
 		answer <- Reply{Outcome: JobNotFound}
 		return
 	}
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -10,96 +10,100 @@
 )
 
 const (
-	// advisedWorkers is how many workers one question names; each costs time.
-	advisedWorkers = 30
-	// openQuestions bounds the questions that wait for an answer, well below
-	// what the service queues.
-	openQuestions = 8
-	// adviceSlack is kept of a ticket's validity for the way to the runner.
-	adviceSlack = 400 * time.Millisecond
-	// askAgain follows a question without an answer.
-	askAgain = 500 * time.Millisecond
+	// maxRequestWorkers limits the workers of one request, since each adds to the
+	// time of the call.
+	maxRequestWorkers = 30
+	// maxOpenRequests limits the requests without a reply. It is well below the
+	// queue limit of the advice service.
+	maxOpenRequests = 8
+	// ticketMargin is the part of a ticket's validity that is left for the start order
+	// to reach the runner.
+	ticketMargin = 400 * time.Millisecond
+	// adviceRetryDelay is the delay before a step's next request.
+	adviceRetryDelay = 500 * time.Millisecond
 )
 
-// StepID names a step of one occurrence of a job.
+// StepID identifies a step in one occurrence of a job.
 type StepID struct {
 	Job        workflow.JobID
 	Occurrence int
 	Step       int
 }
 
-// Question asks which workers may run a step.
-type Question struct {
-	Step    StepID
-	Runners []string // incarnations
+// AdviceRequest asks the advice service which workers may run a step.
+type AdviceRequest struct {
+	Step      StepID
+	RunnerIDs []string // incarnations of the candidate runners
 }
 
-// advice is what is known of the workers that may run a step.
+// advice holds the tickets that permit a step to run on certain workers.
 type advice struct {
-	asked   bool
-	again   bootclock.Instant // no question before
-	until   bootclock.Instant // tickets are valid
-	tickets map[string]string // by incarnation
+	requested  bool
+	retryAt    bootclock.Instant // no request before this time
+	validUntil bootclock.Instant // end of the tickets' validity
+	tickets    map[string]string // by runner incarnation
 }
 
-// Questions returns what has to be asked now. The steps wait until Advise.
-func (s *Scheduler) Questions(now Now) []Question {
-	if !s.advising {
+// AdviceRequests returns the requests to send now. Each step waits for SetAdvice.
+func (s *Scheduler) AdviceRequests(now Timestamp) []AdviceRequest {
+	if !s.needsAdvice {
 		return nil
 	}
-	var questions []Question
-	for _, u := range s.backlog(now) {
-		policy := s.policyOf(u.job)
-		a := &u.step.advice
-		if policy.Advice == nil || a.asked || now.Boot.Before(a.again) || now.Boot.Before(a.until) || s.asked >= openQuestions {
+	var requests []AdviceRequest
+	for _, p := range s.pendingSteps(now) {
+		policy := s.currentPolicy(p.job)
+		a := &p.step.advice
+		if policy.Advice == nil || a.requested || now.Boot.Before(a.retryAt) || now.Boot.Before(a.validUntil) || s.openAdviceRequests >= maxOpenRequests {
 			continue
 		}
-		pool := s.pool(policy.Service, now)
+		pool := s.eligibleWorkers(policy.Service, now)
 		slices.SortFunc(pool, func(x, y *worker) int {
 			return cmp.Or(cmp.Compare(y.capacity.Processors-y.used.Processors, x.capacity.Processors-x.used.Processors), cmp.Compare(x.id, y.id))
 		})
-		q := Question{Step: StepID{u.job.ID, u.occurrence, u.step.number}}
-		for _, w := range pool[:min(len(pool), advisedWorkers)] {
-			q.Runners = append(q.Runners, w.info.ID)
+		request := AdviceRequest{Step: StepID{p.job.ID, p.occurrence, p.step.number}}
+		for _, w := range pool[:min(len(pool), maxRequestWorkers)] {
+			request.RunnerIDs = append(request.RunnerIDs, w.runner.ID)
 		}
-		if len(q.Runners) == 0 {
+		if len(request.RunnerIDs) == 0 {
 			continue
 		}
-		a.asked = true
-		s.asked++
-		questions = append(questions, q)
+		a.requested = true
+		s.openAdviceRequests++
+		requests = append(requests, request)
 	}
-	return questions
+	return requests
 }
 
-// Advise takes the answer to a question: the tickets by incarnation, valid for
-// the given time from now. Without an answer tickets is nil.
-func (s *Scheduler) Advise(id StepID, tickets map[string]string, valid time.Duration, now Now) {
-	s.asked--
+// SetAdvice stores the reply to a request: the tickets by runner incarnation, which
+// are valid for the given time from now. tickets is nil if the request failed.
+func (s *Scheduler) SetAdvice(id StepID, tickets map[string]string, valid time.Duration, now Timestamp) {
+	s.openAdviceRequests--
 	t := s.task(workflow.TaskID{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step})
 	if t == nil {
 		return
 	}
-	t.step.advice = advice{again: now.Boot.Add(askAgain)}
+	t.step.advice = advice{retryAt: now.Boot.Add(adviceRetryDelay)}
 	if tickets != nil {
 		t.step.advice.tickets = tickets
-		t.step.advice.until = now.Boot.Add(valid - adviceSlack)
+		t.step.advice.validUntil = now.Boot.Add(valid - ticketMargin)
 	}
 }
 
-// advised returns the workers of the pool for which the step has a ticket.
-func (s *Scheduler) advised(st *step, pool []*worker, now Now) []*worker {
-	if !now.Boot.Before(st.advice.until) {
+// workersWithTicket returns the workers of the pool for which the step has a valid
+// ticket.
+func (s *Scheduler) workersWithTicket(st *step, pool []*worker, now Timestamp) []*worker {
+	if !now.Boot.Before(st.advice.validUntil) {
 		return nil
 	}
-	var may []*worker
+	var allowed []*worker
 	for _, w := range pool {
-		if _, ok := st.advice.tickets[w.info.ID]; ok {
-			may = append(may, w)
+		if _, ok := st.advice.tickets[w.runner.ID]; ok {
+			allowed = append(allowed, w)
 		}
 	}
-	return may
+	return allowed
 }
 
-// ticket returns the step's ticket for a worker, empty when none is needed.
-func (st *step) ticket(w *worker) string { return st.advice.tickets[w.info.ID] }
+// ticket returns the step's ticket for a worker, or an empty string if the queue
+// requires none.
+func (st *step) ticket(w *worker) string { return st.advice.tickets[w.runner.ID] }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -7,18 +7,18 @@
 	"wasabihill.example/wasabihill/internal/workflow"
 )
 
-// A gang works only while all of its members run, and a member that waits too
-// long for the others ends alone. So all members start together, under one
-// attempt number and one checkpoint, and when one does not start or ends
-// without being done, the others are stopped at once.
+// A gang makes progress only while all of its members run, and a member that waits
+// too long for the others ends with workflow.GangIncomplete. So all members start
+// together with the same attempt number and checkpoint. If one of them does not start
+// or ends without being done, the others are stopped at once.
 
-// placeGang places all members or none.
-func (s *Scheduler) placeGang(st *step, pool []*worker, now Now) {
-	if st.idle < len(st.tasks) {
-		return // members of the last run have not ended yet
+// placeGang places all tasks of a gang step or none.
+func (s *Scheduler) placeGang(st *step, pool []*worker, now Timestamp) {
+	if st.unplaced < len(st.tasks) {
+		return // members of the previous run have not ended yet
 	}
 	if st.SameRack {
-		for _, rack := range racks(pool) {
+		for _, rack := range groupByRack(pool) {
 			if s.placeMembers(st, rack, now) {
 				return
 			}
@@ -27,26 +27,27 @@
 	s.placeMembers(st, pool, now)
 }
 
-// placeMembers reports whether every member found a worker.
-func (s *Scheduler) placeMembers(st *step, pool []*worker, now Now) bool {
-	attempt, checkpoint := st.nextGangRun()
+// placeMembers places all members on workers of the pool. It reports false and places
+// none of them if one does not fit.
+func (s *Scheduler) placeMembers(st *step, pool []*worker, now Timestamp) bool {
+	attempt, checkpoint := st.nextGangAttempt()
 	for i, t := range st.tasks {
-		w := s.choose(st, pool, nil)
+		w := s.bestWorker(st, pool, nil)
 		if w == nil {
 			for _, placed := range st.tasks[:i] {
-				s.stop(placed, now) // not sent yet
+				s.stopTask(placed, now) // releases it, as its start was not sent yet
 			}
 			return false
 		}
 		t.checkpoint = checkpoint
-		s.start(t, w, attempt)
+		s.startTask(t, w, attempt)
 	}
 	return true
 }
 
-// nextGangRun returns the attempt and the checkpoint that all members carry.
-// A checkpoint of any member is one of the gang.
-func (st *step) nextGangRun() (attempt workflow.Attempt, checkpoint string) {
+// nextGangAttempt returns the attempt number and the checkpoint for all members of the
+// next run. The checkpoint of any member is valid for the whole gang.
+func (st *step) nextGangAttempt() (attempt workflow.Attempt, checkpoint string) {
 	var newest workflow.Attempt
 	for _, t := range st.tasks {
 		attempt = max(attempt, t.nextAttempt())
@@ -57,20 +58,20 @@
 	return attempt, checkpoint
 }
 
-// breakGang stops the other members of a gang of which one does not run.
-func (s *Scheduler) breakGang(t *task, now Now) {
+// stopGang stops the other members of the gang of t, which no longer runs.
+func (s *Scheduler) stopGang(t *task, now Timestamp) {
 	if !t.step.Gang || t.done {
 		return
 	}
 	for _, m := range t.step.tasks {
-		if m != t && m.worker != nil && m.stopSent == 0 {
-			s.stop(m, now)
+		if m != t && m.worker != nil && m.stopOrderedAt == 0 {
+			s.stopTask(m, now)
 		}
 	}
 }
 
-// racks parts the pool by rack, the largest free room first.
-func racks(pool []*worker) [][]*worker {
+// groupByRack groups the pool by rack, the rack with the most free processors first.
+func groupByRack(pool []*worker) [][]*worker {
 	byRack := make(map[string][]*worker)
 	for _, w := range pool {
 		byRack[w.rack] = append(byRack[w.rack], w)
--- a/internal/scheduler/relocate.go
+++ b/internal/scheduler/relocate.go
@@ -2,66 +2,68 @@
 
 import "time"
 
-// Tasks that are paced down where they are, or run on a slow worker, move to a
-// worker that takes them at full speed and go on from their checkpoint.
+// Relocation moves tasks that are throttled or that run on a slow worker to a worker
+// that can run them at full speed. Checkpointing tasks resume there from their
+// checkpoint.
 
 const (
-	// A task slowed below slowedPace percent for slowedFor moves to a better
-	// worker, unless it is nearEnd (percent of its work).
-	slowedPace = 50
-	slowedFor  = 700 * time.Millisecond
-	nearEnd    = 90
-	// stayAway keeps a task that has moved from returning to the worker that
-	// slowed it, whose readings are better once it has left.
-	stayAway = 3 * time.Second
-	// relocateEvery spaces the searches; the readings change no faster, and a
-	// search looks at every worker for every kind of slowed task.
-	relocateEvery = 100 * time.Millisecond
-	// relocationsAtOnce keeps one search from moving more than its readings can tell.
-	relocationsAtOnce = 10
+	// A task throttled to a pace below throttledPace percent for throttledFor moves to
+	// a better worker, unless it has completed nearCompletion percent of its work.
+	throttledPace  = 50
+	throttledFor   = 700 * time.Millisecond
+	nearCompletion = 90
+	// returnDelay prevents a task from returning to the worker that it was moved off,
+	// whose readings improve once the task has left.
+	returnDelay = 3 * time.Second
+	// relocationInterval is the time between searches. The readings change no faster,
+	// and a search examines every worker for every kind of throttled task.
+	relocationInterval = 100 * time.Millisecond
+	// maxRelocationsPerSearch limits the moves that are based on the same readings.
+	maxRelocationsPerSearch = 10
 )
 
-// relocate stops tasks that are paced down or lag where they are, when another
-// worker has room for them and nothing that they harm.
-func (s *Scheduler) relocate(now Now, short *shortage) {
-	if now.Boot.Before(s.moveAt) {
+// relocate stops tasks that are throttled or that would finish earlier elsewhere, if
+// another worker has capacity for them and its latency-critical tasks tolerate them.
+func (s *Scheduler) relocate(now Timestamp, cache *searchCache) {
+	if now.Boot.Before(s.nextRelocation) {
 		return
 	}
-	s.moveAt = now.Boot.Add(relocateEvery)
+	s.nextRelocation = now.Boot.Add(relocationInterval)
 	moved := 0
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
-			if !t.slowed(now) && !t.lags(now) {
+			if !t.throttled(now) && !t.runsFasterElsewhere(now) {
 				continue
 			}
-			if s.findBetter(t, now, short) {
-				t.movedFrom, t.movedUntil = w, now.Boot.Add(stayAway)
-				s.stop(t, now)
+			if s.hasBetterWorker(t, now, cache) {
+				t.movedFrom, t.mayReturnAt = w, now.Boot.Add(returnDelay)
+				s.stopTask(t, now)
 				moved++
 			}
-			if moved == relocationsAtOnce {
+			if moved == maxRelocationsPerSearch {
 				return
 			}
 		}
 	}
 }
 
-// findBetter reports whether another worker would take the task.
-func (s *Scheduler) findBetter(t *task, now Now, short *shortage) bool {
-	if short.covers(t.step) {
+// hasBetterWorker reports whether the task can be placed on another worker.
+func (s *Scheduler) hasBetterWorker(t *task, now Timestamp, cache *searchCache) bool {
+	if cache.hasFailure(t.step) {
 		return false
 	}
-	pool := short.pool(s.policyOf(t.job).Service, now)
-	if s.choose(t.step, pool, t.worker) != nil {
+	pool := cache.eligibleWorkers(s.currentPolicy(t.job).Service, now)
+	if s.bestWorker(t.step, pool, t.worker) != nil {
 		return true
 	}
-	if s.choose(t.step, pool, nil) == nil {
-		short.add(t.step)
+	if s.bestWorker(t.step, pool, nil) == nil {
+		cache.addFailure(t.step)
 	}
 	return false
 }
 
-func (t *task) slowed(now Now) bool {
-	return t.step.Fills && t.step.Checkpointing && t.confirmed && t.stopSent == 0 && !t.done &&
-		t.pace < slowedPace && t.percent < nearEnd && now.Boot.Sub(t.paceSince) > slowedFor
+// throttled reports whether the agent has throttled the task long enough to move it.
+func (t *task) throttled(now Timestamp) bool {
+	return t.step.BestEffort && t.step.Checkpointing && t.confirmed && t.stopOrderedAt == 0 && !t.done &&
+		t.pace < throttledPace && t.percent < nearCompletion && now.Boot.Sub(t.paceSince) > throttledFor
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,10 +1,10 @@
-// Package scheduler decides which task runs where. It is a set of tables and
-// of rules over them, without input or output: a process feeds it submissions,
-// cancellations, reports of workers and the operators' state, asks it for
-// orders, and writes its records to the store.
+// Package scheduler decides which task runs on which worker. It consists of
+// in-memory tables and rules over them and does no input or output. The leader
+// passes it submissions, cancellations, worker reports and the operators' state,
+// collects its orders, and writes its records to the store.
 //
-// Reading order: scheduler.go (tables), submit.go, report.go, tick.go,
-// order.go, place.go, records.go.
+// Start reading at scheduler.go (tables), then submit.go, report.go, tick.go,
+// backlog.go, place.go and records.go.
 package scheduler
 
 import (
@@ -19,247 +19,248 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Now is the time of an event on both clocks.
-type Now struct {
-	Boot bootclock.Instant // leases, time-outs
-	Wall time.Time         // due times, ages of jobs
+// Timestamp is a point in time on both clocks.
+type Timestamp struct {
+	Boot bootclock.Instant // for leases and timeouts
+	Wall time.Time         // for due times and the ages of jobs
 }
 
-// Scheduler holds the tables. Set the exported fields before the first call.
-// It is not safe for concurrent use.
+// Scheduler holds the tables. The exported fields must be set before the first
+// call. It is not safe for concurrent use.
 type Scheduler struct {
-	// GrantBound is how long after its last grant a worker that is not heard
-	// of may still run tasks.
-	GrantBound time.Duration
-	// KeepFinished is how long the state of a finished job is kept.
-	KeepFinished time.Duration
+	// MaxLeaseDuration is how long after the last extension of its lease an
+	// unreachable worker may still run tasks.
+	MaxLeaseDuration time.Duration
+	// FinishedRetention is how long the state of a finished job is kept.
+	FinishedRetention time.Duration
 
-	state    operations.State
-	jobs     map[workflow.JobID]*job
-	live     map[workflow.JobID]*job // jobs whose state is not final
-	waiting  []*job                  // jobs whose newest state is not durable yet
-	workers  map[units.WorkerID]*worker
-	dirty    map[workflow.JobID]*job        // changed since the last Flush
-	flushed  uint64                         // number of the last Flush
-	advising bool                           // a queue needs advice
-	asked    int                            // questions for advice without an answer
-	meanWork map[workflow.QueueName]float64 // core-seconds of a job
-	// usualSpeed is the logarithm of the speed of a queue's tasks on all workers,
-	// relative to their estimates.
-	usualSpeed map[workflow.QueueName]float64
-	moveAt     bootclock.Instant // next search for better workers of slowed tasks
-	model      interference.Model
+	operatorState      operations.State
+	jobs               map[workflow.JobID]*job
+	activeJobs         map[workflow.JobID]*job // jobs whose state is not final
+	unflushedStates    []*job                  // jobs whose current state is not durable yet, in flush order
+	workers            map[units.WorkerID]*worker
+	dirty              map[workflow.JobID]*job        // changed since the last Flush
+	lastFlush          uint64                         // number of the last Flush
+	needsAdvice        bool                           // at least one queue requires advice
+	openAdviceRequests int                            // advice requests without a reply
+	meanJobWork        map[workflow.QueueName]float64 // core-seconds per job
+	// queueSpeed is the logarithm of the mean speed of a queue's tasks on all
+	// workers, relative to their estimates.
+	queueSpeed     map[workflow.QueueName]float64
+	nextRelocation bootclock.Instant // next search for better workers for throttled or slow tasks
+	model          interference.Model
 }
 
 // New returns a scheduler without jobs and workers.
-func New(grantBound, keepFinished time.Duration) *Scheduler {
+func New(maxLeaseDuration, finishedRetention time.Duration) *Scheduler {
 	return &Scheduler{
-		GrantBound: grantBound, KeepFinished: keepFinished,
-		jobs: make(map[workflow.JobID]*job), live: make(map[workflow.JobID]*job), meanWork: make(map[workflow.QueueName]float64), usualSpeed: make(map[workflow.QueueName]float64), workers: make(map[units.WorkerID]*worker), dirty: make(map[workflow.JobID]*job),
+		MaxLeaseDuration: maxLeaseDuration, FinishedRetention: finishedRetention,
+		jobs: make(map[workflow.JobID]*job), activeJobs: make(map[workflow.JobID]*job), meanJobWork: make(map[workflow.QueueName]float64), queueSpeed: make(map[workflow.QueueName]float64), workers: make(map[units.WorkerID]*worker), dirty: make(map[workflow.JobID]*job),
 	}
 }
 
-// SetOperations takes over the operators' state.
-func (s *Scheduler) SetOperations(state operations.State) {
-	s.state = state
-	s.advising = false
+// SetOperatorState replaces the operators' state.
+func (s *Scheduler) SetOperatorState(state operations.State) {
+	s.operatorState = state
+	s.needsAdvice = false
 	if state.Configuration == nil {
 		return
 	}
 	for i := range state.Configuration.Routes {
-		s.advising = s.advising || state.Configuration.Routes[i].Policy.Advice != nil
+		s.needsAdvice = s.needsAdvice || state.Configuration.Routes[i].Policy.Advice != nil
 	}
 }
 
-// job is a row of the table of jobs.
+// job is a row of the job table.
 type job struct {
 	*workflow.Job
-	policy      workflow.Policy // when it was accepted; the queue's current one goes first
-	state       workflow.State
-	shown       workflow.State // state that is durable, which clients may see
-	shownBy     uint64         // flush that makes state durable
-	finished    time.Time      // when state became final
-	submitted   bootclock.Instant
-	occurrences []*occurrence // those that have begun and are not complete
-	completed   int           // occurrences below this number are done
-	begun       int           // occurrences below this number have begun
-	started     bool          // a task has been ordered to start
-	recovered   bool          // accepted before this scheduler began
-	placed      int           // tasks with a worker
+	submittedPolicy workflow.Policy // at acceptance; used only if the queue no longer exists
+	state           workflow.State
+	durableState    workflow.State // last state that is durable; the only one that clients may see
+	stateFlush      uint64         // number of the flush that makes state durable
+	finishedAt      time.Time      // when the state became final
+	submittedAt     bootclock.Instant
+	occurrences     []*occurrence // due and not complete
+	completed       int           // all occurrences below this number are complete
+	opened          int           // all occurrences below this number have become due
+	started         bool          // at least one task was assigned to a worker
+	recovered       bool          // accepted by an earlier leader
+	placedTasks     int           // tasks assigned to a worker
 }
 
-// occurrence is one repetition of the steps of a job.
+// occurrence is one repetition of a job's steps.
 type occurrence struct {
-	number int
-	steps  []*step
-	left   int // steps that are not done
+	number    int
+	steps     []*step
+	stepsLeft int // steps with tasks that are not done
 }
 
-// step is the state of one step of an occurrence.
+// step is the state of one step in one occurrence.
 type step struct {
 	*workflow.Step
-	number int
-	open   bool // every step that it depends on is done
-	tasks  []*task
-	left   int // tasks that are not done
-	idle   int // tasks that are neither done nor placed
-	advice advice
+	number    int
+	open      bool // all steps that it depends on are done
+	tasks     []*task
+	tasksLeft int // tasks that are not done
+	unplaced  int // tasks that are neither done nor assigned to a worker
+	advice    advice
 }
 
-// task is one task. It has at most one worker at a time.
+// task is a row of the task table. A task has at most one worker at a time.
 type task struct {
-	id           workflow.TaskID
-	job          *job
-	step         *step
-	done         bool
-	attempt      workflow.Attempt   // of the run on worker, or of the last one
-	highest      workflow.Attempt   // that was ordered or seen
-	renumbered   bool               // attempts of an earlier scheduler that are not recorded were skipped
-	failed       []workflow.Attempt // runs that were counted as failures, in no order
-	checkpoint   string
-	worker       *worker           // nil when it is not placed
-	ordered      bool              // the order is on its way, so that a report can't show it yet
-	visibleAfter uint64            // reports with a higher sequence show the run
-	confirmed    bool              // a report has shown the run at work
-	stopSent     bootclock.Instant // when a stop was ordered last; 0 for never
-	percent      int
-	lastProgress progressReading
-	load         int64             // of the last report: tail latency in ms, or processors in use
-	pace         int               // percent, of the last report
-	paceSince    bootclock.Instant // first report of that pace
-	movedFrom    *worker           // worker that slowed the task last, or nil
-	movedUntil   bootclock.Instant // until then it does not return there
+	id             workflow.TaskID
+	job            *job
+	step           *step
+	done           bool
+	attempt        workflow.Attempt   // of the run on worker, or of the previous run
+	highestAttempt workflow.Attempt   // highest attempt that was ordered or reported
+	renumbered     bool               // attempts that an earlier leader may have ordered but not recorded were skipped
+	failedAttempts []workflow.Attempt // attempts counted as failures, unordered
+	checkpoint     string
+	worker         *worker           // nil while the task is unplaced
+	startPending   bool              // the start order was sent and not acknowledged; reports can't show the run yet
+	startSequence  uint64            // reports with a higher sequence number show the run
+	confirmed      bool              // a report has shown that the run has started
+	stopOrderedAt  bootclock.Instant // when a stop was last ordered; 0 if never
+	percent        int
+	lastProgress   progressReading
+	load           int64             // from the last report: tail latency in ms, or processors in use in millicores
+	pace           int               // percent, from the last report
+	paceSince      bootclock.Instant // time of the first report with this pace
+	movedFrom      *worker           // worker that the task was last moved off, or nil
+	mayReturnAt    bootclock.Instant // the task does not return to movedFrom earlier
 }
 
-// worker is a row of the table of workers: an agent and its runner.
+// worker is a row of the worker table: an agent and its runner.
 type worker struct {
-	id         units.WorkerID
-	attached   bool // a session to the agent exists
-	listed     bool // the last report of the session shows everything that runs
-	silent     bool // the runner does not answer its agent
-	empty      bool // a silent runner can't run anything any more
-	info       runner.Info
-	capacity   units.Resources
-	used       units.Resources
-	rack       string
-	sequence   uint64            // of the last report
-	leaseBound bootclock.Instant // nothing runs there after it, unless a report shows otherwise
-	unknown    bool              // runs of an earlier scheduler may be there that the tables lack
-	tasks      map[workflow.TaskID]*task
-	serving    int // placed tasks with a latency target
-	filling    int // placed tasks that fill
-	// What the placed tasks ask for, with a latency target and without.
-	servingCores, otherCores units.Millicores
-	use                      use // what the tasks really take
-	avoidUntil               bootclock.Instant
-	streak                   int // failures in a row
-	speed                    speed
-	recordedEnd              uint64
-	ends                     []recordedEnds // ends whose record is on its way
-	orders                   pending
+	id                 units.WorkerID
+	attached           bool // a session with the agent exists
+	synced             bool // the session's last report lists all runs on the worker
+	unresponsive       bool // the runner does not respond to its agent
+	runsEnded          bool // the runner is unresponsive, and none of its runs can still be active
+	runner             runner.Info
+	capacity           units.Resources
+	used               units.Resources
+	rack               string
+	reportSequence     uint64            // sequence number of the last report
+	latestLeaseEnd     bootclock.Instant // no task runs there afterwards, unless a report shows otherwise
+	mayHaveUnknownRuns bool              // runs ordered by an earlier leader may be missing from the tables
+	tasks              map[workflow.TaskID]*task
+	latencyCritical    int // latency-critical tasks placed here
+	bestEffort         int // best-effort tasks placed here
+	// Processors requested by the placed tasks with and without a latency target.
+	latencyCriticalProcessors, otherProcessors units.Millicores
+	usage                                      usage             // measured and predicted resource usage
+	retryAt                                    bootclock.Instant // avoided until then
+	failureStreak                              int               // consecutive failures
+	speed                                      speed
+	durableEnd                                 uint64
+	unflushedEnds                              []reportedEnds // reported ends whose records are not durable yet
+	orders                                     pendingOrders
 }
 
-// recordedEnds says that ends up to number are durable once the flush is.
-type recordedEnds struct {
+// reportedEnds states that the ends up to number become durable with the flush.
+type reportedEnds struct {
 	flush  uint64
 	number uint64
 }
 
-// pending are orders that were decided and not taken yet.
-type pending struct {
-	starts       []*task
-	descriptions []*task
-	stops        []workflow.TaskID
-	attempts     []workflow.Attempt // of stops
-	record       bool               // recordedEnd has risen
+// pendingOrders are orders that TakeOrders has not returned yet.
+type pendingOrders struct {
+	starts         []*task
+	descriptions   []*task
+	stops          []workflow.TaskID
+	attempts       []workflow.Attempt // of the runs in stops
+	durableEndRose bool               // durableEnd has increased and must be sent
 }
 
-// drop forgets what was decided of a task that has left the worker.
-func (p *pending) drop(t *task) {
+// remove deletes the start and the description of a task that has left the worker.
+func (p *pendingOrders) remove(t *task) {
 	is := func(o *task) bool { return o == t }
 	p.starts = slices.DeleteFunc(p.starts, is)
 	p.descriptions = slices.DeleteFunc(p.descriptions, is)
 }
 
-func (p *pending) empty() bool {
-	return len(p.starts) == 0 && len(p.stops) == 0 && len(p.descriptions) == 0 && !p.record
+func (p *pendingOrders) empty() bool {
+	return len(p.starts) == 0 && len(p.stops) == 0 && len(p.descriptions) == 0 && !p.durableEndRose
 }
 
-// policyOf returns the current policy of the job's queue, or the one under
-// which it was accepted when the queue no longer exists.
-func (s *Scheduler) policyOf(j *job) *workflow.Policy {
-	if route := s.state.Configuration.Queue(j.Queue); route != nil {
+// currentPolicy returns the current policy of the job's queue, or the policy at
+// its acceptance if the queue no longer exists.
+func (s *Scheduler) currentPolicy(j *job) *workflow.Policy {
+	if route := s.operatorState.Configuration.Queue(j.Queue); route != nil {
 		return &route.Policy
 	}
-	return &j.policy
+	return &j.submittedPolicy
 }
 
-// settled reports whether everything that may run on w is in the tables.
-func (w *worker) settled(now Now) bool {
+// runsKnown reports whether the tables contain every task that may run on w.
+func (w *worker) runsKnown(now Timestamp) bool {
 	switch {
-	case w.attached && w.listed:
+	case w.attached && w.synced:
 		return true
-	case w.attached && w.silent:
-		return w.empty
+	case w.attached && w.unresponsive:
+		return w.runsEnded
 	}
-	return now.Boot.After(w.leaseBound)
+	return now.Boot.After(w.latestLeaseEnd)
 }
 
-// release takes a task off its worker.
+// release removes the task from its worker.
 func (t *task) release() {
 	w := t.worker
 	if w == nil {
 		return
 	}
 	delete(w.tasks, t.id)
-	w.orders.drop(t)
-	if t.step.Fills && t.load > 0 {
-		w.use.ended = append(w.use.ended, interference.Filling{Image: t.step.Image, Cores: float64(t.load) / 1000, Ended: true})
+	w.orders.remove(t)
+	if t.step.BestEffort && t.load > 0 {
+		w.usage.endedTasks = append(w.usage.endedTasks, interference.UsageReading{Image: t.step.Image, Cores: float64(t.load) / 1000, Ended: true})
 		t.load = 0
 	}
-	w.used = w.used.Sub(t.step.claim())
+	w.used = w.used.Sub(t.step.reservation())
 	if t.step.LatencyTarget > 0 {
-		w.serving--
-		w.servingCores -= t.step.Size.Processors
+		w.latencyCritical--
+		w.latencyCriticalProcessors -= t.step.Size.Processors
 	} else {
-		w.otherCores -= t.step.Size.Processors
+		w.otherProcessors -= t.step.Size.Processors
 	}
-	if t.step.Fills {
-		w.filling--
+	if t.step.BestEffort {
+		w.bestEffort--
 	}
-	t.worker, t.confirmed, t.ordered, t.stopSent, t.lastProgress = nil, false, false, 0, progressReading{}
-	t.job.placed--
+	t.worker, t.confirmed, t.startPending, t.stopOrderedAt, t.lastProgress = nil, false, false, 0, progressReading{}
+	t.job.placedTasks--
 	if !t.done {
-		t.step.idle++
+		t.step.unplaced++
 	}
 }
 
-// assign puts a task on a worker.
+// assign places the task on a worker.
 func (t *task) assign(w *worker, attempt workflow.Attempt) {
 	t.worker, t.attempt = w, attempt
-	t.highest = max(t.highest, attempt)
+	t.highestAttempt = max(t.highestAttempt, attempt)
 	w.tasks[t.id] = t
-	w.used = w.used.Add(t.step.claim())
+	w.used = w.used.Add(t.step.reservation())
 	if t.step.LatencyTarget > 0 {
-		w.serving++
-		w.servingCores += t.step.Size.Processors
+		w.latencyCritical++
+		w.latencyCriticalProcessors += t.step.Size.Processors
 	} else {
-		w.otherCores += t.step.Size.Processors
+		w.otherProcessors += t.step.Size.Processors
 	}
-	if t.step.Fills {
-		w.filling++
+	if t.step.BestEffort {
+		w.bestEffort++
 	}
-	t.job.placed++
+	t.job.placedTasks++
 	t.job.started = true
 	if !t.done {
-		t.step.idle--
+		t.step.unplaced--
 	}
 }
 
-// claim is what a task of the step takes from a worker's capacity.
-func (st *step) claim() units.Resources {
+// reservation returns what a task of the step takes of a worker's capacity. A
+// best-effort task reserves no processors: it uses those that others leave free.
+func (st *step) reservation() units.Resources {
 	size := st.Size
-	if st.Fills {
+	if st.BestEffort {
 		size.Processors = 0
 	}
 	return size
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -11,16 +11,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Orders are the orders for one agent.
+// Orders are the pending orders for one agent.
 type Orders struct {
-	Worker       units.WorkerID
-	Runner       string // incarnation that they are meant for
-	Starts       []runner.Start
-	Stops        []Stop
-	Descriptions []runner.Start          // of runs that the agent knows only from its runner's lists
-	Estimates    []interference.Estimate // of the images that run there
-	Born         int64                   // incarnation to which Recorded belongs
-	Recorded     uint64                  // ends up to this number are durable
+	Worker            units.WorkerID
+	RunnerID          string // incarnation of the runner that the orders are for
+	Starts            []runner.StartOrder
+	Stops             []Stop
+	Descriptions      []runner.StartOrder     // of runs that the agent has only seen in its runner's lists
+	Estimates         []interference.Estimate // interference estimates for the images on the worker
+	RunnerStartUnixMs int64                   // start of the incarnation that DurableEnds refers to
+	DurableEnds       uint64                  // the ends of runs up to this number are durable
 }
 
 // Stop is an order to end a run.
@@ -29,67 +29,69 @@
 	Attempt workflow.Attempt
 }
 
-// Tick runs every rule over the tables: due occurrences, workers whose leases
-// have ended, workers that leave, then placement, preemption and moves. mayStart is false while the
-// operators' state is not known to be current, so that nothing starts.
-func (s *Scheduler) Tick(now Now, mayStart bool) {
-	for _, j := range s.live {
-		if j.begun < j.Occurrences() {
-			s.begin(j, now)
+// Tick applies all rules to the tables: it opens due occurrences, releases tasks
+// whose leases have expired, drains workers, and then places, preempts and
+// relocates tasks. mayStart is false while the operators' state may be stale; then
+// no task starts.
+func (s *Scheduler) Tick(now Timestamp, mayStart bool) {
+	for _, j := range s.activeJobs {
+		if j.opened < j.Occurrences() {
+			s.openDueOccurrences(j, now)
 		}
 	}
 	for _, w := range s.workers {
-		s.expire(w, now)
-		if w.info.Draining {
-			s.leave(w, now)
+		s.releaseExpired(w, now)
+		if w.runner.Draining {
+			s.drainWorker(w, now)
 		}
 	}
 	if mayStart {
-		short := s.newShortage()
-		waiting := s.place(now, short)
-		s.preempt(waiting, now, short)
-		s.relocate(now, short)
+		cache := s.newSearchCache()
+		unplaced := s.placePending(now, cache)
+		s.preempt(unplaced, now, cache)
+		s.relocate(now, cache)
 	}
 }
 
-// expire releases what a worker without a session can't run any more.
-func (s *Scheduler) expire(w *worker, now Now) {
-	if !w.settled(now) {
+// releaseExpired releases the tasks of a worker without a current list of runs once
+// the worker can no longer run them.
+func (s *Scheduler) releaseExpired(w *worker, now Timestamp) {
+	if !w.runsKnown(now) {
 		return
 	}
-	if w.unknown {
-		w.unknown = false
-		klog.InfoS("runs of an earlier leader are known", "worker", w.id, "attached", w.attached)
+	if w.mayHaveUnknownRuns {
+		w.mayHaveUnknownRuns = false
+		klog.InfoS("all runs of an earlier leader are in the tables", "worker", w.id, "attached", w.attached)
 	}
-	if !w.listed && len(w.tasks) > 0 {
+	if !w.synced && len(w.tasks) > 0 {
 		klog.InfoS("worker is given up", "worker", w.id, "tasks", len(w.tasks))
-		s.loseTasks(w, now, func(*task) bool { return true })
+		s.releaseTasks(w, now, func(*task) bool { return true })
 	}
 }
 
-// leave moves tasks off a draining worker: those that never end, so that they
-// run elsewhere before it is gone.
-func (s *Scheduler) leave(w *worker, now Now) {
+// drainWorker stops the long-running tasks of a draining worker, which would not
+// end by themselves, so that they restart elsewhere before the worker is gone.
+func (s *Scheduler) drainWorker(w *worker, now Timestamp) {
 	for _, t := range w.tasks {
-		if t.step.LongRunning && t.stopSent == 0 && t.confirmed {
-			s.stop(t, now)
+		if t.step.LongRunning && t.stopOrderedAt == 0 && t.confirmed {
+			s.stopTask(t, now)
 		}
 	}
 }
 
-// TakeOrders returns what has been decided since the last call.
+// TakeOrders returns and clears the pending orders of all attached workers.
 func (s *Scheduler) TakeOrders() []Orders {
 	var all []Orders
 	for _, w := range s.workers {
 		if !w.attached || w.orders.empty() {
 			continue
 		}
-		orders := Orders{Worker: w.id, Runner: w.info.ID, Born: w.info.Born, Recorded: w.recordedEnd}
+		orders := Orders{Worker: w.id, RunnerID: w.runner.ID, RunnerStartUnixMs: w.runner.StartedUnixMs, DurableEnds: w.durableEnd}
 		for _, t := range w.orders.starts {
-			t.ordered = true
+			t.startPending = true
 			orders.Starts = append(orders.Starts, t.order())
 		}
-		if slices.ContainsFunc(w.orders.starts, func(t *task) bool { return t.step.Fills }) {
+		if slices.ContainsFunc(w.orders.starts, func(t *task) bool { return t.step.BestEffort }) {
 			orders.Estimates = s.estimates(w)
 		}
 		for _, t := range w.orders.descriptions {
@@ -98,14 +100,14 @@
 		for i, id := range w.orders.stops {
 			orders.Stops = append(orders.Stops, Stop{id, w.orders.attempts[i]})
 		}
-		w.orders = pending{}
+		w.orders = pendingOrders{}
 		all = append(all, orders)
 	}
 	return all
 }
 
-// order returns what an agent must know of the task's run.
-func (t *task) order() runner.Start {
-	return runner.Start{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
-		Fills: t.step.Fills, Target: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
+// order returns the start order of the task's current run.
+func (t *task) order() runner.StartOrder {
+	return runner.StartOrder{Ticket: t.step.ticket(t.worker), Task: t.id, Attempt: t.attempt, Spec: t.job.Spec, Checkpoint: t.checkpoint,
+		BestEffort: t.step.BestEffort, LatencyTarget: t.step.LatencyTarget, Image: t.step.Image, Processors: t.step.Size.Processors}
 }
--- a/internal/workflow/check.go
+++ b/internal/workflow/validate.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// The limits of one job.
+// Limits of a job.
 const (
-	maxSpec  = 4000
-	maxSteps = 256
-	maxTasks = 100_000
+	maxSpecBytes = 4000
+	maxSteps     = 256
+	maxTasks     = 100_000
 )
 
-// Check reports the first reason why the job can't be accepted.
-func (j *Job) Check() error {
-	if len(j.Spec) > maxSpec {
-		return fmt.Errorf("spec has %d bytes; at most %d are allowed", len(j.Spec), maxSpec)
+// Validate returns an error that describes the first reason to reject the job, or nil.
+func (j *Job) Validate() error {
+	if len(j.Spec) > maxSpecBytes {
+		return fmt.Errorf("spec has %d bytes; at most %d are allowed", len(j.Spec), maxSpecBytes)
 	}
 	if len(j.Steps) == 0 || len(j.Steps) > maxSteps {
 		return fmt.Errorf("job has %d steps; want 1 to %d", len(j.Steps), maxSteps)
@@ -22,7 +22,7 @@
 	}
 	tasks := 0
 	for i := range j.Steps {
-		if err := j.Steps[i].check(i); err != nil {
+		if err := j.Steps[i].validate(i); err != nil {
 			return fmt.Errorf("step %d: %w", i, err)
 		}
 		tasks += j.Steps[i].Count
@@ -33,16 +33,16 @@
 	return nil
 }
 
-func (s *Step) check(number int) error {
+func (s *Step) validate(number int) error {
 	if s.Count < 1 {
 		return fmt.Errorf("count is %d; want at least 1", s.Count)
 	}
 	if s.Size.Processors < 0 || s.Size.Memory < 0 || s.Size.Accelerators < 0 {
 		return fmt.Errorf("size %v is negative", s.Size)
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= number {
-			return fmt.Errorf("depends on step %d, which is not an earlier one", before)
+	for _, dependency := range s.After {
+		if dependency < 0 || dependency >= number {
+			return fmt.Errorf("depends on step %d, which is not an earlier one", dependency)
 		}
 	}
 	return nil
