--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -87,8 +87,8 @@
 func (e *Entry) newElector() *leadership.Elector {
 	return &leadership.Elector{
 		Store: e.Store, Name: e.Settings.Name, Address: e.Settings.advertisedAddress(), FirstStart: e.Settings.FirstStart,
-		ClaimDelay: e.Settings.claimDelay(), RunLeader: e.lead, OnChange: e.followLeader, RequestPromises: e.requestSupport,
-		LeaderExited: e.leaderProcessEnded, Connected: e.connected,
+		ClaimDelay: e.Settings.claimDelay(), RunLeader: e.lead, OnChange: e.followLeader, RequestPromises: e.requestPromises,
+		LeaderExited: e.leaderExited, Connected: e.connected,
 	}
 }
 
@@ -288,7 +288,7 @@
 func (e *Entry) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathClient, link.Handle(e.handleClient))
-	mux.HandleFunc(pathSupport, link.Handle(e.handleSupport))
+	mux.HandleFunc(pathSupport, link.Handle(e.handlePromise))
 	mux.HandleFunc(pathVacancy, link.Handle(e.handleVacancy))
 	return mux
 }
@@ -321,10 +321,10 @@
 	return e.leader != nil || e.session != nil
 }
 
-// leaderProcessEnded queries the process at the leader's address. It returns
+// leaderExited queries the process at the leader's address. It returns
 // true when a process of the leader's name answers that it does not lead the
 // leader's term, as after a restart, and false without an answer.
-func (e *Entry) leaderProcessEnded(ctx context.Context, leader leadership.Leader) bool {
+func (e *Entry) leaderExited(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
 	session, err := link.Dial(ctx, leader.Address, nil)
@@ -353,15 +353,15 @@
 	e.peers[m.name] = m.address
 }
 
-func (e *Entry) handleSupport(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
+func (e *Entry) handlePromise(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
 	promised, reachable, known := e.elector.Promise(leadership.Term(in.GetTerm()))
 	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
 }
 
-// requestSupport requests a promise from every other entry process not to claim
+// requestPromises requests a promise from every other entry process not to claim
 // the leadership. It returns the time at which the promises expire, and false
 // unless every process promised.
-func (e *Entry) requestSupport(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
+func (e *Entry) requestPromises(ctx context.Context, term leadership.Term) (bootclock.Instant, bool) {
 	e.mu.Lock()
 	addresses := make([]string, 0, len(e.peers))
 	for _, address := range e.peers {
@@ -373,7 +373,7 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, address := range addresses {
-		group.Go(func() error { return e.requestPeerSupport(ctx, address, term) })
+		group.Go(func() error { return e.requestPromise(ctx, address, term) })
 	}
 	if err := group.Wait(); err != nil {
 		klog.InfoS("leadership is not supported", "term", term, "err", err)
@@ -382,7 +382,7 @@
 	return sent.Add(leadership.PromiseDuration), true
 }
 
-func (e *Entry) requestPeerSupport(ctx context.Context, address string, term leadership.Term) error {
+func (e *Entry) requestPromise(ctx context.Context, address string, term leadership.Term) error {
 	session, err := link.Dial(ctx, address, nil)
 	if err != nil {
 		return err
