--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -71,7 +71,7 @@
 		{"first", none, "", "k1", "{} // one", "", "k1"},
 		{"lost reply", lost, "k1", "k2", "{}", "", "k2"},
 		{"repeated", none, "k1", "k2", "{}", "", "k2"},
-		{"old base", none, "k1", "k3", "{}", configuration.Lost, "k2"},
+		{"old base", none, "k1", "k3", "{}", configuration.Conflict, "k2"},
 		{"failed check", none, "k2", "k4", "bad", configuration.Invalid, ""},
 		{"no document", none, "k2", "k4", "", configuration.Invalid, ""},
 		{"not UTF-8", none, "k2", "k4", "\xff", configuration.Invalid, ""},
@@ -187,7 +187,7 @@
 			publishers[i] = process(ctx, running, l)
 		}
 		w := &stream.Writer{Log: l, Stream: configuration.Stream, ID: "snapshots"}
-		snapshotter := &stream.Snapshotter[*configuration.State]{Follower: publishers[0].Follower, Writer: w, Every: 4, PartSize: 200, Tick: 20 * time.Millisecond}
+		snapshotter := &stream.Snapshotter[*configuration.State]{Follower: publishers[0].Follower, Writer: w, EntryInterval: 4, PartBytes: 200, CheckInterval: 20 * time.Millisecond}
 		running.Go(func() { _ = w.Run(ctx) })
 		running.Go(func() { _ = snapshotter.Run(ctx) })
 		answers := r.publish(ctx, l, publishers)
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -17,7 +17,7 @@
 
 // The kinds of Error.
 const (
-	Lost        Kind = "lost"        // certainly not in force: another version replaced the base
+	Conflict    Kind = "lost"        // certainly not in force: another version replaced the base
 	Invalid     Kind = "invalid"     // certainly not in force: the document or a parameter is wrong
 	Unavailable Kind = "unavailable" // this call certainly changed nothing: the log did not take it
 	Unknown     Kind = "unknown"     // may be in force, now or later; repeat with the same key
@@ -59,13 +59,13 @@
 			return Version{}, fault.Wrap(op, Invalid, err)
 		}
 	}
-	if v, err := p.decide(op, record, false); err != errUndecided {
+	if v, err := p.outcome(op, record, false); err != errNoOutcome {
 		return v, err
 	}
 	// A base that does not exist yet could become current later, and a late copy
 	// of the record would then win after the operator was told that it lost.
 	if base > 0 {
-		if err := p.await(ctx, base); err != nil {
+		if err := p.awaitApplied(ctx, base); err != nil {
 			return Version{}, fault.Wrap(op, Unavailable, err)
 		}
 	}
@@ -77,14 +77,14 @@
 	if err != nil {
 		return Version{}, err
 	}
-	if err := p.await(ctx, offset); err != nil {
+	if err := p.awaitApplied(ctx, offset); err != nil {
 		return Version{}, fault.Wrap(op, Unknown, err)
 	}
-	return p.decide(op, record, true)
+	return p.outcome(op, record, true)
 }
 
 // await waits for a limited time until the record at offset has been read here.
-func (p *Publisher) await(ctx context.Context, offset units.Offset) error {
+func (p *Publisher) awaitApplied(ctx context.Context, offset units.Offset) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return p.Follower.Wait(ctx, offset)
@@ -126,16 +126,16 @@
 }
 
 // errUndecided means that the state does not say yet what becomes of a record.
-var errUndecided = fault.New("publish", Unknown, "undecided")
+var errNoOutcome = fault.New("publish", Unknown, "undecided")
 
 // decide looks up the outcome of a record in the state, or returns
 // errUndecided. The offset of the current version only grows, so a base that it
 // has passed can never win.
-func (p *Publisher) decide(op string, r Record, appended bool) (v Version, err error) {
-	err = errUndecided
+func (p *Publisher) outcome(op string, r Record, appended bool) (v Version, err error) {
+	err = errNoOutcome
 	p.Follower.View(func(s *State) {
 		current, _ := s.Current(r.Environment)
-		if same, ok := s.byKey(r.Environment, r.Key); ok {
+		if same, ok := s.versionByKey(r.Environment, r.Key); ok {
 			v, err = same, nil
 			if same.Base != r.Base || same.Document != nil && !bytes.Equal(same.Document, r.Document) {
 				err = fault.New(op, Invalid, "key %s was used for another document, accepted at offset %d", r.Key, same.Offset)
@@ -145,11 +145,11 @@
 		winner, replaced := s.successor(r.Environment, r.Base)
 		switch {
 		case replaced:
-			v, err = winner, fault.New(op, Lost, "base %d was replaced at offset %d by %s", r.Base, winner.Offset, winner.Author)
-		case s.forgotten(r.Environment, r.Base):
+			v, err = winner, fault.New(op, Conflict, "base %d was replaced at offset %d by %s", r.Base, winner.Offset, winner.Author)
+		case s.successorTruncated(r.Environment, r.Base):
 			v, err = current, fault.New(op, Unknown, "what replaced version %d is older than the history", r.Base)
 		case current.Offset > r.Base || appended:
-			v, err = current, fault.New(op, Lost, "current version is %d, not %d", current.Offset, r.Base)
+			v, err = current, fault.New(op, Conflict, "current version is %d, not %d", current.Offset, r.Base)
 		}
 	})
 	return v, err
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -30,9 +30,9 @@
 // Limits of a record. They decide which records count, so that changing one
 // makes old and new processes disagree.
 const (
-	MaxDocument = 512 << 10 // bytes
-	maxKey      = 128
-	maxAuthor   = 256
+	MaxDocumentBytes = 512 << 10 // bytes
+	maxKeyBytes      = 128
+	maxAuthorBytes   = 256
 )
 
 var environmentName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
@@ -68,7 +68,7 @@
 // DecodeRecord reads a payload, which may contain comments. Unknown keys are
 // ignored, so that a later version may add some without splitting the readers.
 func DecodeRecord(payload []byte) (Record, error) {
-	if len(payload) > 4*MaxDocument {
+	if len(payload) > 4*MaxDocumentBytes {
 		return Record{}, fmt.Errorf("record of %d bytes is too large", len(payload))
 	}
 	var body recordBody
@@ -97,16 +97,16 @@
 	switch {
 	case !environmentName.MatchString(string(r.Environment)):
 		return fmt.Errorf("bad environment name %.64q", r.Environment)
-	case len(r.Key) > maxKey:
-		return fmt.Errorf("key of %d bytes exceeds %d", len(r.Key), maxKey)
-	case len(r.Author) > maxAuthor:
-		return fmt.Errorf("author of %d bytes exceeds %d", len(r.Author), maxAuthor)
+	case len(r.Key) > maxKeyBytes:
+		return fmt.Errorf("key of %d bytes exceeds %d", len(r.Key), maxKeyBytes)
+	case len(r.Author) > maxAuthorBytes:
+		return fmt.Errorf("author of %d bytes exceeds %d", len(r.Author), maxAuthorBytes)
 	case len(r.Document) == 0 || bytes.Equal(r.Document, []byte("null")):
 		return errors.New("no document")
 	case !utf8.Valid(r.Document) || !utf8.ValidString(r.Key) || !utf8.ValidString(r.Author):
 		return errors.New("record is not UTF-8")
-	case len(r.Document) > MaxDocument:
-		return fmt.Errorf("document of %d bytes exceeds %d", len(r.Document), MaxDocument)
+	case len(r.Document) > MaxDocumentBytes:
+		return fmt.Errorf("document of %d bytes exceeds %d", len(r.Document), MaxDocumentBytes)
 	}
 	return nil
 }
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -123,7 +123,7 @@
 }
 
 // byKey returns the version that was accepted under key.
-func (s *State) byKey(environment units.EnvironmentName, key string) (Version, bool) {
+func (s *State) versionByKey(environment units.EnvironmentName, key string) (Version, bool) {
 	for _, v := range s.environments[environment] {
 		if v.Key == key {
 			return v, true
@@ -144,7 +144,7 @@
 
 // forgotten reports whether the version that replaced base may have left the
 // history.
-func (s *State) forgotten(environment units.EnvironmentName, base units.Offset) bool {
+func (s *State) successorTruncated(environment units.EnvironmentName, base units.Offset) bool {
 	history := s.environments[environment]
 	return len(history) == maxHistory && base < history[0].Base
 }
--- a/internal/entry/backend.go
+++ b/internal/entry/backend.go
@@ -108,7 +108,7 @@
 	case err == nil:
 		b.event("config", "accepted", string(p.Environment), fmt.Sprintf("version %d by %s", v.Offset, p.Author), "")
 		return v.Offset, nil
-	case fault.Is(err, configuration.Lost):
+	case fault.Is(err, configuration.Conflict):
 		return 0, administration.LostRace(v.Offset)
 	case fault.Is(err, configuration.Invalid):
 		return 0, administration.Errorf(administration.KindInvalid, "%v", err)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -98,8 +98,8 @@
 // snapshotter keeps a stream recoverable while this process owns it.
 func snapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
 	return &stream.Snapshotter[S]{
-		Follower: f, Writer: w, Every: snapshotEvery, Retention: e.Settings.LogRetention,
-		Owner: func() bool { return e.owners.Load().owns("stream/" + f.Stream) },
+		Follower: f, Writer: w, EntryInterval: snapshotEvery, Retention: e.Settings.LogRetention,
+		IsOwner: func() bool { return e.owners.Load().owns("stream/" + f.Stream) },
 	}
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -26,7 +26,7 @@
 type Entry struct {
 	Settings *Settings
 	Store    durable.Store
-	Feed     *operations.Feed
+	Feed     *operations.Follower
 	Scope    tally.Scope // nil counts nothing
 	Advisor  Advisor     // nil when there is no service that gives advice
 	// Clients and Readiness serve the platform's interfaces.
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -45,7 +45,7 @@
 	term     leadership.Term
 	settings *Settings
 	store    durable.Store
-	feed     *operations.Feed
+	feed     *operations.Follower
 	leads    func() bool // this process has authority for the term now
 	advisor  Advisor
 
@@ -219,7 +219,7 @@
 // mayStart reports whether a task may start now: this process leads, and the
 // operators' records are known up to a moment ago.
 func (l *leader) mayStart(at scheduler.Timestamp) bool {
-	current, ok := l.feed.Current()
+	current, ok := l.feed.CompleteUntil()
 	return ok && l.leads() && at.Boot.Sub(current) < evidenceFor
 }
 
--- a/internal/operations/feed.go
+++ b/internal/operations/follower.go
@@ -23,17 +23,17 @@
 )
 
 // Feed follows the operators' records. Set the exported fields before Run.
-type Feed struct {
-	Store   durable.Store
-	Records Records
+type Follower struct {
+	Store  durable.Store
+	Format RecordFormat
 
-	state   atomic.Pointer[State]
-	notify  atomic.Pointer[func(State)]
-	current atomic.Int64 // bootclock.Instant up to which no change is missing; 0 before the first read
+	state         atomic.Pointer[State]
+	onChange      atomic.Pointer[func(State)]
+	completeUntil atomic.Int64 // bootclock.Instant up to which no change is missing; 0 before the first read
 }
 
 // State returns the newest state.
-func (f *Feed) State() State {
+func (f *Follower) State() State {
 	if s := f.state.Load(); s != nil {
 		return *s
 	}
@@ -42,17 +42,17 @@
 
 // SetOnChange replaces the function that is called after each change, from the
 // goroutine of Run.
-func (f *Feed) SetOnChange(fn func(State)) { f.notify.Store(&fn) }
+func (f *Follower) SetOnChange(fn func(State)) { f.onChange.Store(&fn) }
 
 // Current returns the instant up to which State misses no record, and false
 // before the first read.
-func (f *Feed) Current() (bootclock.Instant, bool) {
-	at := bootclock.Instant(f.current.Load())
+func (f *Follower) CompleteUntil() (bootclock.Instant, bool) {
+	at := bootclock.Instant(f.completeUntil.Load())
 	return at, at != 0
 }
 
 // Run follows the records until ctx ends.
-func (f *Feed) Run(ctx context.Context) error {
+func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		from, err := f.load(ctx)
 		if err == nil {
@@ -68,9 +68,9 @@
 }
 
 // load replaces the state by the newest record of each key.
-func (f *Feed) load(ctx context.Context) (units.Offset, error) {
+func (f *Follower) load(ctx context.Context) (units.Offset, error) {
 	sent := bootclock.Now()
-	snapshot, err := f.Store.ReadSnapshot(ctx, durable.Topic(f.Records.Topic()))
+	snapshot, err := f.Store.ReadSnapshot(ctx, durable.Topic(f.Format.Topic()))
 	if err != nil {
 		return 0, err
 	}
@@ -82,10 +82,10 @@
 	return snapshot.From, nil
 }
 
-func (f *Feed) follow(ctx context.Context, from units.Offset) error {
+func (f *Follower) follow(ctx context.Context, from units.Offset) error {
 	for ctx.Err() == nil {
 		sent := bootclock.Now()
-		batch, err := f.Store.Read(ctx, durable.Topic(f.Records.Topic()), true, from, readWait)
+		batch, err := f.Store.Read(ctx, durable.Topic(f.Format.Topic()), true, from, readWait)
 		if fault.Is(err, durable.Unavailable) {
 			klog.V(2).InfoS("read of the operators' records failed", "err", err)
 			pause.Jittered(ctx, retryPause)
@@ -101,15 +101,15 @@
 		if len(batch.Records) > 0 {
 			f.publish(state, sent)
 		} else if batch.Next >= batch.End {
-			f.current.Store(int64(sent))
+			f.completeUntil.Store(int64(sent))
 		}
 		from = batch.Next
 	}
 	return ctx.Err()
 }
 
-func (f *Feed) apply(state State, key string, value []byte) State {
-	next, err := f.Records.Apply(state, key, value)
+func (f *Follower) apply(state State, key string, value []byte) State {
+	next, err := f.Format.Apply(state, key, value)
 	if err != nil {
 		klog.ErrorS(err, "record of the operators is skipped", "key", key)
 		return state
@@ -121,18 +121,18 @@
 	return next
 }
 
-func (f *Feed) publish(state State, read bootclock.Instant) {
+func (f *Follower) publish(state State, read bootclock.Instant) {
 	before := f.State()
 	if c, old := state.Configuration, before.Configuration; c != nil && old != nil && c.Version < old.Version {
 		state.Configuration = old // a version that was in force never returns
 	}
 	f.state.Store(&state)
-	f.current.Store(int64(read))
+	f.completeUntil.Store(int64(read))
 	if state.Configuration != nil {
 		klog.InfoS("operators' state is in force", "version", state.Configuration.Version,
-			"routes", len(state.Configuration.Routes), "domainsOut", len(state.Out))
+			"routes", len(state.Configuration.Routes), "domainsOut", len(state.OutOfService))
 	}
-	if notify := f.notify.Load(); notify != nil {
+	if notify := f.onChange.Load(); notify != nil {
 		(*notify)(state)
 	}
 }
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -94,12 +94,12 @@
 // State is everything that the operators have in force. It is immutable.
 type State struct {
 	Configuration *Configuration            // nil before the first version is known
-	Out           map[units.DomainName]bool // failure domains that get no new work
+	OutOfService  map[units.DomainName]bool // failure domains that get no new work
 }
 
 // Records is what a record of the operators changes; the translation of their
 // format implements it.
-type Records interface {
+type RecordFormat interface {
 	// Apply returns the state after a record with key and value; a nil value
 	// deletes the key. An error leaves the state as it is.
 	Apply(state State, key string, value []byte) (State, error)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -46,7 +46,7 @@
 func (s *Scheduler) eligibleWorkers(service units.ServiceName, now Timestamp) []*worker {
 	var pool, avoided []*worker
 	for _, w := range s.workers {
-		if !w.attached || !w.synced || w.runner.Draining || w.runner.Service != service || s.operatorState.Out[w.runner.Domain] {
+		if !w.attached || !w.synced || w.runner.Draining || w.runner.Service != service || s.operatorState.OutOfService[w.runner.Domain] {
 			continue
 		}
 		if now.Boot.Before(w.retryAt) {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -46,7 +46,7 @@
 		f.report(id)
 	}
 	state := f.scheduler.operatorState
-	state.Out = map[units.DomainName]bool{"south": true}
+	state.OutOfService = map[units.DomainName]bool{"south": true}
 	f.scheduler.SetOperatorState(state)
 	f.submit("quick", workflow.Step{Count: 5, Size: cores(2), RequiredLabel: "a", AntiAffinity: 3})
 	got := f.tick()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -128,7 +128,7 @@
 		},
 		{
 			"evacuated domains get tasks",
-			change{"internal/scheduler/place.go", " || s.operatorState.Out[w.runner.Domain]", ""},
+			change{"internal/scheduler/place.go", " || s.operatorState.OutOfService[w.runner.Domain]", ""},
 			"evacuation", "nothing starts in a domain that is out",
 		},
 	} {
--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -18,7 +18,7 @@
 const maxWriters = 4096
 
 // seen is the last record that counted of one writer.
-type seen struct {
+type lastRecord struct {
 	sequence uint64
 	offset   units.Offset
 }
@@ -27,10 +27,10 @@
 // record at a time in sequence order, so a sequence at or below the last one is
 // a repeat, or an append that the writer had already given up on. The memory
 // depends only on the records, so that all readers forget the same writers.
-type writers map[string]seen
+type lastRecords map[string]lastRecord
 
 // admit reports whether the record counts, and remembers it.
-func (w writers) admit(writer string, sequence uint64, offset units.Offset) bool {
+func (w lastRecords) accept(writer string, sequence uint64, offset units.Offset) bool {
 	if writer == "" {
 		return true
 	}
@@ -39,14 +39,14 @@
 		return false
 	}
 	if !known && len(w) >= maxWriters {
-		w.forgetOldest()
+		w.removeOldest()
 	}
-	w[writer] = seen{sequence, offset}
+	w[writer] = lastRecord{sequence, offset}
 	return true
 }
 
 // forgetOldest drops the writer whose last record is the oldest.
-func (w writers) forgetOldest() {
+func (w lastRecords) removeOldest() {
 	oldest, found := "", false
 	for name, s := range w {
 		if !found || s.offset < w[oldest].offset {
@@ -59,7 +59,7 @@
 // encodeCheckpoint encodes the state of the caller together with the memory of
 // writers: an Envelope whose snapshot holds the state and whose entries are the
 // writers, each an Envelope with the offset of its last record in a Snapshot.
-func encodeCheckpoint(state []byte, next units.Offset, memory writers) ([]byte, error) {
+func encodeCheckpoint(state []byte, next units.Offset, memory lastRecords) ([]byte, error) {
 	checkpoint := &wire.Envelope{Snapshot: &wire.Snapshot{Offset: uint64(next), State: state}}
 	for _, name := range slices.Sorted(maps.Keys(memory)) {
 		s := memory[name]
@@ -75,7 +75,7 @@
 }
 
 // decodeCheckpoint reverses encodeCheckpoint.
-func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, memory writers, err error) {
+func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, memory lastRecords, err error) {
 	var checkpoint wire.Envelope
 	if err := proto.Unmarshal(encoded, &checkpoint); err != nil {
 		return nil, 0, nil, err
@@ -83,13 +83,13 @@
 	if checkpoint.GetSnapshot() == nil || len(checkpoint.GetEntries()) > maxWriters {
 		return nil, 0, nil, errors.New("checkpoint without state or with too many writers")
 	}
-	memory = make(writers, len(checkpoint.GetEntries()))
+	memory = make(lastRecords, len(checkpoint.GetEntries()))
 	for _, encoded := range checkpoint.GetEntries() {
 		var w wire.Envelope
 		if err := proto.Unmarshal(encoded, &w); err != nil {
 			return nil, 0, nil, fmt.Errorf("writer in checkpoint: %w", err)
 		}
-		memory[w.GetWriter()] = seen{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
+		memory[w.GetWriter()] = lastRecord{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
 	}
 	return checkpoint.GetSnapshot().GetState(), units.Offset(checkpoint.GetSnapshot().GetOffset()), memory, nil
 }
--- a/internal/stream/follower.go
+++ b/internal/stream/follower.go
@@ -46,19 +46,19 @@
 	// It is called with the state locked.
 	OnMalformed func(offset units.Offset, err error)
 
-	mu         sync.RWMutex
-	next       units.Offset // every record below it is applied
-	memory     writers
-	loaded     bool
-	incomplete bool          // records were lost to retention before any snapshot
-	atTail     time.Time     // start of the last read that reached the tail
-	first      units.Offset  // first retained offset at the last read
-	tail       units.Offset  // at the last load
-	changed    chan struct{} // closed on the next change
-	latest     snapshotMark
-	broken     []units.Offset // snapshots that the state could not restore; used by Run alone
-	waiting    time.Time      // since when a reload has found no snapshot
-	stats      FollowerStats
+	mu                sync.RWMutex
+	next              units.Offset // every record below it is applied
+	lastRecords       lastRecords
+	loaded            bool
+	incomplete        bool          // records were lost to retention before any snapshot
+	tailReadAt        time.Time     // start of the last read that reached the tail
+	first             units.Offset  // first retained offset at the last read
+	tail              units.Offset  // at the last load
+	changed           chan struct{} // closed on the next change
+	latestSnapshot    snapshotInfo
+	unrestorable      []units.Offset // snapshots that the state could not restore; used by Run alone
+	snapshotWaitStart time.Time      // since when a reload has found no snapshot
+	stats             FollowerStats
 }
 
 // FollowerStats counts what a Follower has done.
@@ -70,12 +70,12 @@
 }
 
 // snapshotMark is what a Follower knows of the newest complete snapshot.
-type snapshotMark struct {
-	offset    units.Offset // the state holds every record below it
-	seen      time.Time    // when this process saw or loaded it; zero when there is none
-	inherited bool         // in the log before the last load, so its age is unknown
-	entries   int64        // applied since
-	parts     map[snapshotKey]int
+type snapshotInfo struct {
+	offset     units.Offset // the state holds every record below it
+	observedAt time.Time    // when this process saw or loaded it; zero when there is none
+	ageUnknown bool         // in the log before the last load, so its age is unknown
+	entries    int64        // applied since
+	parts      map[snapshotKey]int
 }
 
 // Run follows the stream until ctx ends.
@@ -84,7 +84,7 @@
 	for ctx.Err() == nil {
 		var err error
 		if f.isLoaded() {
-			err = f.step(ctx)
+			err = f.readNext(ctx)
 		} else {
 			err = f.load(ctx)
 		}
@@ -121,7 +121,7 @@
 
 // step reads once and applies what it returns. When retention has passed the
 // next offset, the state is loaded again.
-func (f *Follower[S]) step(ctx context.Context) error {
+func (f *Follower[S]) readNext(ctx context.Context) error {
 	sent := time.Now()
 	batch, err := f.read(ctx, f.Applied(), orDefault(f.ReadWait, defaultReadWait))
 	if fault.Is(err, logservice.Expired) {
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	return f.apply(batch, sent)
+	return f.applyBatch(batch, sent)
 }
 
 func (f *Follower[S]) read(ctx context.Context, from units.Offset, wait time.Duration) (logservice.Batch, error) {
@@ -144,12 +144,12 @@
 }
 
 // apply folds the records of a batch.
-func (f *Follower[S]) apply(batch logservice.Batch, sent time.Time) error {
+func (f *Follower[S]) applyBatch(batch logservice.Batch, sent time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range batch.Records {
 		if r.Offset != f.next {
-			return fail("read "+f.Stream, Unavailable, "record has offset %d, want %d", r.Offset, f.next)
+			return newError("read "+f.Stream, Unavailable, "record has offset %d, want %d", r.Offset, f.next)
 		}
 		f.applyRecord(r)
 		f.next++
@@ -161,12 +161,12 @@
 	switch {
 	case batch.Next < f.next:
 		// The log has lost records that were applied; nothing at its tail is evidence.
-		return fail("read "+f.Stream, Unavailable, "tail %d is below the applied offset %d", batch.Next, f.next)
+		return newError("read "+f.Stream, Unavailable, "tail %d is below the applied offset %d", batch.Next, f.next)
 	case batch.Next == f.next:
-		f.atTail = sent
+		f.tailReadAt = sent
 	}
 	if len(batch.Records) > 0 {
-		f.notify()
+		f.notifyChanged()
 	}
 	return nil
 }
@@ -178,12 +178,12 @@
 		f.skip(r.Offset, err)
 		return
 	}
-	if !f.memory.admit(record.Writer, record.Sequence, r.Offset) {
+	if !f.lastRecords.accept(record.Writer, record.Sequence, r.Offset) {
 		f.stats.Duplicates++
 		return
 	}
 	if record.Snapshot != nil {
-		f.noteSnapshot(record, r.Offset)
+		f.recordSnapshotPart(record, r.Offset)
 		return
 	}
 	for _, entry := range record.Entries {
@@ -192,7 +192,7 @@
 			continue
 		}
 		f.stats.Entries++
-		f.latest.entries++
+		f.latestSnapshot.entries++
 	}
 }
 
@@ -214,7 +214,7 @@
 }
 
 // notify wakes everyone who waits for a change.
-func (f *Follower[S]) notify() {
+func (f *Follower[S]) notifyChanged() {
 	if f.changed != nil {
 		close(f.changed)
 		f.changed = nil
@@ -261,10 +261,10 @@
 func (f *Follower[S]) Staleness(now time.Time) time.Duration {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	if f.atTail.IsZero() {
+	if f.tailReadAt.IsZero() {
 		return math.MaxInt64
 	}
-	return max(0, now.Sub(f.atTail))
+	return max(0, now.Sub(f.tailReadAt))
 }
 
 // View calls see with the state locked against changes. see must neither keep
--- a/internal/stream/history_test.go
+++ b/internal/stream/history_test.go
@@ -136,7 +136,7 @@
 		l := &standin.Log{RetainCount: h.Retain, ReadLimit: 7}
 		early := follow(ctx, &running, l)
 		snapshots := &stream.Writer{Log: l, Stream: "s", ID: "snapshots"}
-		snapshotter := &stream.Snapshotter[*counter]{Follower: early, Writer: snapshots, Every: h.Every, PartSize: 700, Tick: 50 * time.Millisecond}
+		snapshotter := &stream.Snapshotter[*counter]{Follower: early, Writer: snapshots, EntryInterval: h.Every, PartBytes: 700, CheckInterval: 50 * time.Millisecond}
 		running.Go(func() { _ = snapshots.Run(ctx) })
 		running.Go(func() { _ = snapshotter.Run(ctx) })
 		told := h.drive(ctx, &running, l, newWriter)
--- a/internal/stream/recovery.go
+++ b/internal/stream/recovery.go
@@ -15,16 +15,16 @@
 
 const (
 	// scanWindow is how many records the search for a snapshot steps back at a time.
-	scanWindow = 512
+	scanStepRecords = 512
 	// maxSnapshotBytes bounds what a reader collects of one snapshot.
 	maxSnapshotBytes = 256 << 20
 	// maxCandidates bounds the incomplete snapshots that are collected at a time.
-	maxCandidates = 8
+	maxPartialSnapshots = 8
 	// maxFetch bounds the records that a reload holds in memory.
-	maxFetch = 1 << 17
+	maxReplayRecords = 1 << 17
 	// snapshotPatience is how long a Follower that retention has passed waits
 	// for a snapshot before it goes on with what the log still holds.
-	snapshotPatience = time.Minute
+	snapshotTimeout = time.Minute
 )
 
 // snapshotKey names one snapshot. Parts that a writer appended twice after a
@@ -36,13 +36,13 @@
 }
 
 // candidate collects the parts of one snapshot.
-type candidate struct {
+type partialSnapshot struct {
 	parts map[uint32][]byte
 	size  int
 }
 
 // add keeps a part and returns the whole snapshot once every part is there.
-func (c *candidate) add(s *wire.Snapshot) []byte {
+func (c *partialSnapshot) add(s *wire.Snapshot) []byte {
 	if _, known := c.parts[s.GetPart()]; known || c.size+len(s.GetState()) > maxSnapshotBytes {
 		return nil
 	}
@@ -60,10 +60,10 @@
 
 // checkpoint is a decoded snapshot, or the start of the retained records.
 type checkpoint struct {
-	state  []byte
-	next   units.Offset
-	memory writers
-	size   int // encoded; 0 when there was no snapshot
+	state       []byte
+	next        units.Offset
+	lastRecords lastRecords
+	size        int // encoded; 0 when there was no snapshot
 }
 
 // load replaces the state by the newest snapshot, or by the empty state at the
@@ -81,10 +81,10 @@
 		return err
 	}
 	applied := f.Applied()
-	if from.size == 0 && applied > 0 && f.awaitSnapshot(started) {
-		return fail("reload "+f.Stream, Incomplete, "no snapshot between %d and the tail %d", ends.First, ends.Next)
+	if from.size == 0 && applied > 0 && f.shouldAwaitSnapshot(started) {
+		return newError("reload "+f.Stream, Incomplete, "no snapshot between %d and the tail %d", ends.First, ends.Next)
 	}
-	again, err := f.fetch(ctx, from.next, applied)
+	again, err := f.readRange(ctx, from.next, applied)
 	if err != nil {
 		return err
 	}
@@ -98,11 +98,11 @@
 		f.applyRecord(r)
 		f.next++
 	}
-	f.loaded, f.first, f.waiting = true, ends.First, time.Time{}
+	f.loaded, f.first, f.snapshotWaitStart = true, ends.First, time.Time{}
 	f.stats.Loads++
 	f.stats.SnapshotBytes = from.size
 	f.stats.LoadSeconds = time.Since(started).Seconds()
-	f.notify()
+	f.notifyChanged()
 	klog.InfoS("loaded log stream", "stream", f.Stream, "offset", f.next, "tail", ends.Next,
 		"snapshotBytes", from.size, "seconds", f.stats.LoadSeconds, "incomplete", f.incomplete)
 	return nil
@@ -110,20 +110,20 @@
 
 // awaitSnapshot reports whether a Follower that retention has passed should
 // still wait for a process that knows more to append a snapshot.
-func (f *Follower[S]) awaitSnapshot(now time.Time) bool {
+func (f *Follower[S]) shouldAwaitSnapshot(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.waiting.IsZero() {
-		f.waiting = now
+	if f.snapshotWaitStart.IsZero() {
+		f.snapshotWaitStart = now
 	}
-	return now.Sub(f.waiting) < snapshotPatience
+	return now.Sub(f.snapshotWaitStart) < snapshotTimeout
 }
 
 // fetch reads the records from low up to high.
-func (f *Follower[S]) fetch(ctx context.Context, low, high units.Offset) ([]logservice.Record, error) {
+func (f *Follower[S]) readRange(ctx context.Context, low, high units.Offset) ([]logservice.Record, error) {
 	var records []logservice.Record
-	if high > low+maxFetch {
-		return nil, fail("reload "+f.Stream, Incomplete, "snapshot at %d is too far behind %d", low, high)
+	if high > low+maxReplayRecords {
+		return nil, newError("reload "+f.Stream, Incomplete, "snapshot at %d is too far behind %d", low, high)
 	}
 	for low < high {
 		batch, err := f.read(ctx, low, 0)
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 		if len(batch.Records) == 0 {
-			return nil, fail("reload "+f.Stream, Unavailable, "no record at %d", low)
+			return nil, newError("reload "+f.Stream, Unavailable, "no record at %d", low)
 		}
 		kept := batch.Records[:min(len(batch.Records), int(high-low))]
 		records = append(records, kept...)
@@ -151,15 +151,15 @@
 		}
 	}
 	if err := f.State.Restore(from.state); err != nil {
-		f.broken = append(f.broken, from.next)
+		f.unrestorable = append(f.unrestorable, from.next)
 		_ = f.State.Restore(previous) // it encoded this itself
 		return fault.Wrap("restore snapshot of "+f.Stream, Incomplete, err)
 	}
-	f.broken = nil
-	f.next, f.memory = from.next, from.memory
-	f.latest = snapshotMark{offset: from.next}
+	f.unrestorable = nil
+	f.next, f.lastRecords = from.next, from.lastRecords
+	f.latestSnapshot = snapshotInfo{offset: from.next}
 	if from.size > 0 {
-		f.latest.seen, f.latest.inherited = time.Now(), true
+		f.latestSnapshot.observedAt, f.latestSnapshot.ageUnknown = time.Now(), true
 	}
 	// Streams start at offset 0 or 1, so a later first offset without a snapshot
 	// means that records are gone.
@@ -171,11 +171,11 @@
 // that the retained records continue, and otherwise returns the empty state at
 // the first record. It reads each retained record at most once.
 func (f *Follower[S]) newestSnapshot(ctx context.Context, first, tail units.Offset) (checkpoint, error) {
-	candidates := make(map[snapshotKey]*candidate)
+	candidates := make(map[snapshotKey]*partialSnapshot)
 	for high := tail; high > first; {
 		low := first
-		if high-first > scanWindow {
-			low = high - scanWindow
+		if high-first > scanStepRecords {
+			low = high - scanStepRecords
 		}
 		found, err := f.scan(ctx, low, high, first, candidates)
 		if err != nil || found.size > 0 {
@@ -183,12 +183,12 @@
 		}
 		high = low
 	}
-	return checkpoint{next: first, memory: writers{}}, nil
+	return checkpoint{next: first, lastRecords: lastRecords{}}, nil
 }
 
 // scan reads the records from low up to high and adds snapshot parts to
 // candidates. It returns the newest snapshot that became complete.
-func (f *Follower[S]) scan(ctx context.Context, low, high, first units.Offset, candidates map[snapshotKey]*candidate) (newest checkpoint, err error) {
+func (f *Follower[S]) scan(ctx context.Context, low, high, first units.Offset, candidates map[snapshotKey]*partialSnapshot) (newest checkpoint, err error) {
 	for low < high {
 		batch, err := f.read(ctx, low, 0)
 		if fault.Is(err, logservice.Expired) && batch.First > low {
@@ -199,13 +199,13 @@
 			return checkpoint{}, err
 		}
 		if len(batch.Records) == 0 {
-			return checkpoint{}, fail("scan "+f.Stream, Unavailable, "no record at %d below the tail %d", low, high)
+			return checkpoint{}, newError("scan "+f.Stream, Unavailable, "no record at %d below the tail %d", low, high)
 		}
 		for _, r := range batch.Records {
 			if r.Offset >= high {
 				break
 			}
-			if found, ok := f.collect(r, first, candidates); ok && found.next >= newest.next {
+			if found, ok := f.collectPart(r, first, candidates); ok && found.next >= newest.next {
 				newest = found
 			}
 		}
@@ -216,7 +216,7 @@
 
 // collect adds the record to its candidate if it is a snapshot part, and returns
 // the checkpoint that this completes.
-func (f *Follower[S]) collect(r logservice.Record, first units.Offset, candidates map[snapshotKey]*candidate) (checkpoint, bool) {
+func (f *Follower[S]) collectPart(r logservice.Record, first units.Offset, candidates map[snapshotKey]*partialSnapshot) (checkpoint, bool) {
 	record, err := f.decode(r.Payload)
 	if err != nil || record.Snapshot == nil {
 		return checkpoint{}, false
@@ -224,16 +224,16 @@
 	// A snapshot below the first retained offset misses the records in between,
 	// and none can hold records that come after it.
 	offset := units.Offset(record.Snapshot.GetOffset())
-	if offset < first || offset > r.Offset || slices.Contains(f.broken, offset) {
+	if offset < first || offset > r.Offset || slices.Contains(f.unrestorable, offset) {
 		return checkpoint{}, false
 	}
-	key := keyOf(record)
+	key := snapshotKeyOf(record)
 	c := candidates[key]
 	if c == nil {
-		if len(candidates) >= maxCandidates {
-			dropOldest(candidates)
+		if len(candidates) >= maxPartialSnapshots {
+			removeOldestPartial(candidates)
 		}
-		c = &candidate{parts: make(map[uint32][]byte)}
+		c = &partialSnapshot{parts: make(map[uint32][]byte)}
 		candidates[key] = c
 	}
 	whole := c.add(record.Snapshot)
@@ -241,16 +241,16 @@
 		return checkpoint{}, false
 	}
 	found := checkpoint{size: len(whole)}
-	found.state, found.next, found.memory, err = decodeCheckpoint(whole)
+	found.state, found.next, found.lastRecords, err = decodeCheckpoint(whole)
 	return found, err == nil && found.next == offset
 }
 
-func keyOf(r Record) snapshotKey {
+func snapshotKeyOf(r Record) snapshotKey {
 	return snapshotKey{r.Writer, r.Snapshot.GetOffset(), r.Snapshot.GetParts()}
 }
 
 // dropOldest forgets the candidate with the lowest offset.
-func dropOldest(candidates map[snapshotKey]*candidate) {
+func removeOldestPartial(candidates map[snapshotKey]*partialSnapshot) {
 	var oldest snapshotKey
 	found := false
 	for key := range candidates {
@@ -264,18 +264,18 @@
 // noteSnapshot counts the parts of a snapshot that passes by. A complete one
 // restarts the interval until the next; a Follower that lost records loads it.
 // The age of one that was in the log before the last load is unknown.
-func (f *Follower[S]) noteSnapshot(r Record, at units.Offset) {
-	key := keyOf(r)
-	if f.latest.parts == nil || len(f.latest.parts) >= maxCandidates {
-		f.latest.parts = make(map[snapshotKey]int)
+func (f *Follower[S]) recordSnapshotPart(r Record, at units.Offset) {
+	key := snapshotKeyOf(r)
+	if f.latestSnapshot.parts == nil || len(f.latestSnapshot.parts) >= maxPartialSnapshots {
+		f.latestSnapshot.parts = make(map[snapshotKey]int)
 	}
-	f.latest.parts[key]++
-	if f.latest.parts[key] < int(key.parts) {
+	f.latestSnapshot.parts[key]++
+	if f.latestSnapshot.parts[key] < int(key.parts) {
 		return
 	}
 	f.stats.Snapshots++
-	f.latest = snapshotMark{offset: units.Offset(key.offset), seen: time.Now(), inherited: at < f.tail}
-	if f.incomplete && f.latest.offset >= f.first {
+	f.latestSnapshot = snapshotInfo{offset: units.Offset(key.offset), observedAt: time.Now(), ageUnknown: at < f.tail}
+	if f.incomplete && f.latestSnapshot.offset >= f.first {
 		f.loaded = false
 	}
 }
--- a/internal/stream/snapshotter.go
+++ b/internal/stream/snapshotter.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	defaultEvery    = 20000
-	defaultPartSize = 256 << 10
-	defaultTick     = time.Second
+	defaultEntryInterval = 20000
+	defaultPartBytes     = 256 << 10
+	defaultCheckInterval = time.Second
 	// maxTailAge keeps a process that has lost the log from appending a
 	// snapshot that is old when it arrives.
-	maxTailAge = 5 * time.Second
+	maxSnapshotStaleness = 5 * time.Second
 )
 
 // Snapshotter appends snapshots of a Follower's state while Owner says that
 // this process is responsible for the stream. Two owners at once do no harm.
 type Snapshotter[S State] struct {
-	Follower *Follower[S]
-	Writer   *Writer
-	Owner    func() bool // nil means always
-	Every    int         // entries between snapshots
+	Follower      *Follower[S]
+	Writer        *Writer
+	IsOwner       func() bool // nil means always
+	EntryInterval int         // entries between snapshots
 	// Retention is that of the log; a snapshot is repeated after half of it. With
 	// 0 nothing is repeated by time, and an idle stream loses its state.
-	Retention time.Duration
-	PartSize  int           // bytes of one part; below the service's largest record
-	Tick      time.Duration // between checks
+	Retention     time.Duration
+	PartBytes     int           // bytes of one part; below the service's largest record
+	CheckInterval time.Duration // between checks
 }
 
 // Run appends snapshots when they are due until ctx ends.
 func (s *Snapshotter[S]) Run(ctx context.Context) error {
-	ticker := time.NewTicker(orDefault(s.Tick, defaultTick))
+	ticker := time.NewTicker(orDefault(s.CheckInterval, defaultCheckInterval))
 	defer ticker.Stop()
 	started, failing := time.Now(), false
 	for {
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			if s.Owner != nil && !s.Owner() || !s.due(now, started) {
+			if s.IsOwner != nil && !s.IsOwner() || !s.due(now, started) {
 				continue
 			}
 			err := s.Append(ctx)
@@ -62,7 +62,7 @@
 	if err != nil {
 		return fault.Wrap("encode snapshot of "+s.Follower.Stream, Refused, err)
 	}
-	for _, part := range split(encoded, offset, orDefault(s.PartSize, defaultPartSize)) {
+	for _, part := range splitCheckpoint(encoded, offset, orDefault(s.PartBytes, defaultPartBytes)) {
 		if _, err := s.Writer.appendSnapshot(ctx, part); err != nil {
 			return err
 		}
@@ -74,18 +74,18 @@
 // position. A Follower that lost records waits half the retention for a process
 // that knows more.
 func (s *Snapshotter[S]) due(now, started time.Time) bool {
-	p := s.Follower.progress()
-	if !p.loaded || p.next <= p.start || now.Sub(p.atTail) > maxTailAge {
+	p := s.Follower.snapshotStatus()
+	if !p.loaded || p.next <= p.start || now.Sub(p.tailReadAt) > maxSnapshotStaleness {
 		return false
 	}
 	half := s.Retention / 2
 	if p.incomplete && now.Sub(started) < half {
 		return false
 	}
-	if p.entries >= int64(orDefault(s.Every, defaultEvery)) {
+	if p.entries >= int64(orDefault(s.EntryInterval, defaultEntryInterval)) {
 		return true
 	}
-	if half > 0 && now.Sub(p.since(started)) >= p.patience(half) {
+	if half > 0 && now.Sub(p.ageStart(started)) >= p.maxAge(half) {
 		return true
 	}
 	// In the older half of what is retained: retention by count is catching up,
@@ -94,37 +94,37 @@
 }
 
 // progress is what due decides on.
-type progress struct {
-	snapshotMark
+type snapshotStatus struct {
+	snapshotInfo
 	next, first, start units.Offset
-	atTail             time.Time
+	tailReadAt         time.Time
 	loaded, incomplete bool
 }
 
-func (f *Follower[S]) progress() progress {
+func (f *Follower[S]) snapshotStatus() snapshotStatus {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	p := progress{snapshotMark: f.latest, next: f.next, first: f.first, atTail: f.atTail, loaded: f.loaded, incomplete: f.incomplete}
+	p := snapshotStatus{snapshotInfo: f.latestSnapshot, next: f.next, first: f.first, tailReadAt: f.tailReadAt, loaded: f.loaded, incomplete: f.incomplete}
 	p.parts = nil
-	if p.seen.IsZero() {
+	if p.observedAt.IsZero() {
 		p.start = p.offset // nothing to save before the first record
 	}
 	return p
 }
 
 // since returns from when on the age of the newest snapshot counts.
-func (p progress) since(started time.Time) time.Time {
-	if p.seen.IsZero() {
+func (p snapshotStatus) ageStart(started time.Time) time.Time {
+	if p.observedAt.IsZero() {
 		return started
 	}
-	return p.seen
+	return p.observedAt
 }
 
 // patience returns how old the newest snapshot may be as seen here. Half as
 // much is allowed when there is none or its real age is unknown, so that
 // processes that are replaced often still append one in time.
-func (p progress) patience(half time.Duration) time.Duration {
-	if p.inherited || p.seen.IsZero() {
+func (p snapshotStatus) maxAge(half time.Duration) time.Duration {
+	if p.ageUnknown || p.observedAt.IsZero() {
 		return half / 2
 	}
 	return half
@@ -135,18 +135,18 @@
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if !f.loaded {
-		return nil, 0, fail("checkpoint", Incomplete, "stream %s is not loaded", f.Stream)
+		return nil, 0, newError("checkpoint", Incomplete, "stream %s is not loaded", f.Stream)
 	}
 	state, err := f.State.Snapshot()
 	if err != nil {
 		return nil, 0, err
 	}
-	encoded, err := encodeCheckpoint(state, f.next, f.memory)
+	encoded, err := encodeCheckpoint(state, f.next, f.lastRecords)
 	return encoded, f.next, err
 }
 
 // split cuts an encoded checkpoint into records.
-func split(encoded []byte, offset units.Offset, size int) []*wire.Snapshot {
+func splitCheckpoint(encoded []byte, offset units.Offset, size int) []*wire.Snapshot {
 	count := max(1, (len(encoded)+size-1)/size)
 	parts := make([]*wire.Snapshot, count)
 	for n := range parts {
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -38,7 +38,7 @@
 	return fault.Is(err, Unavailable) || fault.Is(err, Refused)
 }
 
-func fail(op string, kind Kind, format string, args ...any) error {
+func newError(op string, kind Kind, format string, args ...any) error {
 	return fault.New(op, kind, format, args...)
 }
 
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -55,7 +55,7 @@
 			bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 				l := &standin.Log{}
 				l.SetFaults(c.faults)
-				w := &stream.Writer{Log: l, Stream: "s", ID: "w", Queue: 2}
+				w := &stream.Writer{Log: l, Stream: "s", ID: "w", QueueLength: 2}
 				run, stop := context.WithCancel(ctx)
 				defer stop()
 				if !c.idle {
@@ -161,7 +161,7 @@
 func snapshotter(ctx context.Context, running *sync.WaitGroup, l *standin.Log, f *stream.Follower[*counter]) *stream.Snapshotter[*counter] {
 	w := &stream.Writer{Log: l, Stream: "s", ID: "snapshots"}
 	running.Go(func() { _ = w.Run(ctx) })
-	return &stream.Snapshotter[*counter]{Follower: f, Writer: w, PartSize: 32 << 10}
+	return &stream.Snapshotter[*counter]{Follower: f, Writer: w, PartBytes: 32 << 10}
 }
 
 // TestRepeatsAfterManyWriters guards against readers that forget different
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -21,9 +21,9 @@
 const (
 	defaultWindow         = 20 * time.Millisecond
 	defaultMaxWindow      = 250 * time.Millisecond
-	defaultMaxBytes       = 64 << 10
-	defaultMaxRecord      = 512 << 10
-	defaultQueue          = 8192
+	defaultMaxBatchBytes  = 64 << 10
+	defaultMaxCallBytes   = 512 << 10
+	defaultQueueLength    = 8192
 	defaultAttempts       = 6
 	defaultAttemptTimeout = 2 * time.Second
 	retryPause            = 50 * time.Millisecond
@@ -32,10 +32,10 @@
 	// narrowing is the share of the window that a success takes off. With a
 	// sixteenth, 12 writers ran into a limit of 400 appends/s 36 times a second,
 	// with this 22 times.
-	narrowing = 32
+	windowNarrowingDivisor = 32
 	// maxReadBack bounds the reads that look for a lost append; the records
 	// between the last known tail and the lost one are few.
-	maxReadBack = 64
+	maxReadBackReads = 64
 )
 
 // Writer appends entries to one stream. It gathers what arrives within a window
@@ -48,24 +48,24 @@
 
 	Window         time.Duration // shortest time between two appends
 	MaxWindow      time.Duration // longest, reached while the service rejects appends
-	MaxBytes       int           // a record that reaches this size is appended at once
-	MaxRecord      int           // largest size of one call's entries
-	Queue          int           // calls that may wait
+	MaxBatchBytes  int           // a record that reaches this size is appended at once
+	MaxCallBytes   int           // largest size of one call's entries
+	QueueLength    int           // calls that may wait
 	Attempts       int           // appends of one record before its callers get an error
 	AttemptTimeout time.Duration // of one append or read
 
-	start    sync.Once
-	identity string // readers drop a repeated sequence of it, so no two runs may share one
-	queue    chan *request
-	stopped  chan struct{}
-	queued   atomic.Int64 // bytes waiting
-	sequence uint64
-	known    units.Offset // every record of this writer at or above sequence is at or above known
-	located  bool         // known has been read
-	window   time.Duration
-	sent     time.Time // start of the last append
-	carried  *request  // taken from the queue but not fitting into the last record
-	stats    writerStats
+	initOnce     sync.Once
+	writerID     string // readers drop a repeated sequence of it, so no two runs may share one
+	queue        chan *request
+	stopped      chan struct{}
+	queuedBytes  atomic.Int64 // bytes waiting
+	sequence     uint64
+	readBackFrom units.Offset // every record of this writer at or above sequence is at or above known
+	tailLocated  bool         // known has been read
+	window       time.Duration
+	lastAppendAt time.Time // start of the last append
+	deferred     *request  // taken from the queue but not fitting into the last record
+	stats        writerStats
 }
 
 // WriterStats counts what a Writer has done.
@@ -90,8 +90,8 @@
 }
 
 const (
-	waiting int32 = iota
-	taken
+	pending int32 = iota
+	claimed
 	abandoned
 )
 
@@ -115,43 +115,43 @@
 	for _, e := range r.entries {
 		r.size += len(e) + 4 // tag and length
 	}
-	if limit := orDefault(w.MaxRecord, defaultMaxRecord); r.size > limit {
-		return 0, fail(op, Refused, "entries of %d bytes exceed %d", r.size, limit)
+	if limit := orDefault(w.MaxCallBytes, defaultMaxCallBytes); r.size > limit {
+		return 0, newError(op, Refused, "entries of %d bytes exceed %d", r.size, limit)
 	}
 	if len(r.entries) == 0 && r.snapshot == nil {
-		return 0, fail(op, Refused, "no entries")
+		return 0, newError(op, Refused, "no entries")
 	}
-	if w.queued.Add(int64(r.size)) > maxQueueBytes {
-		w.queued.Add(int64(-r.size))
-		return 0, fail(op, Unavailable, "queue of stream %s is full: %d bytes wait for the log", w.Stream, w.queued.Load())
+	if w.queuedBytes.Add(int64(r.size)) > maxQueueBytes {
+		w.queuedBytes.Add(int64(-r.size))
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d bytes wait for the log", w.Stream, w.queuedBytes.Load())
 	}
 	select {
 	case <-w.stopped:
-		return 0, fail(op, Unavailable, "writer of stream %s has stopped", w.Stream)
+		return 0, newError(op, Unavailable, "writer of stream %s has stopped", w.Stream)
 	default:
 	}
 	select {
 	case w.queue <- r:
 	default:
-		w.queued.Add(int64(-r.size))
-		return 0, fail(op, Unavailable, "queue of stream %s is full: %d calls wait for the log", w.Stream, cap(w.queue))
+		w.queuedBytes.Add(int64(-r.size))
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d calls wait for the log", w.Stream, cap(w.queue))
 	}
-	return w.await(ctx, op, r)
+	return w.awaitResult(ctx, op, r)
 }
 
 // await waits for the outcome of a queued request.
-func (w *Writer) await(ctx context.Context, op string, r *request) (units.Offset, error) {
+func (w *Writer) awaitResult(ctx context.Context, op string, r *request) (units.Offset, error) {
 	select {
 	case <-r.done:
 		return r.offset, r.err
 	case <-ctx.Done():
-		if r.state.CompareAndSwap(waiting, abandoned) {
+		if r.state.CompareAndSwap(pending, abandoned) {
 			return 0, fault.Wrap(op, Unavailable, ctx.Err())
 		}
 		return 0, fault.Wrap(op, Unknown, ctx.Err())
 	case <-w.stopped:
-		if r.state.CompareAndSwap(waiting, abandoned) {
-			return 0, fail(op, Unavailable, "writer of stream %s has stopped", w.Stream)
+		if r.state.CompareAndSwap(pending, abandoned) {
+			return 0, newError(op, Unavailable, "writer of stream %s has stopped", w.Stream)
 		}
 		<-r.done
 		return r.offset, r.err
@@ -159,10 +159,10 @@
 }
 
 func (w *Writer) init() {
-	w.start.Do(func() {
-		w.queue = make(chan *request, orDefault(w.Queue, defaultQueue))
+	w.initOnce.Do(func() {
+		w.queue = make(chan *request, orDefault(w.QueueLength, defaultQueueLength))
 		w.stopped = make(chan struct{})
-		w.identity = fmt.Sprintf("%s-%016x", w.ID, rand.Uint64())
+		w.writerID = fmt.Sprintf("%s-%016x", w.ID, rand.Uint64())
 		w.window = orDefault(w.Window, defaultWindow)
 		w.stats.window.Store(int64(w.window))
 	})
@@ -174,7 +174,7 @@
 	w.init()
 	defer close(w.stopped)
 	for {
-		batch := w.gather(ctx)
+		batch := w.nextBatch(ctx)
 		if batch == nil {
 			return nil
 		}
@@ -194,35 +194,35 @@
 // gather returns the requests of the next record, or nil when ctx has ended.
 // It waits until a window has passed since the last append, so that an entry
 // that comes after a pause leaves at once.
-func (w *Writer) gather(ctx context.Context) []*request {
-	first := w.next(ctx, nil)
+func (w *Writer) nextBatch(ctx context.Context) []*request {
+	first := w.nextRequest(ctx, nil)
 	if first == nil {
 		return nil
 	}
 	batch, size := []*request{first}, first.size
-	limit := orDefault(w.MaxBytes, defaultMaxBytes)
-	timer := time.NewTimer(w.window - time.Since(w.sent))
+	limit := orDefault(w.MaxBatchBytes, defaultMaxBatchBytes)
+	timer := time.NewTimer(w.window - time.Since(w.lastAppendAt))
 	defer timer.Stop()
 	for size < limit && first.snapshot == nil {
-		r := w.next(ctx, timer.C)
+		r := w.nextRequest(ctx, timer.C)
 		if r == nil {
 			break
 		}
 		if r.snapshot != nil || size+r.size > limit {
-			w.carried = r
+			w.deferred = r
 			break
 		}
 		batch, size = append(batch, r), size+r.size
 	}
 	// Entries that already wait belong into this record even when the window is over.
-	return w.drain(batch, size, limit)
+	return w.addQueued(batch, size, limit)
 }
 
 // next takes one request from the queue that its caller still waits for. It
 // returns nil when ctx has ended or when expired fires.
-func (w *Writer) next(ctx context.Context, expired <-chan time.Time) *request {
-	if r := w.carried; r != nil {
-		w.carried = nil
+func (w *Writer) nextRequest(ctx context.Context, expired <-chan time.Time) *request {
+	if r := w.deferred; r != nil {
+		w.deferred = nil
 		return r
 	}
 	for {
@@ -233,7 +233,7 @@
 		}
 		select {
 		case r := <-w.queue:
-			if w.take(r) {
+			if w.claim(r) {
 				return r
 			}
 		case <-expired:
@@ -245,14 +245,14 @@
 }
 
 // drain adds requests that are in the queue already, up to limit.
-func (w *Writer) drain(batch []*request, size, limit int) []*request {
-	for batch[0].snapshot == nil && w.carried == nil && size < limit {
+func (w *Writer) addQueued(batch []*request, size, limit int) []*request {
+	for batch[0].snapshot == nil && w.deferred == nil && size < limit {
 		select {
 		case r := <-w.queue:
 			switch {
-			case !w.take(r):
+			case !w.claim(r):
 			case r.snapshot != nil || size+r.size > limit:
-				w.carried = r
+				w.deferred = r
 			default:
 				batch, size = append(batch, r), size+r.size
 			}
@@ -263,15 +263,15 @@
 	return batch
 }
 
-func (w *Writer) take(r *request) bool {
-	w.queued.Add(int64(-r.size))
-	return r.state.CompareAndSwap(waiting, taken)
+func (w *Writer) claim(r *request) bool {
+	w.queuedBytes.Add(int64(-r.size))
+	return r.state.CompareAndSwap(pending, claimed)
 }
 
 // commit appends one record and tells its callers the outcome.
 func (w *Writer) commit(ctx context.Context, batch []*request) {
 	w.sequence++
-	envelope := &wire.Envelope{Writer: w.identity, Sequence: w.sequence, Snapshot: batch[0].snapshot}
+	envelope := &wire.Envelope{Writer: w.writerID, Sequence: w.sequence, Snapshot: batch[0].snapshot}
 	for _, r := range batch {
 		envelope.Entries = append(envelope.Entries, r.entries...)
 	}
@@ -279,7 +279,7 @@
 	var offset units.Offset
 	if err != nil {
 		err = fault.Wrap("append", Refused, err)
-	} else if offset, err = w.persist(ctx, payload); err == nil {
+	} else if offset, err = w.appendWithRetries(ctx, payload); err == nil {
 		w.stats.entries.Add(int64(len(envelope.Entries)))
 		w.stats.bytes.Add(int64(len(payload)))
 	} else {
@@ -293,7 +293,7 @@
 
 // persist appends payload under the current sequence until it is known to be in
 // the log, or until its attempts are used up.
-func (w *Writer) persist(ctx context.Context, payload []byte) (units.Offset, error) {
+func (w *Writer) appendWithRetries(ctx context.Context, payload []byte) (units.Offset, error) {
 	pause := backoff{first: retryPause, limit: maxRetryPause}
 	attempts := orDefault(w.Attempts, defaultAttempts)
 	uncertain, last := false, error(nil)
@@ -304,7 +304,7 @@
 				break
 			}
 		}
-		offset, err := w.attempt(ctx, payload, &uncertain)
+		offset, err := w.tryAppend(ctx, payload, &uncertain)
 		if err == nil {
 			return offset, nil
 		}
@@ -329,11 +329,11 @@
 // attempt reads back what an earlier uncertain attempt left and appends if that
 // is nothing. The context of the process does not cut it short, because that
 // would make a certain outcome unknown during a planned stop.
-func (w *Writer) attempt(ctx context.Context, payload []byte, uncertain *bool) (units.Offset, error) {
+func (w *Writer) tryAppend(ctx context.Context, payload []byte, uncertain *bool) (units.Offset, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(w.AttemptTimeout, defaultAttemptTimeout))
 	defer cancel()
-	if !w.located {
-		if err := w.locate(ctx); err != nil {
+	if !w.tailLocated {
+		if err := w.locateTail(ctx); err != nil {
 			return 0, err
 		}
 	}
@@ -342,26 +342,26 @@
 			return offset, err
 		}
 	}
-	w.sent = time.Now()
+	w.lastAppendAt = time.Now()
 	w.stats.appends.Add(1)
 	offset, err := w.Log.Append(ctx, w.Stream, payload)
-	w.adapt(err)
+	w.adjustWindow(err)
 	if err != nil {
 		*uncertain = *uncertain || kindOf(err) == Unknown
 		return 0, err
 	}
-	w.known = offset + 1
+	w.readBackFrom = offset + 1
 	return offset, nil
 }
 
 // adapt widens the window by half while the service rejects appends and narrows
 // it by a fraction with each success, so that the writers of a stream settle just
 // below the rate that the service accepts. A lost reply says nothing of the rate.
-func (w *Writer) adapt(err error) {
+func (w *Writer) adjustWindow(err error) {
 	shortest := orDefault(w.Window, defaultWindow)
 	switch {
 	case err == nil:
-		w.window = max(w.window-w.window/narrowing, shortest)
+		w.window = max(w.window-w.window/windowNarrowingDivisor, shortest)
 	case kindOf(err) == Unavailable:
 		w.window = min(w.window+w.window/2, max(shortest, orDefault(w.MaxWindow, defaultMaxWindow)))
 	}
@@ -369,13 +369,13 @@
 }
 
 // locate reads the tail before the first append, from where a read-back starts.
-func (w *Writer) locate(ctx context.Context) error {
+func (w *Writer) locateTail(ctx context.Context) error {
 	batch, err := w.Log.Read(ctx, w.Stream, 0, 0)
 	if err != nil && !fault.Is(err, logservice.Expired) {
 		// Nothing has been sent yet, whatever the kind of the failed read.
 		return fault.Wrap("locate tail", logservice.Unavailable, err)
 	}
-	w.known, w.located = batch.Next, true
+	w.readBackFrom, w.tailLocated = batch.Next, true
 	return nil
 }
 
@@ -384,8 +384,8 @@
 // has no second effect, because readers drop the repeat.
 func (w *Writer) readBack(ctx context.Context) (units.Offset, bool, error) {
 	w.stats.readBacks.Add(1)
-	from := w.known
-	for range maxReadBack {
+	from := w.readBackFrom
+	for range maxReadBackReads {
 		batch, err := w.Log.Read(ctx, w.Stream, from, 0)
 		if fault.Is(err, logservice.Expired) && batch.First > from {
 			from = batch.First
@@ -396,15 +396,15 @@
 		}
 		for _, r := range batch.Records {
 			record, err := DecodeEnvelope(r.Payload)
-			if err == nil && record.Writer == w.identity && record.Sequence == w.sequence {
-				w.known = r.Offset + 1
+			if err == nil && record.Writer == w.writerID && record.Sequence == w.sequence {
+				w.readBackFrom = r.Offset + 1
 				return r.Offset, true, nil
 			}
 		}
 		from += units.Offset(len(batch.Records))
 		if from >= batch.Next {
 			// A late append can only land at the tail or above.
-			w.known = from
+			w.readBackFrom = from
 			return 0, false, nil
 		}
 	}
