--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -33,7 +33,7 @@
 type follower = stream.Follower[*configuration.State]
 
 // process starts one process that follows and publishes.
-func process(ctx context.Context, running *sync.WaitGroup, l *standin.Log) *configuration.Publisher {
+func startPublisher(ctx context.Context, running *sync.WaitGroup, l *standin.Log) *configuration.Publisher {
 	f := &follower{Log: l, Stream: configuration.Stream, State: &configuration.State{}, Decode: configuration.DecodePayload}
 	running.Go(func() { _ = f.Run(ctx) })
 	return &configuration.Publisher{Log: l, Follower: f, Check: func(b []byte) error {
@@ -45,7 +45,7 @@
 }
 
 // bubble runs a test with fake time and stops its processes at the end.
-func bubble(t *testing.T, run func(ctx context.Context, running *sync.WaitGroup)) {
+func runWithFakeTime(t *testing.T, run func(ctx context.Context, running *sync.WaitGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -83,10 +83,10 @@
 		{"repeated after the loss", none, "k2", "k6", "{}", "", "k6"},
 	}
 	for _, fromZero := range []bool{false, true} {
-		bubble(t, func(ctx context.Context, running *sync.WaitGroup) {
+		runWithFakeTime(t, func(ctx context.Context, running *sync.WaitGroup) {
 			l := &standin.Log{FromZero: fromZero}
 			offsets := map[string]units.Offset{"future": 1000}
-			for i, p := range []*configuration.Publisher{process(ctx, running, l), process(ctx, running, l)} {
+			for i, p := range []*configuration.Publisher{startPublisher(ctx, running, l), startPublisher(ctx, running, l)} {
 				for _, s := range steps {
 					if i == 1 && s.want != "" {
 						continue // the second process confirms what was accepted
@@ -110,9 +110,9 @@
 // without a check: it must not come into force, and the next change must be
 // possible.
 func TestBadDocumentOnLog(t *testing.T) {
-	bubble(t, func(ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
-		a := process(ctx, running, l)
+		a := startPublisher(ctx, running, l)
 		if _, err := a.Publish(ctx, "trial", 0, "amina", "k1", []byte("{}")); err != nil {
 			t.Fatal(err)
 		}
@@ -152,10 +152,10 @@
 }
 
 type raceStep struct {
-	Process  int
-	Back     int // how many versions the base is behind
-	Outcome  standin.Outcome
-	Together bool // does not wait for the one before
+	Process    int
+	BaseAge    int // how many versions the base is behind
+	Outcome    standin.Outcome
+	Concurrent bool // does not wait for the one before
 }
 
 func genRace(t *rapid.T) race {
@@ -171,7 +171,7 @@
 }
 
 // answer is what an operator was told.
-type answer struct {
+type publishResult struct {
 	key     string
 	version configuration.Version
 	err     error
@@ -180,74 +180,74 @@
 // run executes the race and checks the versions that read takes from the log
 // against what the operators were told.
 func (r race) run(t *testing.T, read func(context.Context, *standin.Log, *configuration.State) []configuration.Version) (violation error) {
-	bubble(t, func(ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{RetainCount: r.Retain, ReadLimit: 5}
 		publishers := make([]*configuration.Publisher, r.Processes)
 		for i := range publishers {
-			publishers[i] = process(ctx, running, l)
+			publishers[i] = startPublisher(ctx, running, l)
 		}
 		w := &stream.Writer{Log: l, Stream: configuration.Stream, ID: "snapshots"}
 		snapshotter := &stream.Snapshotter[*configuration.State]{Follower: publishers[0].Follower, Writer: w, EntryInterval: 4, PartBytes: 200, CheckInterval: 20 * time.Millisecond}
 		running.Go(func() { _ = w.Run(ctx) })
 		running.Go(func() { _ = snapshotter.Run(ctx) })
-		answers := r.publish(ctx, l, publishers)
+		results := r.publish(ctx, l, publishers)
 		l.SetFaults(standin.Faults{})
 		if _, violation = l.Append(ctx, configuration.Stream, []byte("releases the late ones")); violation != nil {
 			return
 		}
-		late := process(ctx, running, l)
+		late := startPublisher(ctx, running, l)
 		time.Sleep(5 * time.Second)
 		var a, b []byte
-		var line []configuration.Version
-		late.Follower.View(func(s *configuration.State) { a, _ = s.Snapshot(); line = read(ctx, l, s) })
+		var versions []configuration.Version
+		late.Follower.View(func(s *configuration.State) { a, _ = s.Snapshot(); versions = read(ctx, l, s) })
 		publishers[0].Follower.View(func(s *configuration.State) { b, _ = s.Snapshot() })
 		if !bytes.Equal(a, b) {
 			violation = fmt.Errorf("processes disagree:\n%s\n%s", a, b)
 			return
 		}
-		violation = checkLine(line, answers)
+		violation = checkVersions(versions, results)
 	})
 	return violation
 }
 
-func (r race) publish(ctx context.Context, l *standin.Log, publishers []*configuration.Publisher) []answer {
-	answers := make([]answer, len(r.Steps))
+func (r race) publish(ctx context.Context, l *standin.Log, publishers []*configuration.Publisher) []publishResult {
+	results := make([]publishResult, len(r.Steps))
 	var operators sync.WaitGroup
 	defer operators.Wait()
 	for i, s := range r.Steps {
-		if !s.Together {
+		if !s.Concurrent {
 			operators.Wait()
 		}
 		p := publishers[s.Process]
 		var base units.Offset
 		p.Follower.View(func(state *configuration.State) {
-			if h := state.History("trial"); len(h) > s.Back {
-				base = h[len(h)-1-s.Back].Offset
+			if h := state.History("trial"); len(h) > s.BaseAge {
+				base = h[len(h)-1-s.BaseAge].Offset
 			}
 		})
 		l.SetFaults(standin.Faults{Script: []standin.Outcome{s.Outcome}})
 		operators.Go(func() {
 			key := fmt.Sprint("key-", i)
 			v, err := p.Publish(ctx, "trial", base, "operator", key, fmt.Appendf(nil, `{"n":%d}`, i))
-			answers[i] = answer{key, v, err}
+			results[i] = publishResult{key, v, err}
 		})
 	}
-	return answers
+	return results
 }
 
 // checkLine checks that an accepted version stays in the line of versions and
 // that one reported as not in force is not in it.
-func checkLine(line []configuration.Version, answers []answer) error {
+func checkVersions(versions []configuration.Version, results []publishResult) error {
 	at := make(map[string]units.Offset)
 	previous := units.Offset(0)
-	for _, v := range line {
+	for _, v := range versions {
 		if v.Base != previous {
 			return fmt.Errorf("version %d by %s replaced %d, but the operator saw %d", v.Offset, v.Key, previous, v.Base)
 		}
 		previous = v.Offset
 		at[v.Key] = v.Offset
 	}
-	for _, a := range answers {
+	for _, a := range results {
 		switch {
 		case a.err == nil && at[a.key] != a.version.Offset:
 			return fmt.Errorf("%s was accepted at %d and is at %d", a.key, a.version.Offset, at[a.key])
@@ -274,22 +274,22 @@
 // TestRacesRejectLastWriteWins guards against a check that cannot fail: a fold
 // in which the last record wins must be convicted by the same histories.
 func TestRacesRejectLastWriteWins(t *testing.T) {
-	naive := func(ctx context.Context, l *standin.Log, _ *configuration.State) (line []configuration.Version) {
+	readLastWriteWins := func(ctx context.Context, l *standin.Log, _ *configuration.State) (versions []configuration.Version) {
 		batch, err := logservice.Batch{}, error(nil)
 		for from := units.Offset(1); from == 1 || err == nil && from < batch.Next; from += units.Offset(len(batch.Records)) {
 			batch, err = l.Read(ctx, configuration.Stream, from, 0)
 			for _, record := range batch.Records {
 				if r, err := configuration.DecodeRecord(record.Payload); err == nil {
-					line = append(line, configuration.Version{Offset: record.Offset, Base: r.Base, Key: r.Key})
+					versions = append(versions, configuration.Version{Offset: record.Offset, Base: r.Base, Key: r.Key})
 				}
 			}
 		}
-		return line
+		return versions
 	}
 	for seed := range 50 {
 		r := rapid.Custom(genRace).Example(seed)
 		r.Retain = 0
-		if err := r.run(t, naive); err != nil {
+		if err := r.run(t, readLastWriteWins); err != nil {
 			t.Logf("race %d, %d steps: %v", seed, len(r.Steps), err)
 			return
 		}
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -93,7 +93,7 @@
 // append repeats the record until the log confirms one copy. Copies do no harm:
 // after the first that counts, the base of the others is no longer current.
 func (p *Publisher) append(ctx context.Context, op string, payload []byte) (units.Offset, error) {
-	kind, last := Unavailable, error(nil)
+	kind, lastErr := Unavailable, error(nil)
 	for n := range publishAttempts {
 		if n > 0 && !pause.Jittered(ctx, publishPause<<n) {
 			break
@@ -105,7 +105,7 @@
 		if err == nil {
 			continue // a record at offset 0 never counts
 		}
-		last = err
+		lastErr = err
 		switch {
 		case fault.Is(err, logservice.Refused) && kind == Unavailable:
 			return 0, fault.Wrap(op, Invalid, err)
@@ -113,10 +113,10 @@
 			kind = Unknown
 		}
 	}
-	if last == nil {
-		last = ctx.Err()
+	if lastErr == nil {
+		lastErr = ctx.Err()
 	}
-	return 0, fault.Wrap(op, kind, last)
+	return 0, fault.Wrap(op, kind, lastErr)
 }
 
 func (p *Publisher) appendOnce(ctx context.Context, payload []byte) (units.Offset, error) {
@@ -135,10 +135,10 @@
 	err = errNoOutcome
 	p.Follower.View(func(s *State) {
 		current, _ := s.Current(r.Environment)
-		if same, ok := s.versionByKey(r.Environment, r.Key); ok {
-			v, err = same, nil
-			if same.Base != r.Base || same.Document != nil && !bytes.Equal(same.Document, r.Document) {
-				err = fault.New(op, Invalid, "key %s was used for another document, accepted at offset %d", r.Key, same.Offset)
+		if accepted, ok := s.versionByKey(r.Environment, r.Key); ok {
+			v, err = accepted, nil
+			if accepted.Base != r.Base || accepted.Document != nil && !bytes.Equal(accepted.Document, r.Document) {
+				err = fault.New(op, Invalid, "key %s was used for another document, accepted at offset %d", r.Key, accepted.Offset)
 			}
 			return
 		}
--- a/internal/stream/capacity_test.go
+++ b/internal/stream/capacity_test.go
@@ -21,7 +21,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// The target scale of the design page.
+// Target scale of the system.
 const (
 	targetWriters   = 12
 	targetStarts    = 980 // per second
@@ -31,7 +31,8 @@
 	entriesPerStart = 3
 )
 
-// jobsEntry returns the nth entry about a task: assigned, started or ended.
+// jobsEntry returns an entry about a task of the job: assigned (n = 0), started (1) or
+// ended (2).
 func jobsEntry(job, n int) []byte {
 	ref := &wire.TaskRef{Job: fmt.Sprintf("plan-%012d", job), Index: uint32(job % tasksPerJob), Attempt: 1}
 	entry := &wire.JobsEntry{Kind: &wire.JobsEntry_Assigned{Assigned: &wire.TaskAssigned{Task: ref, Worker: fmt.Sprintf("pwani-a-worker-%04d", job%1000), Epoch: 17}}}
@@ -46,8 +47,9 @@
 	return encoded
 }
 
-// BenchmarkTaskStarts runs the log traffic of 980 task starts a second from 12
-// writers for five seconds against a log 4 ms away, at several append rates.
+// BenchmarkTaskStarts measures appends with the log traffic of 980 task starts a
+// second from 12 writers. Each run takes five seconds, against a log with a delay of
+// 4 ms and various limits on the append rate.
 func BenchmarkTaskStarts(b *testing.B) {
 	for _, c := range []struct {
 		rate   float64
@@ -55,13 +57,13 @@
 	}{{0, 20 * time.Millisecond}, {400, 20 * time.Millisecond}, {200, 20 * time.Millisecond}, {400, 50 * time.Millisecond}, {200, 100 * time.Millisecond}} {
 		b.Run(fmt.Sprintf("rate=%g/window=%s", c.rate, c.window), func(b *testing.B) {
 			for b.Loop() {
-				runStarts(b, c.rate, c.window)
+				runTaskStarts(b, c.rate, c.window)
 			}
 		})
 	}
 }
 
-func runStarts(b *testing.B, rate float64, window time.Duration) {
+func runTaskStarts(b *testing.B, rate float64, window time.Duration) {
 	const seconds = 5
 	ctx, cancel := context.WithCancel(b.Context())
 	var running, calls sync.WaitGroup
@@ -102,10 +104,10 @@
 	b.ReportMetric(float64(failed), "failed")
 }
 
-// ledger is a synthetic fold of about the size that the jobs stream needs.
-type ledger struct{ jobs map[string]*wire.LedgerJob }
+// ledgerState is a simplified state of about the size that the jobs stream has.
+type ledgerState struct{ jobs map[string]*wire.LedgerJob }
 
-func (s *ledger) Apply(_ units.Offset, encoded []byte) error {
+func (s *ledgerState) Apply(_ units.Offset, encoded []byte) error {
 	var entry wire.JobsEntry
 	if err := proto.Unmarshal(encoded, &entry); err != nil {
 		return err
@@ -129,7 +131,7 @@
 	return nil
 }
 
-func (s *ledger) Snapshot() ([]byte, error) {
+func (s *ledgerState) Snapshot() ([]byte, error) {
 	state := &wire.LedgerState{}
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		state.Jobs = append(state.Jobs, s.jobs[id])
@@ -137,7 +139,7 @@
 	return proto.Marshal(state)
 }
 
-func (s *ledger) Restore(encoded []byte) error {
+func (s *ledgerState) Restore(encoded []byte) error {
 	var state wire.LedgerState
 	s.jobs = make(map[string]*wire.LedgerJob)
 	err := proto.Unmarshal(encoded, &state)
@@ -147,8 +149,9 @@
 	return err
 }
 
-// BenchmarkRecovery loads the state of 13,000 jobs with 10,400 running tasks
-// from a snapshot and the 20,000 entries after it, over HTTP.
+// BenchmarkRecovery measures how long a Follower takes to load the state of 13,000
+// jobs with 10,400 running tasks, over HTTP, from a snapshot and the 20,000 entries
+// after it.
 func BenchmarkRecovery(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
@@ -159,32 +162,33 @@
 	defer server.Close()
 	w := &stream.Writer{Log: l, Stream: "s", ID: "w", Window: time.Microsecond}
 	running.Go(func() { _ = w.Run(ctx) })
-	full := &stream.Follower[*ledger]{Log: l, Stream: "s", State: &ledger{}}
-	running.Go(func() { _ = full.Run(ctx) })
-	tail := fill(b, ctx, w, full)
+	source := &stream.Follower[*ledgerState]{Log: l, Stream: "s", State: &ledgerState{}}
+	running.Go(func() { _ = source.Run(ctx) })
+	tail := appendState(b, ctx, w, source)
 	client := &logservice.Client{BaseURL: server.URL, HTTP: server.Client()}
 	for b.Loop() {
-		before := heap()
-		life, end := context.WithCancel(ctx)
-		f := &stream.Follower[*ledger]{Log: client, Stream: "s", State: &ledger{}}
+		before := heapBytes()
+		runCtx, stop := context.WithCancel(ctx)
+		f := &stream.Follower[*ledgerState]{Log: client, Stream: "s", State: &ledgerState{}}
 		started := time.Now()
 		var follower sync.WaitGroup
-		follower.Go(func() { _ = f.Run(life) })
-		if err := f.Wait(life, tail); err != nil {
+		follower.Go(func() { _ = f.Run(runCtx) })
+		if err := f.Wait(runCtx, tail); err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(time.Since(started).Seconds(), "s-recovery")
 		b.ReportMetric(float64(f.Stats().SnapshotBytes)/(1<<20), "MiB-snapshot")
 		b.ReportMetric(float64(f.Stats().Entries), "entries-after")
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MiB-resident")
-		end()
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MiB-resident")
+		stop()
 		follower.Wait()
 		runtime.KeepAlive(f)
 	}
 }
 
-// fill appends the whole state, a snapshot of it and 20,000 entries more.
-func fill(b *testing.B, ctx context.Context, w *stream.Writer, full *stream.Follower[*ledger]) (tail units.Offset) {
+// appendState appends the entries of the whole state, a snapshot of it and 20,000 more
+// entries. It returns the offset of the last record.
+func appendState(b *testing.B, ctx context.Context, w *stream.Writer, source *stream.Follower[*ledgerState]) (tail units.Offset) {
 	add := func(entries [][]byte) {
 		for batch := range slices.Chunk(entries, 500) {
 			var err error
@@ -201,10 +205,10 @@
 		}
 	}
 	add(entries)
-	if err := full.Wait(ctx, tail); err != nil {
+	if err := source.Wait(ctx, tail); err != nil {
 		b.Fatal(err)
 	}
-	if err := (&stream.Snapshotter[*ledger]{Follower: full, Writer: w}).Append(ctx); err != nil {
+	if err := (&stream.Snapshotter[*ledgerState]{Follower: source, Writer: w}).Append(ctx); err != nil {
 		b.Fatal(err)
 	}
 	entries = nil
@@ -215,7 +219,7 @@
 	return tail
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -12,40 +12,42 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxWriters bounds the memory of repeated records. A writer is one run of a
-// process; at 110 restarts a day, 4,096 writers last for more than a month,
-// while a repeated append arrives within seconds.
+// maxWriters bounds the table of last records. Each run of a process is a writer
+// of its own; at 110 restarts a day, 4,096 entries cover more than a month, while
+// a duplicate append arrives within seconds.
 const maxWriters = 4096
 
-// seen is the last record that counted of one writer.
+// lastRecord is the last accepted record of one writer.
 type lastRecord struct {
 	sequence uint64
 	offset   units.Offset
 }
 
-// writers remembers the last sequence of each writer. A writer appends one
+// lastRecords holds the last accepted record of each writer. A writer appends one
 // record at a time in sequence order, so a sequence at or below the last one is
-// a repeat, or an append that the writer had already given up on. The memory
-// depends only on the records, so that all readers forget the same writers.
+// a duplicate, or an append that the writer has already abandoned. The table
+// depends only on the records of the stream, so that all readers evict the same
+// writers.
 type lastRecords map[string]lastRecord
 
-// admit reports whether the record counts, and remembers it.
+// accept reports whether the record is new and, if so, stores it as the last one
+// of its writer. Records without a writer are always new.
 func (w lastRecords) accept(writer string, sequence uint64, offset units.Offset) bool {
 	if writer == "" {
 		return true
 	}
-	last, known := w[writer]
-	if known && sequence <= last.sequence {
+	last, found := w[writer]
+	if found && sequence <= last.sequence {
 		return false
 	}
-	if !known && len(w) >= maxWriters {
+	if !found && len(w) >= maxWriters {
 		w.removeOldest()
 	}
 	w[writer] = lastRecord{sequence, offset}
 	return true
 }
 
-// forgetOldest drops the writer whose last record is the oldest.
+// removeOldest removes the writer whose last record has the lowest offset.
 func (w lastRecords) removeOldest() {
 	oldest, found := "", false
 	for name, s := range w {
@@ -56,9 +58,10 @@
 	delete(w, oldest)
 }
 
-// encodeCheckpoint encodes the state of the caller together with the memory of
-// writers: an Envelope whose snapshot holds the state and whose entries are the
-// writers, each an Envelope with the offset of its last record in a Snapshot.
+// encodeCheckpoint encodes a state together with the last record of each writer.
+// The result is an Envelope whose snapshot holds the state and whose entries
+// describe the writers. Each entry is itself an Envelope, with the offset of the
+// writer's last record in its Snapshot.
 func encodeCheckpoint(state []byte, next units.Offset, memory lastRecords) ([]byte, error) {
 	checkpoint := &wire.Envelope{Snapshot: &wire.Snapshot{Offset: uint64(next), State: state}}
 	for _, name := range slices.Sorted(maps.Keys(memory)) {
@@ -74,20 +77,20 @@
 	return proto.Marshal(checkpoint)
 }
 
-// decodeCheckpoint reverses encodeCheckpoint.
+// decodeCheckpoint decodes the result of encodeCheckpoint.
 func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, memory lastRecords, err error) {
 	var checkpoint wire.Envelope
 	if err := proto.Unmarshal(encoded, &checkpoint); err != nil {
 		return nil, 0, nil, err
 	}
 	if checkpoint.GetSnapshot() == nil || len(checkpoint.GetEntries()) > maxWriters {
-		return nil, 0, nil, errors.New("checkpoint without state or with too many writers")
+		return nil, 0, nil, errors.New("checkpoint has no state or too many writers")
 	}
 	memory = make(lastRecords, len(checkpoint.GetEntries()))
 	for _, encoded := range checkpoint.GetEntries() {
 		var w wire.Envelope
 		if err := proto.Unmarshal(encoded, &w); err != nil {
-			return nil, 0, nil, fmt.Errorf("writer in checkpoint: %w", err)
+			return nil, 0, nil, fmt.Errorf("decode a writer in the checkpoint: %w", err)
 		}
 		memory[w.GetWriter()] = lastRecord{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
 	}
--- a/internal/stream/follower.go
+++ b/internal/stream/follower.go
@@ -13,15 +13,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// State is what a Follower folds a stream into. Its methods depend on nothing
-// but their arguments and earlier calls, so that all processes agree.
+// State is the state that a Follower derives from a stream. Its methods must depend
+// only on their arguments and on earlier calls, so that all processes derive the
+// same state.
 type State interface {
-	// Apply folds one entry; entries of one record share its offset. An error
-	// means that the entry is malformed and had no effect.
+	// Apply applies one entry. All entries of a record have the offset of the
+	// record. An error means that the entry is malformed and had no effect.
 	Apply(offset units.Offset, entry []byte) error
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by a decoded one; nil means the empty state.
+	// Restore replaces the state with an encoded one; nil is the empty state.
 	// After an error the state is empty.
 	Restore(encoded []byte) error
 }
@@ -33,35 +34,35 @@
 	maxReadPause       = time.Second
 )
 
-// Follower folds the records of one stream into a state. Exported fields are
-// set before Run; the methods may be called from any goroutine.
+// Follower applies the records of one stream to a state. Set the exported fields
+// before calling Run. The methods are safe for concurrent use.
 type Follower[S State] struct {
 	Log         logservice.Service
 	Stream      string
-	State       S             // owned by the Follower; use View
+	State       S             // owned by the Follower; read it through View
 	Decode      Decoder       // nil means DecodeEnvelope
-	ReadWait    time.Duration // how long a read waits at the tail
-	ReadTimeout time.Duration // in addition to ReadWait, until a silent read is given up
-	// OnMalformed is told of each record or entry that is skipped; may be nil.
-	// It is called with the state locked.
+	ReadWait    time.Duration // how long a read at the tail waits for new records
+	ReadTimeout time.Duration // added to ReadWait; a read without a reply is canceled after both
+	// OnMalformed is called, with the state locked, for each malformed record or
+	// entry. It may be nil.
 	OnMalformed func(offset units.Offset, err error)
 
 	mu                sync.RWMutex
-	next              units.Offset // every record below it is applied
+	next              units.Offset // all records below it have been applied
 	lastRecords       lastRecords
 	loaded            bool
-	incomplete        bool          // records were lost to retention before any snapshot
+	incomplete        bool          // records expired before a snapshot covered them
 	tailReadAt        time.Time     // start of the last read that reached the tail
-	first             units.Offset  // first retained offset at the last read
-	tail              units.Offset  // at the last load
+	first             units.Offset  // first retained offset, as of the last read
+	tail              units.Offset  // tail, as of the last load
 	changed           chan struct{} // closed on the next change
 	latestSnapshot    snapshotInfo
-	unrestorable      []units.Offset // snapshots that the state could not restore; used by Run alone
-	snapshotWaitStart time.Time      // since when a reload has found no snapshot
+	unrestorable      []units.Offset // offsets of snapshots that Restore rejected; accessed only by Run
+	snapshotWaitStart time.Time      // when a reload first found no snapshot; zero when not waiting
 	stats             FollowerStats
 }
 
-// FollowerStats counts what a Follower has done.
+// FollowerStats holds the counters of a Follower.
 type FollowerStats struct {
 	Records, Entries, Duplicates, Malformed int64
 	Loads, Snapshots, ReadErrors            int64
@@ -69,16 +70,16 @@
 	SnapshotBytes                           int     // of the last snapshot loaded
 }
 
-// snapshotMark is what a Follower knows of the newest complete snapshot.
+// snapshotInfo describes the newest complete snapshot.
 type snapshotInfo struct {
-	offset     units.Offset // the state holds every record below it
-	observedAt time.Time    // when this process saw or loaded it; zero when there is none
-	ageUnknown bool         // in the log before the last load, so its age is unknown
-	entries    int64        // applied since
+	offset     units.Offset // the snapshot covers all records below it
+	observedAt time.Time    // when this process read or loaded it; zero when there is none
+	ageUnknown bool         // the snapshot was in the log before the last load
+	entries    int64        // entries applied since
 	parts      map[snapshotKey]int
 }
 
-// Run follows the stream until ctx ends.
+// Run loads the state and applies new records until ctx ends.
 func (f *Follower[S]) Run(ctx context.Context) error {
 	pause := backoff{first: readPause, limit: maxReadPause}
 	for ctx.Err() == nil {
@@ -115,17 +116,17 @@
 	f.stats.ReadErrors++
 	f.mu.Unlock()
 	if first {
-		klog.ErrorS(err, "log stream is not readable", "stream", f.Stream)
+		klog.ErrorS(err, "read of the log stream failed; will try again", "stream", f.Stream)
 	}
 }
 
-// step reads once and applies what it returns. When retention has passed the
-// next offset, the state is loaded again.
+// readNext reads once and applies the records. When the record at the next offset
+// has expired, the state is loaded again.
 func (f *Follower[S]) readNext(ctx context.Context) error {
 	sent := time.Now()
 	batch, err := f.read(ctx, f.Applied(), orDefault(f.ReadWait, defaultReadWait))
 	if fault.Is(err, logservice.Expired) {
-		klog.InfoS("retention has passed the reader", "stream", f.Stream, "applied", f.Applied(), "first", batch.First)
+		klog.InfoS("unread records of the log stream have expired; loading its state again", "stream", f.Stream, "applied", f.Applied(), "first", batch.First)
 		f.mu.Lock()
 		f.loaded = false
 		f.mu.Unlock()
@@ -143,7 +144,7 @@
 	return f.Log.Read(ctx, f.Stream, from, wait)
 }
 
-// apply folds the records of a batch.
+// applyBatch applies the records of a batch that was requested at the time sent.
 func (f *Follower[S]) applyBatch(batch logservice.Batch, sent time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +161,8 @@
 	f.first = batch.First
 	switch {
 	case batch.Next < f.next:
-		// The log has lost records that were applied; nothing at its tail is evidence.
+		// The log has lost records that were applied, so its tail does not prove
+		// that the state is current.
 		return newError("read "+f.Stream, Unavailable, "tail %d is below the applied offset %d", batch.Next, f.next)
 	case batch.Next == f.next:
 		f.tailReadAt = sent
@@ -203,17 +205,17 @@
 	return DecodeEnvelope(payload)
 }
 
-// skip counts a malformed record or entry; only the first is logged.
+// skip counts a malformed record or entry. Only the first is logged.
 func (f *Follower[S]) skip(offset units.Offset, err error) {
 	if f.stats.Malformed++; f.stats.Malformed == 1 {
-		klog.ErrorS(err, "skipped a malformed record", "stream", f.Stream, "offset", offset)
+		klog.ErrorS(err, "skipped a malformed record of the log stream; later ones are not logged", "stream", f.Stream, "offset", offset)
 	}
 	if f.OnMalformed != nil {
 		f.OnMalformed(offset, err)
 	}
 }
 
-// notify wakes everyone who waits for a change.
+// notifyChanged closes the channel that Changed has returned.
 func (f *Follower[S]) notifyChanged() {
 	if f.changed != nil {
 		close(f.changed)
@@ -221,8 +223,8 @@
 	}
 }
 
-// Changed returns a channel that is closed when records have been applied since
-// the call. Take it before looking at the state.
+// Changed returns a channel that is closed when records are applied after the call.
+// To miss no change, call it before reading the state.
 func (f *Follower[S]) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,7 +234,7 @@
 	return f.changed
 }
 
-// Applied returns the offset below which every record is in the state. It is 0
+// Applied returns the offset below which all records have been applied. It is 0
 // until the state has been loaded.
 func (f *Follower[S]) Applied() units.Offset {
 	f.mu.RLock()
@@ -240,7 +242,7 @@
 	return f.next
 }
 
-// Wait returns when the record at offset is in the state.
+// Wait waits until the record at offset has been applied.
 func (f *Follower[S]) Wait(ctx context.Context, offset units.Offset) error {
 	for {
 		changed := f.Changed()
@@ -255,9 +257,9 @@
 	}
 }
 
-// Staleness returns how long ago the state was known to hold everything up to
-// the tail: the age at now of the last read that reached it, counted from when
-// that read was sent.
+// Staleness returns the time between now and the last read that reached the tail.
+// It is counted from when the read was sent, because the state may lack any record
+// that was appended later. Before the first such read it is the longest duration.
 func (f *Follower[S]) Staleness(now time.Time) time.Duration {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -267,24 +269,24 @@
 	return max(0, now.Sub(f.tailReadAt))
 }
 
-// View calls see with the state locked against changes. see must neither keep
-// nor modify it, nor call a method of the Follower, which would deadlock.
-func (f *Follower[S]) View(see func(S)) {
+// View calls fn with the state locked against changes. fn must not keep or modify
+// the state, and must not call a method of the Follower, which would deadlock.
+func (f *Follower[S]) View(fn func(S)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	see(f.State)
+	fn(f.State)
 }
 
-// Incomplete reports whether records were lost to retention before any snapshot
-// held them, so that processes that started earlier may know more. It ends with
-// the first snapshot.
+// Incomplete reports whether records expired before a snapshot covered them, so
+// that the state of a process that started earlier may be more complete. It is
+// true until a snapshot has been loaded.
 func (f *Follower[S]) Incomplete() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.incomplete
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (f *Follower[S]) Stats() FollowerStats {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/internal/stream/history_test.go
+++ b/internal/stream/history_test.go
@@ -31,8 +31,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("k8s.io/klog/v2.(*flushDaemon).run.func1"))
 }
 
-// counter is a State that counts how often each entry was applied, and in
-// which order.
+// counter is a State that counts how often each entry was applied and stores the
+// order of the entries.
 type counter struct {
 	Applied map[string]int
 	Order   []string
@@ -60,13 +60,13 @@
 	return json.Unmarshal(encoded, c)
 }
 
-// appender is a Writer or its naive version.
+// appender is implemented by Writer and naiveWriter.
 type appender interface {
 	Append(ctx context.Context, entries ...[]byte) (units.Offset, error)
 	Run(ctx context.Context) error
 }
 
-// naiveWriter repeats an append after any error, as a new record.
+// naiveWriter retries an append after any error, each time under a new sequence.
 type naiveWriter struct {
 	log      logservice.Service
 	id       string
@@ -87,7 +87,7 @@
 	return 0, fault.Wrap("append", stream.Unavailable, err)
 }
 
-// step is one thing that happens in a history.
+// step is one event of a history.
 type step struct {
 	Writer  int
 	Kind    string // append, outage, replay, malformed, pause
@@ -95,7 +95,7 @@
 	Pause   time.Duration
 }
 
-// history is a generated sequence of steps.
+// history is a generated sequence of steps with the settings of the run.
 type history struct {
 	Writers, Retain, Every int
 	Steps                  []step
@@ -120,13 +120,13 @@
 	return h
 }
 
-// results holds what callers were told about each entry.
-type results struct {
+// appendResults holds the result that Append returned for each entry.
+type appendResults struct {
 	sync.Mutex
-	told map[string]error
+	errors map[string]error
 }
 
-// run executes h and returns the first violated guarantee.
+// run executes h and returns the guarantees that were violated, or nil.
 func (h history) run(t *testing.T, newWriter func(l logservice.Service, id string) appender) (violation error) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -139,15 +139,15 @@
 		snapshotter := &stream.Snapshotter[*counter]{Follower: early, Writer: snapshots, EntryInterval: h.Every, PartBytes: 700, CheckInterval: 50 * time.Millisecond}
 		running.Go(func() { _ = snapshots.Run(ctx) })
 		running.Go(func() { _ = snapshotter.Run(ctx) })
-		told := h.drive(ctx, &running, l, newWriter)
+		results := h.runSteps(ctx, &running, l, newWriter)
 		l.SetFaults(standin.Faults{})
-		// An append releases the late ones.
+		// Appending a record makes the log apply the delayed appends.
 		if _, err := snapshots.Append(ctx, []byte("end")); err != nil {
 			violation = err
 			return
 		}
 		late := follow(ctx, &running, l)
-		violation = errors.Join(settle(ctx, l, early), settle(ctx, l, late), compare(early, late), told.check(late))
+		violation = errors.Join(waitForTail(ctx, l, early), waitForTail(ctx, l, late), compareStates(early, late), results.check(late))
 	})
 	return violation
 }
@@ -158,9 +158,9 @@
 	return f
 }
 
-// drive runs the steps; each writer appends its entries in turn.
-func (h history) drive(ctx context.Context, running *sync.WaitGroup, l *standin.Log, newWriter func(logservice.Service, string) appender) *results {
-	told := &results{told: make(map[string]error)}
+// runSteps executes the steps. Each writer appends its entries one after the other.
+func (h history) runSteps(ctx context.Context, running *sync.WaitGroup, l *standin.Log, newWriter func(logservice.Service, string) appender) *appendResults {
+	results := &appendResults{errors: make(map[string]error)}
 	queues := make([]chan string, h.Writers)
 	var callers sync.WaitGroup
 	for i := range queues {
@@ -170,9 +170,9 @@
 		callers.Go(func() {
 			for entry := range queues[i] {
 				_, err := w.Append(ctx, []byte(entry))
-				told.Lock()
-				told.told[entry] = err
-				told.Unlock()
+				results.Lock()
+				results.errors[entry] = err
+				results.Unlock()
 			}
 		})
 	}
@@ -196,10 +196,10 @@
 		close(q)
 	}
 	callers.Wait()
-	return told
+	return results
 }
 
-// replay appends a copy of the newest record, as a duplicating network would.
+// replay appends a copy of the newest record, like a network that duplicates requests.
 func replay(ctx context.Context, l *standin.Log) {
 	batch, _ := l.Read(ctx, "s", 0, 0)
 	if batch.Next == 0 || batch.Next == batch.First {
@@ -210,15 +210,15 @@
 	}
 }
 
-// settle waits until f has applied everything.
-func settle(ctx context.Context, l *standin.Log, f *stream.Follower[*counter]) error {
+// waitForTail waits until f has applied all records of the log.
+func waitForTail(ctx context.Context, l *standin.Log, f *stream.Follower[*counter]) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Minute)
 	defer cancel()
 	batch, _ := l.Read(ctx, "s", 0, 0)
 	return f.Wait(ctx, batch.Next-1)
 }
 
-func compare(a, b *stream.Follower[*counter]) error {
+func compareStates(a, b *stream.Follower[*counter]) error {
 	var x, y []byte
 	a.View(func(c *counter) { x, _ = c.Snapshot() })
 	b.View(func(c *counter) { y, _ = c.Snapshot() })
@@ -228,9 +228,9 @@
 	return nil
 }
 
-func (r *results) check(f *stream.Follower[*counter]) (violation error) {
+func (r *appendResults) check(f *stream.Follower[*counter]) (violation error) {
 	f.View(func(c *counter) {
-		for entry, err := range r.told {
+		for entry, err := range r.errors {
 			n := c.Applied[entry]
 			switch {
 			case n > 1:
@@ -249,9 +249,10 @@
 	return &stream.Writer{Log: l, Stream: "s", ID: id}
 }
 
-// TestHistories guards against an entry that is applied twice, that is lost
-// after its acknowledgement or that appears after it was reported as not
-// written, and against readers that disagree.
+// TestHistories guards against entries that are applied twice, lost after they were
+// acknowledged, or applied although they were reported as not written, and against
+// followers with different states. Lost replies, delayed and rejected appends,
+// outages, duplicates, retention and snapshots can each cause these.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := genHistory(rt)
@@ -261,8 +262,9 @@
 	})
 }
 
-// TestHistoriesRejectNaiveWriter guards against a check that cannot fail: the
-// same histories must convict a writer that retries without identity.
+// TestHistoriesRejectNaiveWriter guards against a check that cannot fail: the same
+// histories must detect a violation by a writer that retries under a new sequence,
+// so that readers cannot recognize the duplicates.
 func TestHistoriesRejectNaiveWriter(t *testing.T) {
 	generator := rapid.Custom(genHistory)
 	for seed := range 50 {
@@ -273,5 +275,5 @@
 			return
 		}
 	}
-	t.Error("no history convicted the naive writer")
+	t.Error("no history detected a violation by the naive writer")
 }
--- a/internal/stream/recovery.go
+++ b/internal/stream/recovery.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// scanWindow is how many records the search for a snapshot steps back at a time.
+	// scanStepRecords is the number of records by which the search for a snapshot
+	// moves back at a time.
 	scanStepRecords = 512
-	// maxSnapshotBytes bounds what a reader collects of one snapshot.
+	// maxSnapshotBytes bounds the size of a snapshot that a reader collects.
 	maxSnapshotBytes = 256 << 20
-	// maxCandidates bounds the incomplete snapshots that are collected at a time.
+	// maxPartialSnapshots bounds the snapshots of which parts are collected at a time.
 	maxPartialSnapshots = 8
-	// maxFetch bounds the records that a reload holds in memory.
+	// maxReplayRecords bounds the records that a reload holds in memory.
 	maxReplayRecords = 1 << 17
-	// snapshotPatience is how long a Follower that retention has passed waits
-	// for a snapshot before it goes on with what the log still holds.
+	// snapshotTimeout is how long a Follower whose next record has expired waits
+	// for a snapshot before it continues with the records that the log still holds.
 	snapshotTimeout = time.Minute
 )
 
-// snapshotKey names one snapshot. Parts that a writer appended twice after a
-// lost reply have the same key and part number.
+// snapshotKey identifies a snapshot. When a writer appends a part again after a
+// lost reply, both copies have the same key and part number.
 type snapshotKey struct {
 	writer string
 	offset uint64
 	parts  uint32
 }
 
-// candidate collects the parts of one snapshot.
+// partialSnapshot collects the parts of one snapshot.
 type partialSnapshot struct {
 	parts map[uint32][]byte
 	size  int
 }
 
-// add keeps a part and returns the whole snapshot once every part is there.
+// add stores a part. It returns the encoded snapshot when all parts are present, and
+// nil before.
 func (c *partialSnapshot) add(s *wire.Snapshot) []byte {
-	if _, known := c.parts[s.GetPart()]; known || c.size+len(s.GetState()) > maxSnapshotBytes {
+	if _, exists := c.parts[s.GetPart()]; exists || c.size+len(s.GetState()) > maxSnapshotBytes {
 		return nil
 	}
 	c.parts[s.GetPart()] = s.GetState()
@@ -51,65 +53,66 @@
 	if len(c.parts) < int(s.GetParts()) {
 		return nil
 	}
-	whole := make([]byte, 0, c.size)
+	encoded := make([]byte, 0, c.size)
 	for n := range s.GetParts() {
-		whole = append(whole, c.parts[n]...)
+		encoded = append(encoded, c.parts[n]...)
 	}
-	return whole
+	return encoded
 }
 
-// checkpoint is a decoded snapshot, or the start of the retained records.
+// checkpoint is the position and state from which records are applied: a decoded
+// snapshot, or the empty state at the first retained record.
 type checkpoint struct {
 	state       []byte
 	next        units.Offset
 	lastRecords lastRecords
-	size        int // encoded; 0 when there was no snapshot
+	size        int // of the encoded snapshot; 0 when there is none
 }
 
-// load replaces the state by the newest snapshot, or by the empty state at the
-// first retained offset when there is no snapshot. A state that is already
-// ahead of the snapshot is caught up before anyone sees it, so that no reader
-// moves to a lower offset.
+// load replaces the state with the newest snapshot, or with the empty state at the
+// first retained offset when there is no snapshot. If the current state is ahead of
+// the snapshot, the records between the two are applied before the new state becomes
+// visible, so that Applied never decreases.
 func (f *Follower[S]) load(ctx context.Context) error {
 	started := time.Now()
-	ends, err := f.read(ctx, 0, 0)
+	bounds, err := f.read(ctx, 0, 0)
 	if err != nil && !fault.Is(err, logservice.Expired) {
 		return err
 	}
-	from, err := f.newestSnapshot(ctx, ends.First, ends.Next)
+	base, err := f.newestSnapshot(ctx, bounds.First, bounds.Next)
 	if err != nil {
 		return err
 	}
 	applied := f.Applied()
-	if from.size == 0 && applied > 0 && f.shouldAwaitSnapshot(started) {
-		return newError("reload "+f.Stream, Incomplete, "no snapshot between %d and the tail %d", ends.First, ends.Next)
+	if base.size == 0 && applied > 0 && f.shouldAwaitSnapshot(started) {
+		return newError("reload "+f.Stream, Incomplete, "no snapshot between offset %d and the tail %d", bounds.First, bounds.Next)
 	}
-	again, err := f.readRange(ctx, from.next, applied)
+	replayed, err := f.readRange(ctx, base.next, applied)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.restore(from, ends.First); err != nil {
+	if err := f.restore(base, bounds.First); err != nil {
 		return err
 	}
-	f.tail = ends.Next
-	for _, r := range again {
+	f.tail = bounds.Next
+	for _, r := range replayed {
 		f.applyRecord(r)
 		f.next++
 	}
-	f.loaded, f.first, f.snapshotWaitStart = true, ends.First, time.Time{}
+	f.loaded, f.first, f.snapshotWaitStart = true, bounds.First, time.Time{}
 	f.stats.Loads++
-	f.stats.SnapshotBytes = from.size
+	f.stats.SnapshotBytes = base.size
 	f.stats.LoadSeconds = time.Since(started).Seconds()
 	f.notifyChanged()
-	klog.InfoS("loaded log stream", "stream", f.Stream, "offset", f.next, "tail", ends.Next,
-		"snapshotBytes", from.size, "seconds", f.stats.LoadSeconds, "incomplete", f.incomplete)
+	klog.InfoS("loaded log stream", "stream", f.Stream, "offset", f.next, "tail", bounds.Next,
+		"snapshotBytes", base.size, "seconds", f.stats.LoadSeconds, "incomplete", f.incomplete)
 	return nil
 }
 
-// awaitSnapshot reports whether a Follower that retention has passed should
-// still wait for a process that knows more to append a snapshot.
+// shouldAwaitSnapshot reports whether a Follower whose next record has expired should
+// keep waiting for a process with a more complete state to append a snapshot.
 func (f *Follower[S]) shouldAwaitSnapshot(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,11 +122,11 @@
 	return now.Sub(f.snapshotWaitStart) < snapshotTimeout
 }
 
-// fetch reads the records from low up to high.
+// readRange reads the records from low up to, but not including, high.
 func (f *Follower[S]) readRange(ctx context.Context, low, high units.Offset) ([]logservice.Record, error) {
 	var records []logservice.Record
 	if high > low+maxReplayRecords {
-		return nil, newError("reload "+f.Stream, Incomplete, "snapshot at %d is too far behind %d", low, high)
+		return nil, newError("reload "+f.Stream, Incomplete, "snapshot at offset %d is too far below the applied offset %d", low, high)
 	}
 	for low < high {
 		batch, err := f.read(ctx, low, 0)
@@ -131,7 +134,7 @@
 			return nil, err
 		}
 		if len(batch.Records) == 0 {
-			return nil, newError("reload "+f.Stream, Unavailable, "no record at %d", low)
+			return nil, newError("reload "+f.Stream, Unavailable, "no record at offset %d", low)
 		}
 		kept := batch.Records[:min(len(batch.Records), int(high-low))]
 		records = append(records, kept...)
@@ -140,9 +143,9 @@
 	return records, nil
 }
 
-// restore sets state, position and memory of writers. A snapshot that the state
-// cannot restore is passed over by the next attempt.
-func (f *Follower[S]) restore(from checkpoint, first units.Offset) error {
+// restore replaces the state, the next offset and the last record of each writer.
+// The next load ignores a snapshot that the state cannot restore.
+func (f *Follower[S]) restore(base checkpoint, first units.Offset) error {
 	var previous []byte
 	if f.next > 0 {
 		var err error
@@ -150,26 +153,26 @@
 			return fault.Wrap("reload "+f.Stream, Incomplete, err)
 		}
 	}
-	if err := f.State.Restore(from.state); err != nil {
-		f.unrestorable = append(f.unrestorable, from.next)
-		_ = f.State.Restore(previous) // it encoded this itself
+	if err := f.State.Restore(base.state); err != nil {
+		f.unrestorable = append(f.unrestorable, base.next)
+		_ = f.State.Restore(previous) // cannot fail: the state encoded it itself
 		return fault.Wrap("restore snapshot of "+f.Stream, Incomplete, err)
 	}
 	f.unrestorable = nil
-	f.next, f.lastRecords = from.next, from.lastRecords
-	f.latestSnapshot = snapshotInfo{offset: from.next}
-	if from.size > 0 {
+	f.next, f.lastRecords = base.next, base.lastRecords
+	f.latestSnapshot = snapshotInfo{offset: base.next}
+	if base.size > 0 {
 		f.latestSnapshot.observedAt, f.latestSnapshot.ageUnknown = time.Now(), true
 	}
-	// Streams start at offset 0 or 1, so a later first offset without a snapshot
-	// means that records are gone.
-	f.incomplete = from.size == 0 && first > 1
+	// Streams start at offset 0 or 1, so a higher first offset without a snapshot
+	// means that records have expired.
+	f.incomplete = base.size == 0 && first > 1
 	return nil
 }
 
-// newestSnapshot looks from the tail backwards for the newest complete snapshot
-// that the retained records continue, and otherwise returns the empty state at
-// the first record. It reads each retained record at most once.
+// newestSnapshot searches backwards from the tail for the newest complete snapshot
+// that is followed by retained records without a gap. If there is none, it returns
+// the empty state at the first record. It reads each retained record at most once.
 func (f *Follower[S]) newestSnapshot(ctx context.Context, first, tail units.Offset) (checkpoint, error) {
 	candidates := make(map[snapshotKey]*partialSnapshot)
 	for high := tail; high > first; {
@@ -186,8 +189,8 @@
 	return checkpoint{next: first, lastRecords: lastRecords{}}, nil
 }
 
-// scan reads the records from low up to high and adds snapshot parts to
-// candidates. It returns the newest snapshot that became complete.
+// scan reads the records from low up to, but not including, high and adds their
+// snapshot parts to candidates. It returns the newest snapshot that this completes.
 func (f *Follower[S]) scan(ctx context.Context, low, high, first units.Offset, candidates map[snapshotKey]*partialSnapshot) (newest checkpoint, err error) {
 	for low < high {
 		batch, err := f.read(ctx, low, 0)
@@ -199,7 +202,7 @@
 			return checkpoint{}, err
 		}
 		if len(batch.Records) == 0 {
-			return checkpoint{}, newError("scan "+f.Stream, Unavailable, "no record at %d below the tail %d", low, high)
+			return checkpoint{}, newError("scan "+f.Stream, Unavailable, "no record at offset %d, although the scan ends at %d", low, high)
 		}
 		for _, r := range batch.Records {
 			if r.Offset >= high {
@@ -214,15 +217,15 @@
 	return newest, nil
 }
 
-// collect adds the record to its candidate if it is a snapshot part, and returns
-// the checkpoint that this completes.
+// collectPart adds a record that is a snapshot part to its snapshot in candidates,
+// and returns the checkpoint if the snapshot is complete.
 func (f *Follower[S]) collectPart(r logservice.Record, first units.Offset, candidates map[snapshotKey]*partialSnapshot) (checkpoint, bool) {
 	record, err := f.decode(r.Payload)
 	if err != nil || record.Snapshot == nil {
 		return checkpoint{}, false
 	}
-	// A snapshot below the first retained offset misses the records in between,
-	// and none can hold records that come after it.
+	// After a snapshot below the first retained offset, the records in between are
+	// missing. A snapshot cannot cover records that were appended after it.
 	offset := units.Offset(record.Snapshot.GetOffset())
 	if offset < first || offset > r.Offset || slices.Contains(f.unrestorable, offset) {
 		return checkpoint{}, false
@@ -236,12 +239,12 @@
 		c = &partialSnapshot{parts: make(map[uint32][]byte)}
 		candidates[key] = c
 	}
-	whole := c.add(record.Snapshot)
-	if whole == nil {
+	encoded := c.add(record.Snapshot)
+	if encoded == nil {
 		return checkpoint{}, false
 	}
-	found := checkpoint{size: len(whole)}
-	found.state, found.next, found.lastRecords, err = decodeCheckpoint(whole)
+	found := checkpoint{size: len(encoded)}
+	found.state, found.next, found.lastRecords, err = decodeCheckpoint(encoded)
 	return found, err == nil && found.next == offset
 }
 
@@ -249,7 +252,7 @@
 	return snapshotKey{r.Writer, r.Snapshot.GetOffset(), r.Snapshot.GetParts()}
 }
 
-// dropOldest forgets the candidate with the lowest offset.
+// removeOldestPartial removes the snapshot with the lowest offset.
 func removeOldestPartial(candidates map[snapshotKey]*partialSnapshot) {
 	var oldest snapshotKey
 	found := false
@@ -261,9 +264,10 @@
 	delete(candidates, oldest)
 }
 
-// noteSnapshot counts the parts of a snapshot that passes by. A complete one
-// restarts the interval until the next; a Follower that lost records loads it.
-// The age of one that was in the log before the last load is unknown.
+// recordSnapshotPart counts the parts of a snapshot as they are read. A complete
+// snapshot restarts the interval until the next one, and a Follower with an
+// incomplete state loads it. If the snapshot was in the log before the last load, its
+// age is unknown.
 func (f *Follower[S]) recordSnapshotPart(r Record, at units.Offset) {
 	key := snapshotKeyOf(r)
 	if f.latestSnapshot.parts == nil || len(f.latestSnapshot.parts) >= maxPartialSnapshots {
--- a/internal/stream/snapshotter.go
+++ b/internal/stream/snapshotter.go
@@ -15,26 +15,28 @@
 	defaultEntryInterval = 20000
 	defaultPartBytes     = 256 << 10
 	defaultCheckInterval = time.Second
-	// maxTailAge keeps a process that has lost the log from appending a
-	// snapshot that is old when it arrives.
+	// maxSnapshotStaleness prevents a process that cannot read the log from
+	// appending a snapshot of a stale state.
 	maxSnapshotStaleness = 5 * time.Second
 )
 
-// Snapshotter appends snapshots of a Follower's state while Owner says that
-// this process is responsible for the stream. Two owners at once do no harm.
+// Snapshotter appends snapshots of a Follower's state while IsOwner reports that
+// this process is responsible for the stream. Two owners at the same time are
+// harmless.
 type Snapshotter[S State] struct {
 	Follower      *Follower[S]
 	Writer        *Writer
 	IsOwner       func() bool // nil means always
 	EntryInterval int         // entries between snapshots
-	// Retention is that of the log; a snapshot is repeated after half of it. With
-	// 0 nothing is repeated by time, and an idle stream loses its state.
+	// Retention is the retention time of the log. A new snapshot is due when the
+	// newest one is half as old. With 0, age never makes a snapshot due, and a
+	// stream without new entries loses its state.
 	Retention     time.Duration
-	PartBytes     int           // bytes of one part; below the service's largest record
-	CheckInterval time.Duration // between checks
+	PartBytes     int           // size of one part; below the record size limit of the log service
+	CheckInterval time.Duration // time between checks whether a snapshot is due
 }
 
-// Run appends snapshots when they are due until ctx ends.
+// Run appends a snapshot whenever one is due, until ctx ends.
 func (s *Snapshotter[S]) Run(ctx context.Context) error {
 	ticker := time.NewTicker(orDefault(s.CheckInterval, defaultCheckInterval))
 	defer ticker.Stop()
@@ -49,14 +51,14 @@
 			}
 			err := s.Append(ctx)
 			if err != nil && !failing {
-				klog.ErrorS(err, "snapshot failed", "stream", s.Follower.Stream)
+				klog.ErrorS(err, "snapshot was not appended; will try again", "stream", s.Follower.Stream)
 			}
 			failing = err != nil
 		}
 	}
 }
 
-// Append writes a snapshot of the current state now.
+// Append appends a snapshot of the current state, whether or not one is due.
 func (s *Snapshotter[S]) Append(ctx context.Context) error {
 	encoded, offset, err := s.Follower.checkpoint()
 	if err != nil {
@@ -70,9 +72,9 @@
 	return nil
 }
 
-// due says whether the newest snapshot is too far back by entries, age or
-// position. A Follower that lost records waits half the retention for a process
-// that knows more.
+// due reports whether a new snapshot is needed, by the entries since the newest
+// one, its age or its position. A Follower with an incomplete state waits for half
+// the retention time, so that a process with a complete state can append one first.
 func (s *Snapshotter[S]) due(now, started time.Time) bool {
 	p := s.Follower.snapshotStatus()
 	if !p.loaded || p.next <= p.start || now.Sub(p.tailReadAt) > maxSnapshotStaleness {
@@ -88,12 +90,13 @@
 	if half > 0 && now.Sub(p.ageStart(started)) >= p.maxAge(half) {
 		return true
 	}
-	// In the older half of what is retained: retention by count is catching up,
-	// or an idle stream has expired down to its snapshot.
+	// The newest snapshot lies in the older half of the retained records: either
+	// retention by count is about to delete it, or no entries arrived and all
+	// records before it have expired.
 	return p.first > 1 && p.offset <= p.first+(p.next-p.first)/2
 }
 
-// progress is what due decides on.
+// snapshotStatus holds the values that due depends on.
 type snapshotStatus struct {
 	snapshotInfo
 	next, first, start units.Offset
@@ -107,12 +110,13 @@
 	p := snapshotStatus{snapshotInfo: f.latestSnapshot, next: f.next, first: f.first, tailReadAt: f.tailReadAt, loaded: f.loaded, incomplete: f.incomplete}
 	p.parts = nil
 	if p.observedAt.IsZero() {
-		p.start = p.offset // nothing to save before the first record
+		p.start = p.offset // without a snapshot, one is needed only after a new record
 	}
 	return p
 }
 
-// since returns from when on the age of the newest snapshot counts.
+// ageStart returns the time from which the age of the newest snapshot is counted:
+// when it was observed, or started when there is none.
 func (p snapshotStatus) ageStart(started time.Time) time.Time {
 	if p.observedAt.IsZero() {
 		return started
@@ -120,9 +124,9 @@
 	return p.observedAt
 }
 
-// patience returns how old the newest snapshot may be as seen here. Half as
-// much is allowed when there is none or its real age is unknown, so that
-// processes that are replaced often still append one in time.
+// maxAge returns the age since ageStart at which a new snapshot is due. It is
+// halved when there is no snapshot or its real age is unknown, so that processes
+// that are replaced often still append one in time.
 func (p snapshotStatus) maxAge(half time.Duration) time.Duration {
 	if p.ageUnknown || p.observedAt.IsZero() {
 		return half / 2
@@ -130,7 +134,8 @@
 	return half
 }
 
-// checkpoint encodes state and memory and returns the offset they hold.
+// checkpoint returns the encoded state with the last record of each writer, and
+// the offset up to which they cover the stream.
 func (f *Follower[S]) checkpoint() ([]byte, units.Offset, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -145,7 +150,8 @@
 	return encoded, f.next, err
 }
 
-// split cuts an encoded checkpoint into records.
+// splitCheckpoint divides an encoded checkpoint into snapshot parts of at most size
+// bytes.
 func splitCheckpoint(encoded []byte, offset units.Offset, size int) []*wire.Snapshot {
 	count := max(1, (len(encoded)+size-1)/size)
 	parts := make([]*wire.Snapshot, count)
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,11 +1,11 @@
-// Package stream writes and follows a stream of the log service.
+// Package stream writes to and reads from a stream of the log service.
 //
 // The log service appends several hundred records a second, sometimes loses the
-// reply of an append that took effect, and forgets old records. Writer gathers
-// entries into few records and finds out what became of an append whose reply
-// was lost. Follower folds the records of a stream into a state, in the same
-// way in every process, and Snapshotter keeps that state recoverable after the
-// records behind it have expired.
+// reply to an append that took effect, and deletes old records. Writer batches
+// entries into few records and, after a lost reply, reads the log back to find
+// out whether the append took effect. Follower applies the records of a stream to
+// a state, deterministically in every process. Snapshotter appends snapshots of
+// that state, so that it can be recovered after its records have expired.
 package stream
 
 import (
@@ -18,15 +18,15 @@
 	"wasabihill.example/wasabihill/pkg/logservice"
 )
 
-// Kind tells the failures of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of Error.
 const (
-	Unavailable Kind = "unavailable" // certainly not written; try later
-	Unknown     Kind = "unknown"     // the entries may take effect, now or later
-	Refused     Kind = "refused"     // certainly not written; can never succeed
-	Incomplete  Kind = "incomplete"  // the log no longer holds what the state needs
+	Unavailable Kind = "unavailable" // not written; a later attempt may succeed
+	Unknown     Kind = "unknown"     // the entries may have taken effect or may still do so
+	Refused     Kind = "refused"     // not written; no attempt can succeed
+	Incomplete  Kind = "incomplete"  // the log no longer holds all records that the state needs
 )
 
 // Error is the error type of this package.
@@ -42,8 +42,8 @@
 	return fault.New(op, kind, format, args...)
 }
 
-// kindOf translates the kind of an error of the log service. An error of
-// another type proves nothing.
+// kindOf returns the Kind that corresponds to an error of the log service. For an
+// error of another type the outcome is Unknown.
 func kindOf(err error) Kind {
 	var failure *logservice.Error
 	if !errors.As(err, &failure) {
@@ -58,8 +58,9 @@
 	return Unknown
 }
 
-// backoff spaces retries: each pause doubles up to the limit, and half of it is
-// random so that processes that failed together do not retry together.
+// backoff delays retries. The delay doubles with each failure up to the limit, and
+// half of it is random, so that processes that failed at the same time do not
+// retry at the same time.
 type backoff struct {
 	first, limit time.Duration
 	failures     int
@@ -67,16 +68,16 @@
 
 func (b *backoff) reset() { b.failures = 0 }
 
-// wait pauses and reports false when ctx ended first.
+// wait waits for the next delay. It reports false when ctx ends first.
 func (b *backoff) wait(ctx context.Context) bool {
 	wait := min(b.limit, b.first<<min(b.failures, 16))
 	b.failures++
 	return pause.Jittered(ctx, wait)
 }
 
-func orDefault[T int | time.Duration](value, otherwise T) T {
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -17,8 +17,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// bubble runs a test with fake time and stops its goroutines at the end.
-func bubble(t *testing.T, run func(t *testing.T, ctx context.Context, running *sync.WaitGroup)) {
+// runWithFakeTime runs a test with fake time and stops its goroutines at the end.
+func runWithFakeTime(t *testing.T, run func(t *testing.T, ctx context.Context, running *sync.WaitGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -28,31 +28,32 @@
 	})
 }
 
-// TestWriterOutcomes guards against an error that promises more than is known,
-// and against a queue that blocks its callers while the log is down.
+// TestWriterOutcomes guards against an error kind that claims a certain outcome when
+// the outcome is unknown, and against a queue that blocks its callers while the log
+// is unavailable.
 func TestWriterOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		faults  standin.Faults
 		idle    bool // Run is not called
-		stopped bool // Run has returned
-		calls   int  // further calls that wait
+		stopped bool // the context of Run has ended
+		calls   int  // calls that are pending before the tested one
 		size    int
 		want    stream.Kind
 		records int
 	}{
-		"committed":              {records: 1},
-		"outage":                 {faults: standin.Faults{Outage: true}, want: stream.Unavailable},
-		"every reply lost":       {faults: standin.Faults{LoseReplies: 1}, records: 1},
-		"every append late":      {faults: standin.Faults{Late: 1}, want: stream.Unknown},
-		"log slower than waited": {faults: standin.Faults{Delay: standin.Duration(time.Hour)}, want: stream.Unavailable},
-		"caller stops waiting":   {idle: true, want: stream.Unavailable},
-		"writer has stopped":     {stopped: true, want: stream.Unavailable},
-		"queue full":             {idle: true, calls: 2, want: stream.Unavailable},
-		"entry too large":        {size: 2 << 20, want: stream.Refused},
+		"committed":               {records: 1},
+		"outage":                  {faults: standin.Faults{Outage: true}, want: stream.Unavailable},
+		"every reply lost":        {faults: standin.Faults{LoseReplies: 1}, records: 1},
+		"every append late":       {faults: standin.Faults{Late: 1}, want: stream.Unknown},
+		"log slower than timeout": {faults: standin.Faults{Delay: standin.Duration(time.Hour)}, want: stream.Unavailable},
+		"caller stops waiting":    {idle: true, want: stream.Unavailable},
+		"writer has stopped":      {stopped: true, want: stream.Unavailable},
+		"queue full":              {idle: true, calls: 2, want: stream.Unavailable},
+		"entry too large":         {size: 2 << 20, want: stream.Refused},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+			runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 				l := &standin.Log{}
 				l.SetFaults(c.faults)
 				w := &stream.Writer{Log: l, Stream: "s", ID: "w", QueueLength: 2}
@@ -83,9 +84,9 @@
 }
 
 // TestWriterWindow guards against a window that stays short while the service
-// rejects appends, or long after it accepts them again.
+// rejects appends, or that stays long after the service accepts them again.
 func TestWriterWindow(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
 		w := &stream.Writer{Log: l, Stream: "s", ID: "w", Attempts: 20}
 		running.Go(func() { _ = w.Run(ctx) })
@@ -113,10 +114,10 @@
 	})
 }
 
-// TestStaleness guards against a process that counts as fresh while it cannot
-// read the tail, or because an old read was answered late.
+// TestStaleness guards against a state that is reported as fresh while the tail
+// cannot be read, or because the reply to an old read arrived late.
 func TestStaleness(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
 		f := follow(ctx, running, l)
 		if got := f.Staleness(time.Now()); got < time.Hour {
@@ -126,10 +127,10 @@
 			faults   standin.Faults
 			low, top time.Duration
 		}{
-			"healthy":     {top: 500 * time.Millisecond},
-			"outage":      {faults: standin.Faults{Outage: true}, low: 9 * time.Second, top: 11 * time.Second},
-			"slow":        {faults: standin.Faults{Delay: standin.Duration(1500 * time.Millisecond)}, low: 1500 * time.Millisecond, top: 4 * time.Second},
-			"never ready": {faults: standin.Faults{Delay: standin.Duration(time.Hour)}, low: 9 * time.Second, top: 11 * time.Second},
+			"healthy":  {top: 500 * time.Millisecond},
+			"outage":   {faults: standin.Faults{Outage: true}, low: 9 * time.Second, top: 11 * time.Second},
+			"slow":     {faults: standin.Faults{Delay: standin.Duration(1500 * time.Millisecond)}, low: 1500 * time.Millisecond, top: 4 * time.Second},
+			"no reply": {faults: standin.Faults{Delay: standin.Duration(time.Hour)}, low: 9 * time.Second, top: 11 * time.Second},
 		} {
 			l.SetFaults(standin.Faults{})
 			time.Sleep(10 * time.Second)
@@ -145,8 +146,8 @@
 	})
 }
 
-// envelope appends one entry under an identity of its own.
-func envelope(t *testing.T, ctx context.Context, l *standin.Log, writer string, sequence uint64) {
+// appendEntry appends one entry in a record with the given writer and sequence.
+func appendEntry(t *testing.T, ctx context.Context, l *standin.Log, writer string, sequence uint64) {
 	t.Helper()
 	payload, err := proto.Marshal(&wire.Envelope{Writer: writer, Sequence: sequence, Entries: [][]byte{[]byte(fmt.Sprint(writer, "/", sequence))}})
 	if err == nil {
@@ -157,45 +158,47 @@
 	}
 }
 
-// snapshotter returns one that appends through a writer of its own.
-func snapshotter(ctx context.Context, running *sync.WaitGroup, l *standin.Log, f *stream.Follower[*counter]) *stream.Snapshotter[*counter] {
+// newSnapshotter returns a Snapshotter with a Writer that it starts.
+func newSnapshotter(ctx context.Context, running *sync.WaitGroup, l *standin.Log, f *stream.Follower[*counter]) *stream.Snapshotter[*counter] {
 	w := &stream.Writer{Log: l, Stream: "s", ID: "snapshots"}
 	running.Go(func() { _ = w.Run(ctx) })
 	return &stream.Snapshotter[*counter]{Follower: f, Writer: w, PartBytes: 32 << 10}
 }
 
-// TestRepeatsAfterManyWriters guards against readers that forget different
-// writers: one that started from a snapshot must drop the same repeats.
+// TestRepeatsAfterManyWriters guards against readers that evict different writers
+// from their tables when there are too many: a reader that started from a snapshot
+// must drop the same duplicates as one that read all records.
 func TestRepeatsAfterManyWriters(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
 		early := follow(ctx, running, l)
 		for i := range 4200 {
-			envelope(t, ctx, l, fmt.Sprint("writer-", i), 5)
+			appendEntry(t, ctx, l, fmt.Sprint("writer-", i), 5)
 		}
 		time.Sleep(time.Second)
-		if err := snapshotter(ctx, running, l, early).Append(ctx); err != nil {
+		if err := newSnapshotter(ctx, running, l, early).Append(ctx); err != nil {
 			t.Fatal(err)
 		}
 		late := follow(ctx, running, l)
-		for _, i := range []int{4198, 4150, 200, 0} { // the last one is forgotten
-			envelope(t, ctx, l, fmt.Sprint("writer-", i), 4)
+		for _, i := range []int{4198, 4150, 200, 0} { // the last one has been evicted from the table
+			appendEntry(t, ctx, l, fmt.Sprint("writer-", i), 4)
 		}
 		time.Sleep(time.Second)
-		if err := compare(early, late); err != nil || early.Stats().Duplicates != 3 || late.Stats().Duplicates != 3 || late.Stats().SnapshotBytes == 0 {
+		if err := compareStates(early, late); err != nil || early.Stats().Duplicates != 3 || late.Stats().Duplicates != 3 || late.Stats().SnapshotBytes == 0 {
 			t.Errorf("got %v, %+v, %+v", err, early.Stats(), late.Stats())
 		}
 	})
 }
 
-// TestRetentionPassesReader guards against a reader that goes on with a hole in
-// its state, or moves to a lower offset, when records expire before it read
-// them or before any snapshot held them.
+// TestRetentionPassesReader guards against a reader whose state lacks records
+// without being reported as incomplete, and against one that moves to a lower
+// offset. Both can happen when records expire before the reader has read them or
+// before a snapshot covers them.
 func TestRetentionPassesReader(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
-		informed, behind := follow(ctx, running, l), &stream.Follower[*counter]{Log: l, Stream: "s", State: &counter{}}
-		envelope(t, ctx, l, "w", 1)
+		complete, behind := follow(ctx, running, l), &stream.Follower[*counter]{Log: l, Stream: "s", State: &counter{}}
+		appendEntry(t, ctx, l, "w", 1)
 		time.Sleep(time.Second)
 		paused, pause := context.WithCancel(ctx)
 		running.Go(func() { _ = behind.Run(paused) })
@@ -203,59 +206,60 @@
 		pause()
 		time.Sleep(time.Second)
 		for n := range 20 {
-			envelope(t, ctx, l, "w", uint64(n+2))
+			appendEntry(t, ctx, l, "w", uint64(n+2))
 		}
 		time.Sleep(time.Second)
 		l.Expire("s", 11)
-		ignorant := follow(ctx, running, l)
+		incomplete := follow(ctx, running, l)
 		running.Go(func() { _ = behind.Run(ctx) })
 		time.Sleep(10 * time.Second)
-		if got := behind.Applied(); got != 2 || !ignorant.Incomplete() || informed.Incomplete() {
-			t.Errorf("before a snapshot: got offset %d, incomplete %t and %t", got, ignorant.Incomplete(), informed.Incomplete())
+		if got := behind.Applied(); got != 2 || !incomplete.Incomplete() || complete.Incomplete() {
+			t.Errorf("before a snapshot: got offset %d, incomplete %t and %t", got, incomplete.Incomplete(), complete.Incomplete())
 		}
-		// A record comes between the encoding of the snapshot and its append.
+		// Append a record between the encoding of the snapshot and its append.
 		l.SetFaults(standin.Faults{Script: []standin.Outcome{standin.OutcomeUnavailable}})
-		s := snapshotter(ctx, running, l, informed)
+		s := newSnapshotter(ctx, running, l, complete)
 		running.Go(func() { _ = s.Append(ctx) })
 		time.Sleep(5 * time.Millisecond)
-		envelope(t, ctx, l, "w", 22)
+		appendEntry(t, ctx, l, "w", 22)
 		time.Sleep(5 * time.Millisecond)
 		l.SetFaults(standin.Faults{Delay: standin.Duration(3 * time.Millisecond)})
-		lowest := ignorant.Applied()
+		lowest := incomplete.Applied()
 		for range 10000 {
-			lowest = min(lowest, ignorant.Applied())
+			lowest = min(lowest, incomplete.Applied())
 			time.Sleep(time.Millisecond)
 		}
-		for name, f := range map[string]*stream.Follower[*counter]{"behind": behind, "ignorant": ignorant} {
-			if err := compare(informed, f); err != nil || f.Incomplete() {
+		for name, f := range map[string]*stream.Follower[*counter]{"behind": behind, "incomplete": incomplete} {
+			if err := compareStates(complete, f); err != nil || f.Incomplete() {
 				t.Errorf("%s after a snapshot: %v, incomplete %t", name, err, f.Incomplete())
 			}
 		}
 		if lowest < 23 {
 			t.Errorf("a reader moved back to offset %d", lowest)
 		}
-		l.Expire("s", 23) // the snapshot holds only what is below 22
-		unlucky := follow(ctx, running, l)
+		l.Expire("s", 23) // the snapshot covers only the records below 22
+		late := follow(ctx, running, l)
 		time.Sleep(time.Second)
-		if got := unlucky.Stats().SnapshotBytes; got != 0 || !unlucky.Incomplete() {
-			t.Errorf("loaded a snapshot with a hole behind it: %d bytes", got)
+		if got := late.Stats().SnapshotBytes; got != 0 || !late.Incomplete() {
+			t.Errorf("loaded a snapshot of %d bytes although records after it have expired", got)
 		}
 	})
 }
 
-// TestSnapshotOutlivesRetention guards against an idle stream whose state
-// expires, also when processes are replaced more often than snapshots are due.
+// TestSnapshotOutlivesRetention guards against the loss of the state of an idle
+// stream when its records expire, also when processes are replaced more often than
+// snapshots are due.
 func TestSnapshotOutlivesRetention(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
+	runWithFakeTime(t, func(t *testing.T, ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{RetainAge: time.Hour}
-		envelope(t, ctx, l, "w", 1)
-		for range 7 { // one of the pauses is when the first record expires
-			life, end := context.WithTimeout(ctx, 25*time.Minute)
-			f := follow(life, running, l)
-			s := snapshotter(life, running, l, f)
+		appendEntry(t, ctx, l, "w", 1)
+		for range 7 { // the first record expires during one of the pauses between runs
+			runCtx, stop := context.WithTimeout(ctx, 25*time.Minute)
+			f := follow(runCtx, running, l)
+			s := newSnapshotter(runCtx, running, l, f)
 			s.Retention = time.Hour
-			_ = s.Run(life)
-			end()
+			_ = s.Run(runCtx)
+			stop()
 			time.Sleep(10 * time.Minute)
 		}
 		last := follow(ctx, running, l)
@@ -272,7 +276,7 @@
 	})
 }
 
-// FuzzDecodeEnvelope guards against a record that breaks a reader.
+// FuzzDecodeEnvelope guards against a payload that makes a reader panic or stop.
 func FuzzDecodeEnvelope(f *testing.F) {
 	for _, e := range []*wire.Envelope{
 		{Writer: "w", Sequence: 1, Entries: [][]byte{[]byte("x")}},
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -17,7 +17,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Limits of a Writer whose fields are zero.
+// Defaults for the zero fields of a Writer, and its fixed limits.
 const (
 	defaultWindow         = 20 * time.Millisecond
 	defaultMaxWindow      = 250 * time.Millisecond
@@ -29,46 +29,46 @@
 	retryPause            = 50 * time.Millisecond
 	maxRetryPause         = time.Second
 	maxQueueBytes         = 64 << 20
-	// narrowing is the share of the window that a success takes off. With a
-	// sixteenth, 12 writers ran into a limit of 400 appends/s 36 times a second,
-	// with this 22 times.
+	// windowNarrowingDivisor is the divisor of the share of the window that each
+	// successful append removes. With 16, 12 writers exceeded a limit of 400 appends/s
+	// 36 times a second, with 32 only 22 times.
 	windowNarrowingDivisor = 32
-	// maxReadBack bounds the reads that look for a lost append; the records
-	// between the last known tail and the lost one are few.
+	// maxReadBackReads bounds the reads that search for an append whose reply was
+	// lost; there are few records between readBackFrom and that append.
 	maxReadBackReads = 64
 )
 
-// Writer appends entries to one stream. It gathers what arrives within a window
-// into one record and has one append in flight at a time. Exported fields are
-// set before Run; Append may be called from any goroutine.
+// Writer appends entries to one stream. It batches the entries that arrive within a
+// window into one record and has at most one append in flight. Set the exported
+// fields before calling Run. Append is safe for concurrent use.
 type Writer struct {
 	Log    logservice.Service
 	Stream string
-	ID     string // of the process; a random part makes it unique to this run
+	ID     string // process ID in the writer name; a random suffix makes the name unique to this run
 
-	Window         time.Duration // shortest time between two appends
-	MaxWindow      time.Duration // longest, reached while the service rejects appends
-	MaxBatchBytes  int           // a record that reaches this size is appended at once
-	MaxCallBytes   int           // largest size of one call's entries
-	QueueLength    int           // calls that may wait
-	Attempts       int           // appends of one record before its callers get an error
-	AttemptTimeout time.Duration // of one append or read
+	Window         time.Duration // minimum time between two appends
+	MaxWindow      time.Duration // maximum to which the window widens while the service rejects appends
+	MaxBatchBytes  int           // a batch that reaches this size is appended without waiting for the window
+	MaxCallBytes   int           // maximum size of the entries of one call
+	QueueLength    int           // maximum number of calls that wait
+	Attempts       int           // attempts to append one record before its callers receive an error
+	AttemptTimeout time.Duration // timeout of one attempt, including the reads that precede the append
 
 	initOnce     sync.Once
-	writerID     string // readers drop a repeated sequence of it, so no two runs may share one
+	writerID     string // unique to this run, because readers drop a repeated sequence of the same writer
 	queue        chan *request
 	stopped      chan struct{}
-	queuedBytes  atomic.Int64 // bytes waiting
+	queuedBytes  atomic.Int64 // size of the requests in the queue
 	sequence     uint64
-	readBackFrom units.Offset // every record of this writer at or above sequence is at or above known
-	tailLocated  bool         // known has been read
+	readBackFrom units.Offset // a record of this writer with the current or a later sequence has at least this offset
+	tailLocated  bool         // readBackFrom is set
 	window       time.Duration
 	lastAppendAt time.Time // start of the last append
-	deferred     *request  // taken from the queue but not fitting into the last record
+	deferred     *request  // claimed from the queue, but too large for the last batch
 	stats        writerStats
 }
 
-// WriterStats counts what a Writer has done.
+// WriterStats holds the counters of a Writer and its current window.
 type WriterStats struct {
 	Appends, Entries, Bytes, Retries, ReadBacks, Failures int64
 	Window                                                time.Duration // current
@@ -78,12 +78,12 @@
 	appends, entries, bytes, retries, readBacks, failures, window atomic.Int64
 }
 
-// request is one call of Append.
+// request is one call of Append or appendSnapshot.
 type request struct {
 	entries  [][]byte
 	snapshot *wire.Snapshot
 	size     int
-	state    atomic.Int32 // waiting, taken or abandoned
+	state    atomic.Int32 // pending, claimed or abandoned
 	done     chan struct{}
 	offset   units.Offset
 	err      error
@@ -95,14 +95,14 @@
 	abandoned
 )
 
-// Append writes entries together and returns the offset of their record once it
-// is committed. An error for which NotWritten holds proves that they were not
+// Append writes entries in one record and returns the offset of the record once it
+// is committed. If NotWritten reports true for an error, the entries were not
 // written; after any other error they may still take effect.
 func (w *Writer) Append(ctx context.Context, entries ...[]byte) (units.Offset, error) {
 	return w.submit(ctx, &request{entries: entries})
 }
 
-// appendSnapshot writes one part of a snapshot in a record of its own.
+// appendSnapshot writes one part of a snapshot in a separate record.
 func (w *Writer) appendSnapshot(ctx context.Context, part *wire.Snapshot) (units.Offset, error) {
 	return w.submit(ctx, &request{snapshot: part})
 }
@@ -113,17 +113,17 @@
 	r.done = make(chan struct{})
 	r.size = len(r.snapshot.GetState())
 	for _, e := range r.entries {
-		r.size += len(e) + 4 // tag and length
+		r.size += len(e) + 4 // protobuf tag and length
 	}
 	if limit := orDefault(w.MaxCallBytes, defaultMaxCallBytes); r.size > limit {
-		return 0, newError(op, Refused, "entries of %d bytes exceed %d", r.size, limit)
+		return 0, newError(op, Refused, "entries have %d bytes, which exceeds the limit of %d", r.size, limit)
 	}
 	if len(r.entries) == 0 && r.snapshot == nil {
-		return 0, newError(op, Refused, "no entries")
+		return 0, newError(op, Refused, "call has no entries")
 	}
 	if w.queuedBytes.Add(int64(r.size)) > maxQueueBytes {
 		w.queuedBytes.Add(int64(-r.size))
-		return 0, newError(op, Unavailable, "queue of stream %s is full: %d bytes wait for the log", w.Stream, w.queuedBytes.Load())
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d bytes are pending", w.Stream, w.queuedBytes.Load())
 	}
 	select {
 	case <-w.stopped:
@@ -134,12 +134,13 @@
 	case w.queue <- r:
 	default:
 		w.queuedBytes.Add(int64(-r.size))
-		return 0, newError(op, Unavailable, "queue of stream %s is full: %d calls wait for the log", w.Stream, cap(w.queue))
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d calls are pending", w.Stream, cap(w.queue))
 	}
 	return w.awaitResult(ctx, op, r)
 }
 
-// await waits for the outcome of a queued request.
+// awaitResult waits for the result of a queued request. A request that is still
+// pending when the caller or the Writer stops is abandoned and not written.
 func (w *Writer) awaitResult(ctx context.Context, op string, r *request) (units.Offset, error) {
 	select {
 	case <-r.done:
@@ -168,8 +169,9 @@
 	})
 }
 
-// Run appends until ctx ends. An append in flight at that moment is finished;
-// requests that still wait get an error that they were not written.
+// Run appends queued entries until ctx ends. It completes an append that is in
+// flight; requests that are still pending fail with an error that satisfies
+// NotWritten.
 func (w *Writer) Run(ctx context.Context) error {
 	w.init()
 	defer close(w.stopped)
@@ -182,7 +184,7 @@
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters and window.
 func (w *Writer) Stats() WriterStats {
 	s := &w.stats
 	return WriterStats{
@@ -191,9 +193,9 @@
 	}
 }
 
-// gather returns the requests of the next record, or nil when ctx has ended.
-// It waits until a window has passed since the last append, so that an entry
-// that comes after a pause leaves at once.
+// nextBatch returns the requests of the next record, or nil when ctx has ended. The
+// window starts with the last append, so that an entry that arrives after an idle
+// period is appended without delay.
 func (w *Writer) nextBatch(ctx context.Context) []*request {
 	first := w.nextRequest(ctx, nil)
 	if first == nil {
@@ -214,12 +216,12 @@
 		}
 		batch, size = append(batch, r), size+r.size
 	}
-	// Entries that already wait belong into this record even when the window is over.
+	// Also include the entries that are already queued when the window ends.
 	return w.addQueued(batch, size, limit)
 }
 
-// next takes one request from the queue that its caller still waits for. It
-// returns nil when ctx has ended or when expired fires.
+// nextRequest claims the next request whose caller is still waiting. It returns nil
+// when ctx has ended or expired receives a value.
 func (w *Writer) nextRequest(ctx context.Context, expired <-chan time.Time) *request {
 	if r := w.deferred; r != nil {
 		w.deferred = nil
@@ -244,7 +246,8 @@
 	}
 }
 
-// drain adds requests that are in the queue already, up to limit.
+// addQueued adds the requests that are already queued to batch, up to limit bytes,
+// and returns the batch.
 func (w *Writer) addQueued(batch []*request, size, limit int) []*request {
 	for batch[0].snapshot == nil && w.deferred == nil && size < limit {
 		select {
@@ -268,7 +271,7 @@
 	return r.state.CompareAndSwap(pending, claimed)
 }
 
-// commit appends one record and tells its callers the outcome.
+// commit appends one record and sets the result of each of its requests.
 func (w *Writer) commit(ctx context.Context, batch []*request) {
 	w.sequence++
 	envelope := &wire.Envelope{Writer: w.writerID, Sequence: w.sequence, Snapshot: batch[0].snapshot}
@@ -291,12 +294,12 @@
 	}
 }
 
-// persist appends payload under the current sequence until it is known to be in
-// the log, or until its attempts are used up.
+// appendWithRetries appends payload under the current sequence until an attempt
+// confirms that it is in the log, it is refused, ctx ends or no attempts are left.
 func (w *Writer) appendWithRetries(ctx context.Context, payload []byte) (units.Offset, error) {
 	pause := backoff{first: retryPause, limit: maxRetryPause}
 	attempts := orDefault(w.Attempts, defaultAttempts)
-	uncertain, last := false, error(nil)
+	uncertain, lastErr := false, error(nil)
 	for n := range attempts {
 		if n > 0 {
 			w.stats.retries.Add(1)
@@ -308,27 +311,28 @@
 		if err == nil {
 			return offset, nil
 		}
-		last = err
+		lastErr = err
 		if kindOf(err) == Refused {
 			break
 		}
 	}
-	if last == nil {
-		last = context.Cause(ctx)
+	if lastErr == nil {
+		lastErr = context.Cause(ctx)
 	}
 	kind := Unavailable
 	switch {
 	case uncertain:
 		kind = Unknown
-	case kindOf(last) == Refused:
+	case kindOf(lastErr) == Refused:
 		kind = Refused
 	}
-	return 0, fault.Wrap("append to "+w.Stream, kind, last)
+	return 0, fault.Wrap("append to "+w.Stream, kind, lastErr)
 }
 
-// attempt reads back what an earlier uncertain attempt left and appends if that
-// is nothing. The context of the process does not cut it short, because that
-// would make a certain outcome unknown during a planned stop.
+// tryAppend makes one attempt. If the outcome of an earlier attempt is uncertain, it
+// first searches the log for the record, and appends only if the record is absent.
+// It does not stop when ctx ends, because a planned stop would then leave the
+// outcome of the append in flight unknown.
 func (w *Writer) tryAppend(ctx context.Context, payload []byte, uncertain *bool) (units.Offset, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(w.AttemptTimeout, defaultAttemptTimeout))
 	defer cancel()
@@ -354,9 +358,10 @@
 	return offset, nil
 }
 
-// adapt widens the window by half while the service rejects appends and narrows
-// it by a fraction with each success, so that the writers of a stream settle just
-// below the rate that the service accepts. A lost reply says nothing of the rate.
+// adjustWindow widens the window by half when the service rejects an append, and
+// narrows it by a small fraction after each success, so that the writers of a stream
+// converge just below the rate that the service accepts. A lost reply does not
+// change the window, because it does not depend on the rate.
 func (w *Writer) adjustWindow(err error) {
 	shortest := orDefault(w.Window, defaultWindow)
 	switch {
@@ -368,20 +373,21 @@
 	w.stats.window.Store(int64(w.window))
 }
 
-// locate reads the tail before the first append, from where a read-back starts.
+// locateTail sets readBackFrom to the tail before the first append.
 func (w *Writer) locateTail(ctx context.Context) error {
 	batch, err := w.Log.Read(ctx, w.Stream, 0, 0)
 	if err != nil && !fault.Is(err, logservice.Expired) {
-		// Nothing has been sent yet, whatever the kind of the failed read.
+		// Nothing has been appended yet, so even a read with an unknown outcome is
+		// reported as Unavailable.
 		return fault.Wrap("locate tail", logservice.Unavailable, err)
 	}
 	w.readBackFrom, w.tailLocated = batch.Next, true
 	return nil
 }
 
-// readBack looks for the current sequence between the last known offset and the
-// tail. A record that retention has passed counts as absent: appending it again
-// has no second effect, because readers drop the repeat.
+// readBack searches for the current sequence between readBackFrom and the tail. A
+// record that has expired is reported as absent: appending it again has no second
+// effect, because readers drop the duplicate.
 func (w *Writer) readBack(ctx context.Context) (units.Offset, bool, error) {
 	w.stats.readBacks.Add(1)
 	from := w.readBackFrom
@@ -403,10 +409,10 @@
 		}
 		from += units.Offset(len(batch.Records))
 		if from >= batch.Next {
-			// A late append can only land at the tail or above.
+			// An append that is still in flight gets an offset at or above the tail.
 			w.readBackFrom = from
 			return 0, false, nil
 		}
 	}
-	return 0, false, errors.New("read back: the lost record is too far behind the tail")
+	return 0, false, errors.New("read back: too many records between the last located offset and the tail")
 }
