--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -32,7 +32,8 @@
 
 type follower = stream.Follower[*configuration.State]
 
-// process starts one process that follows and publishes.
+// startPublisher starts a Follower, as a separate process would, and returns a
+// Publisher on it.
 func startPublisher(ctx context.Context, running *sync.WaitGroup, l *standin.Log) *configuration.Publisher {
 	f := &follower{Log: l, Stream: configuration.Stream, State: &configuration.State{}, Decode: configuration.DecodePayload}
 	running.Go(func() { _ = f.Run(ctx) })
@@ -44,7 +45,7 @@
 	}}
 }
 
-// bubble runs a test with fake time and stops its processes at the end.
+// runWithFakeTime runs a test with fake time and stops its goroutines at the end.
 func runWithFakeTime(t *testing.T, run func(ctx context.Context, running *sync.WaitGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -55,8 +56,9 @@
 	})
 }
 
-// TestPublish guards against a wrong answer to an operator, in a stream that
-// starts at offset 1 and in one that starts at 0, which means "no version".
+// TestPublish guards against a wrong result for an operator: after lost replies,
+// repeated calls, conflicts and outages, in a stream that starts at offset 1 and in
+// one that starts at 0, the offset that means "no version".
 func TestPublish(t *testing.T) {
 	lost, none := standin.Faults{Script: []standin.Outcome{standin.OutcomeLost}}, standin.Faults{}
 	steps := []struct {
@@ -89,7 +91,7 @@
 			for i, p := range []*configuration.Publisher{startPublisher(ctx, running, l), startPublisher(ctx, running, l)} {
 				for _, s := range steps {
 					if i == 1 && s.want != "" {
-						continue // the second process confirms what was accepted
+						continue // the second process only repeats the accepted calls
 					}
 					l.SetFaults(s.faults)
 					v, err := p.Publish(ctx, "trial", offsets[s.base], "amina", s.key, []byte(s.raw))
@@ -106,9 +108,9 @@
 	}
 }
 
-// TestBadDocumentOnLog guards against a document that an operator appended
-// without a check: it must not come into force, and the next change must be
-// possible.
+// TestBadDocumentOnLog guards against an invalid document that an operator appended
+// to the log directly, without a check: it must not come into force or prevent the
+// next change.
 func TestBadDocumentOnLog(t *testing.T) {
 	runWithFakeTime(t, func(ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{}
@@ -143,8 +145,8 @@
 	})
 }
 
-// race is a generated contest: operators publish through different processes
-// while the log fails.
+// race is a generated sequence of calls of Publish, some of them concurrent, through
+// different processes while the log fails.
 type race struct {
 	Processes int
 	Retain    int
@@ -153,9 +155,9 @@
 
 type raceStep struct {
 	Process    int
-	BaseAge    int // how many versions the base is behind
+	BaseAge    int // number of versions by which the base is older than the current one
 	Outcome    standin.Outcome
-	Concurrent bool // does not wait for the one before
+	Concurrent bool // starts before the previous step has ended
 }
 
 func genRace(t *rapid.T) race {
@@ -170,15 +172,15 @@
 	return r
 }
 
-// answer is what an operator was told.
+// publishResult is the result of one call of Publish.
 type publishResult struct {
 	key     string
 	version configuration.Version
 	err     error
 }
 
-// run executes the race and checks the versions that read takes from the log
-// against what the operators were told.
+// run executes the race and compares the versions that read returns with the results
+// of Publish. It returns the first violation, or nil.
 func (r race) run(t *testing.T, read func(context.Context, *standin.Log, *configuration.State) []configuration.Version) (violation error) {
 	runWithFakeTime(t, func(ctx context.Context, running *sync.WaitGroup) {
 		l := &standin.Log{RetainCount: r.Retain, ReadLimit: 5}
@@ -192,7 +194,7 @@
 		running.Go(func() { _ = snapshotter.Run(ctx) })
 		results := r.publish(ctx, l, publishers)
 		l.SetFaults(standin.Faults{})
-		if _, violation = l.Append(ctx, configuration.Stream, []byte("releases the late ones")); violation != nil {
+		if _, violation = l.Append(ctx, configuration.Stream, []byte("releases the delayed appends")); violation != nil {
 			return
 		}
 		late := startPublisher(ctx, running, l)
@@ -235,14 +237,15 @@
 	return results
 }
 
-// checkLine checks that an accepted version stays in the line of versions and
-// that one reported as not in force is not in it.
+// checkVersions checks that each version has the previous one as its base, that
+// versions holds each version that Publish reported as accepted, and that it holds
+// none that Publish reported as not in force.
 func checkVersions(versions []configuration.Version, results []publishResult) error {
 	at := make(map[string]units.Offset)
 	previous := units.Offset(0)
 	for _, v := range versions {
 		if v.Base != previous {
-			return fmt.Errorf("version %d by %s replaced %d, but the operator saw %d", v.Offset, v.Key, previous, v.Base)
+			return fmt.Errorf("version %d with key %s replaced version %d, but its base is %d", v.Offset, v.Key, previous, v.Base)
 		}
 		previous = v.Offset
 		at[v.Key] = v.Offset
@@ -250,16 +253,17 @@
 	for _, a := range results {
 		switch {
 		case a.err == nil && at[a.key] != a.version.Offset:
-			return fmt.Errorf("%s was accepted at %d and is at %d", a.key, a.version.Offset, at[a.key])
+			return fmt.Errorf("%s was accepted at offset %d, but is at offset %d", a.key, a.version.Offset, at[a.key])
 		case a.err != nil && !fault.Is(a.err, configuration.Unknown) && at[a.key] != 0:
-			return fmt.Errorf("%s was answered %v and is in force since %d", a.key, a.err, at[a.key])
+			return fmt.Errorf("%s failed with %v, but was accepted at offset %d", a.key, a.err, at[a.key])
 		}
 	}
 	return nil
 }
 
-// TestRaces guards against an accepted configuration that reverts, a loser that
-// comes into force, and processes that disagree.
+// TestRaces guards against an accepted version that is lost, a version that is
+// accepted after Publish reported a conflict, and processes with different states.
+// Concurrent calls with lost replies and delayed appends can cause these.
 func TestRaces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		err := genRace(rt).run(t, func(_ context.Context, _ *standin.Log, s *configuration.State) []configuration.Version {
@@ -271,8 +275,9 @@
 	})
 }
 
-// TestRacesRejectLastWriteWins guards against a check that cannot fail: a fold
-// in which the last record wins must be convicted by the same histories.
+// TestRacesRejectLastWriteWins guards against a check that cannot fail: the same
+// races must detect a violation when every record is accepted, so that the last
+// write wins.
 func TestRacesRejectLastWriteWins(t *testing.T) {
 	readLastWriteWins := func(ctx context.Context, l *standin.Log, _ *configuration.State) (versions []configuration.Version) {
 		batch, err := logservice.Batch{}, error(nil)
@@ -294,11 +299,12 @@
 			return
 		}
 	}
-	t.Error("no race convicted the last write")
+	t.Error("no race detected a violation by accepting the last write")
 }
 
-// FuzzDecodePayload guards against a record that breaks a reader, or that one
-// reader accepts and the fold of another cannot apply.
+// FuzzDecodePayload guards against a payload that makes a reader panic, that is
+// decoded but cannot be applied, or that yields a state which a snapshot does not
+// preserve.
 func FuzzDecodePayload(f *testing.F) {
 	payload, _ := configuration.EncodeRecord(configuration.Record{Key: "k", Environment: "trial", Document: []byte("{} // x")})
 	f.Add(payload)
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -12,15 +12,15 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Kind tells the failures of Publish apart.
+// Kind classifies the errors of Publish.
 type Kind string
 
 // The kinds of Error.
 const (
-	Conflict    Kind = "lost"        // certainly not in force: another version replaced the base
-	Invalid     Kind = "invalid"     // certainly not in force: the document or a parameter is wrong
-	Unavailable Kind = "unavailable" // this call certainly changed nothing: the log did not take it
-	Unknown     Kind = "unknown"     // may be in force, now or later; repeat with the same key
+	Conflict    Kind = "lost"        // not in force: another version has replaced the base
+	Invalid     Kind = "invalid"     // not in force: the document or a parameter is invalid
+	Unavailable Kind = "unavailable" // not changed by this call: the log did not accept the record
+	Unknown     Kind = "unknown"     // may be in force or come into force later; retry with the same key
 )
 
 // Error is the error type of this package.
@@ -33,18 +33,18 @@
 	readTimeout     = 5 * time.Second
 )
 
-// Publisher appends documents to the config stream and reads back what became
-// of them. Its fields are set before the first call.
+// Publisher appends documents to the config stream and reads back whether they were
+// accepted. Set its fields before the first call.
 type Publisher struct {
 	Log      logservice.Service
-	Follower *stream.Follower[*State] // running, with DecodePayload
-	Check    func([]byte) error       // of a document, before it is appended; nil accepts all
+	Follower *stream.Follower[*State] // must be running, with DecodePayload as its Decode
+	Check    func([]byte) error       // validates a document before it is appended; nil accepts all
 }
 
-// Publish proposes raw as the successor of version base. Without an error the
-// returned version is accepted and never reverts. With an error of kind Lost the
-// version is the winner. Publishing again under the same key has no second
-// effect and returns the same version.
+// Publish proposes raw as the successor of version base. If there is no error, the
+// returned version has been accepted, which is never revoked. With an error of kind
+// Conflict, the returned version is the one that was accepted instead. Publishing
+// again with the same key has no second effect and returns the same version.
 func (p *Publisher) Publish(ctx context.Context, environment units.EnvironmentName, base units.Offset, author, key string, raw []byte) (Version, error) {
 	const op = "publish"
 	record := Record{Key: key, Environment: environment, Base: base, Author: author, Document: raw}
@@ -62,8 +62,8 @@
 	if v, err := p.outcome(op, record, false); err != errNoOutcome {
 		return v, err
 	}
-	// A base that does not exist yet could become current later, and a late copy
-	// of the record would then win after the operator was told that it lost.
+	// A base that does not exist yet could become current later. A delayed copy of
+	// the record would then be accepted after Publish has reported a conflict.
 	if base > 0 {
 		if err := p.awaitApplied(ctx, base); err != nil {
 			return Version{}, fault.Wrap(op, Unavailable, err)
@@ -83,15 +83,16 @@
 	return p.outcome(op, record, true)
 }
 
-// await waits for a limited time until the record at offset has been read here.
+// awaitApplied waits, for at most readTimeout, until Follower has applied the record
+// at offset.
 func (p *Publisher) awaitApplied(ctx context.Context, offset units.Offset) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return p.Follower.Wait(ctx, offset)
 }
 
-// append repeats the record until the log confirms one copy. Copies do no harm:
-// after the first that counts, the base of the others is no longer current.
+// append retries until the log confirms one copy of the record. Duplicates are
+// harmless: once one copy is accepted, the base of the others is no longer current.
 func (p *Publisher) append(ctx context.Context, op string, payload []byte) (units.Offset, error) {
 	kind, lastErr := Unavailable, error(nil)
 	for n := range publishAttempts {
@@ -103,7 +104,7 @@
 			return offset, nil
 		}
 		if err == nil {
-			continue // a record at offset 0 never counts
+			continue // a record at offset 0 is never accepted
 		}
 		lastErr = err
 		switch {
@@ -125,12 +126,13 @@
 	return p.Log.Append(ctx, Stream, payload)
 }
 
-// errUndecided means that the state does not say yet what becomes of a record.
-var errNoOutcome = fault.New("publish", Unknown, "undecided")
+// errNoOutcome means that the state does not yet determine the outcome of a record.
+// Publish never returns it.
+var errNoOutcome = fault.New("publish", Unknown, "record has no outcome yet")
 
-// decide looks up the outcome of a record in the state, or returns
-// errUndecided. The offset of the current version only grows, so a base that it
-// has passed can never win.
+// outcome returns the outcome of a record in the state, or errNoOutcome. The offset
+// of the current version only grows, so a record whose base is below it can no longer
+// be accepted.
 func (p *Publisher) outcome(op string, r Record, appended bool) (v Version, err error) {
 	err = errNoOutcome
 	p.Follower.View(func(s *State) {
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -1,13 +1,13 @@
-// Package configuration folds the stream "config" into the current document of
-// each environment, and publishes new documents by compare-and-set.
+// Package configuration derives the current document of each environment from the
+// stream "config", and publishes new documents by compare-and-set.
 //
-// The fold accepts a record for its form and its base alone, never for the
-// content of its document: a check that differs between program versions would
-// make processes disagree on which offset is current, and a later record that
-// one process accepts would lose in another. Publisher checks a document before
-// it appends it. A document that an operator appended to the log directly may
-// fail the check; then it is current, the next record must be based on it, and
-// each process keeps the newest version that passes its own check in force.
+// State accepts a record by its form and its base only, never by the content of its
+// document. If a check of the content differed between program versions, processes
+// would disagree on which offset is current, and one process would accept a later
+// record that another rejects. Publisher checks a document before it appends it. A
+// document that an operator appended to the log directly may fail the check. It is
+// then the current version and the base of the next record, while each process keeps
+// the newest version that passes its own check in force.
 package configuration
 
 import (
@@ -27,10 +27,10 @@
 // Stream is the stream of configuration records.
 const Stream = "config"
 
-// Limits of a record. They decide which records count, so that changing one
+// Limits of a record. They determine which records are accepted, so a change of one
 // makes old and new processes disagree.
 const (
-	MaxDocumentBytes = 512 << 10 // bytes
+	MaxDocumentBytes = 512 << 10
 	maxKeyBytes      = 128
 	maxAuthorBytes   = 256
 )
@@ -39,15 +39,15 @@
 
 // Record proposes a new document for an environment.
 type Record struct {
-	Key         string // names the proposal; empty in records that operators append by hand
+	Key         string // identifies the proposal; empty in records that operators append by hand
 	Environment units.EnvironmentName
-	Base        units.Offset // version that the proposal replaces; 0 for none
+	Base        units.Offset // offset of the version that the proposal replaces; 0 for none
 	Author      string
-	Document    []byte // raw, JSON with comments
+	Document    []byte // JSON with comments, as written
 }
 
-// recordBody is the JSON of a Record. The document is a string, which keeps its
-// comments; an operator may also write it as an object.
+// recordBody is the JSON form of a Record. EncodeRecord writes the document as a
+// string, which preserves its comments; an operator may also write it as an object.
 type recordBody struct {
 	Key         string          `json:"key"`
 	Environment string          `json:"environment"`
@@ -56,7 +56,7 @@
 	Document    json.RawMessage `json:"document"`
 }
 
-// EncodeRecord returns the payload of r.
+// EncodeRecord returns the log payload of r.
 func EncodeRecord(r Record) ([]byte, error) {
 	document, err := json.Marshal(string(r.Document))
 	if err != nil {
@@ -65,11 +65,12 @@
 	return json.Marshal(recordBody{r.Key, string(r.Environment), r.Base, r.Author, document})
 }
 
-// DecodeRecord reads a payload, which may contain comments. Unknown keys are
-// ignored, so that a later version may add some without splitting the readers.
+// DecodeRecord decodes a payload, which may contain comments. It ignores unknown
+// keys, so that a later program version may add keys and old and new readers still
+// accept the same records.
 func DecodeRecord(payload []byte) (Record, error) {
 	if len(payload) > 4*MaxDocumentBytes {
-		return Record{}, fmt.Errorf("record of %d bytes is too large", len(payload))
+		return Record{}, fmt.Errorf("record is too large: %d bytes", len(payload))
 	}
 	var body recordBody
 	if err := json.Unmarshal(payload, &body); err != nil {
@@ -123,7 +124,7 @@
 	}
 	record, err := stream.DecodeEnvelope(payload)
 	if err == nil && record.Snapshot == nil {
-		err = errors.New("envelope without a snapshot in the config stream")
+		err = errors.New("envelope in the config stream has no snapshot")
 	}
 	return record, err
 }
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -7,28 +7,29 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Limits of what State remembers. They decide what the fold does, so that
-// changing one makes old and new processes disagree.
+// Limits of a State. They affect which records it accepts and what it stores, so a
+// change of one makes old and new processes disagree.
 const (
 	maxEnvironments = 64
 	maxHistory      = 64 // versions per environment
-	// maxDocuments is how many versions keep their document. A process whose
-	// check fails the newest ones falls back to one of these.
+	// maxDocuments is the number of versions per environment that keep their
+	// document. A process whose check rejects the newest version falls back to an
+	// older one of these.
 	maxDocuments = 8
 )
 
 // Version is one accepted document.
 type Version struct {
-	Offset      units.Offset          `json:"offset"` // of its record; the version's number
-	Base        units.Offset          `json:"base"`   // version that it replaced; 0 for none
+	Offset      units.Offset          `json:"offset"` // of its record; identifies the version
+	Base        units.Offset          `json:"base"`   // offset of the version that it replaced; 0 for none
 	Environment units.EnvironmentName `json:"environment"`
 	Author      string                `json:"author"`
 	Key         string                `json:"key"`
 	Document    []byte                `json:"document,omitempty"` // nil in old versions
 }
 
-// State is the fold of the config stream. It is a stream.State; the zero value
-// is the empty state.
+// State holds the accepted versions of the config stream. It implements
+// stream.State; the zero value is the empty state.
 type State struct {
 	environments map[units.EnvironmentName][]Version // ascending offsets, never empty
 }
@@ -45,7 +46,7 @@
 	if len(history) > 0 {
 		current = history[len(history)-1].Offset
 	}
-	// Offset 0 means "no version", so a record there cannot be one.
+	// Offset 0 means "no version", so a record at offset 0 cannot be a version.
 	if r.Base != current || offset == 0 {
 		return nil
 	}
@@ -87,7 +88,7 @@
 	return err
 }
 
-// Environments returns the names of all environments, in no order.
+// Environments returns the names of all environments in unspecified order.
 func (s *State) Environments() []units.EnvironmentName {
 	names := make([]units.EnvironmentName, 0, len(s.environments))
 	for name := range s.environments {
@@ -105,8 +106,8 @@
 	return history[len(history)-1], true
 }
 
-// InForce returns the newest version that passes check, which is the current
-// one unless an operator appended a bad document to the log directly.
+// InForce returns the newest version that passes check. It is the current version
+// unless an operator appended an invalid document to the log directly.
 func (s *State) InForce(environment units.EnvironmentName, check func([]byte) error) (Version, bool) {
 	history := s.environments[environment]
 	for i := len(history) - 1; i >= 0 && history[i].Document != nil; i-- {
@@ -117,12 +118,13 @@
 	return Version{}, false
 }
 
-// History returns the newest versions of an environment in ascending order.
+// History returns the newest versions of an environment in ascending order of their
+// offsets.
 func (s *State) History(environment units.EnvironmentName) []Version {
 	return append([]Version(nil), s.environments[environment]...)
 }
 
-// byKey returns the version that was accepted under key.
+// versionByKey returns the version that was accepted with key.
 func (s *State) versionByKey(environment units.EnvironmentName, key string) (Version, bool) {
 	for _, v := range s.environments[environment] {
 		if v.Key == key {
@@ -142,8 +144,8 @@
 	return Version{}, false
 }
 
-// forgotten reports whether the version that replaced base may have left the
-// history.
+// successorTruncated reports whether the version that replaced base may have been
+// removed from the history.
 func (s *State) successorTruncated(environment units.EnvironmentName, base units.Offset) bool {
 	history := s.environments[environment]
 	return len(history) == maxHistory && base < history[0].Base
--- a/internal/operations/follower.go
+++ b/internal/operations/follower.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// readWait is short enough that an answer proves, well inside the time in
-	// which a change must be in force, that no change is missing.
+	// readWait is well below the time within which a change must be in force, so
+	// that each reply confirms early enough that no change is missing.
 	readWait = time.Second
-	// retryPause follows a failed read.
+	// retryPause is the maximum delay after a failed read.
 	retryPause = 150 * time.Millisecond
 )
 
-// Feed follows the operators' records. Set the exported fields before Run.
+// Follower reads the operators' records and holds the state that results from them.
+// Set the exported fields before calling Run.
 type Follower struct {
 	Store  durable.Store
 	Format RecordFormat
 
 	state         atomic.Pointer[State]
 	onChange      atomic.Pointer[func(State)]
-	completeUntil atomic.Int64 // bootclock.Instant up to which no change is missing; 0 before the first read
+	completeUntil atomic.Int64 // bootclock.Instant up to which state is complete; 0 before the first read
 }
 
 // State returns the newest state.
@@ -40,18 +41,18 @@
 	return State{}
 }
 
-// SetOnChange replaces the function that is called after each change, from the
-// goroutine of Run.
+// SetOnChange sets the function that is called with the state after each change, in
+// the goroutine of Run. It replaces the previous one.
 func (f *Follower) SetOnChange(fn func(State)) { f.onChange.Store(&fn) }
 
-// Current returns the instant up to which State misses no record, and false
+// CompleteUntil returns the instant up to which State reflects all records, and false
 // before the first read.
 func (f *Follower) CompleteUntil() (bootclock.Instant, bool) {
 	at := bootclock.Instant(f.completeUntil.Load())
 	return at, at != 0
 }
 
-// Run follows the records until ctx ends.
+// Run loads the state and applies new records until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		from, err := f.load(ctx)
@@ -61,13 +62,14 @@
 		if ctx.Err() != nil {
 			break
 		}
-		klog.InfoS("operators' records can't be read", "err", err)
+		klog.InfoS("read of the operators' records failed; loading them again", "err", err)
 		pause.Jittered(ctx, retryPause)
 	}
 	return nil
 }
 
-// load replaces the state by the newest record of each key.
+// load replaces the state with the result of the newest record of each key. It
+// returns the offset at which follow starts.
 func (f *Follower) load(ctx context.Context) (units.Offset, error) {
 	sent := bootclock.Now()
 	snapshot, err := f.Store.ReadSnapshot(ctx, durable.Topic(f.Format.Topic()))
@@ -82,12 +84,13 @@
 	return snapshot.From, nil
 }
 
+// follow applies new records until ctx ends or a read fails for good.
 func (f *Follower) follow(ctx context.Context, from units.Offset) error {
 	for ctx.Err() == nil {
 		sent := bootclock.Now()
 		batch, err := f.Store.Read(ctx, durable.Topic(f.Format.Topic()), true, from, readWait)
 		if fault.Is(err, durable.Unavailable) {
-			klog.V(2).InfoS("read of the operators' records failed", "err", err)
+			klog.V(2).InfoS("read of the operators' records failed; will try again", "err", err)
 			pause.Jittered(ctx, retryPause)
 			continue
 		}
@@ -108,23 +111,27 @@
 	return ctx.Err()
 }
 
+// apply returns the state after one record. It skips invalid records and older
+// configurations.
 func (f *Follower) apply(state State, key string, value []byte) State {
 	next, err := f.Format.Apply(state, key, value)
 	if err != nil {
-		klog.ErrorS(err, "record of the operators is skipped", "key", key)
+		klog.ErrorS(err, "skipped an invalid record of the operators", "key", key)
 		return state
 	}
 	if c := next.Configuration; c != nil && state.Configuration != nil && c.Version < state.Configuration.Version {
-		klog.InfoS("older configuration is skipped", "version", c.Version, "inForce", state.Configuration.Version)
+		klog.InfoS("skipped a configuration that is older than the one in force", "version", c.Version, "inForce", state.Configuration.Version)
 		return state
 	}
 	return next
 }
 
+// publish makes state the current one, complete up to the instant read, and calls the
+// function that SetOnChange has set.
 func (f *Follower) publish(state State, read bootclock.Instant) {
 	before := f.State()
 	if c, old := state.Configuration, before.Configuration; c != nil && old != nil && c.Version < old.Version {
-		state.Configuration = old // a version that was in force never returns
+		state.Configuration = old // the version in force is never replaced by an older one
 	}
 	f.state.Store(&state)
 	f.completeUntil.Store(int64(read))
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,6 +1,6 @@
-// Package operations holds what the operators have asked for: the routes of
-// the queues and the failure domains that are out of service. A Feed follows
-// their records; readers take immutable copies.
+// Package operations holds the settings that the operators control: the routes to
+// the queues, the services, the request limits, and the failure domains that are out
+// of service. A Follower reads the operators' records and provides immutable states.
 package operations
 
 import (
@@ -11,25 +11,25 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Version orders configurations; it rises in uneven steps.
+// Version orders configurations. Versions increase, but not by a fixed step.
 type Version int64
 
-// Route leads the requests for a host and a path prefix to a queue.
+// Route directs the requests for a host and a path prefix to a queue.
 type Route struct {
 	Queue   workflow.QueueName
 	Host    string
 	Prefix  string
-	Timeout time.Duration // longest time to answer a request
+	Timeout time.Duration // deadline for the response to a request
 	Policy  workflow.Policy
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name            units.ServiceName
-	RejectsOverload bool // its workers refuse what does not fit
+	RejectsOverload bool // its workers reject tasks that exceed their capacity
 }
 
-// Limits bound the requests of clients.
+// Limits holds the limits for the requests of clients.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -37,7 +37,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version in full. It does not change once published.
+// Configuration is one complete version of the configuration. It is immutable after
+// Index.
 type Configuration struct {
 	Version  Version
 	Routes   []Route
@@ -48,7 +49,8 @@
 	byName map[workflow.QueueName]*Route
 }
 
-// Index prepares the lookups; it is called once, before the configuration is shared.
+// Index builds the indexes for Match and Queue. Call it once, before the
+// configuration is shared.
 func (c *Configuration) Index() {
 	c.byHost = make(map[string][]*Route)
 	c.byName = make(map[workflow.QueueName]*Route, len(c.Routes))
@@ -67,7 +69,8 @@
 	}
 }
 
-// Match returns the route with the longest prefix of path, or nil.
+// Match returns the route for host whose prefix is the longest one that matches path,
+// or nil. It ignores a port in host.
 func (c *Configuration) Match(host, path string) *Route {
 	if c == nil {
 		return nil
@@ -83,7 +86,7 @@
 	return nil
 }
 
-// Queue returns the route of a queue, or nil when no route leads to it.
+// Queue returns the route to a queue, or nil if there is none.
 func (c *Configuration) Queue(name workflow.QueueName) *Route {
 	if c == nil {
 		return nil
@@ -91,18 +94,18 @@
 	return c.byName[name]
 }
 
-// State is everything that the operators have in force. It is immutable.
+// State holds all operator settings that are in force. It is immutable.
 type State struct {
-	Configuration *Configuration            // nil before the first version is known
-	OutOfService  map[units.DomainName]bool // failure domains that get no new work
+	Configuration *Configuration            // nil before the first version has been read
+	OutOfService  map[units.DomainName]bool // failure domains that receive no new tasks
 }
 
-// Records is what a record of the operators changes; the translation of their
-// format implements it.
+// RecordFormat decodes the operators' records. The package that knows their format
+// implements it.
 type RecordFormat interface {
 	// Apply returns the state after a record with key and value; a nil value
 	// deletes the key. An error leaves the state as it is.
 	Apply(state State, key string, value []byte) (State, error)
-	// Topic names the topic of the records, which has keys.
+	// Topic returns the name of the topic of the records. Its records have keys.
 	Topic() string
 }
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -29,9 +29,9 @@
 	retryPause            = 50 * time.Millisecond
 	maxRetryPause         = time.Second
 	maxQueueBytes         = 64 << 20
-	// windowNarrowingDivisor is the divisor of the share of the window that each
-	// successful append removes. With 16, 12 writers exceeded a limit of 400 appends/s
-	// 36 times a second, with 32 only 22 times.
+	// windowNarrowingDivisor determines how much a successful append narrows the
+	// window: by the window divided by this value. With 16, 12 writers exceeded a limit
+	// of 400 appends/s 36 times a second; with 32, 22 times a second.
 	windowNarrowingDivisor = 32
 	// maxReadBackReads bounds the reads that search for an append whose reply was
 	// lost; there are few records between readBackFrom and that append.
@@ -64,7 +64,7 @@
 	tailLocated  bool         // readBackFrom is set
 	window       time.Duration
 	lastAppendAt time.Time // start of the last append
-	deferred     *request  // claimed from the queue, but too large for the last batch
+	deferred     *request  // claimed from the queue, but left out of the last batch
 	stats        writerStats
 }
 
@@ -116,14 +116,14 @@
 		r.size += len(e) + 4 // protobuf tag and length
 	}
 	if limit := orDefault(w.MaxCallBytes, defaultMaxCallBytes); r.size > limit {
-		return 0, newError(op, Refused, "entries have %d bytes, which exceeds the limit of %d", r.size, limit)
+		return 0, newError(op, Refused, "entries of %d bytes exceed %d", r.size, limit)
 	}
 	if len(r.entries) == 0 && r.snapshot == nil {
-		return 0, newError(op, Refused, "call has no entries")
+		return 0, newError(op, Refused, "no entries")
 	}
 	if w.queuedBytes.Add(int64(r.size)) > maxQueueBytes {
 		w.queuedBytes.Add(int64(-r.size))
-		return 0, newError(op, Unavailable, "queue of stream %s is full: %d bytes are pending", w.Stream, w.queuedBytes.Load())
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d bytes wait for the log", w.Stream, w.queuedBytes.Load())
 	}
 	select {
 	case <-w.stopped:
@@ -134,7 +134,7 @@
 	case w.queue <- r:
 	default:
 		w.queuedBytes.Add(int64(-r.size))
-		return 0, newError(op, Unavailable, "queue of stream %s is full: %d calls are pending", w.Stream, cap(w.queue))
+		return 0, newError(op, Unavailable, "queue of stream %s is full: %d calls wait for the log", w.Stream, cap(w.queue))
 	}
 	return w.awaitResult(ctx, op, r)
 }
@@ -414,5 +414,5 @@
 			return 0, false, nil
 		}
 	}
-	return 0, false, errors.New("read back: too many records between the last located offset and the tail")
+	return 0, false, errors.New("read back: the lost record is too far behind the tail")
 }
