--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -23,49 +23,49 @@
 	offset   units.Offset
 }
 
-// lastRecords holds the last accepted record of each writer. A writer appends one
+// writerTable holds the last accepted record of each writer. A writer appends one
 // record at a time in sequence order, so a sequence at or below the last one is
 // a duplicate, or an append that the writer has already abandoned. The table
 // depends only on the records of the stream, so that all readers evict the same
 // writers.
-type lastRecords map[string]lastRecord
+type writerTable map[string]lastRecord
 
 // accept reports whether the record is new and, if so, stores it as the last one
 // of its writer. Records without a writer are always new.
-func (w lastRecords) accept(writer string, sequence uint64, offset units.Offset) bool {
+func (t writerTable) accept(writer string, sequence uint64, offset units.Offset) bool {
 	if writer == "" {
 		return true
 	}
-	last, found := w[writer]
+	last, found := t[writer]
 	if found && sequence <= last.sequence {
 		return false
 	}
-	if !found && len(w) >= maxWriters {
-		w.removeOldest()
+	if !found && len(t) >= maxWriters {
+		t.removeOldest()
 	}
-	w[writer] = lastRecord{sequence, offset}
+	t[writer] = lastRecord{sequence, offset}
 	return true
 }
 
 // removeOldest removes the writer whose last record has the lowest offset.
-func (w lastRecords) removeOldest() {
+func (t writerTable) removeOldest() {
 	oldest, found := "", false
-	for name, s := range w {
-		if !found || s.offset < w[oldest].offset {
+	for name, s := range t {
+		if !found || s.offset < t[oldest].offset {
 			oldest, found = name, true
 		}
 	}
-	delete(w, oldest)
+	delete(t, oldest)
 }
 
 // encodeCheckpoint encodes a state together with the last record of each writer.
 // The result is an Envelope whose snapshot holds the state and whose entries
 // describe the writers. Each entry is itself an Envelope, with the offset of the
 // writer's last record in its Snapshot.
-func encodeCheckpoint(state []byte, next units.Offset, memory lastRecords) ([]byte, error) {
+func encodeCheckpoint(state []byte, next units.Offset, records writerTable) ([]byte, error) {
 	checkpoint := &wire.Envelope{Snapshot: &wire.Snapshot{Offset: uint64(next), State: state}}
-	for _, name := range slices.Sorted(maps.Keys(memory)) {
-		s := memory[name]
+	for _, name := range slices.Sorted(maps.Keys(records)) {
+		s := records[name]
 		encoded, err := proto.Marshal(&wire.Envelope{
 			Writer: name, Sequence: s.sequence, Snapshot: &wire.Snapshot{Offset: uint64(s.offset)},
 		})
@@ -78,7 +78,7 @@
 }
 
 // decodeCheckpoint decodes the result of encodeCheckpoint.
-func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, memory lastRecords, err error) {
+func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, records writerTable, err error) {
 	var checkpoint wire.Envelope
 	if err := proto.Unmarshal(encoded, &checkpoint); err != nil {
 		return nil, 0, nil, err
@@ -86,13 +86,13 @@
 	if checkpoint.GetSnapshot() == nil || len(checkpoint.GetEntries()) > maxWriters {
 		return nil, 0, nil, errors.New("checkpoint has no state or too many writers")
 	}
-	memory = make(lastRecords, len(checkpoint.GetEntries()))
+	records = make(writerTable, len(checkpoint.GetEntries()))
 	for _, encoded := range checkpoint.GetEntries() {
 		var w wire.Envelope
 		if err := proto.Unmarshal(encoded, &w); err != nil {
 			return nil, 0, nil, fmt.Errorf("decode a writer in the checkpoint: %w", err)
 		}
-		memory[w.GetWriter()] = lastRecord{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
+		records[w.GetWriter()] = lastRecord{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
 	}
-	return checkpoint.GetSnapshot().GetState(), units.Offset(checkpoint.GetSnapshot().GetOffset()), memory, nil
+	return checkpoint.GetSnapshot().GetState(), units.Offset(checkpoint.GetSnapshot().GetOffset()), records, nil
 }
--- a/internal/stream/follower.go
+++ b/internal/stream/follower.go
@@ -49,7 +49,7 @@
 
 	mu                sync.RWMutex
 	next              units.Offset // all records below it have been applied
-	lastRecords       lastRecords
+	lastRecords       writerTable
 	loaded            bool
 	incomplete        bool          // records expired before a snapshot covered them
 	tailReadAt        time.Time     // start of the last read that reached the tail
--- a/internal/stream/recovery.go
+++ b/internal/stream/recovery.go
@@ -65,7 +65,7 @@
 type checkpoint struct {
 	state       []byte
 	next        units.Offset
-	lastRecords lastRecords
+	lastRecords writerTable
 	size        int // of the encoded snapshot; 0 when there is none
 }
 
@@ -186,7 +186,7 @@
 		}
 		high = low
 	}
-	return checkpoint{next: first, lastRecords: lastRecords{}}, nil
+	return checkpoint{next: first, lastRecords: writerTable{}}, nil
 }
 
 // scan reads the records from low up to, but not including, high and adds their
--- a/internal/stream/snapshotter.go
+++ b/internal/stream/snapshotter.go
@@ -77,7 +77,7 @@
 // the retention time, so that a process with a complete state can append one first.
 func (s *Snapshotter[S]) due(now, started time.Time) bool {
 	p := s.Follower.snapshotStatus()
-	if !p.loaded || p.next <= p.start || now.Sub(p.tailReadAt) > maxSnapshotStaleness {
+	if !p.loaded || p.next <= p.loadedFrom || now.Sub(p.tailReadAt) > maxSnapshotStaleness {
 		return false
 	}
 	half := s.Retention / 2
@@ -99,9 +99,9 @@
 // snapshotStatus holds the values that due depends on.
 type snapshotStatus struct {
 	snapshotInfo
-	next, first, start units.Offset
-	tailReadAt         time.Time
-	loaded, incomplete bool
+	next, first, loadedFrom units.Offset
+	tailReadAt              time.Time
+	loaded, incomplete      bool
 }
 
 func (f *Follower[S]) snapshotStatus() snapshotStatus {
@@ -110,7 +110,7 @@
 	p := snapshotStatus{snapshotInfo: f.latestSnapshot, next: f.next, first: f.first, tailReadAt: f.tailReadAt, loaded: f.loaded, incomplete: f.incomplete}
 	p.parts = nil
 	if p.observedAt.IsZero() {
-		p.start = p.offset // without a snapshot, one is needed only after a new record
+		p.loadedFrom = p.offset // without a snapshot, one is due only after a new record; with one it stays 0
 	}
 	return p
 }
