--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -99,8 +99,8 @@
 // this process owns the stream.
 func newSnapshotter[S stream.State](e *Entry, f *stream.Follower[S], w *stream.Writer) *stream.Snapshotter[S] {
 	return &stream.Snapshotter[S]{
-		Follower: f, Writer: w, Every: entriesPerSnapshot, Retention: e.Settings.LogRetention,
-		Owner: func() bool { return e.ownership.Load().owns("stream/" + f.Stream) },
+		Follower: f, Writer: w, EntryInterval: entriesPerSnapshot, Retention: e.Settings.LogRetention,
+		IsOwner: func() bool { return e.ownership.Load().owns("stream/" + f.Stream) },
 	}
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -26,7 +26,7 @@
 type Entry struct {
 	Settings *Settings
 	Store    durable.Store
-	Feed     *operations.Feed
+	Feed     *operations.Follower
 	Scope    tally.Scope // nil disables metrics
 	Advisor  Advisor     // nil when the deployment has no advice service
 	// ClientHandler and ReadinessHandler return the handlers of the platform's
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -47,7 +47,7 @@
 	term      leadership.Term
 	settings  *Settings
 	store     durable.Store
-	feed      *operations.Feed
+	feed      *operations.Follower
 	isLeading func() bool // reports whether this process holds the leadership now
 	advisor   Advisor
 
@@ -222,7 +222,7 @@
 // mayStart reports whether tasks may start now: this process leads, and its
 // copy of the operators' records is recent.
 func (l *leader) mayStart(at scheduler.Timestamp) bool {
-	current, ok := l.feed.Current()
+	current, ok := l.feed.CompleteUntil()
 	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
 
--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -12,57 +12,60 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxWriters bounds the memory of repeated records. A writer is one run of a
-// process; at 110 restarts a day, 4,096 writers last for more than a month,
-// while a repeated append arrives within seconds.
+// maxWriters bounds the table of last records. Each run of a process is a writer
+// of its own; at 110 restarts a day, 4,096 entries cover more than a month, while
+// a duplicate append arrives within seconds.
 const maxWriters = 4096
 
-// seen is the last record that counted of one writer.
-type seen struct {
+// lastRecord is the last accepted record of one writer.
+type lastRecord struct {
 	sequence uint64
 	offset   units.Offset
 }
 
-// writers remembers the last sequence of each writer. A writer appends one
+// writerTable holds the last accepted record of each writer. A writer appends one
 // record at a time in sequence order, so a sequence at or below the last one is
-// a repeat, or an append that the writer had already given up on. The memory
-// depends only on the records, so that all readers forget the same writers.
-type writers map[string]seen
+// a duplicate, or an append that the writer has already abandoned. The table
+// depends only on the records of the stream, so that all readers evict the same
+// writers.
+type writerTable map[string]lastRecord
 
-// admit reports whether the record counts, and remembers it.
-func (w writers) admit(writer string, sequence uint64, offset units.Offset) bool {
+// accept reports whether the record is new and, if so, stores it as the last one
+// of its writer. Records without a writer are always new.
+func (t writerTable) accept(writer string, sequence uint64, offset units.Offset) bool {
 	if writer == "" {
 		return true
 	}
-	last, known := w[writer]
-	if known && sequence <= last.sequence {
+	last, found := t[writer]
+	if found && sequence <= last.sequence {
 		return false
 	}
-	if !known && len(w) >= maxWriters {
-		w.forgetOldest()
+	if !found && len(t) >= maxWriters {
+		t.removeOldest()
 	}
-	w[writer] = seen{sequence, offset}
+	t[writer] = lastRecord{sequence, offset}
 	return true
 }
 
-// forgetOldest drops the writer whose last record is the oldest.
-func (w writers) forgetOldest() {
+// removeOldest removes the writer whose last record has the lowest offset.
+func (t writerTable) removeOldest() {
 	oldest, found := "", false
-	for name, s := range w {
-		if !found || s.offset < w[oldest].offset {
+	for name, s := range t {
+		if !found || s.offset < t[oldest].offset {
 			oldest, found = name, true
 		}
 	}
-	delete(w, oldest)
+	delete(t, oldest)
 }
 
-// encodeCheckpoint encodes the state of the caller together with the memory of
-// writers: an Envelope whose snapshot holds the state and whose entries are the
-// writers, each an Envelope with the offset of its last record in a Snapshot.
-func encodeCheckpoint(state []byte, next units.Offset, memory writers) ([]byte, error) {
+// encodeCheckpoint encodes a state together with the last record of each writer.
+// The result is an Envelope whose snapshot holds the state and whose entries
+// describe the writers. Each entry is itself an Envelope, with the offset of the
+// writer's last record in its Snapshot.
+func encodeCheckpoint(state []byte, next units.Offset, records writerTable) ([]byte, error) {
 	checkpoint := &wire.Envelope{Snapshot: &wire.Snapshot{Offset: uint64(next), State: state}}
-	for _, name := range slices.Sorted(maps.Keys(memory)) {
-		s := memory[name]
+	for _, name := range slices.Sorted(maps.Keys(records)) {
+		s := records[name]
 		encoded, err := proto.Marshal(&wire.Envelope{
 			Writer: name, Sequence: s.sequence, Snapshot: &wire.Snapshot{Offset: uint64(s.offset)},
 		})
@@ -74,22 +77,22 @@
 	return proto.Marshal(checkpoint)
 }
 
-// decodeCheckpoint reverses encodeCheckpoint.
-func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, memory writers, err error) {
+// decodeCheckpoint decodes the result of encodeCheckpoint.
+func decodeCheckpoint(encoded []byte) (state []byte, next units.Offset, records writerTable, err error) {
 	var checkpoint wire.Envelope
 	if err := proto.Unmarshal(encoded, &checkpoint); err != nil {
 		return nil, 0, nil, err
 	}
 	if checkpoint.GetSnapshot() == nil || len(checkpoint.GetEntries()) > maxWriters {
-		return nil, 0, nil, errors.New("checkpoint without state or with too many writers")
+		return nil, 0, nil, errors.New("checkpoint has no state or too many writers")
 	}
-	memory = make(writers, len(checkpoint.GetEntries()))
+	records = make(writerTable, len(checkpoint.GetEntries()))
 	for _, encoded := range checkpoint.GetEntries() {
 		var w wire.Envelope
 		if err := proto.Unmarshal(encoded, &w); err != nil {
-			return nil, 0, nil, fmt.Errorf("writer in checkpoint: %w", err)
+			return nil, 0, nil, fmt.Errorf("decode a writer in the checkpoint: %w", err)
 		}
-		memory[w.GetWriter()] = seen{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
+		records[w.GetWriter()] = lastRecord{w.GetSequence(), units.Offset(w.GetSnapshot().GetOffset())}
 	}
-	return checkpoint.GetSnapshot().GetState(), units.Offset(checkpoint.GetSnapshot().GetOffset()), memory, nil
+	return checkpoint.GetSnapshot().GetState(), units.Offset(checkpoint.GetSnapshot().GetOffset()), records, nil
 }
