--- a/internal/faulttest/domain_test.go
+++ b/internal/faulttest/domain_test.go
@@ -28,7 +28,7 @@
 			s.Victim.Agent.Signal(syscall.SIGSTOP)
 			time.AfterFunc(obeyWithin+time.Second, func() { s.Victim.Agent.Signal(syscall.SIGCONT) })
 		}},
-		{"startsLate", func(s *System) { s.Victim.ToWorker.Delay(800 * time.Millisecond) }},
+		{"startsLate", func(s *System) { s.Victim.ToWorker.SetDelay(800 * time.Millisecond) }},
 		{"workerAnswersLate", func(s *System) { s.Fault(s.Victim.WorkerAt, `{"delay":700000000}`) }},
 		{"agentKilled", func(s *System) { s.Victim.Agent.Kill(); s.Victim.Agent.Start(s.t) }},
 		{"slowLog", func(s *System) { s.Fault(s.LogAt, `{"delay":"500ms"}`) }},
@@ -54,7 +54,7 @@
 
 func silenceEntries(s *System, forward, backward bool) {
 	for _, r := range s.Victim.ToEntry {
-		r.Silence(forward, backward)
+		r.SetBlackhole(forward, backward)
 	}
 }
 
@@ -101,7 +101,7 @@
 func TestEndpointLeaves(t *testing.T) {
 	t.Parallel()
 	for _, f := range []fault{
-		{"entryHearsNothing", func(s *System) { s.Victim.ToEntry[0].Silence(true, false) }},
+		{"entryHearsNothing", func(s *System) { s.Victim.ToEntry[0].SetBlackhole(true, false) }},
 		{"entryPaused", func(s *System) { paused(2*time.Second, s.Entries[0].Process) }},
 		{"agentReplaced", func(s *System) { s.Victim.Agent.Kill(); s.Victim.Agent.Start(s.t) }},
 	} {
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -209,7 +209,7 @@
 
 func restore(relays ...*relay.Relay) {
 	for _, r := range relays {
-		r.Restore()
+		r.ClearFaults()
 	}
 }
 
@@ -219,7 +219,7 @@
 
 func silentFor(d time.Duration, forward, backward bool, relays ...*relay.Relay) {
 	for _, r := range relays {
-		r.Silence(forward, backward)
+		r.SetBlackhole(forward, backward)
 	}
 	time.Sleep(d)
 	restore(relays...)
--- a/internal/faulttest/inject_test.go
+++ b/internal/faulttest/inject_test.go
@@ -65,10 +65,10 @@
 	all := append([]*relay.Relay{n.ToEndpoint, n.Lease, n.ToWorker}, n.ToEntry[:]...)
 	for _, r := range all {
 		for _, other := range all {
-			other.Delay(50 * time.Millisecond)
+			other.SetDelay(50 * time.Millisecond)
 		}
-		r.Refuse(true)
-		r.Cut()
+		r.SetRefusing(true)
+		r.CloseConnections()
 		time.Sleep(1500 * time.Millisecond)
 		restore(all...)
 	}
@@ -120,14 +120,14 @@
 
 func entryPausedWhileLeaseIsSilent(s *System) {
 	for _, r := range s.leases() {
-		r.Silence(true, true)
+		r.SetBlackhole(true, true)
 	}
 	paused(lapse, s.Entries[0].Process)
 	restore(s.leases()...)
 }
 
 func entryKilledInPartition(s *System) {
-	s.Victim.ToEntry[1].Silence(true, true)
+	s.Victim.ToEntry[1].SetBlackhole(true, true)
 	entryKilled(s)
 	restore(s.Victim.ToEntry[1])
 }
--- a/internal/faulttest/jobs_test.go
+++ b/internal/faulttest/jobs_test.go
@@ -88,7 +88,7 @@
 		{"agentKilled", agentKilledAtRandom},
 		{"startsLate", func(s *System) {
 			s.Fault(s.Victim.WorkerAt, slowStart)
-			s.Nodes[2].ToWorker.Delay(150 * time.Millisecond)
+			s.Nodes[2].ToWorker.SetDelay(150 * time.Millisecond)
 		}},
 		{"logRepliesLost", func(s *System) { s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":3}`) }},
 	} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,21 +12,21 @@
 // Relay forwards TCP connections to one address and injects network faults into
 // them. The faults apply to open connections and to new ones.
 type Relay struct {
-	target   string
-	listener net.Listener
-	refusing atomic.Bool
-	carried  atomic.Int64 // bytes passed on
-	forward  path         // from the side that dials to the target
-	backward path
+	target         string
+	listener       net.Listener
+	refusing       atomic.Bool
+	forwardedBytes atomic.Int64 // bytes passed on
+	toTarget       direction    // from the side that dials to the target
+	fromTarget     direction
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
 // path is one direction of a relay.
-type path struct {
-	silent atomic.Bool  // bytes vanish, the connection stays open
-	delay  atomic.Int64 // nanoseconds before each chunk is passed on
+type direction struct {
+	blackhole atomic.Bool  // bytes vanish, the connection stays open
+	delay     atomic.Int64 // nanoseconds before each chunk is passed on
 }
 
 // New listens on a free loopback port and forwards to target.
@@ -50,27 +50,27 @@
 func (r *Relay) Target() string { return r.target }
 
 // Carried returns how many bytes the relay has passed on.
-func (r *Relay) Carried() int64 { return r.carried.Load() }
+func (r *Relay) ForwardedBytes() int64 { return r.forwardedBytes.Load() }
 
 // Silence drops bytes silently in the chosen directions from now on.
 // Connections that lost bytes never recover; Restore cuts them.
-func (r *Relay) Silence(forward, backward bool) {
-	r.forward.silent.Store(forward)
-	r.backward.silent.Store(backward)
+func (r *Relay) SetBlackhole(forward, backward bool) {
+	r.toTarget.blackhole.Store(forward)
+	r.fromTarget.blackhole.Store(backward)
 }
 
 // Delay holds each chunk back for d in both directions.
-func (r *Relay) Delay(d time.Duration) {
-	r.forward.delay.Store(int64(d))
-	r.backward.delay.Store(int64(d))
+func (r *Relay) SetDelay(d time.Duration) {
+	r.toTarget.delay.Store(int64(d))
+	r.fromTarget.delay.Store(int64(d))
 }
 
 // Refuse closes new connections at once and leaves open ones alone.
-func (r *Relay) Refuse(refuse bool) { r.refusing.Store(refuse) }
+func (r *Relay) SetRefusing(refuse bool) { r.refusing.Store(refuse) }
 
 // Reset ends every open connection without a proper close, as a host does that
 // has forgotten them.
-func (r *Relay) Reset() {
+func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -82,7 +82,7 @@
 }
 
 // Cut closes every open connection.
-func (r *Relay) Cut() {
+func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -92,19 +92,19 @@
 
 // Restore ends every fault. A byte stream with a hole must not continue, so
 // connections that were open while the relay was silent are cut.
-func (r *Relay) Restore() {
-	if r.forward.silent.Load() || r.backward.silent.Load() {
-		r.Cut()
+func (r *Relay) ClearFaults() {
+	if r.toTarget.blackhole.Load() || r.fromTarget.blackhole.Load() {
+		r.CloseConnections()
 	}
-	r.Silence(false, false)
-	r.Delay(0)
-	r.Refuse(false)
+	r.SetBlackhole(false, false)
+	r.SetDelay(0)
+	r.SetRefusing(false)
 }
 
 // Close stops the relay.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.Cut()
+	r.CloseConnections()
 }
 
 func (r *Relay) accept() {
@@ -117,25 +117,25 @@
 			conn.Close()
 			continue
 		}
-		go r.join(conn)
+		go r.forwardConnection(conn)
 	}
 }
 
-func (r *Relay) join(dialler net.Conn) {
+func (r *Relay) forwardConnection(dialler net.Conn) {
 	target, err := net.DialTimeout("tcp", r.target, 2*time.Second)
 	if err != nil {
 		dialler.Close()
 		return
 	}
-	r.keep(dialler, target)
-	defer r.drop(dialler, target)
+	r.track(dialler, target)
+	defer r.closeAndUntrack(dialler, target)
 	var wait sync.WaitGroup
-	wait.Go(func() { r.copy(&r.forward, target, dialler) })
-	wait.Go(func() { r.copy(&r.backward, dialler, target) })
+	wait.Go(func() { r.forwardBytes(&r.toTarget, target, dialler) })
+	wait.Go(func() { r.forwardBytes(&r.fromTarget, dialler, target) })
 	wait.Wait()
 }
 
-func (r *Relay) keep(conns ...net.Conn) {
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (r *Relay) drop(conns ...net.Conn) {
+func (r *Relay) closeAndUntrack(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -154,22 +154,22 @@
 
 // copy passes bytes on until either side closes. The end of a silent
 // connection is not passed on either, as it would not cross a broken link.
-func (r *Relay) copy(p *path, to, from net.Conn) {
+func (r *Relay) forwardBytes(p *direction, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if d := p.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if n > 0 && !p.silent.Load() {
+		if n > 0 && !p.blackhole.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				from.Close()
 				return
 			}
-			r.carried.Add(int64(n))
+			r.forwardedBytes.Add(int64(n))
 		}
 		if err != nil {
-			if !p.silent.Load() {
+			if !p.blackhole.Load() {
 				to.Close()
 			}
 			return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,23 +27,23 @@
 	if err := exchange(conn, 1, time.Second); err != nil || <-received != 1 {
 		t.Fatalf("healthy relay: %v", err)
 	}
-	r.Silence(false, true)
+	r.SetBlackhole(false, true)
 	if err := exchange(conn, 2, 100*time.Millisecond); !isTimeout(err) || <-received != 2 {
 		t.Errorf("silent backward: got %v, want a timeout after delivery", err)
 	}
-	r.Silence(true, false)
+	r.SetBlackhole(true, false)
 	if err := exchange(conn, 3, 100*time.Millisecond); !isTimeout(err) || len(received) != 0 {
 		t.Errorf("silent forward: got %v and %d bytes delivered, want a timeout and none", err, len(received))
 	}
-	r.Restore()
+	r.ClearFaults()
 	if err := exchange(conn, 4, time.Second); err == nil || isTimeout(err) {
 		t.Errorf("restored: got %v, want a connection that was cut", err)
 	}
-	r.Refuse(true)
+	r.SetRefusing(true)
 	if err := exchange(dialRelay(t, r), 5, time.Second); err == nil || isTimeout(err) {
 		t.Errorf("refusing: got %v, want a closed connection", err)
 	}
-	r.Restore()
+	r.ClearFaults()
 	if err := exchange(dialRelay(t, r), 6, time.Second); err != nil || <-received != 6 {
 		t.Errorf("after the faults: %v", err)
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -121,17 +121,17 @@
 func runnerLink(h *host) *relay.Relay { return h.toRunner }
 
 func silence(l link, forward, backward bool) func(*Run, *host) {
-	return func(_ *Run, h *host) { l(h).Silence(forward, backward) }
+	return func(_ *Run, h *host) { l(h).SetBlackhole(forward, backward) }
 }
 
-func restore(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Restore() } }
+func restore(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).ClearFaults() } }
 
-func reset(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Reset() } }
+func reset(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).ResetConnections() } }
 
-func refuse(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Refuse(true) } }
+func refuse(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).SetRefusing(true) } }
 
 func delay(l link, d time.Duration) func(*Run, *host) {
-	return func(_ *Run, h *host) { l(h).Delay(d) }
+	return func(_ *Run, h *host) { l(h).SetDelay(d) }
 }
 
 func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Set(f) } }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -250,7 +250,7 @@
 	for _, h := range f.hosts() {
 		h.door.Set(metastore.Fault{})
 		for _, l := range h.links() {
-			l.Restore()
+			l.ClearFaults()
 		}
 		if h.runner != nil {
 			h.runner.Set(taskrunner.Fault{})
