--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -18,26 +18,26 @@
 
 // The kinds of Error.
 const (
-	Running    Kind = "running"    // the process runs already
-	NotStarted Kind = "notStarted" // the program or its log can't be opened
+	AlreadyRunning Kind = "running"    // the process runs already
+	NotStarted     Kind = "notStarted" // the program or its log can't be opened
 )
 
 // Process is a program that is started, stopped and started again. Set the
 // exported fields before Start. It is safe for concurrent use.
 type Process struct {
-	Name string
-	Args []string // the program and its arguments
-	Env  []string // added to the environment
-	Log  string   // file that the output is appended to
+	Name    string
+	Args    []string // the program and its arguments
+	Env     []string // added to the environment
+	LogPath string   // file that the output is appended to
 
-	mu      sync.Mutex
-	command *exec.Cmd // nil while it does not run
-	ended   chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd // nil while it does not run
+	exited chan struct{}
 }
 
 // starts runs on one locked thread for the life of this process: Linux
 // delivers Pdeathsig when the thread that started the child ends.
-var starts = sync.OnceValue(func() chan func() {
+var starterQueue = sync.OnceValue(func() chan func() {
 	queue := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -52,10 +52,10 @@
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.command != nil {
-		return fault.New("start "+p.Name, Running, "it runs already")
+	if p.cmd != nil {
+		return fault.New("start "+p.Name, AlreadyRunning, "it runs already")
 	}
-	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fault.Wrap("start "+p.Name, NotStarted, err)
 	}
@@ -65,7 +65,7 @@
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	starts() <- func() { started <- command.Start() }
+	starterQueue() <- func() { started <- command.Start() }
 	if err := <-started; err != nil {
 		return fault.Wrap("start "+p.Name, NotStarted, err)
 	}
@@ -74,7 +74,7 @@
 		_ = command.Wait() // how it ended is in its log
 		close(ended)
 	}()
-	p.command, p.ended = command, ended
+	p.cmd, p.exited = command, ended
 	return nil
 }
 
@@ -82,8 +82,8 @@
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.command != nil {
-		_ = p.command.Process.Signal(s)
+	if p.cmd != nil {
+		_ = p.cmd.Process.Signal(s)
 	}
 }
 
@@ -91,12 +91,12 @@
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.command == nil {
+	if p.cmd == nil {
 		return
 	}
-	_ = p.command.Process.Kill()
-	<-p.ended
-	p.command = nil
+	_ = p.cmd.Process.Kill()
+	<-p.exited
+	p.cmd = nil
 }
 
 // Terminate asks the process to stop, kills it when it has not ended within
@@ -104,7 +104,7 @@
 func (p *Process) Terminate(grace time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	if ended == nil {
 		return true
@@ -120,14 +120,14 @@
 }
 
 // Ended reports whether the process ended without Kill or Terminate.
-func (p *Process) Ended() bool {
+func (p *Process) Exited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.command == nil {
+	if p.cmd == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
--- a/internal/childprocess/childprocess_test.go
+++ b/internal/childprocess/childprocess_test.go
@@ -13,7 +13,7 @@
 
 func shell(t *testing.T, script string) *Process {
 	t.Helper()
-	p := &Process{Name: "shell", Args: []string{"/bin/sh", "-c", script}, Env: []string{"GREETING=hello"}, Log: filepath.Join(t.TempDir(), "log")}
+	p := &Process{Name: "shell", Args: []string{"/bin/sh", "-c", script}, Env: []string{"GREETING=hello"}, LogPath: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 func (p *Process) await(t *testing.T, text string) {
 	t.Helper()
 	for {
-		data, err := os.ReadFile(p.Log)
+		data, err := os.ReadFile(p.LogPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,8 +40,8 @@
 func TestProcessRunsOnceAndStartsAgain(t *testing.T) {
 	p := shell(t, `echo "$GREETING"; exec sleep 60`)
 	p.await(t, "hello")
-	if err := p.Start(); !fault.Is(err, Running) {
-		t.Errorf("second start: got %v, want kind %s", err, Running)
+	if err := p.Start(); !fault.Is(err, AlreadyRunning) {
+		t.Errorf("second start: got %v, want kind %s", err, AlreadyRunning)
 	}
 	p.Kill()
 	if err := p.Start(); err != nil {
@@ -68,14 +68,14 @@
 // Guards against a process that ends by itself without anybody noticing.
 func TestEndedTellsOfAnEndOfItsOwn(t *testing.T) {
 	p := shell(t, "exec sleep 60")
-	if p.Ended() {
+	if p.Exited() {
 		t.Error("a running process: got ended")
 	}
 	p.Signal(syscall.SIGKILL)
-	for !p.Ended() {
+	for !p.Exited() {
 		time.Sleep(time.Millisecond)
 	}
-	missing := &Process{Name: "missing", Args: []string{"/no/such/program"}, Log: filepath.Join(t.TempDir(), "log")}
+	missing := &Process{Name: "missing", Args: []string{"/no/such/program"}, LogPath: filepath.Join(t.TempDir(), "log")}
 	if err := missing.Start(); !fault.Is(err, NotStarted) {
 		t.Errorf("a program that is missing: got %v, want kind %s", err, NotStarted)
 	}
--- a/internal/faulttest/system.go
+++ b/internal/faulttest/system.go
@@ -152,7 +152,7 @@
 
 func (s *System) process(name, binary string, args ...string) *Process {
 	return &Process{childprocess.Process{
-		Name: name, Args: append([]string{filepath.Join(s.binaries, binary)}, args...), Log: filepath.Join(s.dir, name+".log"),
+		Name: name, Args: append([]string{filepath.Join(s.binaries, binary)}, args...), LogPath: filepath.Join(s.dir, name+".log"),
 	}}
 }
 
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -71,7 +71,7 @@
 	result := &Result{Seed: r.Seed, Faults: r.done, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Answers: g.answers}
 	for _, h := range r.fleet.hosts() {
 		result.Processes = append(result.Processes, h.name)
-		if h.process.Ended() {
+		if h.process.Exited() {
 			r.fail("processes do not end by themselves", fmt.Errorf("%s has ended", h.name))
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -142,7 +142,7 @@
 	path := h.settingsPath(r)
 	h.process = &childprocess.Process{
 		Name: h.name, Args: []string{r.Binary, h.role, "--advertise", advertised},
-		Env: []string{deployment.SettingsVariable + "=" + path}, Log: filepath.Join(r.Dir, h.name+".log"),
+		Env: []string{deployment.SettingsVariable + "=" + path}, LogPath: filepath.Join(r.Dir, h.name+".log"),
 	}
 	return h.writeSettings(path)
 }
@@ -218,7 +218,7 @@
 	for _, h := range f.entries {
 		for !h.ready(client) {
 			if time.Now().After(deadline) || !pause.For(ctx, pollEvery) {
-				return fault.New("start", NotStarted, "%s is not ready; its log is %s", h.name, h.process.Log)
+				return fault.New("start", NotStarted, "%s is not ready; its log is %s", h.name, h.process.LogPath)
 			}
 		}
 	}
