--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -35,7 +35,7 @@
 // Agent returns the command that runs an agent.
 func Agent() *cli.Command {
 	return &cli.Command{
-		Name: "agent", Usage: "run an agent beside a worker", ArgsUsage: "SETTINGS", Category: category, Description: agentDescription,
+		Name: "agent", Usage: "run an agent beside a worker", ArgsUsage: "SETTINGS", Category: commandCategory, Description: agentDescription,
 		Flags: []cli.Flag{checkFlag},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			path, err := settingsPath(cmd)
@@ -46,16 +46,16 @@
 			if err != nil || cmd.Bool(checkFlag.Name) {
 				return err
 			}
-			return interruptible(ctx, func(ctx context.Context) error { return runAgent(ctx, s) })
+			return runUntilSignal(ctx, func(ctx context.Context) error { return runAgent(ctx, s) })
 		},
 	}
 }
 
 const (
 	// workerConnections covers the calls that the agent makes at a time.
-	workerConnections = 8
+	maxIdleWorkerConnections = 8
 	// eventsPerHeartbeat keeps a burst of events within the node's 5 KB/s.
-	eventsPerHeartbeat = 16
+	maxEventsPerHeartbeat = 16
 )
 
 func runAgent(ctx context.Context, s *settings.Agent) error {
@@ -63,22 +63,22 @@
 	defer closer.Close()
 	forwarder := forward.New(forward.Options{Scope: scope, MaxQueued: s.Limits.QueuedRequests})
 	a := newAgent(s, scope, forwarder)
-	announce, err := net.Listen("tcp", s.AnnounceAddress.String())
+	announceListener, err := net.Listen("tcp", s.AnnounceAddress.String())
 	if err != nil {
 		return err
 	}
 	// The listeners outlive ctx, so that the endpoint can announce that it is
 	// leaving while the agent drains.
-	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
-	group, serving := errgroup.WithContext(serving)
-	serveUntil(serving, group, announce, forwarder.AnnounceHandler())
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	group, serveCtx := errgroup.WithContext(serveCtx)
+	serve(serveCtx, group, announceListener, forwarder.AnnounceHandler())
 	if s.StatusAddress.IsValid() {
-		status, err := net.Listen("tcp", s.StatusAddress.String())
+		statusListener, err := net.Listen("tcp", s.StatusAddress.String())
 		if err != nil {
 			stop()
 			return errors.Join(err, group.Wait())
 		}
-		serveUntil(serving, group, status, statusHandler(metrics))
+		serve(serveCtx, group, statusListener, statusHandler(metrics))
 	}
 	group.Go(func() error {
 		defer stop()
@@ -92,27 +92,27 @@
 
 // newAgent connects the parts of the agent.
 func newAgent(s *settings.Agent, scope tally.Scope, forwarder *forward.Forwarder) *agent.Agent {
-	recorder := timeline.NewRecorder("agent/"+string(s.Worker)+"/"+runID(), s.Limits.TimelineEvents, time.Now)
+	recorder := timeline.NewRecorder("agent/"+string(s.Worker)+"/"+newIncarnationID(), s.Limits.TimelineEvents, time.Now)
 	var acknowledged atomic.Uint64
-	changes := scope.Counter("agent_events")
-	var causes timeline.LatestEvents
+	eventCount := scope.Counter("agent_events")
+	var latestEvents timeline.LatestEvents
 	a := &agent.Agent{
 		WorkerID: s.Worker, Domain: s.FailureDomain, Rack: s.Rack, Region: s.Region,
 		LinkAddress: s.LinkAddress.String(), AdvertisedLinkAddress: s.AdvertisedLinkAddress.String(), ProcessName: recorder.Process(),
 		Worker: &workerapi.Client{
 			BaseURL: "http://" + s.WorkerAddress.String(),
-			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workerConnections, IdleConnTimeout: time.Minute}},
+			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleWorkerConnections, IdleConnTimeout: time.Minute}},
 		},
 		RequestHandler: forwarder, EndpointReports: forwarder.EndpointReports, Guard: &guard.Controller{},
 		OmitUnchanged: true,
 		RecordEvent: func(kind, subject, text string) {
-			changes.Inc(1)
+			eventCount.Inc(1)
 			klog.InfoS("agent event", "kind", kind, "subject", subject, "text", text)
-			causes.Set(subject, recorder.Record("worker", kind, subject, text, causes.Get(subject)))
+			latestEvents.Set(subject, recorder.Record("worker", kind, subject, text, latestEvents.Get(subject)))
 		},
-		RecordCause: causes.Set,
+		RecordCause: latestEvents.Set,
 		PendingEvents: func() []*wire.Event {
-			return timeline.ToWire(recorder.EventsAfter(acknowledged.Load(), eventsPerHeartbeat))
+			return timeline.ToWire(recorder.EventsAfter(acknowledged.Load(), maxEventsPerHeartbeat))
 		},
 		AcknowledgeEvents: acknowledged.Store,
 		Clock:             recorder.AdvanceClock,
@@ -132,7 +132,7 @@
 }
 
 // serveUntil serves a small local API until ctx ends.
-func serveUntil(ctx context.Context, group *errgroup.Group, l net.Listener, handler http.Handler) {
+func serve(ctx context.Context, group *errgroup.Group, l net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	group.Go(func() error {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -27,7 +27,7 @@
 // Entry returns the command that runs an entry process.
 func Entry() *cli.Command {
 	return &cli.Command{
-		Name: "entry", Usage: "run an entry process", ArgsUsage: "SETTINGS", Category: category, Description: entryDescription,
+		Name: "entry", Usage: "run an entry process", ArgsUsage: "SETTINGS", Category: commandCategory, Description: entryDescription,
 		Flags: []cli.Flag{
 			checkFlag,
 			&cli.DurationFlag{Name: "drain-for", Value: 3 * time.Second, Usage: "`TIME` for which readiness is off before listeners close on a planned stop"},
@@ -51,19 +51,19 @@
 	defer closer.Close()
 	e := NewEntry(s, scope)
 	e.MetricsHandler, e.DrainDelay = metrics, drainFor
-	return interruptible(ctx, e.Run)
+	return runUntilSignal(ctx, e.Run)
 }
 
 // NewEntry connects the parts of an entry process.
 func NewEntry(s *settings.Entry, scope tally.Scope) *entry.Entry {
 	return &entry.Entry{
-		Settings: s, MetricsScope: scope, NewRequestServer: requests(s, scope),
+		Settings: s, MetricsScope: scope, NewRequestServer: newRequestServer(s, scope),
 		Log: &logservice.Client{
 			BaseURL: "http://" + s.LogAddress.String(),
-			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: logConnections, IdleConnTimeout: time.Minute}},
+			HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleLogConnections, IdleConnTimeout: time.Minute}},
 		},
 	}
 }
 
 // logConnections covers three followers and three writers.
-const logConnections = 8
+const maxIdleLogConnections = 8
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -12,7 +12,7 @@
 )
 
 // category is the heading of the processes in the help.
-const category = "processes"
+const commandCategory = "processes"
 
 var checkFlag = &cli.BoolFlag{Name: "check", Usage: "check the settings and exit"}
 
@@ -27,7 +27,7 @@
 
 // interruptible runs fn until it returns or the process gets SIGINT or SIGTERM;
 // a second signal ends the process at once.
-func interruptible(ctx context.Context, fn func(context.Context) error) error {
+func runUntilSignal(ctx context.Context, fn func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	go func() {
@@ -38,4 +38,4 @@
 }
 
 // runID tells runs of one process apart on the time line.
-func runID() string { return rand.Text()[:8] }
+func newIncarnationID() string { return rand.Text()[:8] }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -18,7 +18,7 @@
 
 // requestPath connects the gateway and its table of endpoints to the entry
 // process.
-type requestPath struct {
+type requestServer struct {
 	*gateway.Gateway
 	table *routing.Table
 
@@ -26,16 +26,16 @@
 	sessions map[*link.Session]struct{}
 }
 
-func requests(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
+func newRequestServer(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
 	return func(e *entry.Entry) entry.RequestServer {
 		table := routing.New(routing.Settings{Domain: s.FailureDomain, Region: s.Region})
-		document := func() *environment.Document {
+		currentDocument := func() *environment.Document {
 			d, _ := e.Document()
 			return d
 		}
-		return &requestPath{
+		return &requestServer{
 			Gateway: gateway.New(gateway.Options{
-				Table: table, Document: document, Scope: scope,
+				Table: table, Document: currentDocument, Scope: scope,
 				MaxRequests: s.Limits.CallerRequests, MaxBodyBytes: int64(s.Limits.CallerBody), MaxTimeout: s.Limits.CallerTimeout,
 			}),
 			table: table, sessions: make(map[*link.Session]struct{}),
@@ -44,10 +44,10 @@
 }
 
 // Run implements entry.RequestServer.
-func (p *requestPath) Run(ctx context.Context) error { return p.table.Run(ctx) }
+func (p *requestServer) Run(ctx context.Context) error { return p.table.Run(ctx) }
 
 // ObserveHeartbeat implements entry.RequestServer.
-func (p *requestPath) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
+func (p *requestServer) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
 	p.table.RecordHeartbeat(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,4 +65,4 @@
 }
 
 // SetDocument implements entry.RequestServer.
-func (p *requestPath) SetDocument(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
+func (p *requestServer) SetDocument(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
