--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -27,16 +27,16 @@
 	}
 }
 
-func cancel(s *session) error {
-	args, err := arguments(s.cmd, "JOB")
+func cancel(inv *invocation) error {
+	args, err := arguments(inv.cmd, "JOB")
 	if err != nil {
 		return err
 	}
-	return mutate(s.cmd, func(key string) error {
-		job, err := s.Cancel(s.ctx, units.JobID(args[0]), s.cmd.String("reason"), key)
+	return mutate(inv.cmd, func(key string) error {
+		job, err := inv.Cancel(inv.ctx, units.JobID(args[0]), inv.cmd.String("reason"), key)
 		if err != nil {
 			return err
 		}
-		return s.print(job, func(w io.Writer) { fmt.Fprintf(w, "%s is %s\n", job.ID, job.State) })
+		return inv.print(job, func(w io.Writer) { fmt.Fprintf(w, "%s is %s\n", job.ID, job.State) })
 	})
 }
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -44,36 +44,36 @@
 		return invalidDocument(cmd.Name, environment.Problems(err))
 	}
 	if len(cmd.StringSlice("server")) == 0 {
-		s := &session{ctx: ctx, cmd: cmd}
-		if err := s.checkOutput(); err != nil {
+		inv := &invocation{ctx: ctx, cmd: cmd}
+		if err := inv.checkOutput(); err != nil {
 			return err
 		}
-		return s.printChecked(args[0], administration.Checked{Problems: []environment.Problem{}, Changes: []environment.Change{}})
+		return inv.printChecked(args[0], administration.Checked{Problems: []environment.Problem{}, Changes: []environment.Change{}})
 	}
-	s, err := connect(ctx, cmd)
+	inv, err := connect(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	checked, err := s.Check(ctx, document.Environment, args[0], text)
+	checked, err := inv.Check(ctx, document.Environment, args[0], text)
 	if err != nil {
 		return err
 	}
 	if len(checked.Problems) > 0 {
 		return invalidDocument(cmd.Name, checked.Problems)
 	}
-	return s.printChecked(args[0], checked)
+	return inv.printChecked(args[0], checked)
 }
 
 func invalidDocument(verb string, problems []environment.Problem) error {
 	return &administration.Error{Op: verb, Kind: administration.KindInvalid,
-		Message: count(len(problems), "error"), Details: administration.Details{Problems: problems}}
+		Message: formatCount(len(problems), "error"), Details: administration.Details{Problems: problems}}
 }
 
-func (s *session) printChecked(file string, checked administration.Checked) error {
-	return s.print(checked, func(w io.Writer) {
+func (inv *invocation) printChecked(file string, checked administration.Checked) error {
+	return inv.print(checked, func(w io.Writer) {
 		fmt.Fprintf(w, "%s is valid\n", file)
 		if checked.Base != 0 {
-			fmt.Fprintf(w, "%s against version %d\n", count(len(checked.Changes), "change"), checked.Base)
+			fmt.Fprintf(w, "%s against version %d\n", formatCount(len(checked.Changes), "change"), checked.Base)
 		}
 		writeChanges(w, checked.Changes)
 	})
--- a/internal/operator/compare.go
+++ b/internal/operator/compare.go
@@ -45,15 +45,15 @@
 	if err != nil {
 		return err
 	}
-	s, err := connect(ctx, cmd)
+	inv, err := connect(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	changes, err := s.Compare(ctx, env, units.Offset(cmd.Uint64("from")), units.Offset(cmd.Uint64("to")))
+	changes, err := inv.Compare(ctx, env, units.Offset(cmd.Uint64("from")), units.Offset(cmd.Uint64("to")))
 	if err != nil {
 		return err
 	}
-	return s.printChanges(changes)
+	return inv.printChanges(changes)
 }
 
 func compareFiles(ctx context.Context, cmd *cli.Command) error {
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	s := &session{ctx: ctx, cmd: cmd}
-	if err := s.checkOutput(); err != nil {
+	inv := &invocation{ctx: ctx, cmd: cmd}
+	if err := inv.checkOutput(); err != nil {
 		return err
 	}
 	var documents [2]*environment.Document
@@ -78,14 +78,14 @@
 	if len(problems) > 0 {
 		return invalidDocument(cmd.Name, problems)
 	}
-	return s.printChanges(environment.Compare(documents[0], documents[1]))
+	return inv.printChanges(environment.Compare(documents[0], documents[1]))
 }
 
-func (s *session) printChanges(changes []environment.Change) error {
+func (inv *invocation) printChanges(changes []environment.Change) error {
 	if changes == nil {
 		changes = []environment.Change{}
 	}
-	return s.print(changes, func(w io.Writer) {
+	return inv.print(changes, func(w io.Writer) {
 		if len(changes) == 0 {
 			fmt.Fprintln(w, "no differences")
 		}
--- a/internal/operator/domain.go
+++ b/internal/operator/domain.go
@@ -40,12 +40,12 @@
 		Usage:     usage,
 		ArgsUsage: "NAME",
 		Flags:     []cli.Flag{environmentFlag(), authorFlag(), keyFlag()},
-		Action:    action(func(s *session) error { return setDomainState(s, state) }),
+		Action:    action(func(inv *invocation) error { return setDomainState(inv, state) }),
 	}
 }
 
-func setDomainState(s *session, state environment.DomainState) error {
-	return edit(s, "NAME", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
-		return s.SetDomainState(s.ctx, env, units.DomainName(name), state, author(s.cmd), key)
+func setDomainState(inv *invocation, state environment.DomainState) error {
+	return editDocument(inv, "NAME", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
+		return inv.SetDomainState(inv.ctx, env, units.DomainName(name), state, authorOf(inv.cmd), key)
 	})
 }
--- a/internal/operator/drain.go
+++ b/internal/operator/drain.go
@@ -21,12 +21,12 @@
 Examples:
   wasabihill drain worker-7 -e production`,
 		Flags:  []cli.Flag{environmentFlag(), authorFlag(), keyFlag()},
-		Action: action(func(s *session) error { return setDrained(s, true) }),
+		Action: action(func(inv *invocation) error { return setDrained(inv, true) }),
 	}
 }
 
-func setDrained(s *session, drained bool) error {
-	return edit(s, "WORKER", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
-		return s.SetDrained(s.ctx, env, units.WorkerID(name), drained, author(s.cmd), key)
+func setDrained(inv *invocation, drained bool) error {
+	return editDocument(inv, "WORKER", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
+		return inv.SetDrained(inv.ctx, env, units.WorkerID(name), drained, authorOf(inv.cmd), key)
 	})
 }
--- a/internal/operator/entries.go
+++ b/internal/operator/entries.go
@@ -22,15 +22,15 @@
 	}
 }
 
-func entries(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func entries(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	list, err := s.Entries(s.ctx)
+	list, err := inv.Entries(inv.ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "ENTRY\tDOMAIN\tREGION\tLINK ADDRESS\tSTATE")
 		for _, e := range list {
 			name, state := string(e.ID), "silent"
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -26,12 +26,12 @@
 			if cmd.Args().Len() < 2 {
 				return usageErrorf("run wasabihill explain --help", "got %d arguments; want a job's id and log files", cmd.Args().Len())
 			}
-			return explainJob(cmd, cmd.Args().First(), cmd.Args().Tail())
+			return printExplanation(cmd, cmd.Args().First(), cmd.Args().Tail())
 		},
 	}
 }
 
-func explainJob(cmd *cli.Command, id string, files []string) error {
+func printExplanation(cmd *cli.Command, id string, files []string) error {
 	var lines []explain.Line
 	for _, name := range files {
 		file, err := os.Open(name)
--- a/internal/operator/session.go
+++ b/internal/operator/invocation.go
@@ -28,26 +28,26 @@
 const defaultTimeout = 15 * time.Second
 
 // session is one run of a verb.
-type session struct {
+type invocation struct {
 	*administration.Client
 	ctx context.Context
 	cmd *cli.Command
 }
 
 // action adapts the step of a verb that needs a server.
-func action(step func(*session) error) cli.ActionFunc {
+func action(fn func(*invocation) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		s, err := connect(ctx, cmd)
+		inv, err := connect(ctx, cmd)
 		if err != nil {
 			return err
 		}
-		return step(s)
+		return fn(inv)
 	}
 }
 
-func connect(ctx context.Context, cmd *cli.Command) (*session, error) {
-	s := &session{ctx: ctx, cmd: cmd}
-	if err := s.checkOutput(); err != nil {
+func connect(ctx context.Context, cmd *cli.Command) (*invocation, error) {
+	inv := &invocation{ctx: ctx, cmd: cmd}
+	if err := inv.checkOutput(); err != nil {
 		return nil, err
 	}
 	servers := cmd.StringSlice("server")
@@ -58,19 +58,19 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Client = &administration.Client{Servers: servers, Token: token, Timeout: cmd.Duration("timeout")}
-	return s, nil
+	inv.Client = &administration.Client{Servers: servers, Token: token, Timeout: cmd.Duration("timeout")}
+	return inv, nil
 }
 
-func (s *session) checkOutput() error {
-	if o := s.cmd.String("output"); o != "text" && o != "json" {
+func (inv *invocation) checkOutput() error {
+	if o := inv.cmd.String("output"); o != "text" && o != "json" {
 		return usageErrorf("give --output text or --output json", "unknown output %q", o)
 	}
 	return nil
 }
 
 // maxToken is larger than any token that an entry process accepts.
-const maxToken = 4096
+const maxTokenBytes = 4096
 
 func readToken(cmd *cli.Command) (string, error) {
 	path := cmd.String("token-file")
@@ -80,7 +80,7 @@
 		}
 		return "", usageErrorf("give --token-file FILE or set WASABIHILL_TOKEN", "no token is given")
 	}
-	data, err := readFile(path, maxToken)
+	data, err := readFile(path, maxTokenBytes)
 	if err != nil {
 		return "", err
 	}
@@ -119,12 +119,12 @@
 // arguments returns the arguments of a verb that takes exactly those named.
 func arguments(cmd *cli.Command, names ...string) ([]string, error) {
 	if got := cmd.Args().Len(); got != len(names) {
-		return nil, usageErrorf("run "+cmd.FullName()+" --help", "got %d arguments; want %s", got, wanted(names))
+		return nil, usageErrorf("run "+cmd.FullName()+" --help", "got %d arguments; want %s", got, formatArgumentNames(names))
 	}
 	return cmd.Args().Slice(), nil
 }
 
-func wanted(names []string) string {
+func formatArgumentNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
@@ -149,7 +149,7 @@
 	return &cli.StringFlag{Name: "author", Usage: "`NAME` recorded with the version; the login name when omitted"}
 }
 
-func author(cmd *cli.Command) string {
+func authorOf(cmd *cli.Command) string {
 	if name := cmd.String("author"); name != "" {
 		return name
 	}
@@ -166,12 +166,12 @@
 
 // mutate runs a mutation under a key and tells the operator how to repeat it
 // when the outcome is unknown.
-func mutate(cmd *cli.Command, run func(key string) error) error {
+func mutate(cmd *cli.Command, fn func(key string) error) error {
 	key := cmd.String("key")
 	if key == "" {
 		key = administration.NewKey()
 	}
-	err := run(key)
+	err := fn(key)
 	if administration.OutcomeOf(err) == administration.OutcomeUnknown {
 		return oops.Hint("it may have taken effect; repeat it safely with --key " + key).Wrap(err)
 	}
@@ -183,9 +183,9 @@
 }
 
 // print writes v as JSON or calls text.
-func (s *session) print(v any, text func(w io.Writer)) error {
-	out := s.cmd.Root().Writer
-	if s.cmd.String("output") == "json" {
+func (inv *invocation) print(v any, text func(w io.Writer)) error {
+	out := inv.cmd.Root().Writer
+	if inv.cmd.String("output") == "json" {
 		encoder := json.NewEncoder(out)
 		encoder.SetEscapeHTML(false)
 		encoder.SetIndent("", "  ")
@@ -196,8 +196,8 @@
 	return table.Flush()
 }
 
-func (s *session) printPublished(p administration.Published) error {
-	return s.print(p, func(w io.Writer) {
+func (inv *invocation) printPublished(p administration.Published) error {
+	return inv.print(p, func(w io.Writer) {
 		if len(p.Changes) == 0 {
 			fmt.Fprintf(w, "%s is unchanged at version %d\n", p.Environment, p.Version)
 			return
@@ -214,7 +214,7 @@
 }
 
 // size formats resources for a table.
-func size(s administration.Size) string {
+func formatSize(s administration.Size) string {
 	text := fmt.Sprintf("%s cores, %s", s.Processors, s.Memory)
 	if s.Accelerators != 0 {
 		text += fmt.Sprintf(", %d accelerators", s.Accelerators)
@@ -223,29 +223,29 @@
 }
 
 // count formats a number of things, such as "1 error" or "3 errors".
-func count(n int, thing string) string {
+func formatCount(n int, noun string) string {
 	if n == 1 {
-		return "1 " + thing
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, thing)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
 
 // edit runs a verb that changes one thing, named by its only argument, in an
 // environment's document.
-func edit(s *session, argument string, change func(env units.EnvironmentName, name, key string) (administration.Published, error)) error {
-	args, err := arguments(s.cmd, argument)
+func editDocument(inv *invocation, argument string, change func(env units.EnvironmentName, name, key string) (administration.Published, error)) error {
+	args, err := arguments(inv.cmd, argument)
 	if err != nil {
 		return err
 	}
-	env, err := environmentOf(s.cmd)
+	env, err := environmentOf(inv.cmd)
 	if err != nil {
 		return err
 	}
-	return mutate(s.cmd, func(key string) error {
+	return mutate(inv.cmd, func(key string) error {
 		published, err := change(env, args[0], key)
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/job.go
+++ b/internal/operator/job.go
@@ -24,21 +24,21 @@
 	}
 }
 
-func job(s *session) error {
-	args, err := arguments(s.cmd, "JOB")
+func job(inv *invocation) error {
+	args, err := arguments(inv.cmd, "JOB")
 	if err != nil {
 		return err
 	}
-	j, err := s.Job(s.ctx, units.JobID(args[0]))
+	j, err := inv.Job(inv.ctx, units.JobID(args[0]))
 	if err != nil {
 		return err
 	}
-	return s.print(j, func(w io.Writer) { writeJob(w, j) })
+	return inv.print(j, func(w io.Writer) { writeJob(w, j) })
 }
 
 func writeJob(w io.Writer, j administration.Job) {
 	fmt.Fprintf(w, "job\t%s\nteam\t%s\nname\t%s\nkind\t%s\npriority\t%s\nsize\t%s\nsubmitted\t%s\nstate\t%s\n",
-		j.ID, j.Team, j.Name, j.Kind, j.Priority, size(j.Size), j.Submitted.UTC().Format("2006-01-02 15:04:05"), j.State)
+		j.ID, j.Team, j.Name, j.Kind, j.Priority, formatSize(j.Size), j.Submitted.UTC().Format("2006-01-02 15:04:05"), j.State)
 	if j.Reason != "" {
 		fmt.Fprintf(w, "reason\t%s\n", j.Reason)
 	}
--- a/internal/operator/jobs.go
+++ b/internal/operator/jobs.go
@@ -31,16 +31,16 @@
 	}
 }
 
-func jobs(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func jobs(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	list, err := s.Jobs(s.ctx, administration.JobFilter{
-		Team: units.TeamName(s.cmd.String("team")), State: s.cmd.String("state"), Limit: s.cmd.Int("limit")})
+	list, err := inv.Jobs(inv.ctx, administration.JobFilter{
+		Team: units.TeamName(inv.cmd.String("team")), State: inv.cmd.String("state"), Limit: inv.cmd.Int("limit")})
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tTEAM\tNAME\tPRIORITY\tSTATE\tDONE\tSUBMITTED")
 		for _, j := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d/%d\t%s\n", j.ID, j.Team, j.Name, j.Priority, j.State,
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -29,7 +29,7 @@
 )
 
 // published is the document in force in the cases, version 1 of production.
-func published(t *testing.T) []byte {
+func productionDocument(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "production.json"))
 	if err != nil {
@@ -40,7 +40,7 @@
 
 func newBackend(t *testing.T) *administrationtest.Backend {
 	b := administrationtest.New()
-	if _, err := b.Publish(t.Context(), api.Publication{Environment: "production", Key: "p", Author: "amina", Text: published(t)}); err != nil {
+	if _, err := b.Publish(t.Context(), api.Publication{Environment: "production", Key: "p", Author: "amina", Text: productionDocument(t)}); err != nil {
 		t.Fatal(err)
 	}
 	b.RunningUse = map[units.TeamName]units.Resources{"moulds": {Processors: 20_000, Memory: units.GiB}}
@@ -69,7 +69,7 @@
 }
 
 // faults are prepared by the file "fault" of a case.
-var faults = map[string]func(*administrationtest.Backend){
+var injectFault = map[string]func(*administrationtest.Backend){
 	"log down": func(b *administrationtest.Backend) { b.Fail = api.Unavailable(api.OutcomeNotRun, errors.New("down")) },
 	"reply lost": func(b *administrationtest.Backend) {
 		b.FailAfter = api.Unavailable(api.OutcomeUnknown, errors.New("lost"))
@@ -97,7 +97,7 @@
 			defer server.Close()
 			t.Chdir(folder)
 			if fault, err := os.ReadFile("fault"); err == nil {
-				faults[strings.TrimSpace(string(fault))](backend)
+				injectFault[strings.TrimSpace(string(fault))](backend)
 			}
 			text, err := os.ReadFile("arguments")
 			if err != nil {
@@ -120,7 +120,7 @@
 	root := Root()
 	root.Writer, root.ErrWriter = &out, &errOut
 	root.Reader = strings.NewReader(`{"name": "piped", "team": "moulds", "size": {"processors": "1", "memory": "1GiB"}, "runTime": "5m"}`)
-	code := run(context.Background(), root, append([]string{"wasabihill"}, args...))
+	code := execute(context.Background(), root, append([]string{"wasabihill"}, args...))
 	return fmt.Sprintf("exit code %d\n--- output\n%s--- errors\n%s", code, out.String(), errOut.String())
 }
 
@@ -146,18 +146,18 @@
 func TestNextServerIsTried(t *testing.T) {
 	backend := newBackend(t)
 	handler := administration.NewServer(administration.Config{Backend: backend, Environment: "production", OperatorToken: settings.NewSecret(operatorToken)})
-	good, bad := httptest.NewServer(handler), httptest.NewServer(handler)
-	defer good.Close()
-	bad.Close()
+	available, closed := httptest.NewServer(handler), httptest.NewServer(handler)
+	defer available.Close()
+	closed.Close()
 	t.Setenv("WASABIHILL_TOKEN", operatorToken)
-	servers := bad.URL + "," + good.URL
+	servers := closed.URL + "," + available.URL
 	if got := runCase([]string{"--server", servers, "submit", "--key", "again", "-"}); !strings.Contains(got, "job-2 is pending") {
 		t.Errorf("got %s, want job-2 from the second server", got)
 	}
-	if got := runCase([]string{"--server", good.URL, "submit", "--key", "again", "-"}); !strings.Contains(got, "job-2 is pending") {
+	if got := runCase([]string{"--server", available.URL, "submit", "--key", "again", "-"}); !strings.Contains(got, "job-2 is pending") {
 		t.Errorf("got %s, want the same job for the same key", got)
 	}
-	if got := runCase([]string{"--server", bad.URL, "submit", "-"}); !strings.Contains(got, "outcome: notRun") || !strings.HasPrefix(got, "exit code 1") {
+	if got := runCase([]string{"--server", closed.URL, "submit", "-"}); !strings.Contains(got, "outcome: notRun") || !strings.HasPrefix(got, "exit code 1") {
 		t.Errorf("got %s, want a refused connection reported as not run", got)
 	}
 }
--- a/internal/operator/promote.go
+++ b/internal/operator/promote.go
@@ -29,19 +29,19 @@
 	}
 }
 
-func promote(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func promote(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	if !s.cmd.IsSet("base") {
+	if !inv.cmd.IsSet("base") {
 		return usageErrorf("the verb show prints the version in force", "--base is missing")
 	}
-	from, to := units.EnvironmentName(s.cmd.String("from")), units.EnvironmentName(s.cmd.String("to"))
-	return mutate(s.cmd, func(key string) error {
-		published, err := s.Promote(s.ctx, from, to, units.Offset(s.cmd.Uint64("from-version")), units.Offset(s.cmd.Uint64("base")), author(s.cmd), key)
+	from, to := units.EnvironmentName(inv.cmd.String("from")), units.EnvironmentName(inv.cmd.String("to"))
+	return mutate(inv.cmd, func(key string) error {
+		published, err := inv.Promote(inv.ctx, from, to, units.Offset(inv.cmd.Uint64("from-version")), units.Offset(inv.cmd.Uint64("base")), authorOf(inv.cmd), key)
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -30,28 +30,28 @@
 	}
 }
 
-func publish(s *session) error {
-	args, err := arguments(s.cmd, "FILE")
+func publish(inv *invocation) error {
+	args, err := arguments(inv.cmd, "FILE")
 	if err != nil {
 		return err
 	}
-	if !s.cmd.IsSet("base") {
+	if !inv.cmd.IsSet("base") {
 		return usageErrorf("the verb show prints the version in force", "--base is missing")
 	}
-	text, err := readInput(s.cmd, args[0])
+	text, err := readInput(inv.cmd, args[0])
 	if err != nil {
 		return err
 	}
 	document, err := environment.Parse(args[0], text)
 	if err != nil {
-		return invalidDocument(s.cmd.Name, environment.Problems(err))
+		return invalidDocument(inv.cmd.Name, environment.Problems(err))
 	}
-	return mutate(s.cmd, func(key string) error {
-		published, err := s.Publish(s.ctx, administration.Publication{
-			Environment: document.Environment, Key: key, Base: units.Offset(s.cmd.Uint64("base")), Author: author(s.cmd), Text: text}, args[0])
+	return mutate(inv.cmd, func(key string) error {
+		published, err := inv.Publish(inv.ctx, administration.Publication{
+			Environment: document.Environment, Key: key, Base: units.Offset(inv.cmd.Uint64("base")), Author: authorOf(inv.cmd), Text: text}, args[0])
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/reference.go
+++ b/internal/operator/reference.go
@@ -50,7 +50,7 @@
 	for _, s := range referenceSections {
 		fmt.Fprintf(&page, "\n## %s\n\n%s\n\n| field | type | required | meaning |\n|---|---|---|---|\n", s.title, s.text)
 		for _, r := range s.rows() {
-			fmt.Fprintf(&page, "| `%s` | %s | %s | %s |\n", r.Field, cell(r.Type), r.Required, cell(r.Purpose))
+			fmt.Fprintf(&page, "| `%s` | %s | %s | %s |\n", r.Field, escapeCell(r.Type), r.Required, escapeCell(r.Purpose))
 		}
 	}
 	writeAPI(&page)
@@ -81,7 +81,7 @@
 func writeAPI(page *bytes.Buffer) {
 	page.WriteString(apiIntroduction + "\n| operation | who | query | meaning |\n|---|---|---|---|\n")
 	for _, r := range api.Reference() {
-		fmt.Fprintf(page, "| `%s` | %s | %s | %s |\n", r.Pattern, r.Who, r.Query, cell(r.Purpose))
+		fmt.Fprintf(page, "| `%s` | %s | %s | %s |\n", r.Pattern, r.Who, r.Query, escapeCell(r.Purpose))
 	}
 	page.WriteString(errorIntroduction + "\n| kind | status |\n|---|---|\n")
 	for _, k := range administration.Kinds() {
@@ -89,7 +89,7 @@
 	}
 }
 
-func cell(s string) string { return strings.ReplaceAll(s, "|", "\\|") }
+func escapeCell(s string) string { return strings.ReplaceAll(s, "|", "\\|") }
 
 // writeHelp writes the help of the program and of every verb.
 func writeHelp(page *bytes.Buffer, extra []*cli.Command) error {
--- a/internal/operator/root.go
+++ b/internal/operator/root.go
@@ -61,8 +61,8 @@
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
 				hint := "run wasabihill --help for the list of verbs"
-				if near := cli.SuggestCommand(cmd.Commands, cmd.Args().First()); near != "" {
-					hint = "did you mean " + near + "?"
+				if suggestion := cli.SuggestCommand(cmd.Commands, cmd.Args().First()); suggestion != "" {
+					hint = "did you mean " + suggestion + "?"
 				}
 				return usageErrorf(hint, "unknown verb %q", cmd.Args().First())
 			}
@@ -80,17 +80,17 @@
 		root.Commands = append(root.Commands, verb())
 	}
 	root.Commands = append(root.Commands, extra...)
-	prepare(root)
+	setUsageErrorHandler(root)
 	return root
 }
 
 // prepare gives every command the same treatment of wrong usage.
-func prepare(cmd *cli.Command) {
+func setUsageErrorHandler(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return usageErrorf("run "+cmd.FullName()+" --help", "%v", err)
 	}
 	for _, sub := range cmd.Commands {
-		prepare(sub)
+		setUsageErrorHandler(sub)
 	}
 }
 
@@ -115,10 +115,10 @@
 func Main(ctx context.Context, args []string, extra ...*cli.Command) int {
 	root := Root(extra...)
 	root.Reader, root.Writer, root.ErrWriter = os.Stdin, os.Stdout, os.Stderr
-	return run(ctx, root, args)
+	return execute(ctx, root, args)
 }
 
-func run(ctx context.Context, root *cli.Command, args []string) int {
+func execute(ctx context.Context, root *cli.Command, args []string) int {
 	err := root.Run(ctx, args)
 	if err != nil {
 		printError(root.ErrWriter, err)
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -34,41 +34,41 @@
 	}
 }
 
-func show(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func show(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	env, err := environmentOf(s.cmd)
+	env, err := environmentOf(inv.cmd)
 	if err != nil {
 		return err
 	}
-	if s.cmd.Bool("history") {
-		return s.showHistory(env)
+	if inv.cmd.Bool("history") {
+		return inv.showHistory(env)
 	}
-	d, err := s.Document(s.ctx, env, units.Offset(s.cmd.Uint64("version-number")))
+	d, err := inv.Document(inv.ctx, env, units.Offset(inv.cmd.Uint64("version-number")))
 	if err != nil {
 		return err
 	}
-	if s.cmd.String("output") == "json" {
-		return s.print(d, nil)
+	if inv.cmd.String("output") == "json" {
+		return inv.print(d, nil)
 	}
 	text := d.Text
 	if strings.HasPrefix(text, versionComment) { // from an earlier show
 		_, text, _ = strings.Cut(text, "\n")
 	}
-	_, err = fmt.Fprintf(s.cmd.Root().Writer, "%s%d of %s, published by %s\n%s\n", versionComment, d.Version, d.Environment, d.Author, strings.TrimRight(text, "\n"))
+	_, err = fmt.Fprintf(inv.cmd.Root().Writer, "%s%d of %s, published by %s\n%s\n", versionComment, d.Version, d.Environment, d.Author, strings.TrimRight(text, "\n"))
 	return err
 }
 
 // versionComment starts the first line of the output.
 const versionComment = "// wasabihill version "
 
-func (s *session) showHistory(env units.EnvironmentName) error {
-	list, err := s.History(s.ctx, env, s.cmd.Int("limit"))
+func (inv *invocation) showHistory(env units.EnvironmentName) error {
+	list, err := inv.History(inv.ctx, env, inv.cmd.Int("limit"))
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tAUTHOR")
 		for _, d := range list {
 			fmt.Fprintf(w, "%d\t%s\n", d.Version, d.Author)
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -27,20 +27,20 @@
 	}
 }
 
-func submit(s *session) error {
-	args, err := arguments(s.cmd, "FILE")
+func submit(inv *invocation) error {
+	args, err := arguments(inv.cmd, "FILE")
 	if err != nil {
 		return err
 	}
-	body, err := readInput(s.cmd, args[0])
+	body, err := readInput(inv.cmd, args[0])
 	if err != nil {
 		return err
 	}
-	return mutate(s.cmd, func(key string) error {
-		job, err := s.Submit(s.ctx, args[0], body, key)
+	return mutate(inv.cmd, func(key string) error {
+		job, err := inv.Submit(inv.ctx, args[0], body, key)
 		if err != nil {
 			return err
 		}
-		return s.print(job, func(w io.Writer) { fmt.Fprintf(w, "%s is %s\n", job.ID, job.State) })
+		return inv.print(job, func(w io.Writer) { fmt.Fprintf(w, "%s is %s\n", job.ID, job.State) })
 	})
 }
--- a/internal/operator/teams.go
+++ b/internal/operator/teams.go
@@ -22,22 +22,22 @@
 	}
 }
 
-func teams(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func teams(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	list, err := s.Teams(s.ctx)
+	list, err := inv.Teams(inv.ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "TEAM\tUSED\tQUOTA\tMAY BORROW\tPENDING")
 		for _, t := range list {
 			borrow := "no"
 			if t.MayBorrow {
 				borrow = "yes"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", t.Name, size(t.Used), size(t.Quota), borrow, t.Pending)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", t.Name, formatSize(t.Used), formatSize(t.Quota), borrow, t.Pending)
 		}
 	})
 }
--- a/internal/operator/timeline.go
+++ b/internal/operator/timeline.go
@@ -23,23 +23,23 @@
 			&cli.IntFlag{Name: "limit", Value: 500, Usage: "show the newest `NUMBER` of events"},
 			&cli.BoolFlag{Name: "html", Usage: "print a page with a picture"},
 		},
-		Action: action(timelineVerb),
+		Action: action(showTimeline),
 	}
 }
 
-func timelineVerb(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func showTimeline(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	format := s.cmd.String("output")
-	if s.cmd.Bool("html") {
+	format := inv.cmd.String("output")
+	if inv.cmd.Bool("html") {
 		format = "html"
 	}
-	body, err := s.Timeline(s.ctx, administration.TimelineFilter{
-		Subject: s.cmd.String("subject"), Lane: s.cmd.String("lane"), Limit: s.cmd.Int("limit")}, format)
+	body, err := inv.Timeline(inv.ctx, administration.TimelineFilter{
+		Subject: inv.cmd.String("subject"), Lane: inv.cmd.String("lane"), Limit: inv.cmd.Int("limit")}, format)
 	if err != nil {
 		return err
 	}
-	_, err = s.cmd.Root().Writer.Write(body)
+	_, err = inv.cmd.Root().Writer.Write(body)
 	return err
 }
--- a/internal/operator/undrain.go
+++ b/internal/operator/undrain.go
@@ -13,6 +13,6 @@
 		Description: `Examples:
   wasabihill undrain worker-7 -e production`,
 		Flags:  []cli.Flag{environmentFlag(), authorFlag(), keyFlag()},
-		Action: action(func(s *session) error { return setDrained(s, false) }),
+		Action: action(func(inv *invocation) error { return setDrained(inv, false) }),
 	}
 }
--- a/internal/operator/workers.go
+++ b/internal/operator/workers.go
@@ -23,24 +23,24 @@
 	}
 }
 
-func workers(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func workers(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	list, err := s.Workers(s.ctx)
+	list, err := inv.Workers(inv.ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "WORKER\tDOMAIN\tRACK\tSTATE\tEPOCH\tCOMMITTED\tCAPACITY\tTASKS\tENDPOINTS")
 		for _, o := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", o.ID, o.FailureDomain, o.Rack, o.State, o.Epoch,
-				size(o.Committed), size(o.Capacity), o.Running, endpoints(o.Endpoints))
+				formatSize(o.Committed), formatSize(o.Capacity), o.Running, formatEndpoints(o.Endpoints))
 		}
 	})
 }
 
-func endpoints(list []administration.Endpoint) string {
+func formatEndpoints(list []administration.Endpoint) string {
 	if len(list) == 0 {
 		return "-"
 	}
