--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -25,8 +25,8 @@
 
 const agentDescription = `Runs beside one worker and its endpoint. It is the only process that admits
 work to that worker. SIGTERM stops it gracefully: requests in flight are
-answered, and the worker's tasks go on under their leases until the next agent
-adopts them.
+completed, and the worker's tasks continue under their leases until the next
+agent adopts them.
 
 Examples:
   wasabihill agent /etc/wasabihill/agent.json
@@ -52,9 +52,11 @@
 }
 
 const (
-	// workerConnections covers the calls that the agent makes at a time.
+	// maxIdleWorkerConnections covers the concurrent calls from the agent to the
+	// worker.
 	maxIdleWorkerConnections = 8
-	// eventsPerHeartbeat keeps a burst of events within the node's 5 KB/s.
+	// maxEventsPerHeartbeat keeps a burst of timeline events within the limit of
+	// 5 KB/s per node.
 	maxEventsPerHeartbeat = 16
 )
 
@@ -67,8 +69,8 @@
 	if err != nil {
 		return err
 	}
-	// The listeners outlive ctx, so that the endpoint can announce that it is
-	// leaving while the agent drains.
+	// The listeners stay open after ctx ends, so that the endpoint can announce
+	// that it is leaving while the agent drains.
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	group, serveCtx := errgroup.WithContext(serveCtx)
 	serve(serveCtx, group, announceListener, forwarder.AnnounceHandler())
@@ -90,7 +92,8 @@
 	return err
 }
 
-// newAgent connects the parts of the agent.
+// newAgent returns an agent with its worker client, request forwarder and event
+// recorder.
 func newAgent(s *settings.Agent, scope tally.Scope, forwarder *forward.Forwarder) *agent.Agent {
 	recorder := timeline.NewRecorder("agent/"+string(s.Worker)+"/"+newIncarnationID(), s.Limits.TimelineEvents, time.Now)
 	var acknowledged atomic.Uint64
@@ -131,7 +134,7 @@
 	return mux
 }
 
-// serveUntil serves a small local API until ctx ends.
+// serve runs an HTTP server for a local API in group until ctx ends.
 func serve(ctx context.Context, group *errgroup.Group, l net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	group.Go(func() error {
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -1,5 +1,5 @@
-// Package process turns settings files into running processes: the commands
-// `wasabihill entry` and `wasabihill agent`.
+// Package process implements the commands `wasabihill entry` and `wasabihill
+// agent`, which run a process as its settings file describes.
 package process
 
 import (
@@ -16,9 +16,9 @@
 	"wasabihill.example/wasabihill/pkg/logservice"
 )
 
-const entryDescription = `Answers callers, teams and operators, follows the log and dispatches tasks.
-It keeps nothing on disk. SIGTERM stops it gracefully: readiness goes off, then
-requests in flight are answered.
+const entryDescription = `Serves callers, teams and operators, reads the log service and dispatches tasks.
+It stores nothing on disk. SIGTERM stops it gracefully: it reports that it is not
+ready, then closes its listeners and completes the requests in flight.
 
 Examples:
   wasabihill entry /etc/wasabihill/entry.json
@@ -30,7 +30,7 @@
 		Name: "entry", Usage: "run an entry process", ArgsUsage: "SETTINGS", Category: commandCategory, Description: entryDescription,
 		Flags: []cli.Flag{
 			checkFlag,
-			&cli.DurationFlag{Name: "drain-for", Value: 3 * time.Second, Usage: "`TIME` for which readiness is off before listeners close on a planned stop"},
+			&cli.DurationFlag{Name: "drain-for", Value: 3 * time.Second, Usage: "`TIME` between the end of readiness and the closing of the listeners on a planned stop"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			path, err := settingsPath(cmd)
@@ -54,7 +54,7 @@
 	return runUntilSignal(ctx, e.Run)
 }
 
-// NewEntry connects the parts of an entry process.
+// NewEntry returns an entry process with its log client and its request server.
 func NewEntry(s *settings.Entry, scope tally.Scope) *entry.Entry {
 	return &entry.Entry{
 		Settings: s, MetricsScope: scope, NewRequestServer: newRequestServer(s, scope),
@@ -65,5 +65,6 @@
 	}
 }
 
-// logConnections covers three followers and three writers.
+// maxIdleLogConnections covers the concurrent connections of three followers and
+// three writers.
 const maxIdleLogConnections = 8
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -11,22 +11,22 @@
 	"github.com/urfave/cli/v3"
 )
 
-// category is the heading of the processes in the help.
+// commandCategory is the help heading of the commands that run a process.
 const commandCategory = "processes"
 
-var checkFlag = &cli.BoolFlag{Name: "check", Usage: "check the settings and exit"}
+var checkFlag = &cli.BoolFlag{Name: "check", Usage: "check the settings file and exit"}
 
-// settingsPath returns the only argument.
+// settingsPath returns the path of the settings file, the only argument of cmd.
 func settingsPath(cmd *cli.Command) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", oops.Code("usage").Hint("run "+cmd.FullName()+" --help").
-			Errorf("got %d arguments; want the path of one settings file", cmd.Args().Len())
+			Errorf("got %d arguments; want one argument, the path of the settings file", cmd.Args().Len())
 	}
 	return cmd.Args().First(), nil
 }
 
-// interruptible runs fn until it returns or the process gets SIGINT or SIGTERM;
-// a second signal ends the process at once.
+// runUntilSignal runs fn and cancels its context when the process receives SIGINT
+// or SIGTERM. A second signal terminates the process immediately.
 func runUntilSignal(ctx context.Context, fn func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -37,5 +37,6 @@
 	return fn(ctx)
 }
 
-// runID tells runs of one process apart on the time line.
+// newIncarnationID returns a random ID for one incarnation of a process. It
+// distinguishes the events of successive incarnations on the timeline.
 func newIncarnationID() string { return rand.Text()[:8] }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -16,16 +16,18 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// requestPath connects the gateway and its table of endpoints to the entry
-// process.
+// requestServer implements entry.RequestServer with a gateway and its routing
+// table. It removes the endpoints of an agent when the agent's session ends.
 type requestServer struct {
 	*gateway.Gateway
 	table *routing.Table
 
 	mu       sync.Mutex
-	sessions map[*link.Session]struct{}
+	sessions map[*link.Session]struct{} // sessions with a goroutine that waits for their end
 }
 
+// newRequestServer returns the constructor that an entry process calls when it
+// starts.
 func newRequestServer(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
 	return func(e *entry.Entry) entry.RequestServer {
 		table := routing.New(routing.Settings{Domain: s.FailureDomain, Region: s.Region})
