--- a/internal/operator/cancel.go
+++ b/internal/operator/cancel.go
@@ -1,4 +1,4 @@
-// The verb cancel stops a job.
+// The verb cancel cancels a job.
 
 package operator
 
@@ -17,7 +17,7 @@
 		Usage:     "cancel a job",
 		ArgsUsage: "JOB",
 		Category:  categoryJobs,
-		Description: `Tasks that run are stopped and no further task starts. Cancelling a job that has
+		Description: `Running tasks are stopped and no further task starts. Cancelling a job that has
 ended has no effect.
 
 Examples:
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -1,5 +1,5 @@
 // The verb check works without a server, so that a document can be checked before
-// it is committed anywhere.
+// it is published or committed to version control.
 
 package operator
 
@@ -20,8 +20,9 @@
 		Usage:     "check a document and list every error in it",
 		ArgsUsage: "FILE",
 		Category:  categoryDocuments,
-		Description: `Checks FILE ("-" is standard input). With a server the text is also checked
-against the document in force and what runs, and the changes are listed.
+		Description: `Checks FILE ("-" is standard input). With a server, the document is also
+checked against the document in force and the running work, and its changes are
+listed.
 
 Examples:
   wasabihill check production.json
@@ -64,6 +65,7 @@
 	return inv.printChecked(args[0], checked)
 }
 
+// invalidDocument returns the error of verb for a document with problems.
 func invalidDocument(verb string, problems []environment.Problem) error {
 	return &administration.Error{Op: verb, Kind: administration.KindInvalid,
 		Message: formatCount(len(problems), "error"), Details: administration.Details{Problems: problems}}
--- a/internal/operator/compare.go
+++ b/internal/operator/compare.go
@@ -1,4 +1,5 @@
-// The verb compare works on files without a server, for reviews before publishing.
+// The verb compare compares files without a server, so that a change can be
+// reviewed before it is published.
 
 package operator
 
@@ -27,8 +28,8 @@
   wasabihill compare -e production --from 1042 --to 1050`,
 		Flags: []cli.Flag{
 			environmentFlag(),
-			&cli.Uint64Flag{Name: "from", Usage: "`VERSION` before; the one in force when omitted"},
-			&cli.Uint64Flag{Name: "to", Usage: "`VERSION` after; the one in force when omitted"},
+			&cli.Uint64Flag{Name: "from", Usage: "`VERSION` to compare from; the version in force when omitted"},
+			&cli.Uint64Flag{Name: "to", Usage: "`VERSION` to compare with; the version in force when omitted"},
 		},
 		Action: compare,
 	}
@@ -39,7 +40,7 @@
 		return compareFiles(ctx, cmd)
 	}
 	if !cmd.IsSet("from") && !cmd.IsSet("to") {
-		return usageErrorf("run wasabihill compare --help", "give two files, or --from or --to")
+		return usageErrorf("run wasabihill compare --help", "want two files, or at least one of --from and --to")
 	}
 	env, err := environmentOf(cmd)
 	if err != nil {
--- a/internal/operator/domain.go
+++ b/internal/operator/domain.go
@@ -1,5 +1,5 @@
-// The verb domain edits one field, because taking a failure domain out of service
-// must not wait for an editor.
+// The verb domain changes one field of the document directly, so that an operator
+// can take a failure domain out of service without editing the document by hand.
 
 package operator
 
@@ -18,7 +18,7 @@
 		Name:     "domain",
 		Usage:    "take a failure domain out of service or return it",
 		Category: categoryDocuments,
-		Description: `Taking a failure domain out of service is in force everywhere within 3 s: no
+		Description: `Taking a failure domain out of service takes effect everywhere within 3 s: no
 task starts there, and its batch tasks and watchers move elsewhere.
 
 Examples:
@@ -29,7 +29,7 @@
 			newDomainState(environment.DomainIn, "return a failure domain to service"),
 		},
 		Action: func(context.Context, *cli.Command) error {
-			return usageErrorf("run wasabihill domain --help", "want out or in")
+			return usageErrorf("run wasabihill domain --help", "the state is missing or unknown; want out or in")
 		},
 	}
 }
--- a/internal/operator/drain.go
+++ b/internal/operator/drain.go
@@ -1,4 +1,5 @@
-// The verb drain edits one field of the document for maintenance of a worker.
+// The verb drain adds a worker to the drained workers of the document, so that it
+// can be maintained.
 
 package operator
 
@@ -12,11 +13,11 @@
 func newDrain() *cli.Command {
 	return &cli.Command{
 		Name:      "drain",
-		Usage:     "give a worker no new work",
+		Usage:     "stop placing work on a worker",
 		ArgsUsage: "WORKER",
 		Category:  categoryDocuments,
 		Description: `The worker's batch tasks and watchers move elsewhere; requests in flight are
-finished.
+completed.
 
 Examples:
   wasabihill drain worker-7 -e production`,
@@ -25,6 +26,7 @@
 	}
 }
 
+// setDrained publishes a document in which a worker is drained or not.
 func setDrained(inv *invocation, drained bool) error {
 	return editDocument(inv, "WORKER", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
 		return inv.SetDrained(inv.ctx, env, units.WorkerID(name), drained, authorOf(inv.cmd), key)
--- a/internal/operator/entries.go
+++ b/internal/operator/entries.go
@@ -1,4 +1,4 @@
-// The verb entries shows which entry processes are live.
+// The verb entries lists the entry processes and shows which ones are live.
 
 package operator
 
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -11,20 +11,20 @@
 )
 
 const explainDescription = `Merges the logs of several processes by time and prints the lines that name the
-job, marked with a star, and between them what changed what the processes
-believed: another leader, a worker that was given up, a store that did not
-answer. It works on files and talks to no server.
+job, marked with *. Between them it prints changes that affect every job, such as
+a new leader, a worker that was declared lost or a store that did not respond. It
+reads files and needs no server.
 
 Examples:
   wasabihill explain 5c0e7a21d94b36f8 edge-1.log edge-2.log agent-7.log`
 
 func newExplain() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "show from logs what happened to a job", ArgsUsage: "ID LOGFILE...", Category: categoryViews,
+		Name: "explain", Usage: "show what happened to a job according to log files", ArgsUsage: "ID LOGFILE...", Category: categoryViews,
 		Description: explainDescription,
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() < 2 {
-				return usageErrorf("run wasabihill explain --help", "got %d arguments; want a job's id and log files", cmd.Args().Len())
+				return usageErrorf("run wasabihill explain --help", "got %d arguments; want the ID of a job and at least one log file", cmd.Args().Len())
 			}
 			return printExplanation(cmd, cmd.Args().First(), cmd.Args().Tail())
 		},
@@ -47,7 +47,7 @@
 	}
 	path := explain.Path(id, lines)
 	if len(path) == 0 {
-		return fmt.Errorf("no line of %d names job %s", len(lines), id)
+		return fmt.Errorf("none of the %d log lines names job %s", len(lines), id)
 	}
 	return explain.Write(cmd.Root().Writer, id, path)
 }
--- a/internal/operator/invocation.go
+++ b/internal/operator/invocation.go
@@ -1,4 +1,4 @@
-// What the verbs share: the client, input, output and idempotency keys.
+// Functions that the verbs share: the client, input, output and idempotency keys.
 
 package operator
 
@@ -24,17 +24,18 @@
 )
 
 // defaultTimeout is longer than the server's own time limit for one request, so
-// that its answer about the outcome arrives.
+// that the client receives the server's reply about the outcome.
 const defaultTimeout = 15 * time.Second
 
-// session is one run of a verb.
+// invocation is one run of a verb.
 type invocation struct {
 	*administration.Client
 	ctx context.Context
 	cmd *cli.Command
 }
 
-// action adapts the step of a verb that needs a server.
+// action returns the action of a verb that needs a server. It connects and calls
+// fn.
 func action(fn func(*invocation) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		inv, err := connect(ctx, cmd)
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// maxToken is larger than any token that an entry process accepts.
+// maxTokenBytes is larger than any token that an entry process accepts.
 const maxTokenBytes = 4096
 
 func readToken(cmd *cli.Command) (string, error) {
@@ -87,7 +88,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// readFile reads a file of at most limit bytes.
+// readFile reads a file of at most limit bytes and returns an error for a larger one.
 func readFile(path string, limit int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return data, nil
 }
 
-// readInput reads the file that an argument names; "-" is standard input.
+// readInput reads the file at path, or standard input if path is "-".
 func readInput(cmd *cli.Command, path string) ([]byte, error) {
 	if path == "-" {
 		return readLimited("standard input", cmd.Root().Reader, strictjson.MaxSize)
@@ -116,7 +117,7 @@
 	return readFile(path, strictjson.MaxSize)
 }
 
-// arguments returns the arguments of a verb that takes exactly those named.
+// arguments returns the arguments of a verb, which must be as many as names.
 func arguments(cmd *cli.Command, names ...string) ([]string, error) {
 	if got := cmd.Args().Len(); got != len(names) {
 		return nil, usageErrorf("run "+cmd.FullName()+" --help", "got %d arguments; want %s", got, formatArgumentNames(names))
@@ -131,7 +132,7 @@
 	return strings.Join(names, " ")
 }
 
-// environmentFlag names the environment of a verb.
+// environmentFlag returns the flag that names the environment of a verb.
 func environmentFlag() cli.Flag {
 	return &cli.StringFlag{Name: "environment", Aliases: []string{"e"}, Usage: "`NAME` of the environment", Sources: cli.EnvVars("WASABIHILL_ENVIRONMENT")}
 }
@@ -144,9 +145,9 @@
 	return units.EnvironmentName(name), nil
 }
 
-// authorFlag names who edits a document.
+// authorFlag returns the flag that names the author of a version.
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Usage: "`NAME` recorded with the version; the login name when omitted"}
+	return &cli.StringFlag{Name: "author", Usage: "`NAME` to record as the author of the version; the login name when omitted"}
 }
 
 func authorOf(cmd *cli.Command) string {
@@ -159,13 +160,14 @@
 	return ""
 }
 
-// keyFlag lets an operator repeat a mutation whose outcome is unknown.
+// keyFlag returns the flag with which an operator repeats a mutation whose outcome
+// is unknown.
 func keyFlag() cli.Flag {
 	return &cli.StringFlag{Name: "key", Usage: "idempotency `KEY` of an earlier run whose outcome is unknown"}
 }
 
-// mutate runs a mutation under a key and tells the operator how to repeat it
-// when the outcome is unknown.
+// mutate runs a mutation under an idempotency key. If the outcome is unknown or
+// another version was published first, the error hints at how to continue.
 func mutate(cmd *cli.Command, fn func(key string) error) error {
 	key := cmd.String("key")
 	if key == "" {
@@ -177,12 +179,12 @@
 	}
 	var e *administration.Error
 	if errors.As(err, &e) && e.Kind == administration.KindLostRace {
-		return oops.Hint(fmt.Sprintf("read version %d with the verb show, repeat the edit on it and publish with --base %d", e.Details.Winner, e.Details.Winner)).Wrap(err)
+		return oops.Hint(fmt.Sprintf("read version %d with the verb show, repeat the edit on it and publish it with --base %d", e.Details.Winner, e.Details.Winner)).Wrap(err)
 	}
 	return err
 }
 
-// print writes v as JSON or calls text.
+// print writes v as JSON, or calls text for a table if the output format is text.
 func (inv *invocation) print(v any, text func(w io.Writer)) error {
 	out := inv.cmd.Root().Writer
 	if inv.cmd.String("output") == "json" {
@@ -213,7 +215,7 @@
 	}
 }
 
-// size formats resources for a table.
+// formatSize formats resources for a table.
 func formatSize(s administration.Size) string {
 	text := fmt.Sprintf("%s cores, %s", s.Processors, s.Memory)
 	if s.Accelerators != 0 {
@@ -222,7 +224,7 @@
 	return text
 }
 
-// count formats a number of things, such as "1 error" or "3 errors".
+// formatCount formats a number and its noun, such as "1 error" or "3 errors".
 func formatCount(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
@@ -230,8 +232,8 @@
 	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// edit runs a verb that changes one thing, named by its only argument, in an
-// environment's document.
+// editDocument runs a verb that changes one field of an environment's document. The
+// verb's only argument names the failure domain or worker to change.
 func editDocument(inv *invocation, argument string, change func(env units.EnvironmentName, name, key string) (administration.Published, error)) error {
 	args, err := arguments(inv.cmd, argument)
 	if err != nil {
--- a/internal/operator/job.go
+++ b/internal/operator/job.go
@@ -1,4 +1,4 @@
-// The verb job shows why each task of a job waits, was released or failed.
+// The verb job shows why each task of a job is pending, was released or failed.
 
 package operator
 
@@ -15,7 +15,7 @@
 func newJob() *cli.Command {
 	return &cli.Command{
 		Name:      "job",
-		Usage:     "show a job with its tasks, attempts and reasons",
+		Usage:     "show a job and its tasks, with the reason for each task's state",
 		ArgsUsage: "JOB",
 		Category:  categoryJobs,
 		Description: `Examples:
--- a/internal/operator/jobs.go
+++ b/internal/operator/jobs.go
@@ -17,7 +17,7 @@
 		Name:     "jobs",
 		Usage:    "list jobs, newest first",
 		Category: categoryJobs,
-		Description: `With a team's token only that team's jobs are listed.
+		Description: `With a team's token, only that team's jobs are listed.
 
 Examples:
   wasabihill jobs --state running
@@ -25,7 +25,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "team", Usage: "only jobs of the team `NAME`"},
 			&cli.StringFlag{Name: "state", Usage: "only jobs in `STATE`: pending, running, completed, failed or cancelled"},
-			&cli.IntFlag{Name: "limit", Value: 100, Usage: "list the newest `NUMBER` of jobs"},
+			&cli.IntFlag{Name: "limit", Value: 100, Usage: "largest `NUMBER` of jobs to list"},
 		},
 		Action: action(jobs),
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -21,14 +21,15 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-var update = flag.Bool("update", false, "write the wanted files of the cases and the generated pages")
+var update = flag.Bool("update", false, "write the want files of the test cases")
 
 const (
 	operatorToken = "operator-token-0123456789"
 	teamToken     = "moulds-token-0123456789"
 )
 
-// published is the document in force in the cases, version 1 of production.
+// productionDocument returns the document in force in the test cases, version 1 of
+// the environment production.
 func productionDocument(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "production.json"))
@@ -68,7 +69,7 @@
 	return b
 }
 
-// faults are prepared by the file "fault" of a case.
+// injectFault holds the faults that the file "fault" of a test case can name.
 var injectFault = map[string]func(*administrationtest.Backend){
 	"log down": func(b *administrationtest.Backend) { b.Fail = api.Unavailable(api.OutcomeNotRun, errors.New("down")) },
 	"reply lost": func(b *administrationtest.Backend) {
@@ -76,9 +77,9 @@
 	},
 }
 
-// Guards against unintended changes of what people see: output, errors and exit
-// codes of every verb. Each folder is a case with its arguments (one a line),
-// its files and what is wanted.
+// Guards against unintended changes of the output, the errors and the exit code
+// of every verb. Each folder of testdata/cases is a test case: arguments has one
+// argument per line, want the expected result, and the other files are input.
 func TestCases(t *testing.T) {
 	folders, err := filepath.Glob(filepath.Join("testdata", "cases", "*"))
 	if err != nil || len(folders) == 0 {
@@ -137,12 +138,13 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("got:\n%s\nwant:\n%s\n(after an intended change run this test with -update)", got, want)
+		t.Errorf("got:\n%s\nwant:\n%s\n(after an intended change, run this test with -update)", got, want)
 	}
 }
 
-// Guards against a failed server that ends a run although another one answers,
-// and against a job that is submitted twice by that.
+// Guards against a verb that fails because one server is down although another one
+// responds, and against a job that is submitted twice because the client tried
+// two servers.
 func TestNextServerIsTried(t *testing.T) {
 	backend := newBackend(t)
 	handler := administration.NewServer(administration.Config{Backend: backend, Environment: "production", OperatorToken: settings.NewSecret(operatorToken)})
@@ -158,11 +160,12 @@
 		t.Errorf("got %s, want the same job for the same key", got)
 	}
 	if got := runCase([]string{"--server", closed.URL, "submit", "-"}); !strings.Contains(got, "outcome: notRun") || !strings.HasPrefix(got, "exit code 1") {
-		t.Errorf("got %s, want a refused connection reported as not run", got)
+		t.Errorf("got %s, want exit code 1 and outcome notRun when the server refuses the connection", got)
 	}
 }
 
-// Guards against a completion that the shells cannot load.
+// Guards against a completion script that is missing for a shell, and against
+// completions that omit the subcommands of a verb.
 func TestCompletion(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
 		if got := runCase([]string{"completion", shell}); !strings.HasPrefix(got, "exit code 0") || !strings.Contains(got, "wasabihill") {
--- a/internal/operator/promote.go
+++ b/internal/operator/promote.go
@@ -1,4 +1,5 @@
-// The verb promote takes a tried document to production in one step.
+// The verb promote publishes a document that was tested in one environment in
+// another, such as production.
 
 package operator
 
@@ -13,7 +14,7 @@
 		Name:     "promote",
 		Usage:    "publish the document of one environment in another",
 		Category: categoryDocuments,
-		Description: `Everything is taken over but the states of failure domains and the drained
+		Description: `Copies the whole document except the states of failure domains and the drained
 workers, which stay those of the target.
 
 Examples:
@@ -21,8 +22,8 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "from", Value: "trial", Usage: "`NAME` of the environment to copy"},
 			&cli.StringFlag{Name: "to", Value: "production", Usage: "`NAME` of the environment to change"},
-			&cli.Uint64Flag{Name: "from-version", Usage: "`VERSION` to copy; the one in force when omitted"},
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` of the target that is replaced; 0 when there is none yet"},
+			&cli.Uint64Flag{Name: "from-version", Usage: "`VERSION` to copy; the version in force when omitted"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` of the target that is replaced; 0 when the target has no document"},
 			authorFlag(), keyFlag(),
 		},
 		Action: action(promote),
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -1,4 +1,5 @@
-// The verb publish always needs a base, so that nobody replaces a version unread.
+// The verb publish always requires a base version, so that nobody replaces a
+// version without having read it.
 
 package operator
 
@@ -23,7 +24,7 @@
   wasabihill publish --base 1042 production.json
   wasabihill publish --base 0 trial.json       # the first version`,
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file was edited from; 0 when there is none yet"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file was edited from; 0 when the environment has no document"},
 			authorFlag(), keyFlag(),
 		},
 		Action: action(publish),
--- a/internal/operator/reference.go
+++ b/internal/operator/reference.go
@@ -1,4 +1,5 @@
-// The manual is written by the program itself, so that it shows what the program does.
+// The reference page is generated from the program's own tables and help, so that
+// it matches the program.
 
 package operator
 
@@ -21,7 +22,7 @@
 const referenceIntroduction = `# Configuration
 
 This page is generated from the field tables and the help of the program; a test
-fails when they differ. To write it again:
+fails when they differ. To regenerate it:
 
     go test ./cmd/wasabihill -update
 
@@ -31,19 +32,19 @@
 error of a file is listed at once with its line and column.
 `
 
-// referenceSections lists the files of the reference.
+// referenceSections lists the kinds of files that the reference page describes.
 var referenceSections = []struct {
 	title, text string
 	rows        func() []strictjson.Row
 }{
-	{"Document of an environment", "Published with `wasabihill publish`; in force everywhere within 3 s.", environment.Reference},
+	{"Document of an environment", "Published with `wasabihill publish`; takes effect everywhere within 3 s.", environment.Reference},
 	{"Job", "Submitted with `wasabihill submit`.", administration.SubmissionReference},
-	{"Settings of an entry process", "Addresses are IP:port by number. A token is 16 to 1024 printable ASCII characters.", settings.EntryReference},
-	{"Settings of an agent", "Addresses are IP:port by number.", settings.AgentReference},
+	{"Settings of an entry process", "Addresses have the form IP:port; host names are not accepted. A token is 16 to 1024 printable ASCII characters.", settings.EntryReference},
+	{"Settings of an agent", "Addresses have the form IP:port; host names are not accepted.", settings.AgentReference},
 }
 
-// WriteReference writes docs/configuration.md. extra are the commands that the
-// program adds to the verbs.
+// WriteReference writes the text of docs/configuration.md to w. extra holds the
+// commands that the program has besides the verbs.
 func WriteReference(w io.Writer, extra ...*cli.Command) error {
 	var page bytes.Buffer
 	page.WriteString(referenceIntroduction)
@@ -68,14 +69,15 @@
 HTTP on adminAddress of an entry process, with "Authorization: Bearer TOKEN". A
 mutation needs the header Idempotency-Key, 1 to 128 printable ASCII characters; a
 repeated request with the same key has no second effect. GET /healthz, /readyz
-and /metrics need no token. A body has at most 64 KiB, that of a document at most
-limits.adminBody.
+and /metrics need no token. A request body has at most 64 KiB, or at most
+limits.adminBody if it is a document.
 `
 
 const errorIntroduction = `
 An error is {"error": {"kind", "message", "details"}}. Details may hold problems
-(file, line, column, field, message), winner (the version that won a race) and
-outcome: notRun is certain, after unknown repeat the request with the same key.
+(file, line, column, field, message), winner (the version that was published
+first) and outcome: notRun means that the request had no effect; after unknown,
+repeat the request with the same key.
 `
 
 func writeAPI(page *bytes.Buffer) {
@@ -89,6 +91,7 @@
 	}
 }
 
+// escapeCell escapes s for a cell of a Markdown table.
 func escapeCell(s string) string { return strings.ReplaceAll(s, "|", "\\|") }
 
 // writeHelp writes the help of the program and of every verb.
--- a/internal/operator/root.go
+++ b/internal/operator/root.go
@@ -1,5 +1,5 @@
-// Package operator is the command line of wasabihill for teams and operators:
-// one file per verb, over the administration API.
+// Package operator implements the command line of wasabihill for teams and
+// operators. Each verb has a file of its own and calls the administration API.
 package operator
 
 import (
@@ -31,10 +31,10 @@
 	categoryViews     = "views"
 )
 
-const rootDescription = `Operators publish one document per environment; teams submit jobs. Every verb
-talks to the administration API of an entry process. With several servers the
-next one is tried when one fails; a mutation carries an idempotency key, so it
-takes effect at most once.
+const rootDescription = `Operators publish one document per environment; teams submit jobs. The
+verbs call the administration API of an entry process. With several servers, the
+next one is tried when one fails. A mutation carries an idempotency key, so that
+it takes effect at most once.
 
 Examples:
   export WASABIHILL_SERVER=10.0.1.7:7002,10.0.2.7:7002
@@ -46,12 +46,12 @@
 Exit codes: 0 success, 1 failure, 2 wrong usage, 3 another version was
 published first, 4 unknown outcome (repeat with the key that is printed).`
 
-// Root returns the command with every verb. extra holds the commands of the
-// processes.
+// Root returns the root command with a subcommand for each verb, followed by the
+// commands in extra.
 func Root(extra ...*cli.Command) *cli.Command {
 	root := &cli.Command{
 		Name:                            "wasabihill",
-		Usage:                           "schedule services, batch jobs and watchers on committed workers",
+		Usage:                           "schedule services, batch jobs and watchers on workers",
 		Description:                     rootDescription,
 		Version:                         Version,
 		EnableShellCompletion:           true,
@@ -70,10 +70,10 @@
 			return usageErrorf("run wasabihill VERB --help for one verb", "no verb is given")
 		},
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "server", Usage: "`IP:PORT` of an administration API; repeat it for more", Sources: cli.EnvVars("WASABIHILL_SERVER")},
-			&cli.StringFlag{Name: "token-file", Usage: "`FILE` with the bearer token; without it the token is taken from $WASABIHILL_TOKEN", Sources: cli.EnvVars("WASABIHILL_TOKEN_FILE")},
+			&cli.StringSliceFlag{Name: "server", Usage: "`IP:PORT` of an administration API; repeat the flag for several servers", Sources: cli.EnvVars("WASABIHILL_SERVER")},
+			&cli.StringFlag{Name: "token-file", Usage: "`FILE` that holds the bearer token; when omitted, the token is read from $WASABIHILL_TOKEN", Sources: cli.EnvVars("WASABIHILL_TOKEN_FILE")},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "text", Usage: "`FORMAT` of the output: text or json"},
-			&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "longest `TIME` to wait for one server"},
+			&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "longest `TIME` to wait for a reply from one server"},
 		},
 	}
 	for _, verb := range verbs {
@@ -84,7 +84,8 @@
 	return root
 }
 
-// prepare gives every command the same treatment of wrong usage.
+// setUsageErrorHandler makes cmd and its subcommands return wrong usage as an error
+// with codeUsage and a hint.
 func setUsageErrorHandler(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return usageErrorf("run "+cmd.FullName()+" --help", "%v", err)
@@ -103,7 +104,7 @@
 	exitUnknownOutcome = 4
 )
 
-// codeUsage marks errors of wrong usage.
+// codeUsage is the code of errors that report wrong usage.
 const codeUsage = "usage"
 
 func usageErrorf(hint, format string, args ...any) error {
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -1,4 +1,5 @@
-// The verb show prints the text with its comments, ready to be edited.
+// The verb show prints the text of a document with its comments, so that it can be
+// edited.
 
 package operator
 
@@ -17,8 +18,8 @@
 		Name:     "show",
 		Usage:    "print the document of an environment, or its history",
 		Category: categoryDocuments,
-		Description: `The first line is a comment with the version, so the output can be edited and
-published as it is.
+		Description: `The first line of the output is a comment with the version. The output can be
+edited and published as it is.
 
 Examples:
   wasabihill show -e production > production.json
@@ -26,9 +27,9 @@
   wasabihill show -e production --history`,
 		Flags: []cli.Flag{
 			environmentFlag(),
-			&cli.Uint64Flag{Name: "version-number", Usage: "`VERSION` to print; the one in force when omitted"},
-			&cli.BoolFlag{Name: "history", Usage: "list the versions instead"},
-			&cli.IntFlag{Name: "limit", Value: 20, Usage: "list the newest `NUMBER` of versions"},
+			&cli.Uint64Flag{Name: "version-number", Usage: "`VERSION` to print; the version in force when omitted"},
+			&cli.BoolFlag{Name: "history", Usage: "list the versions instead of printing a document"},
+			&cli.IntFlag{Name: "limit", Value: 20, Usage: "largest `NUMBER` of versions to list"},
 		},
 		Action: action(show),
 	}
@@ -53,14 +54,14 @@
 		return inv.print(d, nil)
 	}
 	text := d.Text
-	if strings.HasPrefix(text, versionComment) { // from an earlier show
+	if strings.HasPrefix(text, versionComment) { // left from the output that was edited
 		_, text, _ = strings.Cut(text, "\n")
 	}
 	_, err = fmt.Fprintf(inv.cmd.Root().Writer, "%s%d of %s, published by %s\n%s\n", versionComment, d.Version, d.Environment, d.Author, strings.TrimRight(text, "\n"))
 	return err
 }
 
-// versionComment starts the first line of the output.
+// versionComment is the beginning of the first line of the output.
 const versionComment = "// wasabihill version "
 
 func (inv *invocation) showHistory(env units.EnvironmentName) error {
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -1,4 +1,4 @@
-// The verb submit sends a job file under an idempotency key.
+// The verb submit submits a job from a file under an idempotency key.
 
 package operator
 
--- a/internal/operator/teams.go
+++ b/internal/operator/teams.go
@@ -1,4 +1,4 @@
-// The verb teams shows the use of quotas.
+// The verb teams shows how much of its quota each team uses.
 
 package operator
 
@@ -12,9 +12,9 @@
 func newTeams() *cli.Command {
 	return &cli.Command{
 		Name:     "teams",
-		Usage:    "list the teams with the use of their quotas",
+		Usage:    "list the teams with their quotas and use",
 		Category: categoryViews,
-		Description: `With a team's token only that team is listed.
+		Description: `With a team's token, only that team is listed.
 
 Examples:
   wasabihill teams`,
--- a/internal/operator/timeline.go
+++ b/internal/operator/timeline.go
@@ -1,4 +1,4 @@
-// The verb timeline shows events with their causes.
+// The verb timeline shows the events of all processes with their causes.
 
 package operator
 
@@ -11,7 +11,7 @@
 func newTimeline() *cli.Command {
 	return &cli.Command{
 		Name:     "timeline",
-		Usage:    "show what happened in all processes and what caused it",
+		Usage:    "show the events of all processes with their causes",
 		Category: categoryViews,
 		Description: `Examples:
   wasabihill timeline --subject worker-7
@@ -20,8 +20,8 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "subject", Usage: "only events whose subject contains `TEXT`"},
 			&cli.StringFlag{Name: "lane", Usage: "only events of the lane `NAME`, such as worker, entry, log, job or service"},
-			&cli.IntFlag{Name: "limit", Value: 500, Usage: "show the newest `NUMBER` of events"},
-			&cli.BoolFlag{Name: "html", Usage: "print a page with a picture"},
+			&cli.IntFlag{Name: "limit", Value: 500, Usage: "largest `NUMBER` of events to show"},
+			&cli.BoolFlag{Name: "html", Usage: "print an HTML page with a chart"},
 		},
 		Action: action(showTimeline),
 	}
--- a/internal/operator/undrain.go
+++ b/internal/operator/undrain.go
@@ -1,4 +1,4 @@
-// The verb undrain ends what drain began.
+// The verb undrain returns a drained worker to service.
 
 package operator
 
--- a/internal/operator/workers.go
+++ b/internal/operator/workers.go
@@ -1,4 +1,4 @@
-// The verb workers shows where work is committed.
+// The verb workers shows the resources that are committed on each worker.
 
 package operator
 
@@ -15,7 +15,7 @@
 func newWorkers() *cli.Command {
 	return &cli.Command{
 		Name:     "workers",
-		Usage:    "list the workers with what they are committed to",
+		Usage:    "list the workers with their committed resources",
 		Category: categoryViews,
 		Description: `Examples:
   wasabihill workers`,
