--- a/internal/operator/domain.go
+++ b/internal/operator/domain.go
@@ -18,8 +18,8 @@
 		Name:     "domain",
 		Usage:    "take a failure domain out of service or return it",
 		Category: categoryDocuments,
-		Description: `Taking a failure domain out of service takes effect everywhere within 3 s: no
-task starts there, and its batch tasks and watchers move elsewhere.
+		Description: `The change takes effect everywhere within 3 s. No task starts in a failure domain
+that is out of service, and its batch tasks and watchers move elsewhere.
 
 Examples:
   wasabihill domain out pwani-a -e production
--- a/internal/operator/jobs.go
+++ b/internal/operator/jobs.go
@@ -25,7 +25,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "team", Usage: "only jobs of the team `NAME`"},
 			&cli.StringFlag{Name: "state", Usage: "only jobs in `STATE`: pending, running, completed, failed or cancelled"},
-			&cli.IntFlag{Name: "limit", Value: 100, Usage: "largest `NUMBER` of jobs to list"},
+			&cli.IntFlag{Name: "limit", Value: 100, Usage: "list only the newest `NUMBER` of jobs"},
 		},
 		Action: action(jobs),
 	}
--- a/internal/operator/root.go
+++ b/internal/operator/root.go
@@ -31,10 +31,10 @@
 	categoryViews     = "views"
 )
 
-const rootDescription = `Operators publish one document per environment; teams submit jobs. The
-verbs call the administration API of an entry process. With several servers, the
-next one is tried when one fails. A mutation carries an idempotency key, so that
-it takes effect at most once.
+const rootDescription = `Operators publish one document per environment; teams submit jobs. The verbs
+call the administration API of an entry process. With several servers, the next
+one is tried when one fails. A mutation carries an idempotency key, so that it
+takes effect at most once.
 
 Examples:
   export WASABIHILL_SERVER=10.0.1.7:7002,10.0.2.7:7002
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -29,7 +29,7 @@
 			environmentFlag(),
 			&cli.Uint64Flag{Name: "version-number", Usage: "`VERSION` to print; the version in force when omitted"},
 			&cli.BoolFlag{Name: "history", Usage: "list the versions instead of printing a document"},
-			&cli.IntFlag{Name: "limit", Value: 20, Usage: "largest `NUMBER` of versions to list"},
+			&cli.IntFlag{Name: "limit", Value: 20, Usage: "list only the newest `NUMBER` of versions"},
 		},
 		Action: action(show),
 	}
--- a/internal/operator/timeline.go
+++ b/internal/operator/timeline.go
@@ -20,7 +20,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "subject", Usage: "only events whose subject contains `TEXT`"},
 			&cli.StringFlag{Name: "lane", Usage: "only events of the lane `NAME`, such as worker, entry, log, job or service"},
-			&cli.IntFlag{Name: "limit", Value: 500, Usage: "largest `NUMBER` of events to show"},
+			&cli.IntFlag{Name: "limit", Value: 500, Usage: "show only the newest `NUMBER` of events"},
 			&cli.BoolFlag{Name: "html", Usage: "print an HTML page with a chart"},
 		},
 		Action: action(showTimeline),
