--- a/cmd/wasabihill-acceptance/main.go
+++ b/cmd/wasabihill-acceptance/main.go
@@ -1,5 +1,5 @@
-// Command wasabihill-acceptance plans and drives the run of both firms that
-// `make run` starts.
+// Command wasabihill-acceptance plans and drives the acceptance run, a shortened
+// day of both firms, that `make run` starts.
 package main
 
 import (
--- a/cmd/wasabihill-capacity/main.go
+++ b/cmd/wasabihill-capacity/main.go
@@ -1,5 +1,5 @@
-// Command wasabihill-capacity measures what control costs as the number of
-// workers, entry processes and task starts grows.
+// Command wasabihill-capacity measures the cost of the control plane as the number
+// of workers, entry processes and task starts grows.
 package main
 
 import (
--- a/cmd/wasabihill-node/main.go
+++ b/cmd/wasabihill-node/main.go
@@ -1,5 +1,5 @@
-// Command wasabihill-node runs the processes of the scheduler on the users'
-// platform. The path of the settings file comes from the environment.
+// Command wasabihill-node runs a process of the scheduler on the users' platform.
+// The environment variable WASABIHILL_SETTINGS names its settings file.
 package main
 
 import (
--- a/cmd/wasabihill-soak/main.go
+++ b/cmd/wasabihill-soak/main.go
@@ -1,5 +1,5 @@
 // Command wasabihill-soak injects faults into running processes of the scheduler
-// and checks its promises.
+// and checks that the scheduler's guarantees hold.
 package main
 
 import (
--- a/cmd/wasabihill-standin/main.go
+++ b/cmd/wasabihill-standin/main.go
@@ -1,5 +1,5 @@
-// Command wasabihill-standin runs small substitutes for the platform, for tests
-// and `make run`.
+// Command wasabihill-standin runs stand-ins for the platform's log service, worker
+// and endpoint, for tests and `make run`.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	defer stop()
 	root := &cli.Command{
 		Name:                  "wasabihill-standin",
-		Usage:                 "stand in for the platform: log service, worker, endpoint",
+		Usage:                 "run stand-ins for the platform's log service, worker and endpoint",
 		Version:               operator.Version,
 		EnableShellCompletion: true,
 		Commands:              []*cli.Command{logservice.Command(), worker.Command(), endpoint.Command()},
--- a/cmd/wasabihill/main.go
+++ b/cmd/wasabihill/main.go
@@ -1,5 +1,5 @@
-// Command wasabihill runs the processes of the scheduler and the verbs of its
-// teams and operators.
+// Command wasabihill runs the processes of the scheduler and the verbs with which
+// teams and operators control it.
 package main
 
 import (
@@ -13,11 +13,11 @@
 	"wasabihill.example/wasabihill/internal/process"
 )
 
-// processes returns the commands besides the operators' verbs.
-func processes() []*cli.Command {
+// extraCommands returns the commands besides the verbs of teams and operators.
+func extraCommands() []*cli.Command {
 	return []*cli.Command{process.Entry(), process.Agent(), load.Command()}
 }
 
 func main() {
-	os.Exit(operator.Main(context.Background(), os.Args, processes()...))
+	os.Exit(operator.Main(context.Background(), os.Args, extraCommands()...))
 }
--- a/cmd/wasabihill/main_test.go
+++ b/cmd/wasabihill/main_test.go
@@ -12,10 +12,11 @@
 
 var update = flag.Bool("update", false, "write docs/configuration.md")
 
-// Guards against a manual that differs from the program.
+// Guards against a reference page that differs from the settings and the help of
+// the program.
 func TestReference(t *testing.T) {
 	var page bytes.Buffer
-	if err := operator.WriteReference(&page, processes()...); err != nil {
+	if err := operator.WriteReference(&page, extraCommands()...); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join("..", "..", "docs", "configuration.md")
@@ -29,6 +30,6 @@
 		t.Fatal(err)
 	}
 	if got := page.String(); got != string(want) {
-		t.Errorf("docs/configuration.md differs; run this test with -update\ngot:\n%s", got)
+		t.Errorf("docs/configuration.md differs from the generated page; run this test with -update\ngot:\n%s", got)
 	}
 }
