--- a/internal/childprocess/childprocess.go
+++ b/internal/childprocess/childprocess.go
@@ -1,5 +1,5 @@
-// Package childprocess runs programs of the project under test: it starts them,
-// signals them, and ends only what it has started.
+// Package childprocess runs programs of the project for tests. It starts and
+// signals processes, and terminates only those that it started.
 package childprocess
 
 import (
@@ -13,30 +13,31 @@
 	"wasabihill.example/wasabihill/internal/fault"
 )
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of Error.
 const (
-	AlreadyRunning Kind = "running"    // the process runs already
-	NotStarted     Kind = "notStarted" // the program or its log can't be opened
+	AlreadyRunning Kind = "running"    // the process is already running
+	NotStarted     Kind = "notStarted" // the log can't be opened or the program can't be started
 )
 
-// Process is a program that is started, stopped and started again. Set the
-// exported fields before Start. It is safe for concurrent use.
+// Process runs a program, which can be started again after it was stopped. Set the
+// exported fields before Start. A Process is safe for concurrent use.
 type Process struct {
 	Name    string
 	Args    []string // the program and its arguments
-	Env     []string // added to the environment
-	LogPath string   // file that the output is appended to
+	Env     []string // added to the environment of this process
+	LogPath string   // file to which standard output and standard error are appended
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd // nil while it does not run
+	cmd    *exec.Cmd // nil before Start and after Kill or Terminate
 	exited chan struct{}
 }
 
-// starts runs on one locked thread for the life of this process: Linux
-// delivers Pdeathsig when the thread that started the child ends.
+// starterQueue returns the queue of functions that start children. They run on one
+// thread that is locked as long as this process lives, because Linux sends
+// Pdeathsig to a child when the thread that started it ends.
 var starterQueue = sync.OnceValue(func() chan func() {
 	queue := make(chan func())
 	go func() {
@@ -48,33 +49,34 @@
 	return queue
 })
 
-// Start starts the process. It appends its output to the process's log file.
+// Start starts the process. Its output is appended to the log file. The child is
+// killed when this process ends.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fault.New("start "+p.Name, AlreadyRunning, "it runs already")
+		return fault.New("start "+p.Name, AlreadyRunning, "the process is already running")
 	}
-	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fault.Wrap("start "+p.Name, NotStarted, err)
 	}
-	defer log.Close()
-	command := exec.Command(p.Args[0], p.Args[1:]...)
-	command.Env = append(os.Environ(), p.Env...)
-	command.Stdout, command.Stderr = log, log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	defer logFile.Close()
+	cmd := exec.Command(p.Args[0], p.Args[1:]...)
+	cmd.Env = append(os.Environ(), p.Env...)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	starterQueue() <- func() { started <- command.Start() }
+	starterQueue() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return fault.Wrap("start "+p.Name, NotStarted, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		_ = command.Wait() // how it ended is in its log
-		close(ended)
+		_ = cmd.Wait() // the log shows why the process exited
+		close(exited)
 	}()
-	p.cmd, p.exited = command, ended
+	p.cmd, p.exited = cmd, exited
 	return nil
 }
 
@@ -87,7 +89,7 @@
 	}
 }
 
-// Kill ends the process without notice and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,27 +101,27 @@
 	p.cmd = nil
 }
 
-// Terminate asks the process to stop, kills it when it has not ended within
-// grace, and reports whether it ended by itself.
+// Terminate sends SIGTERM to the process and kills it if it has not exited within
+// the grace period. It reports whether the process exited within that period.
 func (p *Process) Terminate(grace time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return true
 	}
-	byItself := true
+	exitedInTime := true
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(grace):
-		byItself = false
+		exitedInTime = false
 	}
 	p.Kill()
-	return byItself
+	return exitedInTime
 }
 
-// Ended reports whether the process ended without Kill or Terminate.
+// Exited reports whether the process has exited without a call of Kill or Terminate.
 func (p *Process) Exited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/childprocess/childprocess_test.go
+++ b/internal/childprocess/childprocess_test.go
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/internal/fault"
 )
 
-func shell(t *testing.T, script string) *Process {
+func startShell(t *testing.T, script string) *Process {
 	t.Helper()
 	p := &Process{Name: "shell", Args: []string{"/bin/sh", "-c", script}, Env: []string{"GREETING=hello"}, LogPath: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
@@ -21,7 +21,7 @@
 	return p
 }
 
-func (p *Process) await(t *testing.T, text string) {
+func (p *Process) awaitOutput(t *testing.T, text string) {
 	t.Helper()
 	for {
 		data, err := os.ReadFile(p.LogPath)
@@ -35,41 +35,42 @@
 	}
 }
 
-// Guards against a process that is started twice, loses its environment or its
-// log, and against one that a test can't start again.
+// Guards against a process that is started twice, that loses its environment or its
+// log, or that can't be started again after it was killed.
 func TestProcessRunsOnceAndStartsAgain(t *testing.T) {
-	p := shell(t, `echo "$GREETING"; exec sleep 60`)
-	p.await(t, "hello")
+	p := startShell(t, `echo "$GREETING"; exec sleep 60`)
+	p.awaitOutput(t, "hello")
 	if err := p.Start(); !fault.Is(err, AlreadyRunning) {
 		t.Errorf("second start: got %v, want kind %s", err, AlreadyRunning)
 	}
 	p.Kill()
 	if err := p.Start(); err != nil {
-		t.Errorf("start after the kill: %v", err)
+		t.Errorf("start after Kill: %v", err)
 	}
-	p.await(t, "hello\nhello")
+	p.awaitOutput(t, "hello\nhello")
 }
 
-// Guards against a planned stop that is taken for one that was cut short, and
-// the reverse.
-func TestTerminateTellsWhetherTheProcessEnded(t *testing.T) {
-	obeys := shell(t, `trap 'exit 0' TERM; echo ready; while :; do sleep 0.01; done`)
-	obeys.await(t, "ready")
-	if !obeys.Terminate(10 * time.Second) {
-		t.Error("a process that ends at once: got killed")
+// Guards against a graceful exit that is reported as a kill after the grace period,
+// and the reverse.
+func TestTerminateReportsWhetherTheProcessExited(t *testing.T) {
+	terminating := startShell(t, `trap 'exit 0' TERM; echo ready; while :; do sleep 0.01; done`)
+	terminating.awaitOutput(t, "ready")
+	if !terminating.Terminate(10 * time.Second) {
+		t.Error("process that exits on SIGTERM: reported as killed")
 	}
-	ignores := shell(t, `trap '' TERM; echo ready; while :; do sleep 0.01; done`)
-	ignores.await(t, "ready")
-	if ignores.Terminate(50 * time.Millisecond) {
-		t.Error("a process that ignores the signal: got ended by itself")
+	ignoring := startShell(t, `trap '' TERM; echo ready; while :; do sleep 0.01; done`)
+	ignoring.awaitOutput(t, "ready")
+	if ignoring.Terminate(50 * time.Millisecond) {
+		t.Error("process that ignores SIGTERM: reported as exited")
 	}
 }
 
-// Guards against a process that ends by itself without anybody noticing.
-func TestEndedTellsOfAnEndOfItsOwn(t *testing.T) {
-	p := shell(t, "exec sleep 60")
+// Guards against a process whose unexpected exit goes unnoticed, and against a
+// missing program that is reported as started.
+func TestExitedReportsAnExitWithoutRequest(t *testing.T) {
+	p := startShell(t, "exec sleep 60")
 	if p.Exited() {
-		t.Error("a running process: got ended")
+		t.Error("running process: reported as exited")
 	}
 	p.Signal(syscall.SIGKILL)
 	for !p.Exited() {
@@ -77,6 +78,6 @@
 	}
 	missing := &Process{Name: "missing", Args: []string{"/no/such/program"}, LogPath: filepath.Join(t.TempDir(), "log")}
 	if err := missing.Start(); !fault.Is(err, NotStarted) {
-		t.Errorf("a program that is missing: got %v, want kind %s", err, NotStarted)
+		t.Errorf("missing program: got %v, want kind %s", err, NotStarted)
 	}
 }
