--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,8 +1,8 @@
-// Package loopback reserves addresses for processes that have to know their own
-// address, and that of their peers, before they start.
+// Package loopback reserves addresses for processes whose settings must contain
+// their own address, and those of their peers, before they start.
 //
-// Binding port 0 and closing the listener again does not reserve anything: the
-// kernel may give the port to the next outgoing connection or to another test.
+// Binding port 0 and closing the listener does not reserve the port: the kernel
+// may assign it to the next outgoing connection or to another test.
 package loopback
 
 import (
@@ -16,59 +16,62 @@
 	"wasabihill.example/wasabihill/internal/fault"
 )
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Exhausted means that every port of the range is reserved or in use.
 const Exhausted Kind = "exhausted"
 
-// The ports lie below the ephemeral range, so that no outgoing connection takes
-// one between its choice and the start of the process.
+// The ports are below the ephemeral range, so that no outgoing connection is
+// assigned one between the reservation and the start of the process.
 const (
 	firstPort = 23000
 	portCount = 9000
 )
 
-// next starts at another port in each process, so that processes that begin at
-// the same time seldom try the same ones.
-var next atomic.Int64
+// nextPortIndex modulo portCount is the offset of the last tried port from
+// firstPort. Each process starts at a different index, so that processes that start
+// at the same time rarely try the same ports.
+var nextPortIndex atomic.Int64
 
-// held keeps reservations reachable: the collector closes a forgotten socket.
-var held sync.Map
+// activeReservations keeps reservations reachable, because the garbage collector
+// closes the socket of an unreachable one.
+var activeReservations sync.Map
 
-func init() { next.Store(int64(os.Getpid() * 97)) }
+func init() { nextPortIndex.Store(int64(os.Getpid() * 97)) }
 
-// Reservation keeps one TCP address from every other Reservation on the machine.
+// Reservation is the exclusive use of one TCP address among all Reservations on the
+// machine.
 type Reservation struct {
-	Address netip.AddrPort // nothing listened on it when it was reserved
-	// holder is bound to the UDP port of the same number. TCP does not see it,
-	// so the process that the address is for can listen, stop and listen again.
-	holder *net.UDPConn
+	Address netip.AddrPort // no process listened on it when it was reserved
+	// udpConn is bound to the UDP port of the same number. It does not conflict
+	// with TCP, so the process that uses the address can listen on it repeatedly.
+	udpConn *net.UDPConn
 }
 
-// Reserve returns a loopback address on which nothing listens. It stays
-// reserved until Release or the end of this process.
+// Reserve reserves a loopback address on which no process listens. The address
+// stays reserved until Release is called or this process ends.
 func Reserve() (*Reservation, error) {
 	for range portCount {
-		port := firstPort + next.Add(1)%portCount
+		port := firstPort + nextPortIndex.Add(1)%portCount
 		address := netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", port))
-		holder, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
+		udpConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		if err != nil {
-			continue // another process has reserved it
+			continue // the port is already reserved
 		}
 		if listener, err := net.Listen("tcp", address.String()); err == nil {
 			listener.Close()
-			reservation := &Reservation{Address: address, holder: holder}
-			held.Store(reservation, nil)
+			reservation := &Reservation{Address: address, udpConn: udpConn}
+			activeReservations.Store(reservation, nil)
 			return reservation, nil
 		}
-		holder.Close()
+		udpConn.Close()
 	}
 	return nil, fault.New("reserve", Exhausted, "no free port from %d to %d", firstPort, firstPort+portCount-1)
 }
 
-// Release lets others reserve the address.
+// Release ends the reservation, so that the address can be reserved again.
 func (r *Reservation) Release() {
-	held.Delete(r)
-	r.holder.Close()
+	activeReservations.Delete(r)
+	r.udpConn.Close()
 }
