--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,24 +15,24 @@
 	target         string
 	listener       net.Listener
 	refusing       atomic.Bool
-	forwardedBytes atomic.Int64 // bytes passed on
-	toTarget       direction    // from the side that dials to the target
+	forwardedBytes atomic.Int64 // bytes forwarded in both directions
+	toTarget       direction    // from the client to the target
 	fromTarget     direction
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// path is one direction of a relay.
+// direction holds the faults of one direction of a relay.
 type direction struct {
-	blackhole atomic.Bool  // bytes vanish, the connection stays open
-	delay     atomic.Int64 // nanoseconds before each chunk is passed on
+	blackhole atomic.Bool  // bytes are discarded while the connection stays open
+	delay     atomic.Int64 // nanoseconds before each chunk is forwarded
 }
 
-// New listens on a free loopback port and forwards to target.
+// New returns a relay that listens on a free loopback port and forwards to target.
 func New(target string) (*Relay, error) { return NewAt("127.0.0.1:0", target) }
 
-// NewAt listens at address and forwards to target.
+// NewAt returns a relay that listens on address and forwards to target.
 func NewAt(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -43,45 +43,47 @@
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Target is where the relay forwards to.
+// Target returns the address to which the relay forwards.
 func (r *Relay) Target() string { return r.target }
 
-// Carried returns how many bytes the relay has passed on.
+// ForwardedBytes returns the number of bytes that the relay has forwarded.
 func (r *Relay) ForwardedBytes() int64 { return r.forwardedBytes.Load() }
 
-// Silence drops bytes silently in the chosen directions from now on.
-// Connections that lost bytes never recover; Restore cuts them.
-func (r *Relay) SetBlackhole(forward, backward bool) {
-	r.toTarget.blackhole.Store(forward)
-	r.fromTarget.blackhole.Store(backward)
+// SetBlackhole sets for each direction whether bytes are discarded while the
+// connections stay open. A connection that lost bytes cannot recover, so
+// ClearFaults closes it.
+func (r *Relay) SetBlackhole(toTarget, fromTarget bool) {
+	r.toTarget.blackhole.Store(toTarget)
+	r.fromTarget.blackhole.Store(fromTarget)
 }
 
-// Delay holds each chunk back for d in both directions.
+// SetDelay delays each chunk by d in both directions.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.toTarget.delay.Store(int64(d))
 	r.fromTarget.delay.Store(int64(d))
 }
 
-// Refuse closes new connections at once and leaves open ones alone.
+// SetRefusing sets whether new connections are closed at once. Open connections are
+// not affected.
 func (r *Relay) SetRefusing(refuse bool) { r.refusing.Store(refuse) }
 
-// Reset ends every open connection without a proper close, as a host does that
-// has forgotten them.
+// ResetConnections closes every open connection with a TCP reset, as a host does
+// that has lost the state of its connections.
 func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // an error means that it is closed already
+			_ = tcp.SetLinger(0) // fails only if the connection is already closed
 		}
 		c.Close()
 	}
 }
 
-// Cut closes every open connection.
+// CloseConnections closes every open connection.
 func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// Restore ends every fault. A byte stream with a hole must not continue, so
-// connections that were open while the relay was silent are cut.
+// ClearFaults ends every fault. It closes all connections if a direction was a
+// blackhole, because a byte stream with missing bytes must not continue.
 func (r *Relay) ClearFaults() {
 	if r.toTarget.blackhole.Load() || r.fromTarget.blackhole.Load() {
 		r.CloseConnections()
@@ -101,7 +103,7 @@
 	r.SetRefusing(false)
 }
 
-// Close stops the relay.
+// Close closes the listener and every connection.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.CloseConnections()
@@ -121,17 +123,19 @@
 	}
 }
 
-func (r *Relay) forwardConnection(dialler net.Conn) {
+// forwardConnection forwards between client and a new connection to the target
+// until both directions have ended.
+func (r *Relay) forwardConnection(client net.Conn) {
 	target, err := net.DialTimeout("tcp", r.target, 2*time.Second)
 	if err != nil {
-		dialler.Close()
+		client.Close()
 		return
 	}
-	r.track(dialler, target)
-	defer r.closeAndUntrack(dialler, target)
+	r.track(client, target)
+	defer r.closeAndUntrack(client, target)
 	var wait sync.WaitGroup
-	wait.Go(func() { r.forwardBytes(&r.toTarget, target, dialler) })
-	wait.Go(func() { r.forwardBytes(&r.fromTarget, dialler, target) })
+	wait.Go(func() { r.forwardBytes(&r.toTarget, target, client) })
+	wait.Go(func() { r.forwardBytes(&r.fromTarget, client, target) })
 	wait.Wait()
 }
 
@@ -152,16 +156,17 @@
 	}
 }
 
-// copy passes bytes on until either side closes. The end of a silent
-// connection is not passed on either, as it would not cross a broken link.
-func (r *Relay) forwardBytes(p *direction, to, from net.Conn) {
+// forwardBytes forwards bytes until either side closes. If the direction is a
+// blackhole, the end of the stream is not forwarded either, because a FIN would not
+// cross a broken link.
+func (r *Relay) forwardBytes(d *direction, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if d := p.delay.Load(); d > 0 {
-			time.Sleep(time.Duration(d))
+		if delay := d.delay.Load(); delay > 0 {
+			time.Sleep(time.Duration(delay))
 		}
-		if n > 0 && !p.blackhole.Load() {
+		if n > 0 && !d.blackhole.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				from.Close()
 				return
@@ -169,7 +174,7 @@
 			r.forwardedBytes.Add(int64(n))
 		}
 		if err != nil {
-			if !p.blackhole.Load() {
+			if !d.blackhole.Load() {
 				to.Close()
 			}
 			return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestRelay guards against a relay that injects another fault than it says.
+// TestRelay guards against a relay whose fault differs from the requested one, such
+// as a blackhole in the wrong direction or a timeout instead of a closed connection.
 func TestRelay(t *testing.T) {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,19 +26,19 @@
 	defer r.Close()
 	conn := dialRelay(t, r)
 	if err := exchange(conn, 1, time.Second); err != nil || <-received != 1 {
-		t.Fatalf("healthy relay: %v", err)
+		t.Fatalf("relay without faults: %v", err)
 	}
 	r.SetBlackhole(false, true)
 	if err := exchange(conn, 2, 100*time.Millisecond); !isTimeout(err) || <-received != 2 {
-		t.Errorf("silent backward: got %v, want a timeout after delivery", err)
+		t.Errorf("blackhole from the target: got %v, want a timeout after delivery", err)
 	}
 	r.SetBlackhole(true, false)
 	if err := exchange(conn, 3, 100*time.Millisecond); !isTimeout(err) || len(received) != 0 {
-		t.Errorf("silent forward: got %v and %d bytes delivered, want a timeout and none", err, len(received))
+		t.Errorf("blackhole to the target: got %v and %d bytes delivered, want a timeout and none", err, len(received))
 	}
 	r.ClearFaults()
 	if err := exchange(conn, 4, time.Second); err == nil || isTimeout(err) {
-		t.Errorf("restored: got %v, want a connection that was cut", err)
+		t.Errorf("after ClearFaults: got %v, want a closed connection", err)
 	}
 	r.SetRefusing(true)
 	if err := exchange(dialRelay(t, r), 5, time.Second); err == nil || isTimeout(err) {
@@ -45,7 +46,7 @@
 	}
 	r.ClearFaults()
 	if err := exchange(dialRelay(t, r), 6, time.Second); err != nil || <-received != 6 {
-		t.Errorf("after the faults: %v", err)
+		t.Errorf("new connection after ClearFaults: %v", err)
 	}
 }
 
