--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,16 @@
 GO ?= go
 VERSION ?= $(shell git describe --tags --always --dirty 2>/dev/null || echo unknown)
 LDFLAGS := -X wasabihill.example/wasabihill/internal/operator.Version=$(VERSION)
-# Histories for each seed, and seeds, of `make histories`.
+# Number of generated histories for each seed, and number of seeds, of
+# `make histories`.
 HISTORY_CHECKS ?= 400
 HISTORY_SEEDS ?= 5
-# Fresh seeds of `make soak`, how many of them at a time, and its report.
+# Number of random seeds of `make soak`, number of concurrent runs, and the file of
+# its report.
 SOAK_SEEDS ?= 50
 SOAK_PARALLEL ?= 3
 SOAK_REPORT ?= soak.html
-# Packages with generated histories.
+# Packages with property-based tests on generated histories.
 GENERATED := ./internal/agent ./internal/configuration ./internal/forward ./internal/ledger \
 	./internal/roster ./internal/routing ./internal/stream ./internal/timeline ./pkg/environment
 
@@ -17,7 +19,8 @@
 build:
 	$(GO) build -ldflags '$(LDFLAGS)' -o bin/ ./cmd/...
 
-# -p 2 keeps the tests that start many processes from starving each other.
+# -p 2 limits the number of packages tested at a time, because some tests start many
+# processes, which would otherwise starve each other.
 test:
 	$(GO) test -race -p 2 -timeout 30m ./...
 
@@ -30,18 +33,20 @@
 run: build
 	./scripts/run.sh
 
-# The policies against the naive version, every target met or missed, and the
-# request path against direct calls; writes docs/measurements.md.
+# Compares the dispatch policies with a naive dispatcher and the request path with
+# direct calls, shows which targets are met, and writes docs/measurements.md.
 bench: build
 	bin/wasabihill-bench -write docs/measurements.md
 	@{ echo; echo "Request path, GOMAXPROCS of the machine:"; echo; echo '```'; \
 	$(GO) test -run XXX -bench 'AddedLatency|Overload' -benchtime 1x ./internal/gateway; echo '```'; } | tee -a docs/measurements.md
 
-# Fault soak: real processes, faults from outside, promises checked meanwhile.
+# Runs real processes, injects faults into them from outside, and checks meanwhile
+# that the guarantees of the scheduler hold.
 soak: build
 	bin/wasabihill-soak --seeds $(SOAK_SEEDS) --parallel $(SOAK_PARALLEL) --report $(SOAK_REPORT)
 
-# Longer runs over generated histories; prints each seed before it is used.
+# Runs the property-based tests with more histories; prints each seed before its run,
+# so that a failure can be reproduced.
 histories:
 	@for n in $$(seq 1 $(HISTORY_SEEDS)); do \
 		seed=$$(od -An -N4 -tu4 /dev/urandom | tr -d ' '); echo "seed $$seed"; \
--- a/scripts/run.sh
+++ b/scripts/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs a shortened day of both firms: starts every process, lets the driver
-# send work and inject failures, and stops everything. The driver asks for
-# kills, stops and restarts through a named pipe, because no process of
-# wasabihill starts another.
+# Runs a shortened day of both firms: starts all processes, runs the driver, which
+# sends work and injects failures, and kills all processes at the end. The driver
+# requests signals and starts through a named pipe, because no wasabihill process
+# starts another; this script carries the requests out.
 set -u
 cd "$(dirname "$0")/.."
 dir=${RUN_DIR:-run}
@@ -18,10 +18,10 @@
 done <"$dir/processes"
 
 start() {
-  # shellcheck disable=SC2086 # the command is a list of plain words
+  # shellcheck disable=SC2086 # the command is split into words, none of which needs quotes
   ${command[$1]} >>"$dir/logs/$1.log" 2>&1 &
   pid[$1]=$!
-  disown "${pid[$1]}" # or bash reports each kill
+  disown "${pid[$1]}" # otherwise bash prints a message for each killed process
   echo "${pid[$1]}" >"$dir/logs/$1.pid"
 }
 
