--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -46,25 +46,25 @@
 }
 
 // Run implements entry.RequestServer.
-func (p *requestServer) Run(ctx context.Context) error { return p.table.Run(ctx) }
+func (r *requestServer) Run(ctx context.Context) error { return r.table.Run(ctx) }
 
 // ObserveHeartbeat implements entry.RequestServer.
-func (p *requestServer) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
-	p.table.RecordHeartbeat(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if _, known := p.sessions[session]; known {
+func (r *requestServer) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
+	r.table.RecordHeartbeat(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, tracked := r.sessions[session]; tracked {
 		return
 	}
-	p.sessions[session] = struct{}{}
+	r.sessions[session] = struct{}{}
 	go func() {
 		<-session.Done()
-		p.table.Remove(worker, session)
-		p.mu.Lock()
-		delete(p.sessions, session)
-		p.mu.Unlock()
+		r.table.Remove(worker, session)
+		r.mu.Lock()
+		delete(r.sessions, session)
+		r.mu.Unlock()
 	}()
 }
 
 // SetDocument implements entry.RequestServer.
-func (p *requestServer) SetDocument(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
+func (r *requestServer) SetDocument(d *environment.Document) { r.table.SetDocument(d, time.Now()) }
