--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -1,5 +1,5 @@
 // The verb check works without a server, so that a document can be checked before
-// it is committed anywhere.
+// it is published or committed to version control.
 
 package operator
 
@@ -20,8 +20,9 @@
 		Usage:     "check a document and list every error in it",
 		ArgsUsage: "FILE",
 		Category:  categoryDocuments,
-		Description: `Checks FILE ("-" is standard input). With a server the text is also checked
-against the document in force and what runs, and the changes are listed.
+		Description: `Checks FILE ("-" is standard input). With a server, the document is also
+checked against the document in force and the running work, and its changes are
+listed.
 
 Examples:
   wasabihill check production.json
@@ -44,36 +45,37 @@
 		return invalidDocument(cmd.Name, environment.Problems(err))
 	}
 	if len(cmd.StringSlice("server")) == 0 {
-		s := &session{ctx: ctx, cmd: cmd}
-		if err := s.checkOutput(); err != nil {
+		inv := &invocation{ctx: ctx, cmd: cmd}
+		if err := inv.checkOutput(); err != nil {
 			return err
 		}
-		return s.printChecked(args[0], administration.Checked{Problems: []environment.Problem{}, Changes: []environment.Change{}})
+		return inv.printChecked(args[0], administration.Checked{Problems: []environment.Problem{}, Changes: []environment.Change{}})
 	}
-	s, err := connect(ctx, cmd)
+	inv, err := connect(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	checked, err := s.Check(ctx, document.Environment, args[0], text)
+	checked, err := inv.Check(ctx, document.Environment, args[0], text)
 	if err != nil {
 		return err
 	}
 	if len(checked.Problems) > 0 {
 		return invalidDocument(cmd.Name, checked.Problems)
 	}
-	return s.printChecked(args[0], checked)
+	return inv.printChecked(args[0], checked)
 }
 
+// invalidDocument returns the error of verb for a document with problems.
 func invalidDocument(verb string, problems []environment.Problem) error {
 	return &administration.Error{Op: verb, Kind: administration.KindInvalid,
-		Message: count(len(problems), "error"), Details: administration.Details{Problems: problems}}
+		Message: formatCount(len(problems), "error"), Details: administration.Details{Problems: problems}}
 }
 
-func (s *session) printChecked(file string, checked administration.Checked) error {
-	return s.print(checked, func(w io.Writer) {
+func (inv *invocation) printChecked(file string, checked administration.Checked) error {
+	return inv.print(checked, func(w io.Writer) {
 		fmt.Fprintf(w, "%s is valid\n", file)
 		if checked.Base != 0 {
-			fmt.Fprintf(w, "%s against version %d\n", count(len(checked.Changes), "change"), checked.Base)
+			fmt.Fprintf(w, "%s against version %d\n", formatCount(len(checked.Changes), "change"), checked.Base)
 		}
 		writeChanges(w, checked.Changes)
 	})
--- a/internal/operator/compare.go
+++ b/internal/operator/compare.go
@@ -1,4 +1,5 @@
-// The verb compare works on files without a server, for reviews before publishing.
+// The verb compare compares files without a server, so that a change can be
+// reviewed before it is published.
 
 package operator
 
@@ -27,8 +28,8 @@
   wasabihill compare -e production --from 1042 --to 1050`,
 		Flags: []cli.Flag{
 			environmentFlag(),
-			&cli.Uint64Flag{Name: "from", Usage: "`VERSION` before; the one in force when omitted"},
-			&cli.Uint64Flag{Name: "to", Usage: "`VERSION` after; the one in force when omitted"},
+			&cli.Uint64Flag{Name: "from", Usage: "`VERSION` to compare from; the version in force when omitted"},
+			&cli.Uint64Flag{Name: "to", Usage: "`VERSION` to compare with; the version in force when omitted"},
 		},
 		Action: compare,
 	}
@@ -39,21 +40,21 @@
 		return compareFiles(ctx, cmd)
 	}
 	if !cmd.IsSet("from") && !cmd.IsSet("to") {
-		return usageErrorf("run wasabihill compare --help", "give two files, or --from or --to")
+		return usageErrorf("run wasabihill compare --help", "want two files, or at least one of --from and --to")
 	}
 	env, err := environmentOf(cmd)
 	if err != nil {
 		return err
 	}
-	s, err := connect(ctx, cmd)
+	inv, err := connect(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	changes, err := s.Compare(ctx, env, units.Offset(cmd.Uint64("from")), units.Offset(cmd.Uint64("to")))
+	changes, err := inv.Compare(ctx, env, units.Offset(cmd.Uint64("from")), units.Offset(cmd.Uint64("to")))
 	if err != nil {
 		return err
 	}
-	return s.printChanges(changes)
+	return inv.printChanges(changes)
 }
 
 func compareFiles(ctx context.Context, cmd *cli.Command) error {
@@ -61,8 +62,8 @@
 	if err != nil {
 		return err
 	}
-	s := &session{ctx: ctx, cmd: cmd}
-	if err := s.checkOutput(); err != nil {
+	inv := &invocation{ctx: ctx, cmd: cmd}
+	if err := inv.checkOutput(); err != nil {
 		return err
 	}
 	var documents [2]*environment.Document
@@ -78,14 +79,14 @@
 	if len(problems) > 0 {
 		return invalidDocument(cmd.Name, problems)
 	}
-	return s.printChanges(environment.Compare(documents[0], documents[1]))
+	return inv.printChanges(environment.Compare(documents[0], documents[1]))
 }
 
-func (s *session) printChanges(changes []environment.Change) error {
+func (inv *invocation) printChanges(changes []environment.Change) error {
 	if changes == nil {
 		changes = []environment.Change{}
 	}
-	return s.print(changes, func(w io.Writer) {
+	return inv.print(changes, func(w io.Writer) {
 		if len(changes) == 0 {
 			fmt.Fprintln(w, "no differences")
 		}
--- a/internal/operator/domain.go
+++ b/internal/operator/domain.go
@@ -1,5 +1,5 @@
-// The verb domain edits one field, because taking a failure domain out of service
-// must not wait for an editor.
+// The verb domain changes one field of the document directly, so that an operator
+// can take a failure domain out of service without editing the document by hand.
 
 package operator
 
@@ -18,8 +18,8 @@
 		Name:     "domain",
 		Usage:    "take a failure domain out of service or return it",
 		Category: categoryDocuments,
-		Description: `Taking a failure domain out of service is in force everywhere within 3 s: no
-task starts there, and its batch tasks and watchers move elsewhere.
+		Description: `The change takes effect everywhere within 3 s. No task starts in a failure domain
+that is out of service, and its batch tasks and watchers move elsewhere.
 
 Examples:
   wasabihill domain out pwani-a -e production
@@ -29,7 +29,7 @@
 			newDomainState(environment.DomainIn, "return a failure domain to service"),
 		},
 		Action: func(context.Context, *cli.Command) error {
-			return usageErrorf("run wasabihill domain --help", "want out or in")
+			return usageErrorf("run wasabihill domain --help", "the state is missing or unknown; want out or in")
 		},
 	}
 }
@@ -40,12 +40,12 @@
 		Usage:     usage,
 		ArgsUsage: "NAME",
 		Flags:     []cli.Flag{environmentFlag(), authorFlag(), keyFlag()},
-		Action:    action(func(s *session) error { return setDomainState(s, state) }),
+		Action:    action(func(inv *invocation) error { return setDomainState(inv, state) }),
 	}
 }
 
-func setDomainState(s *session, state environment.DomainState) error {
-	return edit(s, "NAME", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
-		return s.SetDomainState(s.ctx, env, units.DomainName(name), state, author(s.cmd), key)
+func setDomainState(inv *invocation, state environment.DomainState) error {
+	return editDocument(inv, "NAME", func(env units.EnvironmentName, name, key string) (administration.Published, error) {
+		return inv.SetDomainState(inv.ctx, env, units.DomainName(name), state, authorOf(inv.cmd), key)
 	})
 }
--- a/internal/operator/session.go
+++ b/internal/operator/invocation.go
@@ -1,4 +1,4 @@
-// What the verbs share: the client, input, output and idempotency keys.
+// Functions that the verbs share: the client, input, output and idempotency keys.
 
 package operator
 
@@ -24,30 +24,31 @@
 )
 
 // defaultTimeout is longer than the server's own time limit for one request, so
-// that its answer about the outcome arrives.
+// that the client receives the server's reply about the outcome.
 const defaultTimeout = 15 * time.Second
 
-// session is one run of a verb.
-type session struct {
+// invocation is one run of a verb.
+type invocation struct {
 	*administration.Client
 	ctx context.Context
 	cmd *cli.Command
 }
 
-// action adapts the step of a verb that needs a server.
-func action(step func(*session) error) cli.ActionFunc {
+// action returns the action of a verb that needs a server. It connects and calls
+// fn.
+func action(fn func(*invocation) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		s, err := connect(ctx, cmd)
+		inv, err := connect(ctx, cmd)
 		if err != nil {
 			return err
 		}
-		return step(s)
+		return fn(inv)
 	}
 }
 
-func connect(ctx context.Context, cmd *cli.Command) (*session, error) {
-	s := &session{ctx: ctx, cmd: cmd}
-	if err := s.checkOutput(); err != nil {
+func connect(ctx context.Context, cmd *cli.Command) (*invocation, error) {
+	inv := &invocation{ctx: ctx, cmd: cmd}
+	if err := inv.checkOutput(); err != nil {
 		return nil, err
 	}
 	servers := cmd.StringSlice("server")
@@ -58,19 +59,19 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Client = &administration.Client{Servers: servers, Token: token, Timeout: cmd.Duration("timeout")}
-	return s, nil
+	inv.Client = &administration.Client{Servers: servers, Token: token, Timeout: cmd.Duration("timeout")}
+	return inv, nil
 }
 
-func (s *session) checkOutput() error {
-	if o := s.cmd.String("output"); o != "text" && o != "json" {
+func (inv *invocation) checkOutput() error {
+	if o := inv.cmd.String("output"); o != "text" && o != "json" {
 		return usageErrorf("give --output text or --output json", "unknown output %q", o)
 	}
 	return nil
 }
 
-// maxToken is larger than any token that an entry process accepts.
-const maxToken = 4096
+// maxTokenBytes is larger than any token that an entry process accepts.
+const maxTokenBytes = 4096
 
 func readToken(cmd *cli.Command) (string, error) {
 	path := cmd.String("token-file")
@@ -80,14 +81,14 @@
 		}
 		return "", usageErrorf("give --token-file FILE or set WASABIHILL_TOKEN", "no token is given")
 	}
-	data, err := readFile(path, maxToken)
+	data, err := readFile(path, maxTokenBytes)
 	if err != nil {
 		return "", err
 	}
 	return strings.TrimSpace(string(data)), nil
 }
 
-// readFile reads a file of at most limit bytes.
+// readFile reads a file of at most limit bytes and returns an error for a larger one.
 func readFile(path string, limit int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return data, nil
 }
 
-// readInput reads the file that an argument names; "-" is standard input.
+// readInput reads the file at path, or standard input if path is "-".
 func readInput(cmd *cli.Command, path string) ([]byte, error) {
 	if path == "-" {
 		return readLimited("standard input", cmd.Root().Reader, strictjson.MaxSize)
@@ -116,22 +117,22 @@
 	return readFile(path, strictjson.MaxSize)
 }
 
-// arguments returns the arguments of a verb that takes exactly those named.
+// arguments returns the arguments of a verb, which must be as many as names.
 func arguments(cmd *cli.Command, names ...string) ([]string, error) {
 	if got := cmd.Args().Len(); got != len(names) {
-		return nil, usageErrorf("run "+cmd.FullName()+" --help", "got %d arguments; want %s", got, wanted(names))
+		return nil, usageErrorf("run "+cmd.FullName()+" --help", "got %d arguments; want %s", got, formatArgumentNames(names))
 	}
 	return cmd.Args().Slice(), nil
 }
 
-func wanted(names []string) string {
+func formatArgumentNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
 	return strings.Join(names, " ")
 }
 
-// environmentFlag names the environment of a verb.
+// environmentFlag returns the flag that names the environment of a verb.
 func environmentFlag() cli.Flag {
 	return &cli.StringFlag{Name: "environment", Aliases: []string{"e"}, Usage: "`NAME` of the environment", Sources: cli.EnvVars("WASABIHILL_ENVIRONMENT")}
 }
@@ -144,12 +145,12 @@
 	return units.EnvironmentName(name), nil
 }
 
-// authorFlag names who edits a document.
+// authorFlag returns the flag that names the author of a version.
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Usage: "`NAME` recorded with the version; the login name when omitted"}
+	return &cli.StringFlag{Name: "author", Usage: "`NAME` to record as the author of the version; the login name when omitted"}
 }
 
-func author(cmd *cli.Command) string {
+func authorOf(cmd *cli.Command) string {
 	if name := cmd.String("author"); name != "" {
 		return name
 	}
@@ -159,33 +160,34 @@
 	return ""
 }
 
-// keyFlag lets an operator repeat a mutation whose outcome is unknown.
+// keyFlag returns the flag with which an operator repeats a mutation whose outcome
+// is unknown.
 func keyFlag() cli.Flag {
 	return &cli.StringFlag{Name: "key", Usage: "idempotency `KEY` of an earlier run whose outcome is unknown"}
 }
 
-// mutate runs a mutation under a key and tells the operator how to repeat it
-// when the outcome is unknown.
-func mutate(cmd *cli.Command, run func(key string) error) error {
+// mutate runs a mutation under an idempotency key. If the outcome is unknown or
+// another version was published first, the error hints at how to continue.
+func mutate(cmd *cli.Command, fn func(key string) error) error {
 	key := cmd.String("key")
 	if key == "" {
 		key = administration.NewKey()
 	}
-	err := run(key)
+	err := fn(key)
 	if administration.OutcomeOf(err) == administration.OutcomeUnknown {
 		return oops.Hint("it may have taken effect; repeat it safely with --key " + key).Wrap(err)
 	}
 	var e *administration.Error
 	if errors.As(err, &e) && e.Kind == administration.KindLostRace {
-		return oops.Hint(fmt.Sprintf("read version %d with the verb show, repeat the edit on it and publish with --base %d", e.Details.Winner, e.Details.Winner)).Wrap(err)
+		return oops.Hint(fmt.Sprintf("read version %d with the verb show, repeat the edit on it and publish it with --base %d", e.Details.Winner, e.Details.Winner)).Wrap(err)
 	}
 	return err
 }
 
-// print writes v as JSON or calls text.
-func (s *session) print(v any, text func(w io.Writer)) error {
-	out := s.cmd.Root().Writer
-	if s.cmd.String("output") == "json" {
+// print writes v as JSON, or calls text for a table if the output format is text.
+func (inv *invocation) print(v any, text func(w io.Writer)) error {
+	out := inv.cmd.Root().Writer
+	if inv.cmd.String("output") == "json" {
 		encoder := json.NewEncoder(out)
 		encoder.SetEscapeHTML(false)
 		encoder.SetIndent("", "  ")
@@ -196,8 +198,8 @@
 	return table.Flush()
 }
 
-func (s *session) printPublished(p administration.Published) error {
-	return s.print(p, func(w io.Writer) {
+func (inv *invocation) printPublished(p administration.Published) error {
+	return inv.print(p, func(w io.Writer) {
 		if len(p.Changes) == 0 {
 			fmt.Fprintf(w, "%s is unchanged at version %d\n", p.Environment, p.Version)
 			return
@@ -213,8 +215,8 @@
 	}
 }
 
-// size formats resources for a table.
-func size(s administration.Size) string {
+// formatSize formats resources for a table.
+func formatSize(s administration.Size) string {
 	text := fmt.Sprintf("%s cores, %s", s.Processors, s.Memory)
 	if s.Accelerators != 0 {
 		text += fmt.Sprintf(", %d accelerators", s.Accelerators)
@@ -222,30 +224,30 @@
 	return text
 }
 
-// count formats a number of things, such as "1 error" or "3 errors".
-func count(n int, thing string) string {
+// formatCount formats a number and its noun, such as "1 error" or "3 errors".
+func formatCount(n int, noun string) string {
 	if n == 1 {
-		return "1 " + thing
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, thing)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// edit runs a verb that changes one thing, named by its only argument, in an
-// environment's document.
-func edit(s *session, argument string, change func(env units.EnvironmentName, name, key string) (administration.Published, error)) error {
-	args, err := arguments(s.cmd, argument)
+// editDocument runs a verb that changes one field of an environment's document. The
+// verb's only argument names the failure domain or worker to change.
+func editDocument(inv *invocation, argument string, change func(env units.EnvironmentName, name, key string) (administration.Published, error)) error {
+	args, err := arguments(inv.cmd, argument)
 	if err != nil {
 		return err
 	}
-	env, err := environmentOf(s.cmd)
+	env, err := environmentOf(inv.cmd)
 	if err != nil {
 		return err
 	}
-	return mutate(s.cmd, func(key string) error {
+	return mutate(inv.cmd, func(key string) error {
 		published, err := change(env, args[0], key)
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/promote.go
+++ b/internal/operator/promote.go
@@ -1,4 +1,5 @@
-// The verb promote takes a tried document to production in one step.
+// The verb promote publishes a document that was tested in one environment in
+// another, such as production.
 
 package operator
 
@@ -13,7 +14,7 @@
 		Name:     "promote",
 		Usage:    "publish the document of one environment in another",
 		Category: categoryDocuments,
-		Description: `Everything is taken over but the states of failure domains and the drained
+		Description: `Copies the whole document except the states of failure domains and the drained
 workers, which stay those of the target.
 
 Examples:
@@ -21,27 +22,27 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "from", Value: "trial", Usage: "`NAME` of the environment to copy"},
 			&cli.StringFlag{Name: "to", Value: "production", Usage: "`NAME` of the environment to change"},
-			&cli.Uint64Flag{Name: "from-version", Usage: "`VERSION` to copy; the one in force when omitted"},
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` of the target that is replaced; 0 when there is none yet"},
+			&cli.Uint64Flag{Name: "from-version", Usage: "`VERSION` to copy; the version in force when omitted"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` of the target that is replaced; 0 when the target has no document"},
 			authorFlag(), keyFlag(),
 		},
 		Action: action(promote),
 	}
 }
 
-func promote(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func promote(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	if !s.cmd.IsSet("base") {
+	if !inv.cmd.IsSet("base") {
 		return usageErrorf("the verb show prints the version in force", "--base is missing")
 	}
-	from, to := units.EnvironmentName(s.cmd.String("from")), units.EnvironmentName(s.cmd.String("to"))
-	return mutate(s.cmd, func(key string) error {
-		published, err := s.Promote(s.ctx, from, to, units.Offset(s.cmd.Uint64("from-version")), units.Offset(s.cmd.Uint64("base")), author(s.cmd), key)
+	from, to := units.EnvironmentName(inv.cmd.String("from")), units.EnvironmentName(inv.cmd.String("to"))
+	return mutate(inv.cmd, func(key string) error {
+		published, err := inv.Promote(inv.ctx, from, to, units.Offset(inv.cmd.Uint64("from-version")), units.Offset(inv.cmd.Uint64("base")), authorOf(inv.cmd), key)
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -1,4 +1,5 @@
-// The verb publish always needs a base, so that nobody replaces a version unread.
+// The verb publish always requires a base version, so that nobody replaces a
+// version without having read it.
 
 package operator
 
@@ -23,35 +24,35 @@
   wasabihill publish --base 1042 production.json
   wasabihill publish --base 0 trial.json       # the first version`,
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file was edited from; 0 when there is none yet"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file was edited from; 0 when the environment has no document"},
 			authorFlag(), keyFlag(),
 		},
 		Action: action(publish),
 	}
 }
 
-func publish(s *session) error {
-	args, err := arguments(s.cmd, "FILE")
+func publish(inv *invocation) error {
+	args, err := arguments(inv.cmd, "FILE")
 	if err != nil {
 		return err
 	}
-	if !s.cmd.IsSet("base") {
+	if !inv.cmd.IsSet("base") {
 		return usageErrorf("the verb show prints the version in force", "--base is missing")
 	}
-	text, err := readInput(s.cmd, args[0])
+	text, err := readInput(inv.cmd, args[0])
 	if err != nil {
 		return err
 	}
 	document, err := environment.Parse(args[0], text)
 	if err != nil {
-		return invalidDocument(s.cmd.Name, environment.Problems(err))
+		return invalidDocument(inv.cmd.Name, environment.Problems(err))
 	}
-	return mutate(s.cmd, func(key string) error {
-		published, err := s.Publish(s.ctx, administration.Publication{
-			Environment: document.Environment, Key: key, Base: units.Offset(s.cmd.Uint64("base")), Author: author(s.cmd), Text: text}, args[0])
+	return mutate(inv.cmd, func(key string) error {
+		published, err := inv.Publish(inv.ctx, administration.Publication{
+			Environment: document.Environment, Key: key, Base: units.Offset(inv.cmd.Uint64("base")), Author: authorOf(inv.cmd), Text: text}, args[0])
 		if err != nil {
 			return err
 		}
-		return s.printPublished(published)
+		return inv.printPublished(published)
 	})
 }
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -1,4 +1,5 @@
-// The verb show prints the text with its comments, ready to be edited.
+// The verb show prints the text of a document with its comments, so that it can be
+// edited.
 
 package operator
 
@@ -17,8 +18,8 @@
 		Name:     "show",
 		Usage:    "print the document of an environment, or its history",
 		Category: categoryDocuments,
-		Description: `The first line is a comment with the version, so the output can be edited and
-published as it is.
+		Description: `The first line of the output is a comment with the version. The output can be
+edited and published as it is.
 
 Examples:
   wasabihill show -e production > production.json
@@ -26,49 +27,49 @@
   wasabihill show -e production --history`,
 		Flags: []cli.Flag{
 			environmentFlag(),
-			&cli.Uint64Flag{Name: "version-number", Usage: "`VERSION` to print; the one in force when omitted"},
-			&cli.BoolFlag{Name: "history", Usage: "list the versions instead"},
-			&cli.IntFlag{Name: "limit", Value: 20, Usage: "list the newest `NUMBER` of versions"},
+			&cli.Uint64Flag{Name: "version-number", Usage: "`VERSION` to print; the version in force when omitted"},
+			&cli.BoolFlag{Name: "history", Usage: "list the versions instead of printing a document"},
+			&cli.IntFlag{Name: "limit", Value: 20, Usage: "list only the newest `NUMBER` of versions"},
 		},
 		Action: action(show),
 	}
 }
 
-func show(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func show(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	env, err := environmentOf(s.cmd)
+	env, err := environmentOf(inv.cmd)
 	if err != nil {
 		return err
 	}
-	if s.cmd.Bool("history") {
-		return s.showHistory(env)
+	if inv.cmd.Bool("history") {
+		return inv.showHistory(env)
 	}
-	d, err := s.Document(s.ctx, env, units.Offset(s.cmd.Uint64("version-number")))
+	d, err := inv.Document(inv.ctx, env, units.Offset(inv.cmd.Uint64("version-number")))
 	if err != nil {
 		return err
 	}
-	if s.cmd.String("output") == "json" {
-		return s.print(d, nil)
+	if inv.cmd.String("output") == "json" {
+		return inv.print(d, nil)
 	}
 	text := d.Text
-	if strings.HasPrefix(text, versionComment) { // from an earlier show
+	if strings.HasPrefix(text, versionComment) { // left from the output that was edited
 		_, text, _ = strings.Cut(text, "\n")
 	}
-	_, err = fmt.Fprintf(s.cmd.Root().Writer, "%s%d of %s, published by %s\n%s\n", versionComment, d.Version, d.Environment, d.Author, strings.TrimRight(text, "\n"))
+	_, err = fmt.Fprintf(inv.cmd.Root().Writer, "%s%d of %s, published by %s\n%s\n", versionComment, d.Version, d.Environment, d.Author, strings.TrimRight(text, "\n"))
 	return err
 }
 
-// versionComment starts the first line of the output.
+// versionComment is the beginning of the first line of the output.
 const versionComment = "// wasabihill version "
 
-func (s *session) showHistory(env units.EnvironmentName) error {
-	list, err := s.History(s.ctx, env, s.cmd.Int("limit"))
+func (inv *invocation) showHistory(env units.EnvironmentName) error {
+	list, err := inv.History(inv.ctx, env, inv.cmd.Int("limit"))
 	if err != nil {
 		return err
 	}
-	return s.print(list, func(w io.Writer) {
+	return inv.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tAUTHOR")
 		for _, d := range list {
 			fmt.Fprintf(w, "%d\t%s\n", d.Version, d.Author)
--- a/internal/operator/timeline.go
+++ b/internal/operator/timeline.go
@@ -1,4 +1,4 @@
-// The verb timeline shows events with their causes.
+// The verb timeline shows the events of all processes with their causes.
 
 package operator
 
@@ -11,7 +11,7 @@
 func newTimeline() *cli.Command {
 	return &cli.Command{
 		Name:     "timeline",
-		Usage:    "show what happened in all processes and what caused it",
+		Usage:    "show the events of all processes with their causes",
 		Category: categoryViews,
 		Description: `Examples:
   wasabihill timeline --subject worker-7
@@ -20,26 +20,26 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "subject", Usage: "only events whose subject contains `TEXT`"},
 			&cli.StringFlag{Name: "lane", Usage: "only events of the lane `NAME`, such as worker, entry, log, job or service"},
-			&cli.IntFlag{Name: "limit", Value: 500, Usage: "show the newest `NUMBER` of events"},
-			&cli.BoolFlag{Name: "html", Usage: "print a page with a picture"},
+			&cli.IntFlag{Name: "limit", Value: 500, Usage: "show only the newest `NUMBER` of events"},
+			&cli.BoolFlag{Name: "html", Usage: "print an HTML page with a chart"},
 		},
-		Action: action(timelineVerb),
+		Action: action(showTimeline),
 	}
 }
 
-func timelineVerb(s *session) error {
-	if _, err := arguments(s.cmd); err != nil {
+func showTimeline(inv *invocation) error {
+	if _, err := arguments(inv.cmd); err != nil {
 		return err
 	}
-	format := s.cmd.String("output")
-	if s.cmd.Bool("html") {
+	format := inv.cmd.String("output")
+	if inv.cmd.Bool("html") {
 		format = "html"
 	}
-	body, err := s.Timeline(s.ctx, administration.TimelineFilter{
-		Subject: s.cmd.String("subject"), Lane: s.cmd.String("lane"), Limit: s.cmd.Int("limit")}, format)
+	body, err := inv.Timeline(inv.ctx, administration.TimelineFilter{
+		Subject: inv.cmd.String("subject"), Lane: inv.cmd.String("lane"), Limit: inv.cmd.Int("limit")}, format)
 	if err != nil {
 		return err
 	}
-	_, err = s.cmd.Root().Writer.Write(body)
+	_, err = inv.cmd.Root().Writer.Write(body)
 	return err
 }
--- a/internal/process/requests.go
+++ b/internal/process/requests.go
@@ -16,26 +16,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// requestPath connects the gateway and its table of endpoints to the entry
-// process.
-type requestPath struct {
+// requestServer implements entry.RequestServer with a gateway and its routing
+// table. It removes the endpoints of an agent when the agent's session ends.
+type requestServer struct {
 	*gateway.Gateway
 	table *routing.Table
 
 	mu       sync.Mutex
-	sessions map[*link.Session]struct{}
+	sessions map[*link.Session]struct{} // sessions with a goroutine that waits for their end
 }
 
-func requests(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
+// newRequestServer returns the constructor that an entry process calls when it
+// starts.
+func newRequestServer(s *settings.Entry, scope tally.Scope) func(*entry.Entry) entry.RequestServer {
 	return func(e *entry.Entry) entry.RequestServer {
 		table := routing.New(routing.Settings{Domain: s.FailureDomain, Region: s.Region})
-		document := func() *environment.Document {
+		currentDocument := func() *environment.Document {
 			d, _ := e.Document()
 			return d
 		}
-		return &requestPath{
+		return &requestServer{
 			Gateway: gateway.New(gateway.Options{
-				Table: table, Document: document, Scope: scope,
+				Table: table, Document: currentDocument, Scope: scope,
 				MaxRequests: s.Limits.CallerRequests, MaxBodyBytes: int64(s.Limits.CallerBody), MaxTimeout: s.Limits.CallerTimeout,
 			}),
 			table: table, sessions: make(map[*link.Session]struct{}),
@@ -44,25 +46,25 @@
 }
 
 // Run implements entry.RequestServer.
-func (p *requestPath) Run(ctx context.Context) error { return p.table.Run(ctx) }
+func (r *requestServer) Run(ctx context.Context) error { return r.table.Run(ctx) }
 
 // ObserveHeartbeat implements entry.RequestServer.
-func (p *requestPath) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
-	p.table.RecordHeartbeat(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if _, known := p.sessions[session]; known {
+func (r *requestServer) ObserveHeartbeat(worker units.WorkerID, session *link.Session, heartbeat entry.ReceivedHeartbeat) {
+	r.table.RecordHeartbeat(worker, session, heartbeat.Message, heartbeat.ReceivedAt)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, tracked := r.sessions[session]; tracked {
 		return
 	}
-	p.sessions[session] = struct{}{}
+	r.sessions[session] = struct{}{}
 	go func() {
 		<-session.Done()
-		p.table.Remove(worker, session)
-		p.mu.Lock()
-		delete(p.sessions, session)
-		p.mu.Unlock()
+		r.table.Remove(worker, session)
+		r.mu.Lock()
+		delete(r.sessions, session)
+		r.mu.Unlock()
 	}()
 }
 
 // SetDocument implements entry.RequestServer.
-func (p *requestPath) SetDocument(d *environment.Document) { p.table.SetDocument(d, time.Now()) }
+func (r *requestServer) SetDocument(d *environment.Document) { r.table.SetDocument(d, time.Now()) }
