--- a/internal/operator/job.go
+++ b/internal/operator/job.go
@@ -15,7 +15,7 @@
 func newJob() *cli.Command {
 	return &cli.Command{
 		Name:      "job",
-		Usage:     "show a job and its tasks, with the reason for each task's state",
+		Usage:     "show a job and its tasks, with their attempts and the reasons of their states",
 		ArgsUsage: "JOB",
 		Category:  categoryJobs,
 		Description: `Examples:
--- a/internal/operator/root.go
+++ b/internal/operator/root.go
@@ -51,7 +51,7 @@
 func Root(extra ...*cli.Command) *cli.Command {
 	root := &cli.Command{
 		Name:                            "wasabihill",
-		Usage:                           "schedule services, batch jobs and watchers on workers",
+		Usage:                           "schedule services, batch jobs and watchers on committed workers",
 		Description:                     rootDescription,
 		Version:                         Version,
 		EnableShellCompletion:           true,
