--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,7 +59,7 @@
 
 // parse reads data into target by a table and then checks rules between fields.
 func parse[T any](name string, data []byte, target *T, fields []strictjson.Field[T], check func(report)) (*T, error) {
-	reader, root := strictjson.Open(name, data)
+	reader, root := strictjson.Parse(name, data)
 	if root.Valid() {
 		strictjson.Object(root, target, fields)
 		check(reader.Report)
--- a/internal/strictjson/reader.go
+++ b/internal/strictjson/reader.go
@@ -38,9 +38,9 @@
 	maxListed   = 1_000
 )
 
-// Open parses the text. When the text is no JSON with comments, the node is
+// Parse parses the text. When the text is no JSON with comments, the node is
 // not valid and Err returns the reason.
-func Open(name string, data []byte) (*Reader, Node) {
+func Parse(name string, data []byte) (*Reader, Node) {
 	r := &Reader{name: name, data: data, offsets: map[string]int{}, failed: map[string]bool{}}
 	if len(data) > MaxSize {
 		r.problems = Problems{{File: name, Message: fmt.Sprintf("file has %d bytes; at most %d are allowed", len(data), MaxSize)}}
--- a/internal/strictjson/reader_test.go
+++ b/internal/strictjson/reader_test.go
@@ -20,7 +20,7 @@
 		fmt.Fprintf(&text, "\"k%d\":1,\n", i)
 	}
 	text.WriteString("}")
-	r, root := Open("many", []byte(text.String()))
+	r, root := Parse("many", []byte(text.String()))
 	Object(root, new(target), fields)
 	var got Problems
 	if !errors.As(r.Err(), &got) || len(got) != maxListed+1 {
@@ -32,7 +32,7 @@
 	if p := got[999]; p.Line != 1000 || p.Column != 1 {
 		t.Errorf("got place %d:%d of the last listed problem, want 1000:1", p.Line, p.Column)
 	}
-	if _, root := Open("large", make([]byte, MaxSize+1)); root.Valid() {
+	if _, root := Parse("large", make([]byte, MaxSize+1)); root.Valid() {
 		t.Error("a text beyond the limit was read")
 	}
 }
--- a/pkg/administration/submission.go
+++ b/pkg/administration/submission.go
@@ -52,7 +52,7 @@
 // document, which may be nil, it checks the team and the size.
 func ParseSubmission(name string, data []byte, owner units.TeamName, document *environment.Document) (Submission, error) {
 	s := Submission{Team: owner, Tasks: 1, Priority: units.PriorityNormal}
-	reader, root := strictjson.Open(name, data)
+	reader, root := strictjson.Parse(name, data)
 	if root.Valid() {
 		strictjson.Object(root, &s, submissionFields)
 		checkPositive(s.Size, reader.Report)
--- a/pkg/environment/parse.go
+++ b/pkg/environment/parse.go
@@ -43,7 +43,7 @@
 // ParseAgainst is Parse together with the checks of CheckAgainst. current may
 // be nil.
 func ParseAgainst(name string, data []byte, current *Document, running Running) (*Document, error) {
-	reader, root := strictjson.Open(name, data)
+	reader, root := strictjson.Parse(name, data)
 	d := new(Document)
 	if root.Valid() {
 		strictjson.Object(root, d, documentFields)
