--- a/internal/administration/administrationtest/fake.go
+++ b/internal/administration/administrationtest/fake.go
@@ -18,15 +18,15 @@
 // Backend implements administration.Backend in memory. Exported fields may be
 // changed between requests.
 type Backend struct {
-	RunningUse  environment.Running
-	WorkerList  []administration.Worker
-	EntryList   []administration.Entry
-	TeamList    []administration.Team
-	EventList   []timeline.Event
-	Fail        error         // returned by every mutation without an effect
-	FailAfter   error         // returned by every mutation after its effect
-	Delay       time.Duration // of every mutation
-	BeforeWrite func()        // called once by the next mutation, to lose a race or to hold it
+	RunningResources environment.Running
+	WorkerList       []administration.Worker
+	EntryList        []administration.Entry
+	TeamList         []administration.Team
+	EventList        []timeline.Event
+	Fail             error         // returned by every mutation without an effect
+	FailAfter        error         // returned by every mutation after its effect
+	Delay            time.Duration // of every mutation
+	BeforeWrite      func()        // called once by the next mutation, to lose a race or to hold it
 
 	mu       sync.Mutex
 	versions []administration.Document
@@ -109,7 +109,7 @@
 
 // Running implements administration.Backend.
 func (b *Backend) Running(context.Context, units.EnvironmentName) (environment.Running, error) {
-	return b.RunningUse, nil
+	return b.RunningResources, nil
 }
 
 // Submit implements administration.Backend.
--- a/internal/administration/server_test.go
+++ b/internal/administration/server_test.go
@@ -139,7 +139,7 @@
 		{name: "publish invalid", method: "PUT", path: production + "/document?base=1&file=x.json", token: operator, key: "k", body: "{}", status: 400, want: `{"file":"x.json","line":1,"column":1,"field":"environment"`},
 		{name: "quota below what runs", method: "PUT", path: production + "/document?base=1", token: operator, key: "k", body: strings.Replace(document, `"64"`, `"2"`, 1), status: 400, want: "the team runs 20",
 			prepare: func(b *administrationtest.Backend) {
-				b.RunningUse = map[units.TeamName]units.Resources{"moulds": {Processors: 20000}}
+				b.RunningResources = map[units.TeamName]units.Resources{"moulds": {Processors: 20000}}
 			}},
 		{name: "check", method: "POST", path: production + "/check", token: operator, body: strings.Replace(document, `"64"`, `"2"`, 1), status: 200, want: `"changes":[{"field":"teams[moulds].quota.processors","before":"64","after":"2"}]`},
 		{name: "domain out", method: "POST", path: production + "/domains/pwani-a/out", token: operator, key: "k", status: 200, want: `"version":2,"changes":[{"field":"failureDomains[pwani-a].state","before":"in","after":"out"}]`},
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -75,8 +75,8 @@
 // margin is how long before and after the job's own lines beliefs are shown.
 const margin = time.Second
 
-// Path returns the lines that explain a job, in the order of their times.
-func Path(id string, lines []Line) []Line {
+// Select returns the lines that explain a job, in the order of their times.
+func Select(id string, lines []Line) []Line {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var first, last time.Time
 	for _, line := range lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -29,7 +29,7 @@
 				t.Fatal(err)
 			}
 			var messages []string
-			for _, line := range Path(test.id, lines) {
+			for _, line := range Select(test.id, lines) {
 				messages = append(messages, line.Message)
 			}
 			at := 0
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := Write(&out, "ab", Path("ab", append(lines, other...))); err != nil {
+	if err := Write(&out, "ab", Select("ab", append(lines, other...))); err != nil {
 		t.Fatal(err)
 	}
 	want := "TIME          PROCESS     WHAT            WITH\n" +
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,18 +16,18 @@
 const (
 	// queued is how many lines wait for the output.
 	queued = 1024
-	// DefaultLines and DefaultKind bound the lines per second, of all kinds and
+	// DefaultLinesPerSecond and DefaultKindLinesPerSecond bound the lines per second, of all kinds and
 	// of one. At about 250 bytes a line a process writes at most 50 KB a second.
-	DefaultLines = 200
-	DefaultKind  = 60
+	DefaultLinesPerSecond     = 200
+	DefaultKindLinesPerSecond = 60
 )
 
 // Writer is the output of a logger. Set the exported fields before the first
 // Write. Write may be called concurrently and never waits for the output.
 type Writer struct {
-	Out   io.Writer
-	Lines int // most lines per second; 0 means DefaultLines
-	Kind  int // most lines of one kind per second; 0 means DefaultKind
+	Out                io.Writer
+	LinesPerSecond     int // most lines per second; 0 means DefaultLinesPerSecond
+	KindLinesPerSecond int // most lines of one kind per second; 0 means DefaultKindLinesPerSecond
 
 	once    sync.Once
 	lines   chan []byte
@@ -42,11 +42,11 @@
 
 func (w *Writer) begin() {
 	w.once.Do(func() {
-		if w.Lines == 0 {
-			w.Lines = DefaultLines
+		if w.LinesPerSecond == 0 {
+			w.LinesPerSecond = DefaultLinesPerSecond
 		}
-		if w.Kind == 0 {
-			w.Kind = DefaultKind
+		if w.KindLinesPerSecond == 0 {
+			w.KindLinesPerSecond = DefaultKindLinesPerSecond
 		}
 		w.lines, w.done = make(chan []byte, queued), make(chan struct{})
 		w.kinds, w.omitted = make(map[string]int), make(map[string]int)
@@ -69,7 +69,7 @@
 	}
 	w.turn(time.Now().Unix())
 	kind := kindOf(line)
-	if w.written >= w.Lines || w.kinds[kind] >= w.Kind {
+	if w.written >= w.LinesPerSecond || w.kinds[kind] >= w.KindLinesPerSecond {
 		w.omitted[kind]++
 		return len(line), nil
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -20,7 +20,7 @@
 // A blocked standard output must not delay a decision.
 func TestBlockedOutputDelaysNothing(t *testing.T) {
 	out := &blocked{release: make(chan struct{})}
-	w := &Writer{Out: out, Lines: 1 << 20, Kind: 1 << 20}
+	w := &Writer{Out: out, LinesPerSecond: 1 << 20, KindLinesPerSecond: 1 << 20}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -52,7 +52,7 @@
 // and the number of lines that were left out is known.
 func TestBudgetOfAKind(t *testing.T) {
 	out := &buffer{}
-	w := &Writer{Out: out, Lines: 100, Kind: 10}
+	w := &Writer{Out: out, LinesPerSecond: 100, KindLinesPerSecond: 10}
 	for range 500 {
 		fmt.Fprintf(w, "\"frequent\" job=1\n")
 	}
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	path := explain.Path(id, lines)
+	path := explain.Select(id, lines)
 	if len(path) == 0 {
 		return fmt.Errorf("no line of %d names job %s", len(lines), id)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -43,7 +43,7 @@
 	if _, err := b.Publish(t.Context(), api.Publication{Environment: "production", Key: "p", Author: "amina", Text: published(t)}); err != nil {
 		t.Fatal(err)
 	}
-	b.RunningUse = map[units.TeamName]units.Resources{"moulds": {Processors: 20_000, Memory: units.GiB}}
+	b.RunningResources = map[units.TeamName]units.Resources{"moulds": {Processors: 20_000, Memory: units.GiB}}
 	capacity := api.Size{Processors: 32_000, Memory: 125e9}
 	b.WorkerList = []api.Worker{
 		{ID: "worker-1", Epoch: 3, FailureDomain: "pwani-a", Rack: "r1", Region: "pwani", State: "ready", Capacity: capacity,
