--- a/pkg/environment/check.go
+++ b/pkg/environment/check.go
@@ -1,5 +1,5 @@
-// Rules between fields are checked here, on the typed document, so that they also
-// hold for documents that are built in memory.
+// The rules between fields are checked on the typed document, so that they also
+// apply to documents that are built in memory.
 
 package environment
 
@@ -11,10 +11,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// report receives the field path and the text of one problem.
+// report records one problem: the field path and the message.
 type report = func(field, format string, args ...any)
 
-// check reports every rule that holds between fields.
+// check reports each violation of a rule between fields.
 func (d *Document) check(report report) {
 	if len(d.FailureDomains) == 0 {
 		report("failureDomains", "is empty; want at least one failure domain")
@@ -24,11 +24,11 @@
 			report(fmt.Sprintf("failureDomains[%d].state", i), "state %q: want in or out", f.State)
 		}
 	}
-	unique(report, "failureDomains[%d].name", d.FailureDomains, func(f FailureDomain) string { return string(f.Name) })
-	unique(report, "teams[%d].name", d.Teams, func(t Team) string { return string(t.Name) })
-	unique(report, "services[%d].name", d.Services, func(s Service) string { return string(s.Name) })
-	unique(report, "watchers[%d].name", d.Watchers, func(w Watcher) string { return w.Name })
-	unique(report, "drainedWorkers[%d]", d.DrainedWorkers, func(w units.WorkerID) string { return string(w) })
+	reportDuplicates(report, "failureDomains[%d].name", d.FailureDomains, func(f FailureDomain) string { return string(f.Name) })
+	reportDuplicates(report, "teams[%d].name", d.Teams, func(t Team) string { return string(t.Name) })
+	reportDuplicates(report, "services[%d].name", d.Services, func(s Service) string { return string(s.Name) })
+	reportDuplicates(report, "watchers[%d].name", d.Watchers, func(w Watcher) string { return w.Name })
+	reportDuplicates(report, "drainedWorkers[%d]", d.DrainedWorkers, func(w units.WorkerID) string { return string(w) })
 	checkPositive("largestWorker", d.LargestWorker, report)
 	d.checkServices(report)
 	d.checkWatchers(report)
@@ -65,7 +65,7 @@
 	report(path, "unknown team %q; want one of: %s", name, strings.Join(names, ", "))
 }
 
-// Team returns the team of that name, or nil.
+// Team returns the team with the given name, or nil.
 func (d *Document) Team(name units.TeamName) *Team {
 	for i := range d.Teams {
 		if d.Teams[i].Name == name {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// HasDomain reports whether the document names the failure domain.
+// HasDomain reports whether the document lists the failure domain.
 func (d *Document) HasDomain(name units.DomainName) bool {
 	for _, f := range d.FailureDomains {
 		if f.Name == name {
@@ -85,11 +85,11 @@
 	return false
 }
 
-// checkSize reports a size that is not positive or larger than any worker.
+// checkSize reports a size that is not positive or exceeds LargestWorker.
 func (d *Document) checkSize(path string, size units.Resources, report report) {
 	checkPositive(path, size, report)
 	if d.LargestWorker.Processors <= 0 || d.LargestWorker.Memory <= 0 {
-		return // reported at largestWorker
+		return // the problem is already reported at largestWorker
 	}
 	if size.Processors > d.LargestWorker.Processors {
 		report(path+".processors", "got %v; want at most the %v of largestWorker", size.Processors, d.LargestWorker.Processors)
@@ -111,8 +111,8 @@
 	}
 }
 
-// CheckSize refuses a task size that is not positive or that no worker has
-// room for. field is the path that problems mention.
+// CheckSize returns the problems of a task size that is not positive or exceeds
+// the largest worker, or nil. field is the field path in the problems.
 func (d *Document) CheckSize(field string, size units.Resources) []Problem {
 	var ps []Problem
 	d.checkSize(field, size, func(field, format string, args ...any) {
@@ -121,11 +121,12 @@
 	return ps
 }
 
-// unique reports names that occur more than once, at the later one.
-func unique[T any](report report, pathFormat string, all []T, name func(T) string) {
+// reportDuplicates reports each name that occurs more than once, at its later
+// occurrences. Empty names are reported elsewhere.
+func reportDuplicates[T any](report report, pathFormat string, items []T, name func(T) string) {
 	first := map[string]int{}
-	for i, one := range all {
-		s := name(one)
+	for i, item := range items {
+		s := name(item)
 		if s == "" {
 			continue
 		}
--- a/pkg/environment/compare.go
+++ b/pkg/environment/compare.go
@@ -1,5 +1,5 @@
-// Comparison names entries instead of counting them, because inserting a team must
-// not show as a change of every later one.
+// Comparison identifies array elements by name instead of position: otherwise the
+// insertion of a team would show as a change of every later one.
 
 package environment
 
@@ -11,7 +11,7 @@
 
 // Change is one field that differs between two documents.
 type Change struct {
-	Field  string `json:"field"`            // path with names in place of positions, such as teams[moulds].quota.memory
+	Field  string `json:"field"`            // field path with names instead of positions, such as teams[moulds].quota.memory
 	Before string `json:"before,omitempty"` // empty when the field was added
 	After  string `json:"after,omitempty"`  // empty when the field was removed
 }
@@ -28,9 +28,9 @@
 	return fmt.Sprintf("%s: %s -> %s", c.Field, before, after)
 }
 
-// Compare lists the fields in which b differs from a: those of a first, in the
-// order of the document, then those that only b has. The order of named entries
-// is no difference. Either document may be nil.
+// Compare lists the fields in which b differs from a: first the fields of a, in
+// the order of the document, then those that only b has. A different order of
+// named elements is no change. A nil document has no fields.
 func Compare(a, b *Document) []Change {
 	before, beforeOrder := flatten(a)
 	after, afterOrder := flatten(b)
@@ -56,17 +56,17 @@
 	}
 	root, err := hujson.Parse(Encode(d))
 	if err != nil {
-		panic("environment: compare: " + err.Error()) // Encode writes valid JSON
+		panic("environment: compare: " + err.Error()) // cannot happen: Encode writes valid JSON
 	}
 	var order []string
-	walk("", root, func(path, value string) {
+	walkValues("", root, func(path, value string) {
 		values[path] = value
 		order = append(order, path)
 	})
 	return values, order
 }
 
-func walk(path string, v hujson.Value, visit func(path, value string)) {
+func walkValues(path string, v hujson.Value, visit func(path, value string)) {
 	switch v := v.Value.(type) {
 	case hujson.Literal:
 		visit(path, v.String())
@@ -76,14 +76,14 @@
 			if path != "" {
 				child = path + "." + child
 			}
-			walk(child, m.Value, visit)
+			walkValues(child, m.Value, visit)
 		}
 	case *hujson.Array:
 		for _, e := range v.Elements {
 			name, object := elementName(e)
 			child := fmt.Sprintf("%s[%s]", path, name)
 			if object {
-				walk(child, e, visit)
+				walkValues(child, e, visit)
 			} else {
 				visit(child, "listed")
 			}
@@ -91,7 +91,8 @@
 	}
 }
 
-// elementName returns the name that identifies an element of an array.
+// elementName returns the name that identifies an element of an array, and
+// whether the element is an object.
 func elementName(e hujson.Value) (name string, object bool) {
 	switch v := e.Value.(type) {
 	case *hujson.Object:
--- a/pkg/environment/document.go
+++ b/pkg/environment/document.go
@@ -1,5 +1,7 @@
-// Package environment holds the one document through which operators drive an
-// environment: its types, its checks and its comparison.
+// Package environment defines the document with which operators configure an
+// environment, and parses, checks, compares and edits it. Its functions don't
+// modify the documents and texts that they are given, and are safe for concurrent
+// use.
 package environment
 
 import (
@@ -8,20 +10,21 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Document is the desired state of one environment. A Document that Parse
-// returned has passed every check; it is never modified after it is shared.
+// Document is the desired state of one environment. A Document returned by Parse
+// has passed every check. It must not be modified once several goroutines use it.
 type Document struct {
 	Environment    units.EnvironmentName
 	FailureDomains []FailureDomain // names are unique
 	Teams          []Team          // names are unique
-	Services       []Service       // names are unique; Team names an entry of Teams
-	Watchers       []Watcher       // names are unique; Team names an entry of Teams
+	Services       []Service       // names are unique; Team is the name of an element of Teams
+	Watchers       []Watcher       // names are unique; Team is the name of an element of Teams
 	Guards         Guards
 	DrainedWorkers []units.WorkerID
-	LargestWorker  units.Resources // no job may declare a task larger than this
+	LargestWorker  units.Resources // upper limit for the size of a task, a watcher or an endpoint
 }
 
-// DomainState says whether tasks and requests may go to a failure domain.
+// DomainState is the state of a failure domain: whether tasks and requests may be
+// placed in it.
 type DomainState string
 
 // The states of a failure domain.
@@ -41,18 +44,18 @@
 type Team struct {
 	Name      units.TeamName
 	Quota     units.Resources
-	MayBorrow bool // may use what other teams leave unused; that work is evicted first
+	MayBorrow bool // may use what other teams leave unused; work on borrowed resources is evicted first
 }
 
-// Service is a latency-critical service whose endpoints announce themselves.
+// Service is a latency-critical service whose endpoints register by announcement.
 type Service struct {
 	Name          units.ServiceName
 	Team          units.TeamName
 	Priority      units.Priority
-	LatencyTarget time.Duration   // p99 that the guards protect; positive
-	PerEndpoint   units.Resources // committed on a worker for each endpoint beside it
-	Slots         int             // requests an endpoint serves at a time; positive
-	Connections   int             // connections an endpoint accepts; at least Slots
+	LatencyTarget time.Duration   // target for the 99th percentile, which the guards protect; positive
+	PerEndpoint   units.Resources // reserved on a worker for each endpoint on the same machine
+	Slots         int             // concurrent requests per endpoint; positive
+	Connections   int             // connections that an endpoint accepts; at least Slots
 }
 
 // Watcher is a task that runs until it is removed from the document.
@@ -63,14 +66,14 @@
 	Size     units.Resources
 }
 
-// Guards configure the control loop that protects services from batch tasks.
+// Guards configures the control loop that protects services from batch tasks.
 type Guards struct {
 	Enabled      bool
-	LatencyRatio float64 // tolerated latency with batch against without; at least 1
+	LatencyRatio float64 // tolerated ratio of the latency with batch tasks to that without; at least 1
 }
 
-// DomainIsOut reports whether operators have taken the failure domain out of
-// service. A domain that the document does not name counts as out.
+// DomainIsOut reports whether the failure domain is out of service. A failure
+// domain that the document doesn't list counts as out.
 func (d *Document) DomainIsOut(name units.DomainName) bool {
 	for _, f := range d.FailureDomains {
 		if f.Name == name {
@@ -80,7 +83,7 @@
 	return true
 }
 
-// IsDrained reports whether operators drain the worker.
+// IsDrained reports whether the worker is listed in DrainedWorkers.
 func (d *Document) IsDrained(w units.WorkerID) bool {
 	for _, name := range d.DrainedWorkers {
 		if name == w {
@@ -90,7 +93,7 @@
 	return false
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (d *Document) Service(name units.ServiceName) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
--- a/pkg/environment/edit.go
+++ b/pkg/environment/edit.go
@@ -1,4 +1,5 @@
-// Edits work on the text, because operators explain their decisions in comments.
+// Edits change the text instead of the parsed document, to preserve the comments in
+// which operators explain their decisions.
 
 package environment
 
@@ -13,7 +14,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// SetDomainState returns raw with the state of one failure domain changed.
+// SetDomainState returns raw with the state of one failure domain changed. The
+// error has KindInvalid if raw doesn't parse or state is not a valid state, and
+// KindNotFound if raw doesn't list the failure domain.
 func SetDomainState(raw []byte, name units.DomainName, state DomainState) ([]byte, error) {
 	const op = "set failure domain state"
 	root, object, err := parseObject(op, raw)
@@ -23,7 +26,7 @@
 	if state != DomainIn && state != DomainOut {
 		return nil, fault.New(op, KindInvalid, "state %q: want in or out", state)
 	}
-	var known []string
+	var names []string
 	if m := member(object, "failureDomains"); m != nil {
 		domains, _ := m.Value.Value.(*hujson.Array)
 		for i := 0; domains != nil && i < len(domains.Elements); i++ {
@@ -31,18 +34,19 @@
 			if !ok || member(domain, "name") == nil {
 				continue
 			}
-			found := text(member(domain, "name").Value)
-			if found == string(name) {
+			domainName := text(member(domain, "name").Value)
+			if domainName == string(name) {
 				setMember(domain, "state", hujson.String(string(state)))
 				return root.Pack(), nil
 			}
-			known = append(known, found)
+			names = append(names, domainName)
 		}
 	}
-	return nil, fault.New(op, KindNotFound, "unknown failure domain %q; want one of: %s", name, strings.Join(known, ", "))
+	return nil, fault.New(op, KindNotFound, "unknown failure domain %q; want one of: %s", name, strings.Join(names, ", "))
 }
 
-// SetEnvironment returns raw with another environment name, for promotion.
+// SetEnvironment returns raw with another environment name, for the promotion of a
+// document to that environment. The error has KindInvalid if raw doesn't parse.
 func SetEnvironment(raw []byte, name units.EnvironmentName) ([]byte, error) {
 	root, object, err := parseObject("set environment", raw)
 	if err != nil {
@@ -52,9 +56,9 @@
 	return root.Pack(), nil
 }
 
-// SetDrained returns raw with a worker added to or removed from
-// drainedWorkers. It changes nothing when the worker already is, or is not,
-// listed.
+// SetDrained returns raw with the worker added to drainedWorkers, or removed from
+// it if drained is false. If nothing needs to change, the text stays as it is. The
+// error has KindInvalid if raw doesn't parse.
 func SetDrained(raw []byte, worker units.WorkerID, drained bool) ([]byte, error) {
 	const op = "set drained"
 	root, object, err := parseObject(op, raw)
@@ -72,12 +76,12 @@
 	if !ok {
 		return nil, fault.New(op, KindInvalid, "drainedWorkers is no array")
 	}
-	at := slices.IndexFunc(list.Elements, func(e hujson.Value) bool { return text(e) == string(worker) })
+	index := slices.IndexFunc(list.Elements, func(e hujson.Value) bool { return text(e) == string(worker) })
 	switch {
-	case drained && at < 0:
+	case drained && index < 0:
 		appendElement(list, hujson.String(string(worker)))
-	case !drained && at >= 0:
-		removeElement(list, at)
+	case !drained && index >= 0:
+		removeElement(list, index)
 	}
 	return root.Pack(), nil
 }
@@ -90,7 +94,7 @@
 	if err != nil {
 		return nil, nil, fault.Wrap(op, KindInvalid, err)
 	}
-	return &root, root.Value.(*hujson.Object), nil // Parse accepts objects only
+	return &root, root.Value.(*hujson.Object), nil // the check by Parse above accepts objects only
 }
 
 func member(object *hujson.Object, name string) *hujson.ObjectMember {
@@ -102,7 +106,7 @@
 	return nil
 }
 
-// text returns the unescaped string of a literal, or "" for another value.
+// text returns the unescaped value of a string literal, or "" for any other value.
 func text(v hujson.Value) string {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == '"' {
 		return literal.String()
@@ -129,8 +133,8 @@
 	return &object.Members[len(object.Members)-1]
 }
 
-// appendElement adds a value after the last one. Comments that stand between
-// the last element and the bracket stay with that element.
+// appendElement appends a value to the array. Comments between the last element
+// and the closing bracket stay directly after that element.
 func appendElement(list *hujson.Array, value hujson.ValueTrimmed) {
 	before := bytes.Clone(list.AfterExtra)
 	list.AfterExtra = nil
@@ -140,21 +144,21 @@
 	list.Elements = append(list.Elements, hujson.Value{Value: value, BeforeExtra: before})
 }
 
-// removeElement drops a value and keeps the comments around it, which may be
-// about the element before.
-func removeElement(list *hujson.Array, at int) {
-	gone := list.Elements[at]
-	list.Elements = slices.Delete(list.Elements, at, at+1)
-	var kept hujson.Extra
-	for _, extra := range []hujson.Extra{gone.BeforeExtra, gone.AfterExtra} {
+// removeElement removes a value and keeps the comments around it, which may
+// belong to the previous element.
+func removeElement(list *hujson.Array, index int) {
+	removed := list.Elements[index]
+	list.Elements = slices.Delete(list.Elements, index, index+1)
+	var comments hujson.Extra
+	for _, extra := range []hujson.Extra{removed.BeforeExtra, removed.AfterExtra} {
 		if !extra.IsStandard() {
-			kept = append(kept, extra...)
+			comments = append(comments, extra...)
 		}
 	}
-	if at < len(list.Elements) {
-		next := &list.Elements[at]
-		next.BeforeExtra = append(kept, next.BeforeExtra...)
+	if index < len(list.Elements) {
+		next := &list.Elements[index]
+		next.BeforeExtra = append(comments, next.BeforeExtra...)
 	} else {
-		list.AfterExtra = append(kept, list.AfterExtra...)
+		list.AfterExtra = append(comments, list.AfterExtra...)
 	}
 }
--- a/pkg/environment/encode.go
+++ b/pkg/environment/encode.go
@@ -1,5 +1,5 @@
-// The written form has every field, so that comparing two documents needs no rules
-// about defaults.
+// The encoded form has every field, so that the comparison of two documents needs no
+// rules about defaults.
 
 package environment
 
@@ -65,8 +65,8 @@
 	LargestWorker  encodedSize           `json:"largestWorker"`
 }
 
-// Encode writes the document as indented JSON that Parse accepts, with every
-// field in the order of the reference.
+// Encode returns the document as indented JSON that Parse accepts, with every field
+// in the order of Reference. Guards are left out if they have their zero value.
 func Encode(d *Document) []byte {
 	e := encodedDocument{
 		Environment:    d.Environment,
@@ -98,7 +98,7 @@
 	encoder.SetEscapeHTML(false)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(e); err != nil {
-		panic("environment: encode: " + err.Error()) // only a latency ratio that Parse refuses can fail
+		panic("environment: encode: " + err.Error()) // only NaN or an infinite latency ratio fails, and Parse rejects both
 	}
 	return b.Bytes()
 }
--- a/pkg/environment/environment_test.go
+++ b/pkg/environment/environment_test.go
@@ -26,8 +26,8 @@
 }
 `
 
-// Guards against a list of errors that stops at the first one or has a wrong
-// place.
+// Guards against a list of problems that ends at the first one, or that gives a wrong
+// position or field.
 func TestParseListsEveryProblem(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown key", `"guards"`, `"gards"`, "doc:11:3: gards: unknown key"},
@@ -68,7 +68,8 @@
 	}
 }
 
-// Guards against an edit or an encoding that changes more than it says.
+// Guards against an edit that changes another field or loses a comment, and against
+// an encoding that changes a value.
 func TestEditsChangeOneField(t *testing.T) {
 	before := parse(t, []byte(sample))
 	if got := parse(t, Encode(before)); !reflect.DeepEqual(got, before) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// Guards against a quota lowered below running work, and against a borrowing
-// team that blocks every other edit.
+// Guards against a quota that is lowered below the running work of its team, and
+// against a team that borrows and thereby blocks every other edit.
 func TestCheckAgainst(t *testing.T) {
 	current := parse(t, []byte(sample))
 	lowered := parse(t, []byte(strings.Replace(sample, `"64"`, `"10"`, 1)))
@@ -136,7 +137,8 @@
 	return d
 }
 
-// Measures a document of the target size: 150 teams, 1,000 drained workers.
+// BenchmarkParse parses a document of the target size: 150 teams and 1,000 drained
+// workers.
 func BenchmarkParse(b *testing.B) {
 	d := &Document{Environment: "production", LargestWorker: units.Resources{Processors: 64000, Memory: units.GiB << 8},
 		FailureDomains: []FailureDomain{{"a", "r", DomainIn}}}
--- a/pkg/environment/fields.go
+++ b/pkg/environment/fields.go
@@ -1,4 +1,4 @@
-// The tables in this file are the form of the document. The parser reads by them
+// The tables in this file define the format of the document. The parser uses them,
 // and the reference manual is generated from them.
 
 package environment
@@ -74,7 +74,8 @@
 		Read: func(s *Service, n strictjson.Node) { s.Connections = int(n.Int(1, maxSlots)) }},
 }
 
-// maxSlots bounds the queues that an agent keeps for one endpoint.
+// maxSlots limits the slots and the connections of an endpoint, and with them the
+// queues that an agent keeps for it.
 const maxSlots = 65536
 
 var watcherFields = []field[Watcher]{
@@ -106,18 +107,18 @@
 }
 
 func readAll[T any](n strictjson.Node, fields []field[T]) []T {
-	var all []T
+	var elements []T
 	n.Each(func(e strictjson.Node) {
-		var one T
-		strictjson.Object(e, &one, fields)
-		all = append(all, one)
+		var element T
+		strictjson.Object(e, &element, fields)
+		elements = append(elements, element)
 	})
-	return all
+	return elements
 }
 
 func nested[T any](fields []field[T]) func(string) []strictjson.Row {
 	return func(prefix string) []strictjson.Row { return strictjson.Rows(prefix+"[]", fields) }
 }
 
-// Reference lists every field of the document for the manual.
+// Reference lists every field of the document, for the reference manual.
 func Reference() []strictjson.Row { return strictjson.Rows("", documentFields) }
--- a/pkg/environment/parse.go
+++ b/pkg/environment/parse.go
@@ -1,5 +1,5 @@
-// Parsing refuses a document as a whole: a half-accepted one would be in force
-// everywhere within seconds.
+// An invalid document is rejected as a whole: a partially accepted one would be in
+// force everywhere within seconds.
 
 package environment
 
@@ -17,31 +17,32 @@
 
 // The kinds of Error.
 const (
-	KindInvalid  Kind = "invalid"   // the document fails its checks; Problems lists every one
-	KindNotFound Kind = "not found" // an edit names something that the document lacks
+	KindInvalid  Kind = "invalid"   // the document or an argument is not valid; Problems lists the problems of the document
+	KindNotFound Kind = "not found" // an edit refers to something that the document doesn't list
 )
 
-// Error is a failed operation on a document.
+// Error is the error of a failed operation on a document.
 type Error = fault.Error[Kind]
 
 // Problem is one error in a document.
 type Problem = strictjson.Problem
 
-// Problems returns every problem that err lists.
+// Problems returns the problems that err wraps, or nil.
 func Problems(err error) []Problem {
 	var ps strictjson.Problems
 	errors.As(err, &ps)
 	return ps
 }
 
-// Parse reads and checks the text of a document. name is the file that problems
-// mention. The error lists every problem.
+// Parse parses and checks the text of a document, which is JSON with comments. name
+// is the file name in the problems. The error has KindInvalid and wraps every
+// problem; see Problems.
 func Parse(name string, data []byte) (*Document, error) {
 	return ParseAgainst(name, data, nil, nil)
 }
 
-// ParseAgainst is Parse together with the checks of CheckAgainst. current may
-// be nil.
+// ParseAgainst parses a document like Parse and checks it like CheckAgainst. If
+// current is nil, it is the same as Parse.
 func ParseAgainst(name string, data []byte, current *Document, running Running) (*Document, error) {
 	reader, root := strictjson.Parse(name, data)
 	d := new(Document)
@@ -58,13 +59,14 @@
 	return d, nil
 }
 
-// Running says what each team's running work is committed to.
+// Running maps each team to the resources that its running work occupies.
 type Running = map[units.TeamName]units.Resources
 
-// CheckAgainst refuses a document that cannot follow current: another
-// environment, or a team that is removed or whose quota is lowered below what
-// it runs. A quota that was already below what runs, because the team borrows,
-// is no error: otherwise no other edit could be published meanwhile.
+// CheckAgainst checks whether the document may replace current. It returns an error
+// with KindInvalid if d is for another environment, removes a team that has running
+// work, or lowers a quota below the resources that the team's running work occupies.
+// A quota that isn't lowered may be below these resources, because the team borrows:
+// otherwise no other edit could be published while it does.
 func (d *Document) CheckAgainst(current *Document, running Running) error {
 	var ps strictjson.Problems
 	d.checkAgainst(current, running, func(field, format string, args ...any) {
@@ -86,8 +88,8 @@
 	}
 	for _, before := range current.Teams {
 		used := running[before.Name]
-		i, kept := index[before.Name]
-		if !kept {
+		i, present := index[before.Name]
+		if !present {
 			if !used.IsZero() {
 				report("teams", "team %q is removed while it runs %v", before.Name, used)
 			}
--- a/pkg/environment/property_test.go
+++ b/pkg/environment/property_test.go
@@ -16,8 +16,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// TestMain fixes the seed of generated cases, so that a run can be repeated.
-// -rapid.seed gives another one.
+// TestMain fixes the seed of the generated cases, so that runs are reproducible.
+// The flag -rapid.seed sets another seed.
 func TestMain(m *testing.M) {
 	generated.Configure(100)
 	os.Exit(m.Run())
@@ -58,8 +58,8 @@
 	return d
 }
 
-// Guards against a value that changes when it is written and read again, and
-// against a difference that Compare misses or invents.
+// Guards against a value that changes when it is encoded and parsed again, and
+// against a difference that Compare misses or reports wrongly.
 func TestEncodeAndCompareRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawDocument(t), drawDocument(t)
@@ -88,7 +88,8 @@
 	})
 }
 
-// comment puts a distinct comment before and after values and reports how many.
+// comment inserts distinct comments before and after random values and returns
+// their number.
 func comment(t *rapid.T, raw []byte) ([]byte, int) {
 	root, err := hujson.Parse(raw)
 	if err != nil {
@@ -120,7 +121,7 @@
 		before := d.IsDrained(worker)
 		for _, step := range []struct {
 			edit func([]byte) ([]byte, error)
-			want int // changes against the start
+			want int // number of changes from the original document
 		}{
 			{func(b []byte) ([]byte, error) { return SetDomainState(b, domain.Name, opposite[domain.State]) }, 1},
 			{func(b []byte) ([]byte, error) { return SetDrained(b, worker, !before) }, 2},
@@ -152,8 +153,8 @@
 
 var opposite = map[DomainState]DomainState{DomainIn: DomainOut, DomainOut: DomainIn}
 
-// Guards against a text that crashes a process, and against a valid document
-// that cannot be written and read again.
+// Guards against a text that makes the parser panic, and against a valid document
+// that changes or fails when it is encoded and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte(strings.Replace(sample, `"250m"`, `"NaN"`, 1)))
--- a/pkg/units/units.go
+++ b/pkg/units/units.go
@@ -1,4 +1,5 @@
-// Package units holds the named ids and units that the other packages share.
+// Package units defines the identifier types and the units of measurement that
+// the other packages share. Its functions are safe for concurrent use.
 package units
 
 import (
@@ -7,12 +8,13 @@
 	"strings"
 )
 
-// Ids of the entities that the scheduler knows. They are opaque strings chosen
-// in settings, in the environment's document or by an entry.
+// Identifiers of the entities that the scheduler manages. They are opaque strings
+// from settings files or the environment's document, or are assigned by an entry
+// process.
 type (
-	// WorkerID names a worker, the machine that runs tasks.
+	// WorkerID identifies a worker, the machine that runs tasks.
 	WorkerID string
-	// EntryID names an entry process.
+	// EntryID identifies an entry process.
 	EntryID string
 	// DomainName names a failure domain.
 	DomainName string
@@ -26,38 +28,41 @@
 	ServiceName string
 	// EnvironmentName names an environment, such as trial or production.
 	EnvironmentName string
-	// JobID names a job.
+	// JobID identifies a job.
 	JobID string
-	// JobKind is the key under which sizes, run times and interference are learned.
+	// JobKind groups jobs whose sizes, run times and interference are estimated
+	// together.
 	JobKind string
 )
 
-// Epoch counts the holders of a worker; the worker issues it and refuses older ones.
+// Epoch is the fencing token of a worker's holder. The worker issues a higher one
+// to each new holder and refuses commands with an older one.
 type Epoch uint64
 
-// Term counts the lessors of one worker epoch, from 1.
+// Term numbers the successive lessors within one epoch of a worker, from 1.
 type Term uint64
 
-// Attempt counts the attempts of a task, from 1; 0 means none yet.
+// Attempt numbers the attempts of a task, from 1; 0 means that there was none yet.
 type Attempt uint32
 
 // Offset is a position in a stream of the log service.
 type Offset uint64
 
-// Millicores measures processors: 1000 are one core.
+// Millicores is an amount of processor capacity in thousandths of a core.
 type Millicores int64
 
-// Bytes measures memory.
+// Bytes is an amount of memory in bytes.
 type Bytes int64
 
-// Common sizes of memory.
+// Binary units of memory.
 const (
 	KiB Bytes = 1 << 10
 	MiB Bytes = 1 << 20
 	GiB Bytes = 1 << 30
 )
 
-// Resources are the sizes that placement and admission count.
+// Resources is an amount of each resource that placement and admission account
+// for. Accelerators counts accelerator cards.
 type Resources struct {
 	Processors   Millicores
 	Memory       Bytes
@@ -74,9 +79,9 @@
 	return Resources{r.Processors - o.Processors, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r is no larger than room in every dimension.
-func (r Resources) Fits(room Resources) bool {
-	return r.Processors <= room.Processors && r.Memory <= room.Memory && r.Accelerators <= room.Accelerators
+// Fits reports whether r is no larger than available in every dimension.
+func (r Resources) Fits(available Resources) bool {
+	return r.Processors <= available.Processors && r.Memory <= available.Memory && r.Accelerators <= available.Accelerators
 }
 
 // IsZero reports whether every dimension is zero.
@@ -92,7 +97,8 @@
 	return strconv.FormatFloat(float64(m)/1000, 'f', -1, 64)
 }
 
-// String formats b with the largest unit that divides it, binary units first.
+// String formats b with the first unit of byteUnits that divides it without a
+// remainder, for example "16GiB" or "125GB".
 func (b Bytes) String() string {
 	for _, u := range byteUnits {
 		if b != 0 && b%u.size == 0 {
@@ -102,8 +108,9 @@
 	return strconv.FormatInt(int64(b), 10) + "B"
 }
 
-// parseDecimal reads a plain decimal number. strconv also takes hexadecimal
-// numbers, exponents, NaN and infinities, none of which is a size.
+// parseDecimal parses a plain decimal number. It rejects hexadecimal numbers,
+// exponents, NaN and infinities, which strconv accepts but which are no valid
+// sizes.
 func parseDecimal(s string) (float64, bool) {
 	if s == "" || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -112,10 +119,11 @@
 	return f, err == nil
 }
 
-// ParseMillicores reads cores such as "2", "0.5" or "250m".
+// ParseMillicores parses a number of cores, such as "2", "0.5" or "250m". Any
+// other form is an error.
 func ParseMillicores(s string) (Millicores, error) {
-	if head, ok := strings.CutSuffix(s, "m"); ok {
-		n, err := strconv.ParseUint(head, 10, 40)
+	if number, ok := strings.CutSuffix(s, "m"); ok {
+		n, err := strconv.ParseUint(number, 10, 40)
 		if err != nil {
 			return 0, fmt.Errorf("processors %q: want cores such as \"2\", \"0.5\" or \"250m\"", s)
 		}
@@ -128,13 +136,15 @@
 	return Millicores(f*1000 + 0.5), nil
 }
 
-// byteUnits lists the units of memory in the order in which String tries them.
+// byteUnits lists the units of memory in the order in which String and ParseBytes
+// try them.
 var byteUnits = []struct {
 	suffix string
 	size   Bytes
 }{{"TiB", 1 << 40}, {"GiB", GiB}, {"TB", 1e12}, {"GB", 1e9}, {"MiB", MiB}, {"MB", 1e6}, {"KiB", KiB}, {"KB", 1e3}, {"B", 1}}
 
-// ParseBytes reads memory such as "512MiB" or "125GB".
+// ParseBytes parses an amount of memory, such as "512MiB" or "125GB". A missing
+// unit, a negative number and an amount above 1<<60 bytes are errors.
 func ParseBytes(s string) (Bytes, error) {
 	for _, u := range byteUnits {
 		head, ok := strings.CutSuffix(s, u.suffix)
@@ -150,10 +160,12 @@
 	return 0, fmt.Errorf("memory %q: want a number and one of KiB, MiB, GiB, TiB, KB, MB, GB, TB, B", s)
 }
 
-// Priority ranks work by its value to the business; a higher value goes first.
+// Priority ranks work by its value to the business; a higher priority is placed
+// first.
 type Priority int
 
-// The ranks of priority. The zero value is invalid so that an omitted one shows.
+// The priorities in ascending order. The zero value is invalid, so that an omitted
+// priority is detected.
 const (
 	PriorityLow Priority = iota + 1
 	PriorityNormal
@@ -163,7 +175,7 @@
 
 var priorityNames = map[Priority]string{PriorityLow: "low", PriorityNormal: "normal", PriorityHigh: "high", PriorityUrgent: "urgent"}
 
-// String returns the name used in documents, such as "urgent".
+// String returns the name that documents use, such as "urgent".
 func (p Priority) String() string {
 	if name, ok := priorityNames[p]; ok {
 		return name
@@ -171,17 +183,18 @@
 	return fmt.Sprintf("priority(%d)", int(p))
 }
 
-// ParsePriority reads "low", "normal", "high" or "urgent".
+// ParsePriority parses "low", "normal", "high" or "urgent"; any other text is an
+// error.
 func ParsePriority(s string) (Priority, error) {
-	for w, name := range priorityNames {
+	for p, name := range priorityNames {
 		if name == s {
-			return w, nil
+			return p, nil
 		}
 	}
 	return 0, fmt.Errorf("priority %q: want low, normal, high or urgent", s)
 }
 
-// Task names one task of a job.
+// Task identifies one task of a job. Index counts from 0.
 type Task struct {
 	Job   JobID
 	Index uint32
@@ -190,7 +203,8 @@
 // String formats t as "job/3".
 func (t Task) String() string { return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10) }
 
-// ParseTask reads the form that Task.String writes.
+// ParseTask parses the format of Task.String. The job may contain slashes: the
+// last one separates it from the index.
 func ParseTask(s string) (Task, error) {
 	i := strings.LastIndexByte(s, '/')
 	if i <= 0 {
--- a/pkg/units/units_test.go
+++ b/pkg/units/units_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against sizes that strconv accepts and nobody means, such as NaN,
-// which would pass every comparison with a capacity.
+// Guards against accepting forms that strconv parses but that are no sizes. NaN,
+// for example, would pass every comparison with a capacity.
 func TestParseSizes(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -33,7 +33,8 @@
 	}
 }
 
-// Guards against sizes that change on their way through a document.
+// Guards against values that change when they are formatted and parsed again, as
+// when a document is written and read.
 func TestSizesRoundTrip(t *testing.T) {
 	for text, b := range map[string]Bytes{"125GB": 125e9, "16GiB": 16 * GiB, "600GB": 600e9, "1B": 1, "0B": 0, "3KiB": 3 * KiB} {
 		if got := b.String(); got != text {
