--- a/pkg/administration/client.go
+++ b/pkg/administration/client.go
@@ -1,5 +1,5 @@
-// The client tries each server once. Mutations carry a key, so that a request whose
-// reply was lost can go to the next server.
+// The client tries each server at most once per call. Mutations carry an idempotency
+// key, so that a request whose reply was lost can safely be sent to the next server.
 
 package administration
 
@@ -22,23 +22,31 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxReply limits a reply, for a server that is not what it seems. A job with
-// 10,000 tasks takes about a tenth of it.
+// maxReply limits a reply, in bytes, as protection against an address that belongs
+// to another kind of server. A job with 10,000 tasks takes about a tenth of it.
 const maxReply = 32 << 20
 
-// Client calls the administration API. Fields are set before the first call.
+// Client calls the administration API. Its fields must be set before the first call;
+// from then on it is safe for concurrent use.
+//
+// Every method returns an *Error on failure. A request that fails with
+// KindUnavailable, KindBusy or KindInternal is sent to the next server. An error of
+// the client itself has KindInvalid if there is no server or its URL is not valid,
+// KindUnavailable if a server couldn't be reached or its reply was lost, and
+// KindInternal if a reply is too long or can't be decoded. For a mutation,
+// Details.Outcome says whether it may have taken effect.
 type Client struct {
 	Servers []string // base URLs or IP:port, tried in order
 	Token   string
-	Timeout time.Duration // for one server; 10 s when zero
-	HTTP    *http.Client  // one that follows no redirects when nil
+	Timeout time.Duration // per server; 10 s when zero
+	HTTP    *http.Client  // when nil, a client that follows no redirects
 }
 
-// defaultHTTP follows no redirects: an entry process sends none, and following
-// one could hand the token to another host.
+// defaultHTTP follows no redirects: an entry process sends none, and following one
+// could disclose the token to another host.
 var defaultHTTP = &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 
-// NewKey returns a fresh idempotency key.
+// NewKey returns a new random idempotency key.
 func NewKey() string { return rand.Text() }
 
 type call struct {
@@ -47,44 +55,44 @@
 	path   string
 	query  url.Values
 	body   []byte
-	key    string // set for a mutation
-	raw    *[]byte
-	out    any
+	key    string  // idempotency key; empty for a read
+	raw    *[]byte // receives the reply as it is, if set
+	out    any     // receives the decoded JSON reply otherwise
 }
 
-// do tries each server once. A mutation carries a key, so trying the next
-// server is safe even when the last one may have run it.
+// do tries each server once. A mutation carries an idempotency key, so trying the
+// next server is safe even if the previous one may have executed it.
 func (c *Client) do(ctx context.Context, call call) error {
 	if len(c.Servers) == 0 {
 		return &Error{Op: call.op, Kind: KindInvalid, Message: "no server is given"}
 	}
 	var failures []string
-	var last *Error
-	outcome := unknownIf(call, OutcomeNotRun)
+	var lastErr *Error
+	outcome := mutationOutcome(call, OutcomeNotRun)
 	for _, server := range c.Servers {
-		last = c.try(ctx, server, call)
-		if last == nil {
+		lastErr = c.callServer(ctx, server, call)
+		if lastErr == nil {
 			return nil
 		}
-		if !nextServer(last) {
-			if outcome == OutcomeUnknown && last.Kind != KindLostRace { // a base that was replaced can no longer win
-				last.Details.Outcome = OutcomeUnknown
+		if !mayRetryElsewhere(lastErr) {
+			if outcome == OutcomeUnknown && lastErr.Kind != KindLostRace { // a publication on a replaced base can no longer win
+				lastErr.Details.Outcome = OutcomeUnknown
 			}
-			return last
+			return lastErr
 		}
-		failures = append(failures, server+": "+last.Message)
-		if last.Details.Outcome == OutcomeUnknown {
+		failures = append(failures, server+": "+lastErr.Message)
+		if lastErr.Details.Outcome == OutcomeUnknown {
 			outcome = OutcomeUnknown
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return &Error{Op: call.op, Kind: last.Kind, Message: strings.Join(failures, "; "), Details: Details{Outcome: outcome}, Err: last}
+	return &Error{Op: call.op, Kind: lastErr.Kind, Message: strings.Join(failures, "; "), Details: Details{Outcome: outcome}, Err: lastErr}
 }
 
-// nextServer reports whether another server may do better.
-func nextServer(err *Error) bool {
+// mayRetryElsewhere reports whether the request may succeed at another server.
+func mayRetryElsewhere(err *Error) bool {
 	switch err.Kind {
 	case KindUnavailable, KindBusy, KindInternal:
 		return true
@@ -92,7 +100,7 @@
 	return false
 }
 
-func (c *Client) try(ctx context.Context, server string, call call) *Error {
+func (c *Client) callServer(ctx context.Context, server string, call call) *Error {
 	timeout := c.Timeout
 	if timeout <= 0 {
 		timeout = 10 * time.Second
@@ -124,7 +132,7 @@
 		return transportError(call, err)
 	}
 	if len(body) > maxReply {
-		return &Error{Op: call.op, Kind: KindInternal, Message: fmt.Sprintf("the reply exceeds %d bytes", maxReply), Details: Details{Outcome: unknownIf(call, OutcomeUnknown)}}
+		return &Error{Op: call.op, Kind: KindInternal, Message: fmt.Sprintf("the reply exceeds %d bytes", maxReply), Details: Details{Outcome: mutationOutcome(call, OutcomeUnknown)}}
 	}
 	return decode(call, response, body)
 }
@@ -136,25 +144,26 @@
 	return strings.TrimRight(server, "/")
 }
 
-// unknownIf returns outcome for a mutation; a read has none.
-func unknownIf(call call, outcome Outcome) Outcome {
+// mutationOutcome returns outcome for a mutation and "" for a read, which has no
+// outcome.
+func mutationOutcome(call call, outcome Outcome) Outcome {
 	if call.key == "" {
 		return ""
 	}
 	return outcome
 }
 
-// transportError says that a request was not run only when no connection was
-// made.
+// transportError returns the error of a request without a complete reply. Only a
+// failure to connect proves that the request was not run.
 func transportError(call call, err error) *Error {
-	outcome := unknownIf(call, OutcomeUnknown)
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
-		outcome = unknownIf(call, OutcomeNotRun)
+	outcome := mutationOutcome(call, OutcomeUnknown)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		outcome = mutationOutcome(call, OutcomeNotRun)
 	}
-	var outer *url.Error
-	if errors.As(err, &outer) {
-		err = outer.Err // without the method and the URL
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err // omits the method and the URL
 	}
 	return &Error{Op: call.op, Kind: KindUnavailable, Message: err.Error(), Details: Details{Outcome: outcome}, Err: err}
 }
@@ -167,55 +176,61 @@
 		}
 		if err := json.Unmarshal(body, call.out); err != nil {
 			return &Error{Op: call.op, Kind: KindInternal, Message: fmt.Sprintf("the reply cannot be read: %v", err),
-				Details: Details{Outcome: unknownIf(call, OutcomeUnknown)}, Err: err}
+				Details: Details{Outcome: mutationOutcome(call, OutcomeUnknown)}, Err: err}
 		}
 		return nil
 	}
-	var failed struct{ Error *Error }
-	if err := json.Unmarshal(body, &failed); err != nil || failed.Error == nil {
+	var reply struct{ Error *Error }
+	if err := json.Unmarshal(body, &reply); err != nil || reply.Error == nil {
 		return &Error{Op: call.op, Kind: KindInternal, Message: "got " + response.Status + " without an error of this API",
-			Details: Details{Outcome: unknownIf(call, OutcomeUnknown)}}
+			Details: Details{Outcome: mutationOutcome(call, OutcomeUnknown)}}
 	}
-	failed.Error.Op = call.op
-	if failed.Error.Kind == KindInternal {
-		failed.Error.Details.Outcome = unknownIf(call, OutcomeUnknown)
+	reply.Error.Op = call.op
+	if reply.Error.Kind == KindInternal {
+		reply.Error.Details.Outcome = mutationOutcome(call, OutcomeUnknown)
 	}
-	return failed.Error
+	return reply.Error
 }
 
 func environmentPath(name units.EnvironmentName, rest string) string {
 	return "/v1/environments/" + url.PathEscape(string(name)) + rest
 }
 
-func versionQuery(key string, v units.Offset) url.Values {
-	if v == 0 {
+func versionQuery(key string, version units.Offset) url.Values {
+	if version == 0 {
 		return url.Values{}
 	}
-	return url.Values{key: {strconv.FormatUint(uint64(v), 10)}}
+	return url.Values{key: {strconv.FormatUint(uint64(version), 10)}}
 }
 
-// Document returns a version of the document; version 0 is the current one.
+// Document returns a version of the document; version 0 is the current one. The
+// error has KindNotFound if there is no such version.
 func (c *Client) Document(ctx context.Context, env units.EnvironmentName, version units.Offset) (Document, error) {
 	var d Document
 	err := c.do(ctx, call{op: "show", method: http.MethodGet, path: environmentPath(env, "/document"), query: versionQuery("version", version), out: &d})
 	return d, err
 }
 
-// History returns the newest versions without their texts, newest first.
+// History returns up to limit versions without their texts, newest first.
 func (c *Client) History(ctx context.Context, env units.EnvironmentName, limit int) ([]Document, error) {
 	var list []Document
 	err := c.do(ctx, call{op: "history", method: http.MethodGet, path: environmentPath(env, "/history"), query: url.Values{"limit": {strconv.Itoa(limit)}}, out: &list})
 	return list, err
 }
 
-// Check checks a text against the current document without publishing it.
+// Check checks a text against the current document without publishing it. An
+// invalid text is not an error: its problems are in the result. file is the file
+// name in the problems.
 func (c *Client) Check(ctx context.Context, env units.EnvironmentName, file string, text []byte) (Checked, error) {
 	var out Checked
 	err := c.do(ctx, call{op: "check", method: http.MethodPost, path: environmentPath(env, "/check"), query: url.Values{"file": {file}}, body: text, out: &out})
 	return out, err
 }
 
-// Publish replaces version base of the document.
+// Publish publishes p.Text as the version that follows p.Base. The error has
+// KindInvalid if the text is not valid, KindLostRace if p.Base is no longer the
+// current version, and KindUnavailable if the log service couldn't be reached. file
+// is the file name in the problems.
 func (c *Client) Publish(ctx context.Context, p Publication, file string) (Published, error) {
 	query := url.Values{"base": {strconv.FormatUint(uint64(p.Base), 10)}, "file": {file}, "author": {p.Author}}
 	var out Published
@@ -223,7 +238,7 @@
 	return out, err
 }
 
-// Compare lists the changes from one version to another; 0 is the current one.
+// Compare lists the changes from one version to another; 0 is the current version.
 func (c *Client) Compare(ctx context.Context, env units.EnvironmentName, from, to units.Offset) ([]environment.Change, error) {
 	query := url.Values{"from": {strconv.FormatUint(uint64(from), 10)}, "to": {strconv.FormatUint(uint64(to), 10)}}
 	var out []environment.Change
@@ -231,7 +246,10 @@
 	return out, err
 }
 
-// Promote publishes the current document of one environment in another one.
+// Promote publishes a version of the document of environment from, 0 for the
+// current one, in environment to. base is the version there that it replaces, 0 for
+// none. It fails with the same kinds as Publish, and with KindNotFound if there is
+// no such document.
 func (c *Client) Promote(ctx context.Context, from, to units.EnvironmentName, version, base units.Offset, author, key string) (Published, error) {
 	query := url.Values{"from": {string(from)}, "version": {strconv.FormatUint(uint64(version), 10)},
 		"base": {strconv.FormatUint(uint64(base), 10)}, "author": {author}}
@@ -240,7 +258,8 @@
 	return out, err
 }
 
-// SetDomainState takes a failure domain out of service or returns it.
+// SetDomainState takes a failure domain out of service or returns it to service. The
+// error has KindNotFound if the document doesn't list the failure domain.
 func (c *Client) SetDomainState(ctx context.Context, env units.EnvironmentName, domain units.DomainName, state environment.DomainState, author, key string) (Published, error) {
 	path := environmentPath(env, "/domains/"+url.PathEscape(string(domain))+"/"+string(state))
 	var out Published
@@ -248,7 +267,8 @@
 	return out, err
 }
 
-// SetDrained drains a worker or ends that.
+// SetDrained starts or ends the draining of a worker: a drained worker receives no
+// new work. The error has KindNotFound if a worker to be drained is unknown.
 func (c *Client) SetDrained(ctx context.Context, env units.EnvironmentName, worker units.WorkerID, drained bool, author, key string) (Published, error) {
 	verb := map[bool]string{true: "drain", false: "undrain"}[drained]
 	path := environmentPath(env, "/workers/"+url.PathEscape(string(worker))+"/"+verb)
@@ -257,21 +277,23 @@
 	return out, err
 }
 
-// Submit submits the job that body describes.
+// Submit submits the job that body describes, in the format of ParseSubmission. file
+// is the file name in the problems. The error has KindInvalid if the job is not
+// valid, and KindForbidden if it belongs to a team other than the token's.
 func (c *Client) Submit(ctx context.Context, file string, body []byte, key string) (Job, error) {
 	var j Job
 	err := c.do(ctx, call{op: "submit", method: http.MethodPost, path: "/v1/jobs", query: url.Values{"file": {file}}, body: body, key: key, out: &j})
 	return j, err
 }
 
-// JobFilter selects jobs. Empty fields select all.
+// JobFilter selects jobs. An empty field does not restrict the selection.
 type JobFilter struct {
 	Team  units.TeamName
 	State string
-	Limit int // the newest ones; 100 when zero
+	Limit int // number of the newest jobs; 100 when zero
 }
 
-// Jobs lists jobs, newest first.
+// Jobs lists jobs without their tasks, newest first.
 func (c *Client) Jobs(ctx context.Context, f JobFilter) ([]Job, error) {
 	query := url.Values{}
 	for key, value := range map[string]string{"team": string(f.Team), "state": f.State} {
@@ -287,14 +309,17 @@
 	return list, err
 }
 
-// Job returns one job with its tasks.
+// Job returns one job with its tasks. The error has KindNotFound if there is no such
+// job or it belongs to another team.
 func (c *Client) Job(ctx context.Context, id units.JobID) (Job, error) {
 	var j Job
 	err := c.do(ctx, call{op: "job", method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(string(id)), out: &j})
 	return j, err
 }
 
-// Cancel cancels a job. Cancelling it again has no effect.
+// Cancel cancels a job. Cancelling a job that has ended or is already cancelled has
+// no effect. The error has KindNotFound if there is no such job or it belongs to
+// another team.
 func (c *Client) Cancel(ctx context.Context, id units.JobID, reason, key string) (Job, error) {
 	var j Job
 	err := c.do(ctx, call{op: "cancel", method: http.MethodPost, path: "/v1/jobs/" + url.PathEscape(string(id)) + "/cancel",
@@ -312,7 +337,8 @@
 	return list[Entry](ctx, c, "entries")
 }
 
-// Teams lists the teams with the use of their quotas.
+// Teams lists the teams with their quotas and usage: every team for an operator, its
+// own for a team.
 func (c *Client) Teams(ctx context.Context) ([]Team, error) { return list[Team](ctx, c, "teams") }
 
 func list[T any](ctx context.Context, c *Client, name string) ([]T, error) {
@@ -321,14 +347,14 @@
 	return out, err
 }
 
-// TimelineFilter selects events. Empty fields select all.
+// TimelineFilter selects events. An empty field does not restrict the selection.
 type TimelineFilter struct {
-	Subject string // part of the subject
+	Subject string // substring of the subject
 	Lane    string
-	Limit   int // the newest ones; 500 when zero
+	Limit   int // number of the newest events; 500 when zero
 }
 
-// Timeline returns the time line in format text, json or html.
+// Timeline returns the time line in the given format: text, json or html.
 func (c *Client) Timeline(ctx context.Context, f TimelineFilter, format string) ([]byte, error) {
 	query := url.Values{"format": {format}, "subject": {f.Subject}, "lane": {f.Lane}}
 	if f.Limit > 0 {
--- a/pkg/administration/error.go
+++ b/pkg/administration/error.go
@@ -1,5 +1,5 @@
-// Errors say whether a request took effect, because callers decide by that whether
-// to repeat it.
+// Errors say whether a request may have taken effect, because clients need this to
+// decide whether to repeat it.
 
 package administration
 
@@ -20,20 +20,20 @@
 
 // The kinds of Error.
 const (
-	KindInvalid      Kind = "invalid"      // the request is wrong; Details.Problems lists why
-	KindUnauthorized Kind = "unauthorized" // no token, or an unknown one
-	KindForbidden    Kind = "forbidden"    // the token does not allow it
-	KindNotFound     Kind = "notFound"
-	KindLostRace     Kind = "lostRace"    // another version was published first; Details.Winner
-	KindConflict     Kind = "conflict"    // the key was used for another request
-	KindTooLarge     Kind = "tooLarge"    // the body exceeds its limit
-	KindBusy         Kind = "busy"        // too many requests at a time; not run
-	KindUnavailable  Kind = "unavailable" // the log cannot be reached; Details.Outcome
-	KindInternal     Kind = "internal"
+	KindInvalid      Kind = "invalid"      // the request is not valid; Details.Problems lists the problems of a document or job
+	KindUnauthorized Kind = "unauthorized" // the token is missing or unknown
+	KindForbidden    Kind = "forbidden"    // the token doesn't permit the operation
+	KindNotFound     Kind = "notFound"     // the path refers to something that doesn't exist
+	KindLostRace     Kind = "lostRace"     // another version was published first: Details.Winner
+	KindConflict     Kind = "conflict"     // the idempotency key was used for a different request
+	KindTooLarge     Kind = "tooLarge"     // the body exceeds its limit
+	KindBusy         Kind = "busy"         // too many concurrent requests; the request was not run
+	KindUnavailable  Kind = "unavailable"  // the log service can't be reached; Details.Outcome says whether the request was run
+	KindInternal     Kind = "internal"     // a failure inside the server, or a reply that is not one of this API
 )
 
-// statuses maps each kind to its HTTP status.
-var statuses = map[Kind]int{
+// httpStatuses maps each kind to its HTTP status.
+var httpStatuses = map[Kind]int{
 	KindInvalid:      http.StatusBadRequest,
 	KindUnauthorized: http.StatusUnauthorized,
 	KindForbidden:    http.StatusForbidden,
@@ -46,44 +46,44 @@
 	KindInternal:     http.StatusInternalServerError,
 }
 
-// Kinds lists every kind for the manual.
-func Kinds() []Kind { return slices.Sorted(maps.Keys(statuses)) }
+// Kinds lists every kind in alphabetical order, for the reference manual.
+func Kinds() []Kind { return slices.Sorted(maps.Keys(httpStatuses)) }
 
-// Status returns the HTTP status of the kind.
+// Status returns the HTTP status of the kind; 500 for an unknown kind.
 func (k Kind) Status() int {
-	if s, ok := statuses[k]; ok {
+	if s, ok := httpStatuses[k]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
 }
 
-// Outcome says whether a failed request may have taken effect.
+// Outcome says whether a failed mutation may have taken effect.
 type Outcome string
 
 // The outcomes of a failed request.
 const (
-	OutcomeNotRun  Outcome = "notRun"
-	OutcomeUnknown Outcome = "unknown"
+	OutcomeNotRun  Outcome = "notRun"  // it had no effect
+	OutcomeUnknown Outcome = "unknown" // it may take or have taken effect; repeat it with the same key
 )
 
-// Details tell a program what to do about an Error.
+// Details holds the machine-readable part of an Error.
 type Details struct {
 	Problems []environment.Problem `json:"problems,omitempty"`
-	Winner   units.Offset          `json:"winner,omitempty"`  // version that won the race
-	Outcome  Outcome               `json:"outcome,omitempty"` // for unavailable and busy
+	Winner   units.Offset          `json:"winner,omitempty"`  // version that was published first, for lostRace
+	Outcome  Outcome               `json:"outcome,omitempty"` // empty for a read and where the kind implies it
 }
 
-// Error is a failed operation. It is what a Backend returns, what travels as
-// {"error":{...}}, and what the client returns.
+// Error is the error of a failed operation. The server sends it as {"error":{...}},
+// and the methods of Client return it.
 type Error struct {
 	Op      string  `json:"-"`
 	Kind    Kind    `json:"kind"`
 	Message string  `json:"message"`
 	Details Details `json:"details"`
-	Err     error   `json:"-"` // cause; stays in the process
+	Err     error   `json:"-"` // cause; not sent
 }
 
-// Error formats the operation, the kind, the message and every problem.
+// Error formats the operation, the kind, the message, the details and every problem.
 func (e *Error) Error() string {
 	var b strings.Builder
 	if e.Op != "" {
@@ -105,7 +105,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// KindOf returns the kind of an Error in err, or "".
+// KindOf returns the kind of the Error that err wraps, or "".
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// OutcomeOf returns the outcome of an Error in err, or "".
+// OutcomeOf returns the outcome of the Error that err wraps, or "".
 func OutcomeOf(err error) Outcome {
 	var e *Error
 	if errors.As(err, &e) {
@@ -123,18 +123,19 @@
 	return ""
 }
 
-// Errorf returns an error of that kind.
+// Errorf returns an error of the given kind with a formatted message.
 func Errorf(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...)}
 }
 
-// LostRace returns the error of an edit whose base is no longer current.
+// LostRace returns the error of a publication whose base is no longer the current
+// version. winner is the version that was published first.
 func LostRace(winner units.Offset) *Error {
 	return &Error{Kind: KindLostRace, Message: "another version was published first; read it and edit again", Details: Details{Winner: winner}}
 }
 
-// Unavailable returns the error of a request that needs the log while it cannot
-// be reached.
+// Unavailable returns the error of a request that needs the log service while it
+// can't be reached.
 func Unavailable(outcome Outcome, cause error) *Error {
 	message := "the log cannot be reached; the request was not run"
 	if outcome == OutcomeUnknown {
--- a/pkg/administration/submission.go
+++ b/pkg/administration/submission.go
@@ -1,4 +1,4 @@
-// The client and the entry process read jobs by the same table.
+// The client and the entry process parse jobs with the same table of fields.
 
 package administration
 
@@ -12,11 +12,12 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// MaxTasks limits the tasks of one job. At 13,000 jobs a day and 980 starts/s
-// no job needs more, and the record of a job's state stays small.
+// MaxTasks is the maximum number of tasks in one job. At the target load of 13,000
+// jobs a day and 980 task starts/s no job needs more, and the record of a job's state
+// stays small.
 const MaxTasks = 10_000
 
-// submissionFields are the form of a job file.
+// submissionFields defines the format of a job file.
 var submissionFields = []strictjson.Field[Submission]{
 	{Name: "team", Type: "name", Purpose: "team that owns the job; the token's team when omitted",
 		Read: func(s *Submission, n strictjson.Node) { s.Team = units.TeamName(n.Name()) }},
@@ -44,12 +45,13 @@
 		Read: func(r *units.Resources, n strictjson.Node) { r.Accelerators = int32(n.Int(0, 1<<20)) }},
 }
 
-// SubmissionReference lists every field of a job file for the manual.
+// SubmissionReference lists every field of a job file, for the reference manual.
 func SubmissionReference() []strictjson.Row { return strictjson.Rows("", submissionFields) }
 
-// ParseSubmission reads a job in JSON with comments. name is the file that
-// problems mention, and owner the team of a job that names none. Against a
-// document, which may be nil, it checks the team and the size.
+// ParseSubmission parses and checks a job in JSON with comments. name is the file
+// name in the problems, and owner is the team of a job that specifies none. If
+// document is not nil, the team and the size are checked against it. The error is an
+// *Error with KindInvalid that lists every problem. It is safe for concurrent use.
 func ParseSubmission(name string, data []byte, owner units.TeamName, document *environment.Document) (Submission, error) {
 	s := Submission{Team: owner, Tasks: 1, Priority: units.PriorityNormal}
 	reader, root := strictjson.Parse(name, data)
@@ -93,8 +95,8 @@
 	}
 }
 
-// EncodeSubmission writes a job in the form that ParseSubmission reads. The key
-// is not part of it.
+// EncodeSubmission returns the job in the format of ParseSubmission, with its run
+// time rounded to milliseconds. The key is not included.
 func EncodeSubmission(s Submission) []byte {
 	body, err := json.Marshal(struct {
 		Team     units.TeamName `json:"team,omitempty"`
@@ -106,7 +108,7 @@
 		RunTime  string         `json:"runTime"`
 	}{s.Team, s.Name, s.Kind, s.Priority.String(), s.Tasks, Size(s.Size), s.RunTime.Round(time.Millisecond).String()})
 	if err != nil {
-		panic("administration: encode job: " + err.Error()) // strings and numbers always encode
+		panic("administration: encode job: " + err.Error()) // cannot happen: strings and numbers always encode
 	}
 	return body
 }
--- a/pkg/administration/submission_test.go
+++ b/pkg/administration/submission_test.go
@@ -10,8 +10,9 @@
 const sampleJob = `{"name": "festival", "team": "moulds", "kind": "mould", "priority": "high", "tasks": 3, // three moulds
   "size": {"processors": "2.5", "memory": "1GiB", "accelerators": 1}, "runTime": "5m"}`
 
-// Guards against a job body that crashes an entry process, and against a job
-// that changes between the client and the server.
+// Guards against a job file that makes the parser panic, which would crash an entry
+// process, and against a job that changes when it is encoded and parsed again, as
+// between client and server.
 func FuzzParseSubmission(f *testing.F) {
 	f.Add([]byte(sampleJob))
 	f.Add([]byte(`{}`))
--- a/pkg/administration/types.go
+++ b/pkg/administration/types.go
@@ -1,5 +1,5 @@
-// Package administration holds the types of the administration API and a client
-// for it.
+// Package administration defines the types of the administration API and implements
+// a client for it.
 package administration
 
 import (
@@ -10,42 +10,42 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// KeyHeader carries the idempotency key of a mutation. A repeated request with
-// the same key has no second effect and gets the answer of the first.
+// KeyHeader is the HTTP header with the idempotency key of a mutation. A repeated
+// request with the same key has no second effect and gets the reply of the first.
 const KeyHeader = "Idempotency-Key"
 
 // Document is one version of an environment's document.
 type Document struct {
 	Environment units.EnvironmentName `json:"environment"`
-	Version     units.Offset          `json:"version"` // offset of its record in stream "config"
+	Version     units.Offset          `json:"version"` // offset of its record in the stream "config"
 	Author      string                `json:"author"`
-	Text        string                `json:"text,omitempty"` // as published, with comments; empty in a history
+	Text        string                `json:"text,omitempty"` // as published, with comments; empty in the result of History
 }
 
-// Publication asks for a new version of an environment's document.
+// Publication is the request to publish a new version of an environment's document.
 type Publication struct {
 	Environment units.EnvironmentName
-	Key         string       // the same key publishes at most once
-	Base        units.Offset // version that the new one replaces; 0 for none
+	Key         string       // idempotency key: publications with the same key take effect at most once
+	Base        units.Offset // version that the new one replaces; 0 for the first document
 	Author      string
 	Text        []byte
 }
 
-// Published is the answer to an accepted edit of a document.
+// Published is the reply to an accepted edit of a document.
 type Published struct {
 	Environment units.EnvironmentName `json:"environment"`
 	Version     units.Offset          `json:"version"`
-	Changes     []environment.Change  `json:"changes"` // against the version before; empty when nothing changed
+	Changes     []environment.Change  `json:"changes"` // from the previous version; empty when nothing changed
 }
 
-// Checked is the answer to a check.
+// Checked is the reply to a check.
 type Checked struct {
 	Base     units.Offset          `json:"base"` // version that the text was compared with
 	Problems []environment.Problem `json:"problems"`
 	Changes  []environment.Change  `json:"changes"`
 }
 
-// Size is a number of resources in the form of documents.
+// Size is an amount of resources that is encoded in JSON as documents have it.
 type Size units.Resources
 
 type encodedSize struct {
@@ -54,13 +54,13 @@
 	Accelerators int32  `json:"accelerators"`
 }
 
-// MarshalJSON writes the form of documents.
+// MarshalJSON implements json.Marshaler.
 func (s Size) MarshalJSON() ([]byte, error) {
 	return json.Marshal(encodedSize{s.Processors.String(), s.Memory.String(), s.Accelerators})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes. Requests are read more strictly
-// by ParseSubmission.
+// UnmarshalJSON implements json.Unmarshaler. It ignores unknown fields;
+// ParseSubmission, which parses requests, rejects them.
 func (s *Size) UnmarshalJSON(data []byte) error {
 	var e encodedSize
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -78,16 +78,16 @@
 	return nil
 }
 
-// Submission asks for a job.
+// Submission is the request to run a job.
 type Submission struct {
 	Key      string // idempotency key within the team
 	Team     units.TeamName
 	Name     string
-	Kind     units.JobKind // sizes and run times are learned by it; the name when omitted
+	Kind     units.JobKind // groups jobs for the estimates of sizes and run times; Name when omitted
 	Priority units.Priority
 	Tasks    int
 	Size     units.Resources // of each task
-	RunTime  time.Duration   // declared run time of each task
+	RunTime  time.Duration   // expected run time of each task
 }
 
 // Job is the state of a job.
@@ -98,11 +98,11 @@
 	Kind      units.JobKind  `json:"kind"`
 	Priority  string         `json:"priority"`
 	Size      Size           `json:"size"`
-	Submitted time.Time      `json:"submitted"` // for display only
+	Submitted time.Time      `json:"submitted"` // only informative: not used for ordering
 	State     string         `json:"state"`     // pending, running, completed, failed or cancelled
 	Reason    string         `json:"reason,omitempty"`
 	Tasks     TaskCounts     `json:"tasks"`
-	Details   []Task         `json:"details,omitempty"` // only when one job is asked for
+	Details   []Task         `json:"details,omitempty"` // only in the replies for a single job
 }
 
 // TaskCounts counts the tasks of a job by state.
@@ -122,7 +122,7 @@
 	Worker     units.WorkerID `json:"worker,omitempty"`
 	Failures   int            `json:"failures"`
 	Checkpoint string         `json:"checkpoint,omitempty"`
-	Reason     string         `json:"reason,omitempty"` // why it waits, was released or failed
+	Reason     string         `json:"reason,omitempty"` // why the task is pending, was released or failed
 }
 
 // Worker is the state of a worker.
@@ -132,21 +132,21 @@
 	FailureDomain units.DomainName `json:"failureDomain"`
 	Rack          units.RackName   `json:"rack"`
 	Region        units.RegionName `json:"region"`
-	State         string           `json:"state"` // ready, silent, drained, backoff, expired or left
-	Lessor        units.WorkerID   `json:"lessor,omitempty"`
+	State         string           `json:"state"`            // ready, silent, drained, backoff, expired or left
+	Lessor        units.WorkerID   `json:"lessor,omitempty"` // worker whose agent grants this one's lease
 	Capacity      Size             `json:"capacity"`
-	Committed     Size             `json:"committed"`
-	Running       int              `json:"running"`
+	Committed     Size             `json:"committed"` // reserved for tasks and endpoints
+	Running       int              `json:"running"`   // number of running tasks
 	Endpoints     []Endpoint       `json:"endpoints"`
 }
 
-// Endpoint is the state of an endpoint beside a worker.
+// Endpoint is the state of an endpoint on the machine of a worker.
 type Endpoint struct {
 	Service units.ServiceName `json:"service"`
 	State   string            `json:"state"` // ready, leaving, gone or ejected
 	Slots   int               `json:"slots"`
-	Busy    int               `json:"busy"`
-	Queued  int               `json:"queued"`
+	Busy    int               `json:"busy"`   // slots in use
+	Queued  int               `json:"queued"` // requests that wait for a slot
 }
 
 // Entry is the state of an entry process.
@@ -156,14 +156,14 @@
 	Region        units.RegionName `json:"region"`
 	LinkAddress   string           `json:"linkAddress"`
 	Live          bool             `json:"live"`
-	Answering     bool             `json:"answering"` // the process that answered this request
+	Answering     bool             `json:"answering"` // whether it is the process that sent this reply
 }
 
-// Team is a team with the use of its quota.
+// Team is a team with its quota and usage.
 type Team struct {
 	Name      units.TeamName `json:"name"`
 	Quota     Size           `json:"quota"`
-	Used      Size           `json:"used"` // committed to its running work
+	Used      Size           `json:"used"` // reserved for its running work
 	MayBorrow bool           `json:"mayBorrow"`
-	Pending   int            `json:"pending"` // tasks that wait
+	Pending   int            `json:"pending"` // number of pending tasks
 }
--- a/pkg/logservice/client_test.go
+++ b/pkg/logservice/client_test.go
@@ -17,7 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// answer is a fixed reply; a negative status closes the connection.
+// answer is a handler that sends a fixed reply. A negative status closes the
+// connection without a reply.
 type answer struct {
 	status           int
 	retryAfter, body string
@@ -45,8 +46,9 @@
 
 const record = `{"first":1,"next":3,"records":[{"offset":`
 
-// TestReplies guards against a reply that is taken as proof of more than it
-// proves, and against a batch with a gap.
+// TestReplies guards against an error kind that claims more than the reply proves,
+// such as an append that is reported as not run after a lost reply, and against a
+// batch with a gap.
 func TestReplies(t *testing.T) {
 	cases := map[string]struct {
 		answer
@@ -86,8 +88,8 @@
 	}
 }
 
-// TestUnreachable guards against an append that counts as unknown although no
-// connection carried it.
+// TestUnreachable guards against an append that is reported as Unknown although no
+// connection was made to send it.
 func TestUnreachable(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,9 +97,9 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	ended, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	for _, ctx := range []context.Context{t.Context(), ended} {
+	for _, ctx := range []context.Context{t.Context(), canceled} {
 		client := &logservice.Client{BaseURL: "http://" + address}
 		if _, err := client.Append(ctx, "s", nil); !fault.Is(err, logservice.Unavailable) {
 			t.Errorf("append: got %v", err)
@@ -105,7 +107,7 @@
 	}
 }
 
-// FuzzRead guards against a reply that breaks the client or yields records out
+// FuzzRead guards against a reply that makes the client panic or return records out
 // of order.
 func FuzzRead(f *testing.F) {
 	f.Add(200, []byte(`{"first":1,"next":3,"records":[{"offset":2,"payload":"eA=="}]}`))
--- a/pkg/logservice/logservice.go
+++ b/pkg/logservice/logservice.go
@@ -1,10 +1,10 @@
-// Package logservice is the client of the platform's append-only log service.
+// Package logservice implements a client for the platform's append-only log service.
 //
-// The service keeps named streams of records. A record's offset in its stream
-// is its place in the total order on which every decision of wasabihill rests.
-// The service limits appends to several hundred a second, keeps records for a
-// limited time, has outages, and may lose a reply after the append has already
-// taken effect.
+// The service stores named streams of records. The offset of a record is its
+// position in the total order of its stream, on which every decision of wasabihill
+// is based. The service limits appends to several hundred per second, keeps records
+// for a limited time, has outages, and may lose a reply after the append has taken
+// effect.
 package logservice
 
 import (
@@ -24,41 +24,42 @@
 // Batch is the result of a read.
 type Batch struct {
 	Records []Record     // in offset order, without gaps, possibly empty
-	First   units.Offset // first offset that the service still keeps
-	Next    units.Offset // offset that the next append will get: the tail
+	First   units.Offset // lowest offset that the service still keeps
+	Next    units.Offset // offset of the next append: the tail of the stream
 }
 
-// Service is what the rest of the program needs of the log service. Client
-// implements it over HTTP; tests use in-memory fakes. It is safe for concurrent
-// use.
+// Service is the log service as the other packages use it. Client implements it over
+// HTTP; tests use in-memory fakes. Implementations are safe for concurrent use. The
+// methods return an *Error on failure.
 type Service interface {
-	// Append adds payload to stream and returns its offset. An error of kind
-	// Unknown means that the record may or may not have been appended; every
-	// other kind means that it was not.
+	// Append appends payload to stream and returns its offset. An error of kind
+	// Unknown means that the record may or may not have been appended; with kind
+	// Unavailable or Refused it was not.
 	Append(ctx context.Context, stream string, payload []byte) (units.Offset, error)
-	// Read returns records from offset from on. At the tail it waits up to
-	// wait for a new record and then returns an empty batch. An error of kind
-	// Expired means that from is below First; the batch then still carries First
-	// and Next. A from above the tail yields an empty batch.
+	// Read returns records that begin at offset from. At the tail it waits up to
+	// wait for a new record and then returns an empty batch. If from is above the
+	// tail, the batch is empty. An error of kind Expired means that from is below
+	// First; the batch still contains First and Next unless they could not be
+	// obtained. Other errors have kind Unavailable or Refused.
 	Read(ctx context.Context, stream string, from units.Offset, wait time.Duration) (Batch, error)
 }
 
-// Kind tells failures of the log service apart.
+// Kind is the kind of an Error.
 type Kind string
 
 // The kinds of Error.
 const (
 	Unknown     Kind = "unknown"     // the append may have taken effect
-	Unavailable Kind = "unavailable" // nothing happened; try later
-	Expired     Kind = "expired"     // the offset is older than what the service keeps
+	Unavailable Kind = "unavailable" // the request had no effect; it can be repeated later
+	Expired     Kind = "expired"     // the record at the offset is no longer kept
 	Refused     Kind = "refused"     // the request can never succeed (too large, bad name)
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-func fail(op string, kind Kind, format string, args ...any) error {
+func newError(op string, kind Kind, format string, args ...any) error {
 	return fault.New(op, kind, format, args...)
 }
 
-func wrap(op string, kind Kind, err error) error { return fault.Wrap(op, kind, err) }
+func wrapError(op string, kind Kind, err error) error { return fault.Wrap(op, kind, err) }
--- a/pkg/workerapi/bodies.go
+++ b/pkg/workerapi/bodies.go
@@ -6,7 +6,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// milliseconds is how the interface carries clock readings and durations.
+// milliseconds is the JSON encoding of clock readings and durations.
 type milliseconds int64
 
 func millisecondsOf(c Clock) milliseconds { return milliseconds(time.Duration(c).Milliseconds()) }
@@ -18,7 +18,7 @@
 func (m milliseconds) duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 type resourcesBody struct {
-	Processors   units.Millicores `json:"processors"` // millicores
+	Processors   units.Millicores `json:"processors"`
 	Memory       units.Bytes      `json:"memory"`
 	Accelerators int32            `json:"accelerators"`
 }
--- a/pkg/workerapi/client.go
+++ b/pkg/workerapi/client.go
@@ -15,12 +15,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxReply bounds a reply of a worker; a table of 10,000 tasks stays below it.
+// maxReply limits a reply of a worker, in bytes. A table of 10,000 tasks is smaller.
 const maxReply = 8 << 20
 
-// Client is a Worker reached over HTTP. Set the exported fields before use. A
-// command without an answer fails with kind Unknown, also when the connection
-// could not be opened, because a proxy in between may have forwarded it.
+// Client implements Worker over HTTP. Its fields must be set before the first call;
+// from then on it is safe for concurrent use. A command without a reply fails with
+// kind Unknown, even if the connection could not be opened, because a proxy may have
+// forwarded the command.
 type Client struct {
 	BaseURL string       // such as "http://127.0.0.1:7001"
 	HTTP    *http.Client // nil means http.DefaultClient
@@ -144,8 +145,8 @@
 	return nil
 }
 
-// kindOfStatus is used when an error reply names no kind. The 409 of a worker
-// without kinds is an older epoch, as the interface documents it.
+// kindOfStatus maps the status of an error reply without a kind. A worker that sends
+// no kinds uses 409 for an outdated epoch, as the interface documents it.
 var kindOfStatus = map[int]Kind{
 	http.StatusBadRequest:            Invalid,
 	http.StatusRequestEntityTooLarge: Invalid,
@@ -169,8 +170,8 @@
 	return fault.New(op, body.Kind, "status %d: %s", status, body.Error)
 }
 
-// DefaultTransport returns a transport sized for one agent talking to the one
-// worker beside it.
+// DefaultTransport returns a transport with limits for an agent that connects only to
+// the worker on its machine. A reply's header must arrive within 10 s.
 func DefaultTransport() *http.Transport {
 	return &http.Transport{MaxIdleConns: 4, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, ResponseHeaderTimeout: 10 * time.Second}
 }
--- a/pkg/workerapi/handler.go
+++ b/pkg/workerapi/handler.go
@@ -10,11 +10,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxRequest bounds a request to a worker; a renewal of 10,000 tasks fits.
+// maxRequest limits the body of a request, in bytes. A renewal for 10,000 tasks is
+// smaller.
 const maxRequest = 1 << 20
 
-// NewHandler serves w over HTTP in the form that Client speaks. The stand-in
-// worker and adapters to other platforms use it.
+// NewHandler returns a handler that serves w over HTTP with the protocol of Client.
+// It calls w concurrently. The stand-in worker and adapters to other platforms use
+// it.
 func NewHandler(w Worker) http.Handler {
 	h := handler{w}
 	mux := http.NewServeMux()
@@ -38,47 +40,47 @@
 
 func (h handler) hold(w http.ResponseWriter, r *http.Request) {
 	var body holdBody
-	if !decode(w, r, "hold", &body) {
+	if !decodeRequest(w, r, "hold", &body) {
 		return
 	}
 	holder, err := h.worker.Hold(r.Context(), body.Holder)
-	answer(w, holderBody{holder.Epoch, millisecondsOf(holder.Clock), resourcesBodyOf(holder.Capacity)}, err)
+	writeReply(w, holderBody{holder.Epoch, millisecondsOf(holder.Clock), resourcesBodyOf(holder.Capacity)}, err)
 }
 
 func (h handler) tasks(w http.ResponseWriter, r *http.Request) {
 	table, err := h.worker.Tasks(r.Context())
-	answer(w, tableBodyOf(table), err)
+	writeReply(w, tableBodyOf(table), err)
 }
 
 func (h handler) start(w http.ResponseWriter, r *http.Request) {
 	var body startBody
-	if !decode(w, r, "start", &body) {
+	if !decodeRequest(w, r, "start", &body) {
 		return
 	}
 	request, err := body.request()
 	if err != nil {
-		answer(w, nil, fault.Wrap("start", Invalid, err))
+		writeReply(w, nil, fault.Wrap("start", Invalid, err))
 		return
 	}
-	answer(w, nil, h.worker.Start(r.Context(), request))
+	writeReply(w, nil, h.worker.Start(r.Context(), request))
 }
 
 func (h handler) renew(w http.ResponseWriter, r *http.Request) {
 	var body renewBody
-	if !decode(w, r, "renew", &body) {
+	if !decodeRequest(w, r, "renew", &body) {
 		return
 	}
 	tasks := make([]units.Task, len(body.Tasks))
 	for i, name := range body.Tasks {
 		task, err := units.ParseTask(name)
 		if err != nil {
-			answer(w, nil, fault.Wrap("renew", Invalid, err))
+			writeReply(w, nil, fault.Wrap("renew", Invalid, err))
 			return
 		}
 		tasks[i] = task
 	}
 	clock, err := h.worker.Renew(r.Context(), body.Epoch, body.LeaseUntil.clock(), tasks)
-	answer(w, clockBody{millisecondsOf(clock)}, err)
+	writeReply(w, clockBody{millisecondsOf(clock)}, err)
 }
 
 func (h handler) forget(w http.ResponseWriter, r *http.Request) {
@@ -86,10 +88,10 @@
 	attempt, attemptErr := strconv.ParseUint(r.FormValue("attempt"), 10, 32)
 	epoch, epochErr := strconv.ParseUint(r.FormValue("epoch"), 10, 64)
 	if err := errors.Join(err, attemptErr, epochErr); err != nil {
-		answer(w, nil, fault.Wrap("forget", Invalid, err))
+		writeReply(w, nil, fault.Wrap("forget", Invalid, err))
 		return
 	}
-	answer(w, nil, h.worker.Forget(r.Context(), units.Epoch(epoch), task, units.Attempt(attempt)))
+	writeReply(w, nil, h.worker.Forget(r.Context(), units.Epoch(epoch), task, units.Attempt(attempt)))
 }
 
 func (h handler) activate(r *http.Request, t units.Task, b commandBody) (any, error) {
@@ -113,23 +115,23 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		task, err := units.ParseTask(r.PathValue("task"))
 		if err != nil {
-			answer(w, nil, fault.Wrap(op, Invalid, err))
+			writeReply(w, nil, fault.Wrap(op, Invalid, err))
 			return
 		}
 		var body commandBody
-		if !decode(w, r, op, &body) {
+		if !decodeRequest(w, r, op, &body) {
 			return
 		}
 		reply, err := command(r, task, body)
-		answer(w, reply, err)
+		writeReply(w, reply, err)
 	}
 }
 
-func decode(w http.ResponseWriter, r *http.Request, op string, body any) bool {
+func decodeRequest(w http.ResponseWriter, r *http.Request, op string, body any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(body); err != nil {
-		answer(w, nil, fault.Wrap(op, Invalid, err))
+		writeReply(w, nil, fault.Wrap(op, Invalid, err))
 		return false
 	}
 	return true
@@ -144,13 +146,13 @@
 	Invalid:  http.StatusBadRequest,
 }
 
-func answer(w http.ResponseWriter, reply any, err error) {
+func writeReply(w http.ResponseWriter, reply any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		body := errorBody{Kind: Unknown, Error: err.Error()}
-		var known *Error
-		if errors.As(err, &known) {
-			body.Kind = known.Kind
+		var workerErr *Error
+		if errors.As(err, &workerErr) {
+			body.Kind = workerErr.Kind
 		}
 		w.WriteHeader(statusOfKind[body.Kind])
 		reply = body
@@ -158,6 +160,6 @@
 	if reply == nil {
 		reply = struct{}{}
 	}
-	// A caller that went away sees its own error.
+	// An encoding error is ignored: a client that has disconnected gets its own error.
 	_ = json.NewEncoder(w).Encode(reply)
 }
