--- a/internal/administration/administrationtest/fake.go
+++ b/internal/administration/administrationtest/fake.go
@@ -1,4 +1,4 @@
-// Package administrationtest holds a Backend in memory for tests of the
+// Package administrationtest provides an in-memory Backend for tests of the
 // administration API, of its client and of the command line.
 package administrationtest
 
@@ -15,18 +15,18 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Backend implements administration.Backend in memory. Exported fields may be
-// changed between requests.
+// Backend implements administration.Backend in memory. Exported fields may be changed
+// between requests, but not during one.
 type Backend struct {
 	RunningResources environment.Running
 	WorkerList       []administration.Worker
 	EntryList        []administration.Entry
 	TeamList         []administration.Team
 	EventList        []timeline.Event
-	Fail             error         // returned by every mutation without an effect
-	FailAfter        error         // returned by every mutation after its effect
+	Fail             error         // returned by Ready and by every mutation, which then has no effect
+	FailAfter        error         // returned by every mutation after it has taken effect
 	Delay            time.Duration // of every mutation
-	BeforeWrite      func()        // called once by the next mutation, to lose a race or to hold it
+	BeforeWrite      func()        // called once by the next mutation, to make it lose a race or to delay it
 
 	mu       sync.Mutex
 	versions []administration.Document
@@ -35,7 +35,7 @@
 	jobKeys  map[string]units.JobID
 }
 
-// New returns a backend without documents and jobs.
+// New returns a Backend without documents and jobs.
 func New() *Backend {
 	return &Backend{keys: map[string]units.Offset{}, jobKeys: map[string]units.JobID{}}
 }
--- a/internal/administration/documents.go
+++ b/internal/administration/documents.go
@@ -1,5 +1,5 @@
-// Every edit of a document is a publication on a base version, so that operators
-// who race each other cannot undo an edit unseen.
+// Every edit of a document is a publication that replaces a specific base version, so
+// that concurrent edits can't silently undo each other.
 
 package administration
 
@@ -12,7 +12,7 @@
 )
 
 func showDocument(r *request) (any, error) {
-	version, err := r.version("version")
+	version, err := r.versionParameter("version")
 	if err != nil {
 		return nil, err
 	}
@@ -20,7 +20,7 @@
 }
 
 func showHistory(r *request) (any, error) {
-	limit, err := r.limit(20, 1000)
+	limit, err := r.limitParameter(20, 1000)
 	if err != nil {
 		return nil, err
 	}
@@ -29,19 +29,19 @@
 }
 
 func compareVersions(r *request) (any, error) {
-	from, err := r.parsedVersion("from")
+	from, err := r.parsedDocument("from")
 	if err != nil {
 		return nil, err
 	}
-	to, err := r.parsedVersion("to")
+	to, err := r.parsedDocument("to")
 	if err != nil {
 		return nil, err
 	}
 	return orEmpty(environment.Compare(from, to)), nil
 }
 
-func (r *request) parsedVersion(name string) (*environment.Document, error) {
-	version, err := r.version(name)
+func (r *request) parsedDocument(name string) (*environment.Document, error) {
+	version, err := r.versionParameter(name)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 	return parsePublished(found)
 }
 
-// parsePublished parses a document that is already in force.
+// parsePublished parses a published version.
 func parsePublished(d administration.Document) (*environment.Document, error) {
 	parsed, err := environment.Parse("published", []byte(d.Text))
 	if err != nil {
@@ -61,9 +61,9 @@
 	return parsed, nil
 }
 
-// current returns the document in force, or nil with version 0 if there is
-// none yet.
-func (r *request) current(env units.EnvironmentName) (administration.Document, *environment.Document, error) {
+// currentDocument returns the document in force and its parsed form, or version 0 and
+// nil if there is none yet.
+func (r *request) currentDocument(env units.EnvironmentName) (administration.Document, *environment.Document, error) {
 	found, err := r.config.Backend.Document(r.http.Context(), env, 0)
 	if administration.KindOf(err) == administration.KindNotFound {
 		return administration.Document{Environment: env}, nil, nil
@@ -75,9 +75,9 @@
 	return found, parsed, err
 }
 
-// examine parses a text that is to follow the current document. An invalid text
-// is no error: problems lists why.
-func (r *request) examine(file string, text []byte, current *environment.Document) (*environment.Document, []environment.Problem, error) {
+// parseAgainst parses a text that is to replace the current document. An invalid text
+// is not an error: its problems are in the second result.
+func (r *request) parseAgainst(file string, text []byte, current *environment.Document) (*environment.Document, []environment.Problem, error) {
 	running, err := r.config.Backend.Running(r.http.Context(), r.environment())
 	if err != nil {
 		return nil, nil, err
@@ -94,15 +94,15 @@
 }
 
 func checkDocument(r *request) (any, error) {
-	file, err := r.label("file", "document")
+	file, err := r.textParameter("file", "document")
 	if err != nil {
 		return nil, err
 	}
-	found, current, err := r.current(r.environment())
+	found, current, err := r.currentDocument(r.environment())
 	if err != nil {
 		return nil, err
 	}
-	parsed, problems, err := r.examine(file, r.body, current)
+	parsed, problems, err := r.parseAgainst(file, r.body, current)
 	if err != nil {
 		return nil, err
 	}
@@ -120,17 +120,17 @@
 	return r.publishText(r.body)
 }
 
-// publishText checks and publishes a text on the base in the query.
+// publishText checks a text and publishes it on the base version in the query.
 func (r *request) publishText(text []byte) (any, error) {
-	base, err := r.version("base")
+	base, err := r.versionParameter("base")
 	if err != nil {
 		return nil, err
 	}
-	file, err := r.label("file", "document")
+	file, err := r.textParameter("file", "document")
 	if err != nil {
 		return nil, err
 	}
-	_, current, err := r.current(r.environment())
+	_, current, err := r.currentDocument(r.environment())
 	if err != nil {
 		return nil, err
 	}
@@ -138,11 +138,11 @@
 }
 
 func (r *request) publish(file string, text []byte, base units.Offset, current *environment.Document) (any, error) {
-	author, err := r.label("author", "operator")
+	author, err := r.textParameter("author", "operator")
 	if err != nil {
 		return nil, err
 	}
-	parsed, problems, err := r.examine(file, text, current)
+	parsed, problems, err := r.parseAgainst(file, text, current)
 	if err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 	if r.http.URL.Query().Get("base") == "" {
 		return nil, administration.Errorf(administration.KindInvalid, "query base: missing; want the version that is replaced, 0 for none")
 	}
-	version, err := r.version("version")
+	version, err := r.versionParameter("version")
 	if err != nil {
 		return nil, err
 	}
@@ -174,28 +174,28 @@
 	if err != nil {
 		return nil, err
 	}
-	base, err := r.base()
+	base, err := r.baseDocument()
 	if err != nil {
 		return nil, err
 	}
-	text, err := promoted([]byte(source.Text), r.environment(), base)
+	text, err := promotedText([]byte(source.Text), r.environment(), base)
 	if err != nil {
 		return nil, editError(err)
 	}
 	return r.publishText(text)
 }
 
-// base returns the document of the version in the query, or nil for version 0.
-// The version in force would not do: in a process that reads the log late it
-// can be older than the base.
-func (r *request) base() (*environment.Document, error) {
-	version, err := r.version("base")
+// baseDocument returns the document of the base version in the query, or nil for
+// version 0. The version in force can't be used instead: in a process that lags behind
+// the log it can be older than the base.
+func (r *request) baseDocument() (*environment.Document, error) {
+	version, err := r.versionParameter("base")
 	if err != nil || version == 0 {
 		return nil, err
 	}
 	found, err := r.config.Backend.Document(r.http.Context(), r.environment(), version)
 	if administration.KindOf(err) == administration.KindNotFound {
-		current, _, err := r.current(r.environment())
+		current, _, err := r.currentDocument(r.environment())
 		if err != nil {
 			return nil, err
 		}
@@ -210,10 +210,10 @@
 	return parsePublished(found)
 }
 
-// promoted returns the text for another environment. States of failure domains
-// and drained workers stay those of the target: a promotion must not return a
-// failure domain to service. target may be nil.
-func promoted(text []byte, to units.EnvironmentName, target *environment.Document) ([]byte, error) {
+// promotedText returns the text for another environment. It keeps the states of
+// failure domains and the drained workers of the target: a promotion must not return a
+// failure domain to service. If target is nil, the source's are used.
+func promotedText(text []byte, to units.EnvironmentName, target *environment.Document) ([]byte, error) {
 	source, err := environment.Parse("promoted", text)
 	if err != nil {
 		return nil, err
@@ -241,18 +241,18 @@
 	return text, nil
 }
 
-// maxEdits limits how often an edit of one field is repeated on a newer version
-// after other operators published first.
-const maxEdits = 5
+// maxEditAttempts limits the attempts to apply an edit of one field to the newest
+// version while other operators publish first.
+const maxEditAttempts = 5
 
-// edit applies a change of one field to the current document. Since the change
-// does not depend on the rest of the document, a lost race is repeated on the
-// version that won. Every try carries the request's key, so that a repeated
-// request finds the try that won.
-func (r *request) edit(change func(text []byte) ([]byte, error)) (any, error) {
-	var lost error
-	for range maxEdits {
-		found, current, err := r.current(r.environment())
+// editCurrent applies a change of one field to the current document. The change does
+// not depend on the rest of the document, so after a lost race it is applied to the
+// version that was published first. Every attempt has the key of the request, so that
+// a repeated request finds the attempt that was published.
+func (r *request) editCurrent(change func(text []byte) ([]byte, error)) (any, error) {
+	var lostRace error
+	for range maxEditAttempts {
+		found, current, err := r.currentDocument(r.environment())
 		if err != nil {
 			return nil, err
 		}
@@ -274,9 +274,9 @@
 		if administration.KindOf(err) != administration.KindLostRace {
 			return answer, err
 		}
-		lost = err
+		lostRace = err
 	}
-	return nil, lost
+	return nil, lostRace
 }
 
 func editError(err error) error {
@@ -287,7 +287,7 @@
 	message := err.Error()
 	var cause *environment.Error
 	if errors.As(err, &cause) {
-		message = cause.Err.Error() // without the names of our functions
+		message = cause.Err.Error() // omits the operation, an internal name
 	}
 	return &administration.Error{Kind: kind, Message: message, Details: administration.Details{Problems: environment.Problems(err)}, Err: err}
 }
@@ -295,10 +295,10 @@
 func setDomainState(r *request) (any, error) {
 	state := environment.DomainState(r.http.PathValue("state"))
 	domain := units.DomainName(r.http.PathValue("domain"))
-	return r.edit(func(text []byte) ([]byte, error) { return environment.SetDomainState(text, domain, state) })
+	return r.editCurrent(func(text []byte) ([]byte, error) { return environment.SetDomainState(text, domain, state) })
 }
 
-// drainVerbs maps the last element of the path to the wanted state.
+// drainVerbs maps the last element of the path to the desired state.
 var drainVerbs = map[string]bool{"drain": true, "undrain": false}
 
 func setDrained(r *request) (any, error) {
@@ -308,15 +308,16 @@
 	}
 	worker := units.WorkerID(r.http.PathValue("worker"))
 	if drained && r.environment() == r.config.Environment {
-		if err := r.knownWorker(worker); err != nil {
+		if err := r.checkWorkerExists(worker); err != nil {
 			return nil, err
 		}
 	}
-	return r.edit(func(text []byte) ([]byte, error) { return environment.SetDrained(text, worker, drained) })
+	return r.editCurrent(func(text []byte) ([]byte, error) { return environment.SetDrained(text, worker, drained) })
 }
 
-// knownWorker refuses a misspelt worker, whose drain would do nothing.
-func (r *request) knownWorker(worker units.WorkerID) error {
+// checkWorkerExists returns an error for an unknown worker: draining a misspelt name
+// would have no effect.
+func (r *request) checkWorkerExists(worker units.WorkerID) error {
 	workers, err := r.config.Backend.Workers(r.http.Context())
 	if err != nil {
 		return err
@@ -329,7 +330,7 @@
 	return administration.Errorf(administration.KindNotFound, "unknown worker %q", worker)
 }
 
-// orEmpty makes a nil slice encode as [] instead of null.
+// orEmpty replaces a nil slice, so that it is encoded as [] instead of null.
 func orEmpty[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/internal/administration/jobs.go
+++ b/internal/administration/jobs.go
@@ -1,4 +1,4 @@
-// Jobs belong to teams: a team sees and cancels only its own.
+// Jobs belong to teams: a team can see and cancel only its own.
 
 package administration
 
@@ -12,35 +12,35 @@
 func isNotFound(err error) bool { return fault.Is(err, environment.KindNotFound) }
 
 func submitJob(r *request) (any, error) {
-	file, err := r.label("file", "job")
+	file, err := r.textParameter("file", "job")
 	if err != nil {
 		return nil, err
 	}
-	_, document, err := r.current(r.config.Environment)
+	_, document, err := r.currentDocument(r.config.Environment)
 	if err != nil {
 		return nil, err
 	}
 	if document == nil {
 		return nil, administration.Errorf(administration.KindInvalid, "environment %q has no document, so it has no teams", r.config.Environment)
 	}
-	s, err := administration.ParseSubmission(file, r.body, r.who.team, document)
+	s, err := administration.ParseSubmission(file, r.body, r.principal.team, document)
 	if err != nil {
 		return nil, err
 	}
-	if !r.who.mayUse(s.Team) {
-		return nil, administration.Errorf(administration.KindForbidden, "the token belongs to team %q, the job to team %q", r.who.team, s.Team)
+	if !r.principal.mayAccess(s.Team) {
+		return nil, administration.Errorf(administration.KindForbidden, "the token belongs to team %q, the job to team %q", r.principal.team, s.Team)
 	}
 	s.Key = r.key
 	return r.config.Backend.Submit(r.http.Context(), s)
 }
 
-func (p principal) mayUse(team units.TeamName) bool { return p.operator || p.team == team }
+func (p principal) mayAccess(team units.TeamName) bool { return p.operator || p.team == team }
 
-// jobStates are the values of the filter.
+// jobStates holds the valid values of the state filter.
 var jobStates = map[string]bool{"": true, "pending": true, "running": true, "completed": true, "failed": true, "cancelled": true}
 
 func listJobs(r *request) (any, error) {
-	limit, err := r.limit(100, 10_000)
+	limit, err := r.limitParameter(100, 10_000)
 	if err != nil {
 		return nil, err
 	}
@@ -49,39 +49,40 @@
 	if !jobStates[f.State] {
 		return nil, administration.Errorf(administration.KindInvalid, "query state: got %q; want pending, running, completed, failed or cancelled", f.State)
 	}
-	if !r.who.operator {
-		if f.Team != "" && f.Team != r.who.team {
-			return nil, administration.Errorf(administration.KindForbidden, "the token belongs to team %q", r.who.team)
+	if !r.principal.operator {
+		if f.Team != "" && f.Team != r.principal.team {
+			return nil, administration.Errorf(administration.KindForbidden, "the token belongs to team %q", r.principal.team)
 		}
-		f.Team = r.who.team
+		f.Team = r.principal.team
 	}
 	list, err := r.config.Backend.Jobs(r.http.Context(), f)
 	return orEmpty(list), err
 }
 
-// ownJob returns the job in the path. A team gets the same answer for another
-// team's job as for none, so that ids reveal nothing.
-func (r *request) ownJob() (administration.Job, error) {
+// accessibleJob returns the job in the path. For another team's job it returns the same
+// error as for a job that doesn't exist, so that a team can't find out the ids of
+// other teams' jobs.
+func (r *request) accessibleJob() (administration.Job, error) {
 	id := units.JobID(r.http.PathValue("job"))
 	job, err := r.config.Backend.Job(r.http.Context(), id)
-	if administration.KindOf(err) == administration.KindNotFound || err == nil && !r.who.mayUse(job.Team) {
+	if administration.KindOf(err) == administration.KindNotFound || err == nil && !r.principal.mayAccess(job.Team) {
 		return administration.Job{}, administration.Errorf(administration.KindNotFound, "no job %q", id)
 	}
 	return job, err
 }
 
-func showJob(r *request) (any, error) { return r.ownJob() }
+func showJob(r *request) (any, error) { return r.accessibleJob() }
 
 func cancelJob(r *request) (any, error) {
-	otherwise := "cancelled by operator"
-	if !r.who.operator {
-		otherwise = "cancelled by team " + string(r.who.team)
+	defaultReason := "cancelled by operator"
+	if !r.principal.operator {
+		defaultReason = "cancelled by team " + string(r.principal.team)
 	}
-	reason, err := r.label("reason", otherwise)
+	reason, err := r.textParameter("reason", defaultReason)
 	if err != nil {
 		return nil, err
 	}
-	job, err := r.ownJob()
+	job, err := r.accessibleJob()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/administration/metrics.go
+++ b/internal/administration/metrics.go
@@ -1,4 +1,4 @@
-// Metrics of a process, for Prometheus to scrape.
+// Metrics of a process in the format of Prometheus.
 
 package administration
 
@@ -13,10 +13,10 @@
 	"k8s.io/klog/v2"
 )
 
-// reportInterval is how old a value on /metrics can be.
+// reportInterval is the maximum age of a value on /metrics.
 const reportInterval = time.Second
 
-// sanitize keeps '-' and '.' in tag values, which occur in names of processes.
+// sanitize keeps '-' and '.' in tag values, because process names contain them.
 var sanitize = tally.SanitizeOptions{
 	NameCharacters:       prometheus.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:        prometheus.DefaultSanitizerOpts.KeyCharacters,
@@ -24,17 +24,16 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// NewMetrics returns the scope of a process, the handler for GET /metrics and
-// the scope's closer. Every metric is prefixed with "wasabihill_" and tagged
-// with the process.
+// NewMetrics returns the root scope of a process, the handler for GET /metrics and the
+// closer of the scope. Every metric has the prefix "wasabihill_" and the tag process.
 func NewMetrics(process string) (tally.Scope, http.Handler, io.Closer) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
 		Registerer:       registry,
 		Gatherer:         registry,
-		DefaultTimerType: prometheus.HistogramTimerType, // summaries of several processes cannot be added up
+		DefaultTimerType: prometheus.HistogramTimerType, // unlike histograms, summaries of several processes can't be aggregated
 		OnRegisterError: func(err error) {
-			klog.ErrorS(err, "metric is not registered")
+			klog.ErrorS(err, "cannot register metric; it will not be reported")
 		},
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
--- a/internal/administration/routes.go
+++ b/internal/administration/routes.go
@@ -1,4 +1,4 @@
-// One table lists the operations of the API with who may use them.
+// One table defines the operations of the API and who may use them.
 
 package administration
 
@@ -12,14 +12,14 @@
 
 // route is one operation of the API.
 type route struct {
-	name          string // label of its metrics
+	name          string // tag of its metrics
 	pattern       string
 	operatorsOnly bool
 	mutates       bool   // requires an idempotency key
-	document      bool   // its body is a document
+	document      bool   // its body is a document, which may be larger than other bodies
 	status        int    // of success; 200 when zero
-	query         string // parameters, for the manual
-	purpose       string // for the manual
+	query         string // parameters, for the reference manual
+	purpose       string // for the reference manual
 	handle        func(*request) (any, error)
 }
 
@@ -60,10 +60,10 @@
 		query: "format, subject, lane, limit", purpose: "events of all processes, as json, text or html", handle: showTimeline},
 }
 
-// RouteRow describes an operation for the manual.
+// RouteRow describes an operation in the reference manual.
 type RouteRow struct{ Pattern, Who, Query, Purpose string }
 
-// Reference lists the operations of the API for the manual.
+// Reference lists the operations of the API, for the reference manual.
 func Reference() []RouteRow {
 	rows := make([]RouteRow, len(routes))
 	for i, r := range routes {
@@ -83,8 +83,8 @@
 	return units.EnvironmentName(r.http.PathValue("environment"))
 }
 
-// version reads a version in the query; 0 when it is absent.
-func (r *request) version(name string) (units.Offset, error) {
+// versionParameter returns the version in a query parameter; 0 when it is absent.
+func (r *request) versionParameter(name string) (units.Offset, error) {
 	text := r.http.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -96,24 +96,24 @@
 	return units.Offset(v), nil
 }
 
-// limit reads the number of results in the query.
-func (r *request) limit(otherwise, most int) (int, error) {
+// limitParameter returns the maximum number of results in the query.
+func (r *request) limitParameter(defaultLimit, maximum int) (int, error) {
 	text := r.http.URL.Query().Get("limit")
 	if text == "" {
-		return otherwise, nil
+		return defaultLimit, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > most {
-		return 0, administration.Errorf(administration.KindInvalid, "query limit: got %q; want 1 to %d", text, most)
+	if err != nil || n < 1 || n > maximum {
+		return 0, administration.Errorf(administration.KindInvalid, "query limit: got %q; want 1 to %d", text, maximum)
 	}
 	return n, nil
 }
 
-// label reads a short text for people, such as an author, from the query.
-func (r *request) label(name, otherwise string) (string, error) {
+// textParameter returns a short text for people, such as an author, from the query.
+func (r *request) textParameter(name, defaultText string) (string, error) {
 	text := r.http.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultText, nil
 	}
 	if len(text) > 200 {
 		return "", administration.Errorf(administration.KindInvalid, "query %s: has %d bytes; at most 200 are allowed", name, len(text))
--- a/internal/administration/server.go
+++ b/internal/administration/server.go
@@ -1,5 +1,5 @@
-// Authentication, limits and errors are handled here once for every route, so that a
-// handler cannot forget them.
+// Authentication, limits and errors are handled in one place for every route, so that
+// no handler can omit them.
 
 package administration
 
@@ -21,17 +21,17 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Config holds what a Server needs. Zero limits get defaults.
+// Config configures a Server. A limit of zero is replaced by its default.
 type Config struct {
 	Backend       Backend
-	Environment   units.EnvironmentName // whose teams and largest worker jobs are checked against
+	Environment   units.EnvironmentName // its document supplies the teams and the largest worker against which jobs are checked
 	OperatorToken settings.Secret
 	TeamTokens    map[units.TeamName]settings.Secret
 
-	Requests    int           // requests in flight
-	Body        units.Bytes   // body of one request
-	HeaderBytes units.Bytes   // header of one request
-	Timeout     time.Duration // for one request
+	Requests    int           // concurrent requests; 256 when zero
+	Body        units.Bytes   // size of one request's body; 1 MiB when zero
+	HeaderBytes units.Bytes   // size of one request's header; 16 KiB when zero
+	Timeout     time.Duration // per request; 10 s when zero
 
 	Scope          tally.Scope  // nil for none
 	MetricsHandler http.Handler // serves GET /metrics; nil for none
@@ -57,63 +57,63 @@
 
 // Server answers administration requests. It is an http.Handler.
 type Server struct {
-	config  Config
-	tokens  tokens
-	inUse   chan struct{}                    // holds one element for each request in flight
-	perTeam map[units.TeamName]chan struct{} // the same for each team; never written after NewServer
-	handler http.Handler
+	config    Config
+	tokens    tokens
+	slots     chan struct{}                    // holds one element per request in progress
+	teamSlots map[units.TeamName]chan struct{} // the same per team; the map isn't modified after NewServer
+	handler   http.Handler
 }
 
-// teamShare limits a team to a quarter of the requests in flight, so that slow
-// requests of one team leave room for operators and other teams.
-const teamShare = 4
+// teamSlotDivisor limits a team to a quarter of the concurrent requests, so that slow
+// requests of one team don't block operators and other teams.
+const teamSlotDivisor = 4
 
-// smallBody limits every body but that of a document. A job takes less than
-// 1 KiB, and parsing needs up to a hundred times the size of the text.
-const smallBody = 64 * units.KiB
+// smallBodyLimit limits every body except that of a document. A job takes less than
+// 1 KiB, and parsing needs up to a hundred times the memory of the text.
+const smallBodyLimit = 64 * units.KiB
 
-// NewServer returns a server for the configuration.
+// NewServer returns a server with the given configuration.
 func NewServer(c Config) *Server {
 	c.setDefaults()
-	s := &Server{config: c, tokens: newTokens(c.OperatorToken, c.TeamTokens), inUse: make(chan struct{}, c.Requests)}
-	s.perTeam = make(map[units.TeamName]chan struct{}, len(c.TeamTokens))
+	s := &Server{config: c, tokens: newTokens(c.OperatorToken, c.TeamTokens), slots: make(chan struct{}, c.Requests)}
+	s.teamSlots = make(map[units.TeamName]chan struct{}, len(c.TeamTokens))
 	for team := range c.TeamTokens {
-		s.perTeam[team] = make(chan struct{}, max(1, c.Requests/teamShare))
+		s.teamSlots[team] = make(chan struct{}, max(1, c.Requests/teamSlotDivisor))
 	}
 	mux := http.NewServeMux()
 	for _, r := range routes {
-		mux.HandleFunc(r.pattern, func(w http.ResponseWriter, q *http.Request) { s.serve(r, w, q) })
+		mux.HandleFunc(r.pattern, func(w http.ResponseWriter, req *http.Request) { s.serve(r, w, req) })
 	}
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", s.readyz)
 	if c.MetricsHandler != nil {
 		mux.Handle("GET /metrics", c.MetricsHandler)
 	}
-	mux.HandleFunc("/", func(w http.ResponseWriter, q *http.Request) {
-		writeError(w, administration.Errorf(administration.KindNotFound, "no such method and path: %s %s", q.Method, q.URL.Path))
+	mux.HandleFunc("/", func(w http.ResponseWriter, req *http.Request) {
+		writeError(w, administration.Errorf(administration.KindNotFound, "no such method and path: %s %s", req.Method, req.URL.Path))
 	})
 	s.handler = mux
 	return s
 }
 
 // ServeHTTP implements http.Handler.
-func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) { s.handler.ServeHTTP(w, q) }
+func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) { s.handler.ServeHTTP(w, req) }
 
-// HTTPServer returns a server with time and header limits; the caller serves a
-// listener with it and shuts it down.
+// HTTPServer returns an http.Server with timeouts and a header limit. The caller
+// starts it on a listener and shuts it down.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       s.config.Timeout,
-		WriteTimeout:      2 * s.config.Timeout, // reading and answering
+		WriteTimeout:      2 * s.config.Timeout, // includes the time to read the request
 		IdleTimeout:       time.Minute,
 		MaxHeaderBytes:    int(s.config.HeaderBytes),
 	}
 }
 
-func (s *Server) readyz(w http.ResponseWriter, q *http.Request) {
-	ctx, cancel := context.WithTimeout(q.Context(), time.Second)
+func (s *Server) readyz(w http.ResponseWriter, req *http.Request) {
+	ctx, cancel := context.WithTimeout(req.Context(), time.Second)
 	defer cancel()
 	if err := s.config.Backend.Ready(ctx); err != nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -125,28 +125,28 @@
 // request is one authenticated request with its body.
 type request struct {
 	*Server
-	http *http.Request
-	who  principal
-	key  string
-	body []byte
+	http      *http.Request
+	principal principal
+	key       string
+	body      []byte
 }
 
-// reply writes itself, for answers that are not JSON.
-type reply interface{ write(http.ResponseWriter) }
+// rawReply is a reply that is not JSON and writes itself.
+type rawReply interface{ write(http.ResponseWriter) }
 
-func (s *Server) serve(r route, w http.ResponseWriter, q *http.Request) {
+func (s *Server) serve(r route, w http.ResponseWriter, req *http.Request) {
 	start := time.Now()
-	answer, err := s.run(r, w, q)
+	answer, err := s.run(r, w, req)
 	status := http.StatusOK
 	if err != nil {
-		failed := asError(err, r.mutates)
-		status = failed.Kind.Status()
-		if failed.Kind == administration.KindInternal {
+		apiErr := toAPIError(err, r.mutates)
+		status = apiErr.Kind.Status()
+		if apiErr.Kind == administration.KindInternal {
 			klog.ErrorS(err, "administration request failed", "route", r.pattern)
 		}
-		writeError(w, failed)
-	} else if direct, ok := answer.(reply); ok {
-		direct.write(w)
+		writeError(w, apiErr)
+	} else if raw, ok := answer.(rawReply); ok {
+		raw.write(w)
 	} else {
 		if r.status != 0 {
 			status = r.status
@@ -158,65 +158,67 @@
 	scope.Timer("administration_latency").Record(time.Since(start))
 }
 
-func (s *Server) run(r route, w http.ResponseWriter, q *http.Request) (any, error) {
-	leave, err := enter(s.inUse)
+func (s *Server) run(r route, w http.ResponseWriter, req *http.Request) (any, error) {
+	release, err := acquireSlot(s.slots)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
-	who, err := s.tokens.authenticate(q)
+	defer release()
+	p, err := s.tokens.authenticate(req)
 	if err != nil {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 		return nil, err
 	}
-	if r.operatorsOnly && !who.operator {
+	if r.operatorsOnly && !p.operator {
 		return nil, administration.Errorf(administration.KindForbidden, "this needs the operator's token")
 	}
-	if !who.operator {
-		leave, err := enter(s.perTeam[who.team])
+	if !p.operator {
+		release, err := acquireSlot(s.teamSlots[p.team])
 		if err != nil {
 			return nil, err
 		}
-		defer leave()
+		defer release()
 	}
-	ctx, cancel := context.WithTimeout(q.Context(), s.config.Timeout)
+	ctx, cancel := context.WithTimeout(req.Context(), s.config.Timeout)
 	defer cancel()
-	one := &request{Server: s, http: q.WithContext(ctx), who: who}
+	authenticated := &request{Server: s, http: req.WithContext(ctx), principal: p}
 	if r.mutates {
-		if one.key = q.Header.Get(administration.KeyHeader); !validKey(one.key) {
+		if authenticated.key = req.Header.Get(administration.KeyHeader); !validKey(authenticated.key) {
 			return nil, administration.Errorf(administration.KindInvalid, "header %s: want 1 to 128 printable ASCII characters", administration.KeyHeader)
 		}
 	}
-	limit := min(s.config.Body, smallBody)
+	limit := min(s.config.Body, smallBodyLimit)
 	if r.document {
 		limit = s.config.Body
 	}
-	if one.body, err = readBody(w, q, limit); err != nil {
+	if authenticated.body, err = readBody(w, req, limit); err != nil {
 		return nil, err
 	}
-	return handle(r, one)
+	return handle(r, authenticated)
 }
 
-// enter takes a place or refuses at once; leave gives it back.
-func enter(places chan struct{}) (leave func(), err error) {
+// acquireSlot acquires a slot without waiting, or returns a KindBusy error. release
+// frees the slot.
+func acquireSlot(slots chan struct{}) (release func(), err error) {
 	select {
-	case places <- struct{}{}:
-		return func() { <-places }, nil
+	case slots <- struct{}{}:
+		return func() { <-slots }, nil
 	default:
 		return nil, &administration.Error{Kind: administration.KindBusy, Message: "too many requests at a time; repeat it later",
 			Details: administration.Details{Outcome: administration.OutcomeNotRun}}
 	}
 }
 
-// handle keeps a panic in one request from ending others.
-func handle(r route, one *request) (answer any, err error) {
+// handle calls the handler and recovers from a panic, which then fails only this
+// request.
+func handle(r route, authenticated *request) (answer any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			klog.ErrorS(nil, "administration request panicked", "route", r.pattern, "panic", p, "stack", string(debug.Stack()))
 			answer, err = nil, administration.Errorf(administration.KindInternal, "internal error")
 		}
 	}()
-	return r.handle(one)
+	return r.handle(authenticated)
 }
 
 func validKey(key string) bool {
@@ -228,12 +230,12 @@
 	return key != "" && len(key) <= 128
 }
 
-func readBody(w http.ResponseWriter, q *http.Request, limit units.Bytes) ([]byte, error) {
-	if q.ContentLength > int64(limit) {
+func readBody(w http.ResponseWriter, req *http.Request, limit units.Bytes) ([]byte, error) {
+	if req.ContentLength > int64(limit) {
 		w.Header().Set("Connection", "close")
-		return nil, administration.Errorf(administration.KindTooLarge, "the body has %d bytes; at most %d are allowed", q.ContentLength, limit)
+		return nil, administration.Errorf(administration.KindTooLarge, "the body has %d bytes; at most %d are allowed", req.ContentLength, limit)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, int64(limit)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, int64(limit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, administration.Errorf(administration.KindTooLarge, "the body exceeds %d bytes", limit)
@@ -244,16 +246,16 @@
 	return body, nil
 }
 
-// asError turns any error into one for the wire. An expired time limit leaves
-// the outcome of a mutation unknown.
-func asError(err error, mutates bool) *administration.Error {
+// toAPIError converts any error to an error of the API. After a timeout the outcome of
+// a mutation is unknown.
+func toAPIError(err error, mutation bool) *administration.Error {
 	var e *administration.Error
 	if errors.As(err, &e) {
 		return e
 	}
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		outcome := administration.OutcomeNotRun
-		if mutates {
+		if mutation {
 			outcome = administration.OutcomeUnknown
 		}
 		return administration.Unavailable(outcome, err)
@@ -271,7 +273,7 @@
 func writeJSON(w http.ResponseWriter, status int, answer any) {
 	body, err := json.Marshal(answer)
 	if err != nil {
-		klog.ErrorS(err, "administration reply does not encode")
+		klog.ErrorS(err, "cannot encode the reply to an administration request")
 		status, body = http.StatusInternalServerError, []byte(`{"error":{"kind":"internal","message":"internal error","details":{}}}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/administration/server_test.go
+++ b/internal/administration/server_test.go
@@ -82,8 +82,8 @@
 
 const production = "/v1/environments/production"
 
-// Guards the contract of the API: who may do what, what is refused, and with
-// which status and kind.
+// Guards against a change of the API: who may do what, which requests are rejected,
+// and with which status and kind.
 func TestContract(t *testing.T) {
 	down := func(b *administrationtest.Backend) {
 		b.Fail = api.Unavailable(api.OutcomeNotRun, errors.New("refused"))
@@ -182,8 +182,8 @@
 	}
 }
 
-// Guards against a burst that occupies the process: requests beyond the limit
-// are refused at once and say that they were not run.
+// Guards against a burst of requests that overloads the process: requests beyond the
+// limit are rejected immediately with an error that says that they were not run.
 func TestConcurrencyLimit(t *testing.T) {
 	f := start(t, func(c *administration.Config) { c.Requests = 1 })
 	entered, leave := make(chan struct{}), make(chan struct{})
@@ -203,8 +203,9 @@
 	}
 }
 
-// Guards against a promotion that returns a failure domain of the target to
-// service or ends a drain there.
+// Guards against a promotion that returns a failure domain of the target environment to
+// service or ends the draining of a worker there, because the source document has
+// neither.
 func TestPromotionKeepsOperationsOfTheTarget(t *testing.T) {
 	f := start(t, nil)
 	trial := strings.Replace(strings.Replace(document, "production", "trial", 1), `"64"`, `"48"`, 1)
@@ -224,11 +225,11 @@
 	}
 }
 
-// Guards against metrics that Prometheus cannot scrape.
+// Guards against metrics in a format that Prometheus can't scrape.
 func TestMetrics(t *testing.T) {
 	scope, handler, closer := administration.NewMetrics("entry-1")
 	f := start(t, func(c *administration.Config) { c.Scope, c.MetricsHandler = scope, handler })
-	if err := closer.Close(); err != nil { // reports what was counted
+	if err := closer.Close(); err != nil { // flushes the counters
 		t.Fatal(err)
 	}
 	status, body := f.call(t, "GET", "/metrics", "", "", "")
--- a/internal/administration/socket_test.go
+++ b/internal/administration/socket_test.go
@@ -21,10 +21,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Guards against requests that break off, never end or exceed limits on the
-// wire: each gets a 4xx or a closed connection and the next request is served.
+// Guards against raw requests that are truncated, never end, are malformed or exceed
+// limits: each gets a 4xx status, and the next request is served.
 func TestFaultsOnTheWire(t *testing.T) {
-	// net/http itself waits 500 ms after an aborted request; that goroutine ends.
+	// net/http itself waits 500 ms after an aborted request; that goroutine then ends.
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent(), goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 	backend := administrationtest.New()
 	server := administration.NewServer(administration.Config{Backend: backend, OperatorToken: settings.NewSecret(operator),
@@ -38,8 +38,8 @@
 	head := "POST /v1/environments/x/check HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operator + "\r\n"
 	for _, c := range []struct {
 		name, text string
-		half       bool   // close the sending side after the text
-		want       string // status, or "" for a closed connection
+		half       bool   // close the client's sending side after the text
+		want       string // status
 	}{
 		{"truncated body", head + "Content-Length: 100\r\n\r\n{", true, "400"},
 		{"truncated chunk", head + "Transfer-Encoding: chunked\r\n\r\n5\r\n{", true, "400"},
@@ -77,8 +77,9 @@
 	}
 }
 
-// Guards against a job that is submitted twice when a reply is lost on the way,
-// and against a lost reply that is reported as not run.
+// Guards against a job that is submitted twice because the reply was lost and the
+// client sent the request to the next server, and against a lost reply that is
+// reported as not run.
 func TestClientAfterLostReply(t *testing.T) {
 	f := start(t, nil)
 	lossy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -115,7 +116,8 @@
 	}
 }
 
-// Guards against one team whose slow requests lock out everybody else.
+// Guards against one team whose slow requests occupy every slot, so that operators and
+// other teams are rejected.
 func TestOneTeamCannotTakeEveryPlace(t *testing.T) {
 	f := start(t, func(c *administration.Config) { c.Requests = 4 })
 	entered, leave, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
--- a/internal/administration/tokens.go
+++ b/internal/administration/tokens.go
@@ -1,4 +1,5 @@
-// Bearer tokens come from the settings; there are no accounts and no sessions.
+// Requests are authenticated by bearer tokens from the settings; there are no user
+// accounts and no login sessions.
 
 package administration
 
@@ -13,27 +14,27 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// principal is who sent a request.
+// principal is the authenticated sender of a request: the operators or one team.
 type principal struct {
 	operator bool
 	team     units.TeamName // empty for operators
 }
 
-// tokens compares by hash, so that the time taken says nothing about how much
-// of a token is right, nor about its length.
+// tokens holds hashes of the tokens. Comparing hashes prevents timing attacks: the
+// duration reveals neither how much of a token is correct nor its length.
 type tokens []struct {
-	hash [sha256.Size]byte
-	who  principal
+	hash      [sha256.Size]byte
+	principal principal
 }
 
 func newTokens(operator settings.Secret, teams map[units.TeamName]settings.Secret) tokens {
 	var all tokens
-	add := func(token settings.Secret, who principal) {
+	add := func(token settings.Secret, p principal) {
 		if !token.IsZero() {
 			all = append(all, struct {
-				hash [sha256.Size]byte
-				who  principal
-			}{sha256.Sum256([]byte(token.Reveal())), who})
+				hash      [sha256.Size]byte
+				principal principal
+			}{sha256.Sum256([]byte(token.Reveal())), p})
 		}
 	}
 	add(operator, principal{operator: true})
@@ -43,19 +44,19 @@
 	return all
 }
 
-func (t tokens) authenticate(q *http.Request) (principal, error) {
-	scheme, token, _ := strings.Cut(q.Header.Get("Authorization"), " ")
+func (t tokens) authenticate(req *http.Request) (principal, error) {
+	scheme, token, _ := strings.Cut(req.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
 		return principal{}, administration.Errorf(administration.KindUnauthorized, "no bearer token")
 	}
 	hash := sha256.Sum256([]byte(token))
 	found := -1
-	for i := range t { // always all of them, so that the time is the same for each team
+	for i := range t { // no early exit, so that the duration is the same for each team
 		match := subtle.ConstantTimeCompare(hash[:], t[i].hash[:])
 		found = subtle.ConstantTimeSelect(match, i, found)
 	}
 	if found < 0 {
 		return principal{}, administration.Errorf(administration.KindUnauthorized, "unknown bearer token")
 	}
-	return t[found].who, nil
+	return t[found].principal, nil
 }
--- a/internal/administration/views.go
+++ b/internal/administration/views.go
@@ -1,4 +1,4 @@
-// Read-only views for operators, and for a team of itself.
+// Read-only views for operators. A team can list only itself.
 
 package administration
 
@@ -26,14 +26,14 @@
 	all, err := r.config.Backend.Teams(r.http.Context())
 	visible := []administration.Team{}
 	for _, t := range all {
-		if r.who.mayUse(t.Name) {
+		if r.principal.mayAccess(t.Name) {
 			visible = append(visible, t)
 		}
 	}
 	return visible, err
 }
 
-// timelineFormats maps the query to the content type and the rendering.
+// timelineFormats maps the format in the query to a content type and a renderer.
 var timelineFormats = map[string]struct {
 	contentType string
 	render      func(io.Writer, []timeline.Event) error
@@ -45,7 +45,7 @@
 }
 
 func showTimeline(r *request) (any, error) {
-	limit, err := r.limit(500, 10_000)
+	limit, err := r.limitParameter(500, 10_000)
 	if err != nil {
 		return nil, err
 	}
@@ -65,16 +65,16 @@
 	if err := format.render(&body, events); err != nil {
 		return nil, err
 	}
-	return rendered{format.contentType, body.Bytes()}, nil
+	return renderedTimeline{format.contentType, body.Bytes()}, nil
 }
 
-// rendered is an answer that is not JSON of a type.
-type rendered struct {
+// renderedTimeline is a time line in one of the formats.
+type renderedTimeline struct {
 	contentType string
 	body        []byte
 }
 
-func (d rendered) write(w http.ResponseWriter) {
+func (d renderedTimeline) write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", d.contentType)
 	w.Header().Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'")
 	w.Header().Set("X-Content-Type-Options", "nosniff")
