--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain finds in the logs of several processes what happened to one
-// job: the lines that name it, and in between the lines that changed what the
-// processes believed, such as another leader or a worker that was given up.
+// Package explain extracts the history of one job from the logs of several processes: the
+// lines that contain the id of the job, and the lines from the same time that report
+// changes of a process's state, such as a change of leader or a failed worker.
 package explain
 
 import (
@@ -17,19 +17,20 @@
 
 // Line is one line of a log.
 type Line struct {
-	Time    time.Time // of the process that wrote it, without a year
+	Time    time.Time // by the clock of the process that wrote the line; log lines have no year
 	Process string
-	Message string // the quoted text
-	Values  string // the pairs after it
+	Message string // quoted text
+	Values  string // key=value pairs after the message
 }
 
-// structured matches a line of a process, with or without words before it, of
-// which the last is the process's name.
-var structured = regexp.MustCompile(`^(.*?)[IWE](\d{4} \d\d:\d\d:\d\d\.\d{6})\s+\d+ [^\]]*\] "([^"]*)"\s?(.*)$`)
+// structuredLine matches a structured log line. Words may precede the line; the last of
+// them is the name of the process.
+var structuredLine = regexp.MustCompile(`^(.*?)[IWE](\d{4} \d\d:\d\d:\d\d\.\d{6})\s+\d+ [^\]]*\] "([^"]*)"\s?(.*)$`)
 
-// parse returns false for a line that is not structured.
-func parse(text, process string) (Line, bool) {
-	m := structured.FindStringSubmatch(text)
+// parseLine returns false for a line that is not structured. process is the name of the
+// process unless the line contains one.
+func parseLine(text, process string) (Line, bool) {
+	m := structuredLine.FindStringSubmatch(text)
 	if m == nil {
 		return Line{}, false
 	}
@@ -37,33 +38,34 @@
 	if err != nil {
 		return Line{}, false
 	}
-	if before := strings.Fields(m[1]); len(before) > 0 {
-		process = before[len(before)-1]
+	if prefix := strings.Fields(m[1]); len(prefix) > 0 {
+		process = prefix[len(prefix)-1]
 	}
 	return Line{Time: at, Process: process, Message: m[3], Values: m[4]}, true
 }
 
-// Read returns the structured lines of a log. name is the file's, which names
-// the process where the lines do not.
+// Read returns the structured lines of a log. name is the name of the file; without its
+// extension it is the process of the lines that contain none.
 func Read(r io.Reader, name string) ([]Line, error) {
 	process := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
 	var lines []Line
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Text(), process); ok {
+		if line, ok := parseLine(scanner.Text(), process); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, scanner.Err()
 }
 
-// maxLine is far longer than any line that a process writes.
+// maxLine is the maximum length of a line, in bytes. It is far above the length of any line
+// that a process writes; a longer line is an error.
 const maxLine = 1 << 20
 
-// beliefs are the messages that change what a process believes. They explain
-// what happens to every job at that time.
-var beliefs = map[string]bool{
+// stateChanges holds the messages that report a change of a process's state, which may
+// affect every job at that time.
+var stateChanges = map[string]bool{
 	"started": true, "stopping": true, "stopped": true, "settings reloaded": true,
 	"leadership won": true, "leadership lost": true, "leadership is not renewed": true, "leadership is not supported": true,
 	"leader is ready": true, "connection to the leader is lost": true,
@@ -72,10 +74,12 @@
 	"log lines omitted": true,
 }
 
-// margin is how long before and after the job's own lines beliefs are shown.
+// margin extends the time from the first to the last line of the job, in which state
+// changes are included, at both ends.
 const margin = time.Second
 
-// Select returns the lines that explain a job, in the order of their times.
+// Select returns the lines of a job and the state changes during it, sorted by time. It
+// sorts lines in place.
 func Select(id string, lines []Line) []Line {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	var first, last time.Time
@@ -87,22 +91,23 @@
 			last = line.Time
 		}
 	}
-	var path []Line
+	var selected []Line
 	for _, line := range lines {
 		own := strings.Contains(line.Values, id)
 		near := !first.IsZero() && !line.Time.Before(first.Add(-margin)) && !line.Time.After(last.Add(margin))
-		if own || near && beliefs[line.Message] {
-			path = append(path, line)
+		if own || near && stateChanges[line.Message] {
+			selected = append(selected, line)
 		}
 	}
-	return path
+	return selected
 }
 
-// Write prints a path, one line each; lines of the job itself are marked.
-func Write(w io.Writer, id string, path []Line) error {
+// Write prints the selected lines as a table. The lines of the job itself are marked with
+// an asterisk.
+func Write(w io.Writer, id string, selected []Line) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TIME\tPROCESS\t\tWHAT\tWITH")
-	for _, line := range path {
+	for _, line := range selected {
 		mark := ""
 		if strings.Contains(line.Values, id) {
 			mark = "*"
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The log was recorded on a day with faults. From the id of each of three
-// failed requests the cause must be among the printed lines.
+// Guards against a selection that omits the cause of a failure. The log was recorded on a
+// day with faults; for each of three failed requests the lines that show the cause must
+// be selected by its id.
 func TestCauseOfRecordedFailures(t *testing.T) {
 	cases := map[string]struct {
 		id    string
@@ -45,8 +46,8 @@
 	}
 }
 
-// Lines of several files are merged by time, and lines that are not structured
-// are passed over.
+// Guards against lines of several files that are not merged by time, and against output
+// that includes unstructured lines.
 func TestReadAndWrite(t *testing.T) {
 	const log = "noise\nI0102 10:00:01.000000  7 x.go:1] \"job accepted\" job=\"ab\"\n"
 	lines, err := Read(strings.NewReader(log), "dir/edge-1.log")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,8 @@
-// Package logging keeps log lines from slowing a process down: lines are
-// written by a goroutine of their own, a blocked or slow output loses lines
-// instead of delaying decisions, and each kind of line has a budget per second.
-// What was left out is counted in one line per second and kind.
+// Package logging prevents log output from slowing down a process. A separate goroutine
+// writes the lines; if the output is blocked or slow, lines are dropped instead of
+// delaying decisions, and the lines of each kind are limited per second. The kind of a
+// line is its message. For each kind, one line per second reports the number of omitted
+// lines.
 package logging
 
 import (
@@ -14,33 +15,33 @@
 )
 
 const (
-	// queued is how many lines wait for the output.
-	queued = 1024
+	// queueCapacity is the maximum number of lines that wait for the output.
+	queueCapacity = 1024
 	// DefaultLinesPerSecond and DefaultKindLinesPerSecond bound the lines per second, of all kinds and
 	// of one. At about 250 bytes a line a process writes at most 50 KB a second.
 	DefaultLinesPerSecond     = 200
 	DefaultKindLinesPerSecond = 60
 )
 
-// Writer is the output of a logger. Set the exported fields before the first
-// Write. Write may be called concurrently and never waits for the output.
+// Writer is the output of a logger. The exported fields must be set before the first call
+// of Write. Write may be called concurrently and never waits for the output.
 type Writer struct {
 	Out                io.Writer
-	LinesPerSecond     int // most lines per second; 0 means DefaultLinesPerSecond
-	KindLinesPerSecond int // most lines of one kind per second; 0 means DefaultKindLinesPerSecond
+	LinesPerSecond     int // limit for all lines; 0 means DefaultLinesPerSecond
+	KindLinesPerSecond int // limit for the lines of one kind; 0 means DefaultKindLinesPerSecond
 
-	once    sync.Once
-	lines   chan []byte
-	done    chan struct{}
-	mu      sync.Mutex
-	second  int64 // to which the counts belong
-	written int
-	kinds   map[string]int
-	omitted map[string]int
-	closed  bool
+	once          sync.Once
+	lines         chan []byte
+	done          chan struct{}
+	mu            sync.Mutex
+	second        int64 // Unix time of the second to which the counts of written lines belong
+	written       int
+	writtenByKind map[string]int
+	omittedByKind map[string]int
+	closed        bool
 }
 
-func (w *Writer) begin() {
+func (w *Writer) start() {
 	w.once.Do(func() {
 		if w.LinesPerSecond == 0 {
 			w.LinesPerSecond = DefaultLinesPerSecond
@@ -48,75 +49,77 @@
 		if w.KindLinesPerSecond == 0 {
 			w.KindLinesPerSecond = DefaultKindLinesPerSecond
 		}
-		w.lines, w.done = make(chan []byte, queued), make(chan struct{})
-		w.kinds, w.omitted = make(map[string]int), make(map[string]int)
+		w.lines, w.done = make(chan []byte, queueCapacity), make(chan struct{})
+		w.writtenByKind, w.omittedByKind = make(map[string]int), make(map[string]int)
 		go func() {
 			defer close(w.done)
 			for line := range w.lines {
-				_, _ = w.Out.Write(line) // there is no other place to complain
+				_, _ = w.Out.Write(line) // the error can't be reported, because this is the log output
 			}
 		}()
 	})
 }
 
-// Write takes one line. It never fails.
+// Write enqueues one line, or counts it as omitted if a limit is reached or the queue is
+// full. It never fails. After Close, lines are discarded.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.begin()
+	w.start()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return len(line), nil
 	}
-	w.turn(time.Now().Unix())
+	w.startSecond(time.Now().Unix())
 	kind := kindOf(line)
-	if w.written >= w.LinesPerSecond || w.kinds[kind] >= w.KindLinesPerSecond {
-		w.omitted[kind]++
+	if w.written >= w.LinesPerSecond || w.writtenByKind[kind] >= w.KindLinesPerSecond {
+		w.omittedByKind[kind]++
 		return len(line), nil
 	}
 	w.written++
-	w.kinds[kind]++
-	w.offer(kind, bytes.Clone(line))
+	w.writtenByKind[kind]++
+	w.enqueue(kind, bytes.Clone(line))
 	return len(line), nil
 }
 
-// turn begins a new second with a summary of what the last one left out.
-func (w *Writer) turn(second int64) {
+// startSecond resets the counts if a new second has begun, and writes a summary of the
+// lines that were omitted before.
+func (w *Writer) startSecond(second int64) {
 	if second == w.second {
 		return
 	}
 	w.second, w.written = second, 0
-	clear(w.kinds)
+	clear(w.writtenByKind)
 	w.summarize()
 }
 
 func (w *Writer) summarize() {
-	if len(w.omitted) == 0 {
+	if len(w.omittedByKind) == 0 {
 		return
 	}
-	kinds := make([]string, 0, len(w.omitted))
-	for kind := range w.omitted {
+	kinds := make([]string, 0, len(w.omittedByKind))
+	for kind := range w.omittedByKind {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
 	for _, kind := range kinds {
-		n := w.omitted[kind]
-		delete(w.omitted, kind)
-		w.offer(kind, fmt.Appendf(nil, "log lines omitted kind=%q count=%d\n", kind, n))
+		n := w.omittedByKind[kind]
+		delete(w.omittedByKind, kind)
+		w.enqueue(kind, fmt.Appendf(nil, "log lines omitted kind=%q count=%d\n", kind, n))
 	}
 }
 
-// offer hands a line to the output, or counts it as omitted.
-func (w *Writer) offer(kind string, line []byte) {
+// enqueue adds a line to the queue, or counts it as omitted if the queue is full.
+func (w *Writer) enqueue(kind string, line []byte) {
 	select {
 	case w.lines <- line:
 	default:
-		w.omitted[kind]++
+		w.omittedByKind[kind]++
 	}
 }
 
-// Close writes what is queued, for at most the given time.
-func (w *Writer) Close(within time.Duration) {
-	w.begin()
+// Close waits until the queued lines are written, for at most timeout.
+func (w *Writer) Close(timeout time.Duration) {
+	w.start()
 	w.mu.Lock()
 	if !w.closed {
 		w.summarize()
@@ -126,11 +129,12 @@
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
-// kindOf returns the message of a structured line: the first quoted text.
+// kindOf returns the kind of a line: the message of a structured line, which is its first
+// quoted text, or "other".
 func kindOf(line []byte) string {
 	start := bytes.IndexByte(line, '"')
 	if start < 0 {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// blocked is an output that nobody reads.
+// blocked is an output whose writes block until release is closed.
 type blocked struct{ release chan struct{} }
 
 func (b *blocked) Write(p []byte) (int, error) {
@@ -17,14 +17,14 @@
 	return len(p), nil
 }
 
-// A blocked standard output must not delay a decision.
+// Guards against log lines that delay a decision because the standard output is blocked.
 func TestBlockedOutputDelaysNothing(t *testing.T) {
 	out := &blocked{release: make(chan struct{})}
 	w := &Writer{Out: out, LinesPerSecond: 1 << 20, KindLinesPerSecond: 1 << 20}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 4 * queued {
+		for range 4 * queueCapacity {
 			fmt.Fprintf(w, "I0101 x.go:1] \"decided\" job=1\n")
 		}
 	}()
@@ -48,8 +48,8 @@
 	return b.Buffer.Write(p)
 }
 
-// Under load the volume stays under its bound, rare kinds are still written,
-// and the number of lines that were left out is known.
+// Guards against unlimited log output under load, against the loss of lines of a rare kind
+// when another kind is frequent, and against omitted lines that are not counted.
 func TestBudgetOfAKind(t *testing.T) {
 	out := &buffer{}
 	w := &Writer{Out: out, LinesPerSecond: 100, KindLinesPerSecond: 10}
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -1,4 +1,4 @@
-// Settings of an agent: its place, its worker and the entry processes to start from.
+// Settings of an agent: its location, its worker and its initial entry processes.
 
 package settings
 
@@ -19,23 +19,23 @@
 	FailureDomain         units.DomainName
 	Rack                  units.RackName
 	Region                units.RegionName
-	LinkAddress           netip.AddrPort      // lease requests of other agents
-	AdvertisedLinkAddress netip.AddrPort      // what other agents dial; LinkAddress when omitted
-	AnnounceAddress       netip.AddrPort      // announcements of the endpoint
-	StatusAddress         netip.AddrPort      // health and metrics; invalid when omitted
-	WorkerAddress         netip.AddrPort      // the worker's API
+	LinkAddress           netip.AddrPort      // listens for lease requests of other agents
+	AdvertisedLinkAddress netip.AddrPort      // address that other agents connect to; LinkAddress when omitted
+	AnnounceAddress       netip.AddrPort      // listens for announcements of the endpoint
+	StatusAddress         netip.AddrPort      // listens for health checks and metrics; the zero value when omitted
+	WorkerAddress         netip.AddrPort      // API of the worker
 	EndpointServices      []units.ServiceName // services that may announce an endpoint here; any when empty
-	Entries               []netip.AddrPort    // link addresses to start from; the rest is learned
+	Entries               []netip.AddrPort    // link addresses of the initial entry processes, which report the others
 	Limits                AgentLimits
 }
 
-// AgentLimits bound what an agent keeps for its endpoint.
+// AgentLimits limits what an agent keeps in memory.
 type AgentLimits struct {
-	QueuedRequests int // requests that wait for a slot
+	QueuedRequests int // requests that wait for a slot of the endpoint
 	TimelineEvents int // events kept until an entry process acknowledges them
 }
 
-// defaultAgentLimits keep an agent within 64 MB.
+// defaultAgentLimits keeps the memory of an agent below 64 MB.
 var defaultAgentLimits = AgentLimits{QueuedRequests: 256, TimelineEvents: 2000}
 
 var agentFields = []strictjson.Field[Agent]{
@@ -79,8 +79,8 @@
 		Read: func(l *AgentLimits, n strictjson.Node) { l.TimelineEvents = int(n.Int(1, 65536)) }},
 }
 
-// ParseAgent reads the settings of an agent. name is the file that problems
-// mention.
+// ParseAgent parses and checks the settings of an agent. name is the file name in the
+// problems. The error has KindInvalid.
 func ParseAgent(name string, data []byte, _ Lookup) (*Agent, error) {
 	a := &Agent{Limits: defaultAgentLimits}
 	_, err := parse(name, data, a, agentFields, func(report report) {
@@ -91,7 +91,7 @@
 			(a.LinkAddress.Port() == 0 || a.LinkAddress.Addr().IsUnspecified()) {
 			report("advertisedLinkAddress", "missing; other agents cannot dial linkAddress %s", a.LinkAddress)
 		}
-		checkDistinct(report, []named{{"linkAddress", a.LinkAddress}, {"announceAddress", a.AnnounceAddress}, {"statusAddress", a.StatusAddress}})
+		checkDistinctAddresses(report, []listenAddress{{"linkAddress", a.LinkAddress}, {"announceAddress", a.AnnounceAddress}, {"statusAddress", a.StatusAddress}})
 	})
 	if err != nil {
 		return nil, err
@@ -102,30 +102,32 @@
 	return a, nil
 }
 
-type named struct {
+// listenAddress is an address to listen on, with the field that sets it.
+type listenAddress struct {
 	field   string
 	address netip.AddrPort
 }
 
-// checkDistinct refuses two listeners on one address.
-func checkDistinct(report report, all []named) {
+// checkDistinctAddresses reports listeners that have the same address.
+func checkDistinctAddresses(report report, listeners []listenAddress) {
 	seen := map[netip.AddrPort]string{}
-	for _, one := range all {
-		if !one.address.IsValid() || one.address.Port() == 0 {
+	for _, listener := range listeners {
+		if !listener.address.IsValid() || listener.address.Port() == 0 {
 			continue
 		}
-		if first, ok := seen[one.address]; ok {
-			report(one.field, "address %s is also %s; want different ones", one.address, first)
+		if first, ok := seen[listener.address]; ok {
+			report(listener.field, "address %s is also %s; want different ones", listener.address, first)
 			continue
 		}
-		seen[one.address] = one.field
+		seen[listener.address] = listener.field
 	}
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// EntryReference lists every field of an entry process's settings.
+// EntryReference lists every field of the settings of an entry process, for the reference
+// manual.
 func EntryReference() []strictjson.Row { return strictjson.Rows("", entryFields) }
 
-// AgentReference lists every field of an agent's settings.
+// AgentReference lists every field of the settings of an agent, for the reference manual.
 func AgentReference() []strictjson.Row { return strictjson.Rows("", agentFields) }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -16,36 +16,36 @@
 	Environment           units.EnvironmentName
 	FailureDomain         units.DomainName
 	Region                units.RegionName
-	CallerAddress         netip.AddrPort // HTTP for callers
-	AdminAddress          netip.AddrPort // HTTP for teams and operators
-	LinkAddress           netip.AddrPort // sessions of agents
-	AdvertisedLinkAddress netip.AddrPort // what agents dial; LinkAddress when omitted
-	LogAddress            netip.AddrPort // the platform's log service
-	LogRetention          time.Duration  // how long the log service keeps records; positive
+	CallerAddress         netip.AddrPort // listens for HTTP requests of callers
+	AdminAddress          netip.AddrPort // listens for the administration API, health checks and metrics
+	LinkAddress           netip.AddrPort // listens for sessions of agents
+	AdvertisedLinkAddress netip.AddrPort // address that agents connect to; LinkAddress when omitted
+	LogAddress            netip.AddrPort // log service of the platform
+	LogRetention          time.Duration  // how long the log service keeps records; at least minLogRetention
 	OperatorToken         Secret
 	TeamTokens            map[units.TeamName]Secret // no two tokens are equal
 	Limits                EntryLimits
-	Distances             map[units.DomainName]time.Duration // one way, from FailureDomain
+	Distances             map[units.DomainName]time.Duration // one-way network latency from FailureDomain
 
 	lookup Lookup
 }
 
-// EntryLimits bound what one process accepts at a time.
+// EntryLimits limits what an entry process accepts and keeps at the same time.
 type EntryLimits struct {
-	CallerRequests    int           // requests of callers in flight
-	CallerBody        units.Bytes   // body of one request of a caller
-	CallerTimeout     time.Duration // longest time for one request of a caller
-	AdminRequests     int           // administration requests in flight
-	AdminBody         units.Bytes   // body of one administration request
-	AdminTimeout      time.Duration // longest time for one administration request
-	HeaderBytes       units.Bytes   // header of any request
+	CallerRequests    int           // concurrent requests of callers
+	CallerBody        units.Bytes   // size of the body of one caller's request
+	CallerTimeout     time.Duration // maximum duration of one caller's request
+	AdminRequests     int           // concurrent administration requests
+	AdminBody         units.Bytes   // size of the body of one administration request
+	AdminTimeout      time.Duration // maximum duration of one administration request
+	HeaderBytes       units.Bytes   // size of the header of any request
 	Connections       int           // connections per listener
 	TimelineEvents    int           // events kept for the time line
-	StreamsPerSession int           // requests at a time over one agent's session
+	StreamsPerSession int           // concurrent requests over one agent's session
 }
 
-// defaultEntryLimits fit the target of 1,000 agents and about 12 entry
-// processes: 980 task starts/s and their callers spread over them.
+// defaultEntryLimits suits the target of 1,000 agents and about 12 entry processes, over
+// which 980 task starts/s and the requests of callers are distributed.
 var defaultEntryLimits = EntryLimits{
 	CallerRequests: 10_000, CallerBody: units.MiB, CallerTimeout: time.Minute,
 	AdminRequests: 256, AdminBody: units.MiB, AdminTimeout: 10 * time.Second,
@@ -54,8 +54,8 @@
 
 const (
 	defaultLogRetention = 24 * time.Hour
-	// minLogRetention leaves time to repeat a snapshot, which is due after half
-	// of it, through an outage of the log of some minutes.
+	// minLogRetention leaves time for a snapshot, which is due after half of the
+	// retention, to be retried during an outage of the log service of some minutes.
 	minLogRetention = 10 * time.Minute
 )
 
@@ -130,27 +130,27 @@
 	countField("streamsPerSession", "requests at a time over the session of one agent; 1024 when omitted", func(l *EntryLimits) *int { return &l.StreamsPerSession }),
 }
 
-func countField(name, purpose string, at func(*EntryLimits) *int) limitField {
+func countField(name, purpose string, limit func(*EntryLimits) *int) limitField {
 	return limitField{Name: name, Type: "whole number", Purpose: purpose,
-		Read: func(l *EntryLimits, n strictjson.Node) { *at(l) = int(n.Int(1, 10_000_000)) }}
+		Read: func(l *EntryLimits, n strictjson.Node) { *limit(l) = int(n.Int(1, 10_000_000)) }}
 }
 
-func memoryField(name, purpose string, at func(*EntryLimits) *units.Bytes) limitField {
+func memoryField(name, purpose string, limit func(*EntryLimits) *units.Bytes) limitField {
 	return limitField{Name: name, Type: "memory", Purpose: purpose, Read: func(l *EntryLimits, n strictjson.Node) {
-		*at(l) = n.Memory()
-		if *at(l) < units.KiB || *at(l) > units.GiB {
-			n.Report("got %v; want 1KiB to 1GiB", *at(l))
+		*limit(l) = n.Memory()
+		if *limit(l) < units.KiB || *limit(l) > units.GiB {
+			n.Report("got %v; want 1KiB to 1GiB", *limit(l))
 		}
 	}}
 }
 
-func durationField(name, purpose string, at func(*EntryLimits) *time.Duration) limitField {
+func durationField(name, purpose string, limit func(*EntryLimits) *time.Duration) limitField {
 	return limitField{Name: name, Type: "duration", Purpose: purpose,
-		Read: func(l *EntryLimits, n strictjson.Node) { *at(l) = n.Duration() }}
+		Read: func(l *EntryLimits, n strictjson.Node) { *limit(l) = n.Duration() }}
 }
 
-// ParseEntry reads the settings of an entry process. name is the file that
-// problems mention.
+// ParseEntry parses and checks the settings of an entry process. name is the file name
+// in the problems. The error has KindInvalid.
 func ParseEntry(name string, data []byte, lookup Lookup) (*Entry, error) {
 	e, err := parseEntry(name, data, lookup)
 	if err != nil {
@@ -174,25 +174,25 @@
 			report("advertisedLinkAddress", "missing; agents cannot dial linkAddress %s", e.LinkAddress)
 		}
 		e.checkTokens(report)
-		checkDistinct(report, []named{{"callerAddress", e.CallerAddress}, {"adminAddress", e.AdminAddress}, {"linkAddress", e.LinkAddress}})
+		checkDistinctAddresses(report, []listenAddress{{"callerAddress", e.CallerAddress}, {"adminAddress", e.AdminAddress}, {"linkAddress", e.LinkAddress}})
 	})
 }
 
-// checkTokens refuses equal tokens, which would give one team the rights of
-// another.
+// checkTokens reports equal tokens, which would give one team the permissions of another
+// team or of operators.
 func (e *Entry) checkTokens(report report) {
-	holders := map[string]bool{}
+	seen := map[string]bool{}
 	if !e.OperatorToken.IsZero() {
-		holders[e.OperatorToken.Reveal()] = true
+		seen[e.OperatorToken.Reveal()] = true
 	}
 	for _, team := range sortedKeys(e.TeamTokens) {
 		token := e.TeamTokens[team]
 		if token.IsZero() {
 			continue
 		}
-		if holders[token.Reveal()] {
+		if seen[token.Reveal()] {
 			report("teamTokens."+string(team), "the token is also used elsewhere; want a different one for each team and for operators")
 		}
-		holders[token.Reveal()] = true
+		seen[token.Reveal()] = true
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings files of the processes: JSON with
-// comments, checked as a whole, so that a wrong file lists every error before
-// the process opens a socket.
+// Package settings reads the settings files of the processes, which are JSON with
+// comments. A file is checked as a whole, so that every problem is reported before the
+// process opens a socket.
 package settings
 
 import (
@@ -19,27 +19,29 @@
 // The kinds of Error.
 const (
 	KindUnreadable Kind = "unreadable" // the file cannot be read
-	KindInvalid    Kind = "invalid"    // the file fails its checks; Problems lists every one
+	KindInvalid    Kind = "invalid"    // the settings are not valid; Problems lists the problems
 )
 
-// Error is a failed operation on settings.
+// Error is the error of a failure to read settings.
 type Error = fault.Error[Kind]
 
-// Problems returns every problem that err lists.
+// Problems returns the problems that err wraps, or nil.
 func Problems(err error) []strictjson.Problem {
 	var ps strictjson.Problems
 	errors.As(err, &ps)
 	return ps
 }
 
-// Lookup returns the value of an environment variable; os.LookupEnv outside
-// tests.
+// Lookup returns the value of an environment variable, like os.LookupEnv, which is used
+// outside tests.
 type Lookup func(name string) (value string, ok bool)
 
-// LoadEntry reads the settings of an entry process from a file.
+// LoadEntry reads the settings of an entry process from a file. The error has
+// KindUnreadable or KindInvalid.
 func LoadEntry(path string) (*Entry, error) { return load(path, ParseEntry) }
 
-// LoadAgent reads the settings of an agent from a file.
+// LoadAgent reads the settings of an agent from a file. The error has KindUnreadable or
+// KindInvalid.
 func LoadAgent(path string) (*Agent, error) { return load(path, ParseAgent) }
 
 func load[T any](path string, parse func(string, []byte, Lookup) (*T, error)) (*T, error) {
@@ -57,7 +59,8 @@
 	return parse(path, data, os.LookupEnv)
 }
 
-// parse reads data into target by a table and then checks rules between fields.
+// parse reads data into target with a table of fields and then checks the rules between
+// fields.
 func parse[T any](name string, data []byte, target *T, fields []strictjson.Field[T], check func(report)) (*T, error) {
 	reader, root := strictjson.Parse(name, data)
 	if root.Valid() {
@@ -72,8 +75,8 @@
 
 type report = func(field, format string, args ...any)
 
-// readAddress reads an address by number. Names are refused because the
-// processes use no name service.
+// readAddress reads an IP address with a port. Host names are rejected, because the
+// processes don't resolve names.
 func readAddress(n strictjson.Node) netip.AddrPort {
 	s := n.String()
 	if s == "" {
@@ -87,7 +90,7 @@
 	return address
 }
 
-// readDialAddress reads an address that another process connects to.
+// readDialAddress reads an address that a process connects to.
 func readDialAddress(n strictjson.Node) netip.AddrPort {
 	address := readAddress(n)
 	if address.IsValid() && (address.Port() == 0 || address.Addr().IsUnspecified()) {
@@ -96,14 +99,16 @@
 	return address
 }
 
-// maxSecret limits a token; a longer one would not fit into a request header.
-const maxSecret = 1024
+// maxSecretLength limits the length of a token, in bytes, because it is sent in the
+// header of requests, whose size is limited.
+const maxSecretLength = 1024
 
-// minSecret keeps tokens from being guessed.
-const minSecret = 16
+// minSecretLength is the minimum length of a token, in bytes, which makes guessing
+// infeasible.
+const minSecretLength = 16
 
-// readSecret reads a string, or an object that names an environment variable.
-// Its messages never contain the value.
+// readSecret reads a token from a string, or from the environment variable that an object
+// specifies. Its messages never contain the token.
 func readSecret(n strictjson.Node, lookup Lookup) Secret {
 	var value string
 	if n.IsObject() {
@@ -121,8 +126,8 @@
 	} else {
 		value = n.Secret()
 	}
-	if len(value) < minSecret || len(value) > maxSecret || !printable(value) {
-		n.Report("want a token of %d to %d printable ASCII characters without spaces (%d characters given)", minSecret, maxSecret, len(value))
+	if len(value) < minSecretLength || len(value) > maxSecretLength || !printable(value) {
+		n.Report("want a token of %d to %d printable ASCII characters without spaces (%d characters given)", minSecretLength, maxSecretLength, len(value))
 		return Secret{}
 	}
 	return Secret{value}
@@ -142,28 +147,29 @@
 	return true
 }
 
-// Secret is a token that does not print. The zero value is no token.
+// Secret is a token that is not disclosed by printing or encoding it. The zero value means
+// that there is no token.
 type Secret struct{ value string }
 
-// NewSecret returns a secret with that value.
+// NewSecret returns a Secret with the given value.
 func NewSecret(value string) Secret { return Secret{value} }
 
-// Reveal returns the value, for comparing or sending it.
+// Reveal returns the value, to compare or send it.
 func (s Secret) Reveal() string { return s.value }
 
-// IsZero reports whether there is no secret.
+// IsZero reports whether there is no token.
 func (s Secret) IsZero() bool { return s.value == "" }
 
 const redacted = "[redacted]"
 
-// String returns a fixed text.
+// String returns a placeholder.
 func (s Secret) String() string { return redacted }
 
-// GoString returns a fixed text.
+// GoString returns a placeholder.
 func (s Secret) GoString() string { return redacted }
 
-// Format writes a fixed text for every verb.
+// Format writes a placeholder for every verb.
 func (s Secret) Format(f fmt.State, _ rune) { _, _ = f.Write([]byte(redacted)) }
 
-// MarshalText returns a fixed text, also for JSON.
+// MarshalText returns a placeholder; encoding/json uses it too.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,8 +29,8 @@
 	return operatorToken, name == "OPERATOR_TOKEN"
 }
 
-// Guards against defaults that overwrite settings and against a token that
-// prints.
+// Guards against defaults that overwrite settings, and against a token that is disclosed
+// when settings are printed or encoded.
 func TestEntry(t *testing.T) {
 	e, err := ParseEntry("entry.json", []byte(entrySample), lookup)
 	if err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against settings that fail after the start instead of at once, and
-// against messages that reveal a token.
+// Guards against invalid settings that are accepted and make the process fail after its
+// start, and against messages that disclose a token.
 func TestProblems(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"127.0.0.1:7000"`, `"localhost:7000"`, `entry.json:5:17: logAddress: address "localhost:7000": want an IP address and port by number`},
@@ -84,8 +84,8 @@
 	}
 }
 
-// Guards against a settings file that crashes a process or whose errors reveal
-// a token.
+// Guards against a settings file that makes the parser panic, and against error messages
+// that disclose a token.
 func FuzzParseEntry(f *testing.F) {
 	f.Add([]byte(entrySample))
 	f.Add([]byte(agentSample))
--- a/internal/strictjson/field.go
+++ b/internal/strictjson/field.go
@@ -1,4 +1,5 @@
-// Tables of fields drive both reading and the manual, so that the two cannot differ.
+// The tables of fields are used by the parser and for the reference manual, so that the
+// two can't differ.
 
 package strictjson
 
@@ -8,21 +9,22 @@
 	"github.com/tailscale/hujson"
 )
 
-// Field describes one key of an object: how it is read, and what the reference
-// manual says about it.
+// Field describes one key of an object: how its value is read, and its entry in the
+// reference manual.
 type Field[T any] struct {
 	Name     string
 	Type     string // type in the reference, such as "duration"
-	Purpose  string // what it is for and which values are allowed
+	Purpose  string // what it is for and which values are valid
 	Required bool
 	Read     func(target *T, n Node)
-	Nested   func(prefix string) []Row // rows of the fields below, if any
+	Nested   func(prefix string) []Row // rows of the nested fields; nil if there are none
 }
 
-// Row is one line of the reference.
+// Row is one row of the reference manual.
 type Row struct{ Field, Type, Required, Purpose string }
 
-// Rows lists fields for the reference, nested ones after their parent.
+// Rows returns the rows of the reference manual for fields. Nested fields follow
+// their parent.
 func Rows[T any](prefix string, fields []Field[T]) []Row {
 	var rows []Row
 	for _, f := range fields {
@@ -39,11 +41,11 @@
 	return rows
 }
 
-// Object reads an object by a table of its fields. It reports unknown,
+// Object reads an object into target with a table of its fields. It reports unknown,
 // duplicate and missing keys.
 func Object[T any](n Node, target *T, fields []Field[T]) {
 	if _, ok := n.value.Value.(*hujson.Object); !ok {
-		n.wrongKind("an object")
+		n.reportWrongType("an object")
 		return
 	}
 	missing := map[string]bool{}
@@ -66,7 +68,7 @@
 			continue
 		}
 		if f.Required {
-			n.reader.failed[path] = true
+			n.reader.reported[path] = true
 			n.reader.reportAt(n.value.StartOffset, path, "missing; want %s", f.Type)
 		}
 	}
--- a/internal/strictjson/node.go
+++ b/internal/strictjson/node.go
@@ -1,5 +1,5 @@
-// Every type of value is read in one place, so that all files accept the same forms
-// and say the same about a wrong one.
+// Each type of value is read in one place, so that all files accept the same formats
+// and have the same messages for a wrong one.
 
 package strictjson
 
@@ -14,7 +14,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Node is one value of the text, with the path that leads to it.
+// Node is one value of the text with its field path.
 type Node struct {
 	reader *Reader
 	value  *hujson.Value
@@ -22,29 +22,29 @@
 	key    int // offset of the key, for the value of a member
 }
 
-// Valid reports whether there is a value to read.
+// Valid reports whether the text was parsed, so that there is a value to read.
 func (n Node) Valid() bool { return n.value != nil }
 
 // Path returns the field path, such as teams[0].name.
 func (n Node) Path() string { return n.path }
 
-// Report adds a problem at the node.
+// Report adds a problem at the field path of the node.
 func (n Node) Report(format string, args ...any) { n.reader.Report(n.path, format, args...) }
 
-// kindNames says in the user's words what the text holds.
-var kindNames = map[hujson.Kind]string{
+// typeNames holds the names of the types of values for messages.
+var typeNames = map[hujson.Kind]string{
 	'n': "null", 'f': "false", 't': "true", '"': "a string", '0': "a number", '{': "an object", '[': "an array",
 }
 
-func (n Node) wrongKind(want string) {
-	n.Report("got %s; want %s", kindNames[n.value.Value.Kind()], want)
+func (n Node) reportWrongType(want string) {
+	n.Report("got %s; want %s", typeNames[n.value.Value.Kind()], want)
 }
 
-// String reads a non-empty string without control characters.
+// String reads a string that is not empty and has no control characters.
 func (n Node) String() string {
 	literal, ok := n.value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
-		n.wrongKind("a string")
+		n.reportWrongType("a string")
 		return ""
 	}
 	s := literal.String()
@@ -55,21 +55,22 @@
 	return s
 }
 
-// Secret reads a string whose value must not appear in problems.
+// Secret reads a string that must not be disclosed in the messages of problems.
 func (n Node) Secret() string {
 	literal, ok := n.value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
-		n.wrongKind("a string or an object")
+		n.reportWrongType("a string or an object")
 		return ""
 	}
 	return literal.String()
 }
 
-// MaxNameLength limits names, which become keys of log records and metrics.
+// MaxNameLength limits the length of names, in bytes, because they become keys of log
+// records and tags of metrics.
 const MaxNameLength = 128
 
-// Name reads an id: letters, digits, '-', '_' and '.', so that it can stand in
-// a path of the administration API and in a stream name.
+// Name reads an identifier of letters, digits, '-', '_' and '.', which can be part of a
+// path of the administration API and of a stream name.
 func (n Node) Name() string {
 	s := n.String()
 	if s != "" && !ValidName(s) {
@@ -79,7 +80,7 @@
 	return s
 }
 
-// ValidName reports whether s may be used as an id.
+// ValidName reports whether s is a valid identifier; see Name.
 func ValidName(s string) bool {
 	if s == "" || len(s) > MaxNameLength || strings.ContainsAny(s[:1], "-_.") {
 		return false
@@ -94,39 +95,39 @@
 func (n Node) Bool() bool {
 	literal, ok := n.value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != 't' && literal.Kind() != 'f' {
-		n.wrongKind("true or false")
+		n.reportWrongType("true or false")
 		return false
 	}
 	return literal.Bool()
 }
 
-// Int reads a whole number from least to most.
-func (n Node) Int(least, most int64) int64 {
+// Int reads a whole number from minimum to maximum.
+func (n Node) Int(minimum, maximum int64) int64 {
 	var v int64
 	if literal, ok := n.value.Value.(hujson.Literal); !ok || literal.Kind() != '0' {
-		n.wrongKind("a whole number")
+		n.reportWrongType("a whole number")
 	} else if err := json.Unmarshal(literal, &v); err != nil {
 		n.Report("got %s; want a whole number", literal)
-	} else if v < least || v > most {
-		n.Report("got %d; want a whole number from %d to %d", v, least, most)
+	} else if v < minimum || v > maximum {
+		n.Report("got %d; want a whole number from %d to %d", v, minimum, maximum)
 	}
 	return v
 }
 
-// Float reads a finite number of at least least.
-func (n Node) Float(least float64) float64 {
+// Float reads a finite number that is at least minimum.
+func (n Node) Float(minimum float64) float64 {
 	var v float64
 	if literal, ok := n.value.Value.(hujson.Literal); !ok || literal.Kind() != '0' {
-		n.wrongKind("a number")
+		n.reportWrongType("a number")
 	} else if err := json.Unmarshal(literal, &v); err != nil {
 		n.Report("got %s; want a number", literal)
-	} else if v < least {
-		n.Report("got %v; want a number of at least %v", v, least)
+	} else if v < minimum {
+		n.Report("got %v; want a number of at least %v", v, minimum)
 	}
 	return v
 }
 
-// Duration reads a positive Go duration.
+// Duration reads a positive duration in the format of time.ParseDuration.
 func (n Node) Duration() time.Duration {
 	s := n.String()
 	if s == "" {
@@ -140,16 +141,17 @@
 	return d
 }
 
-// plainNumber reports whether s has none of the forms that ParseFloat accepts
-// beyond decimals, such as NaN, exponents and hexadecimal.
+// plainNumber reports whether s contains a plain decimal number: strconv.ParseFloat also
+// accepts other formats, such as NaN, exponents and hexadecimal numbers.
 func plainNumber(s string) bool {
 	return s != "" && s[0] >= '0' && s[0] <= '9' && !strings.ContainsAny(s, "xXeEpP_nN")
 }
 
-// maxCores limits processors so that sums over all workers cannot overflow.
+// maxCores limits an amount of processors, so that the sum over all workers can't
+// overflow.
 const maxCores units.Millicores = 1e9
 
-// Processors reads cores.
+// Processors reads a number of cores.
 func (n Node) Processors() units.Millicores {
 	s := n.String()
 	if s == "" {
@@ -163,10 +165,11 @@
 	return m
 }
 
-// maxMemory keeps a number of bytes exact in the floating point that units use.
+// maxMemory limits an amount of memory to what a float64, which units.ParseBytes uses,
+// represents exactly.
 const maxMemory units.Bytes = 1 << 53
 
-// Memory reads a number of bytes with its unit.
+// Memory reads an amount of memory with its unit.
 func (n Node) Memory() units.Bytes {
 	s := n.String()
 	if s == "" {
@@ -193,11 +196,11 @@
 	return p
 }
 
-// Each calls read for every element of an array.
+// Each calls read for each element of an array.
 func (n Node) Each(read func(Node)) {
 	array, ok := n.value.Value.(*hujson.Array)
 	if !ok {
-		n.wrongKind("an array")
+		n.reportWrongType("an array")
 		return
 	}
 	for i := range array.Elements {
@@ -205,11 +208,12 @@
 	}
 }
 
-// Members calls read for every member of an object with free keys.
+// Members calls read for each member of an object with arbitrary keys. It reports
+// duplicate keys.
 func (n Node) Members(read func(key string, value Node)) {
 	object, ok := n.value.Value.(*hujson.Object)
 	if !ok {
-		n.wrongKind("an object")
+		n.reportWrongType("an object")
 		return
 	}
 	seen := map[string]bool{}
--- a/internal/strictjson/problems.go
+++ b/internal/strictjson/problems.go
@@ -1,6 +1,6 @@
-// Package strictjson reads JSON with comments against tables of fields and
-// collects every error with its position, so that an operator can correct a
-// file in one pass. Documents and process settings are read with it.
+// Package strictjson reads JSON with comments according to tables of fields. It
+// collects every problem with its position, so that an operator can correct a file in
+// one pass. Documents, job files and process settings are read with it.
 package strictjson
 
 import (
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Problem is one error in a file.
+// Problem is one problem of a file.
 type Problem struct {
 	File    string `json:"file,omitempty"`
-	Line    int    `json:"line,omitempty"`   // from 1; 0 when the problem has no place in the text
+	Line    int    `json:"line,omitempty"`   // from 1; 0 when the problem has no position in the text
 	Column  int    `json:"column,omitempty"` // in bytes, from 1
-	Field   string `json:"field,omitempty"`  // path such as teams[0].quota.memory
-	Message string `json:"message"`          // what is wrong and what is allowed
+	Field   string `json:"field,omitempty"`  // field path, such as teams[0].quota.memory
+	Message string `json:"message"`          // what is wrong and what is valid
 }
 
 // String formats p as "file:line:column: field: message".
@@ -37,10 +37,10 @@
 	return b.String()
 }
 
-// Problems lists every error of a file in the order of the text.
+// Problems lists the problems of a file in the order of the text. It is an error.
 type Problems []Problem
 
-// Error formats one problem a line.
+// Error formats the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/internal/strictjson/reader.go
+++ b/internal/strictjson/reader.go
@@ -1,5 +1,5 @@
-// Reader keeps the places of fields, because an error without line and column makes
-// operators search large documents.
+// The reader records the positions of fields: without line and column in a message,
+// operators would have to search large documents.
 
 package strictjson
 
@@ -12,36 +12,37 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxSize limits a file. A document with 1,000 workers and 150 teams takes
-// about a tenth of it.
+// MaxSize limits the size of a file, in bytes. A document with 1,000 workers and 150
+// teams takes about a tenth of it.
 const MaxSize = 1 << 20
 
-// maxDepth limits nesting before the parser recurses; the deepest field of any
-// table is at depth 4.
+// maxDepth limits the nesting of brackets, because the parser is recursive. The deepest
+// field of any table is at depth 4.
 const maxDepth = 64
 
 // Reader collects the problems of one file.
 type Reader struct {
-	name     string
-	data     []byte
-	offsets  map[string]int  // field path to its place in data
-	failed   map[string]bool // paths that already have a problem
-	lines    []int           // offsets of the first byte of each line
-	problems Problems
-	dropped  int // problems beyond maxRecorded
+	name       string
+	data       []byte
+	offsets    map[string]int  // offset in data of each field path
+	reported   map[string]bool // paths that already have a problem
+	lines      []int           // offsets of the first byte of each line
+	problems   Problems
+	unrecorded int // number of problems beyond maxRecorded
 }
 
-// A text of MaxSize can hold some hundred thousand errors. Reading records the
-// first maxRecorded and Err lists the first maxListed in the order of the text.
+// A text of MaxSize can contain some hundred thousand problems. The first maxRecorded
+// are recorded, and Err lists the first maxListed of these in the order of the text.
 const (
 	maxRecorded = 10_000
 	maxListed   = 1_000
 )
 
-// Parse parses the text. When the text is no JSON with comments, the node is
-// not valid and Err returns the reason.
+// Parse parses a text and returns its root. If the text is not JSON with comments, is
+// too large or is nested too deeply, the root is not valid and Err returns the reason.
+// name is the file name in the problems.
 func Parse(name string, data []byte) (*Reader, Node) {
-	r := &Reader{name: name, data: data, offsets: map[string]int{}, failed: map[string]bool{}}
+	r := &Reader{name: name, data: data, offsets: map[string]int{}, reported: map[string]bool{}}
 	if len(data) > MaxSize {
 		r.problems = Problems{{File: name, Message: fmt.Sprintf("file has %d bytes; at most %d are allowed", len(data), MaxSize)}}
 		return r, Node{}
@@ -58,8 +59,9 @@
 	return r, Node{reader: r, value: &value}
 }
 
-// tooDeep overestimates nesting: it counts brackets in strings and comments as
-// well, which only matters for texts with many unbalanced ones.
+// tooDeep reports whether brackets are nested deeper than maxDepth. It also counts
+// brackets in strings and comments, so it overestimates the depth of texts with many
+// unbalanced brackets there.
 func tooDeep(data []byte) bool {
 	depth := 0
 	for _, c := range data {
@@ -76,8 +78,8 @@
 	return false
 }
 
-// syntaxProblem takes the position out of hujson's message, "hujson: line 1,
-// column 2: reason".
+// syntaxProblem extracts the position from a message of hujson, which has the format
+// "hujson: line 1, column 2: reason".
 func syntaxProblem(name string, err error) Problem {
 	p := Problem{File: name, Message: err.Error()}
 	if _, scanErr := fmt.Sscanf(p.Message, "hujson: line %d, column %d:", &p.Line, &p.Column); scanErr == nil {
@@ -88,30 +90,31 @@
 	return p
 }
 
-// Report adds a problem at a field path. It is skipped when the path or one
-// around it already has a problem: a check of meaning on a field that could not
-// be read says nothing new.
+// Report adds a problem at a field path. The problem is omitted if the field or one that
+// contains it already has a problem, because the checks of a field that could not be
+// read would only report consequences of that.
 func (r *Reader) Report(field, format string, args ...any) {
 	for path := field; path != ""; path = parentPath(path) {
-		if r.failed[path] {
+		if r.reported[path] {
 			return
 		}
 	}
-	r.failed[field] = true
-	r.reportAt(r.place(field), field, format, args...)
+	r.reported[field] = true
+	r.reportAt(r.offsetOf(field), field, format, args...)
 }
 
 func (r *Reader) reportAt(offset int, field, format string, args ...any) {
 	if len(r.problems) == maxRecorded {
-		r.dropped++
+		r.unrecorded++
 		return
 	}
 	line, column := r.position(offset)
 	r.problems = append(r.problems, Problem{r.name, line, column, field, fmt.Sprintf(format, args...)})
 }
 
-// place returns the offset of the field or of the closest field around it.
-func (r *Reader) place(field string) int {
+// offsetOf returns the offset of the field or, if the text doesn't have it, of the
+// innermost field that contains it.
+func (r *Reader) offsetOf(field string) int {
 	for field != "" {
 		if offset, ok := r.offsets[field]; ok {
 			return offset
@@ -136,15 +139,15 @@
 	return line, offset - r.lines[line-1] + 1
 }
 
-// Err returns the problems found so far in the order of the text, or nil.
+// Err returns the problems reported so far, as Problems, or nil if there are none.
 func (r *Reader) Err() error {
 	if len(r.problems) == 0 {
 		return nil
 	}
 	r.problems.sort()
 	listed := r.problems
-	if more := len(listed) + r.dropped - maxListed; more > 0 {
-		listed = append(slices.Clone(listed[:maxListed]), Problem{File: r.name, Message: fmt.Sprintf("%d more errors", more)})
+	if omitted := len(listed) + r.unrecorded - maxListed; omitted > 0 {
+		listed = append(slices.Clone(listed[:maxListed]), Problem{File: r.name, Message: fmt.Sprintf("%d more errors", omitted)})
 	}
 	return listed
 }
--- a/internal/strictjson/reader_test.go
+++ b/internal/strictjson/reader_test.go
@@ -11,8 +11,8 @@
 
 var fields = []Field[target]{{Name: "a", Type: "whole number", Read: func(t *target, n Node) { t.A = n.Int(0, 9) }}}
 
-// Guards against a text full of errors that occupies a process or produces a
-// reply of many megabytes.
+// Guards against a text with very many problems, whose list would keep a process busy
+// or make a reply of many megabytes.
 func TestErrorsAreBounded(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("{")
