--- a/pkg/administration/types.go
+++ b/pkg/administration/types.go
@@ -87,7 +87,7 @@
 	Priority units.Priority
 	Tasks    int
 	Size     units.Resources // of each task
-	RunTime  time.Duration   // expected run time of each task
+	RunTime  time.Duration   // run time of each task as declared by the team
 }
 
 // Job is the state of a job.
@@ -98,7 +98,7 @@
 	Kind      units.JobKind  `json:"kind"`
 	Priority  string         `json:"priority"`
 	Size      Size           `json:"size"`
-	Submitted time.Time      `json:"submitted"` // only informative: not used for ordering
+	Submitted time.Time      `json:"submitted"` // for display only
 	State     string         `json:"state"`     // pending, running, completed, failed or cancelled
 	Reason    string         `json:"reason,omitempty"`
 	Tasks     TaskCounts     `json:"tasks"`
--- a/pkg/workerapi/workerapi.go
+++ b/pkg/workerapi/workerapi.go
@@ -69,7 +69,7 @@
 	Attempt    units.Attempt
 	Kind       string
 	Size       units.Resources
-	RunTime    time.Duration // expected run time; 0 for a task that runs until it is stopped
+	RunTime    time.Duration // declared run time; 0 for a task that runs until it is stopped
 	LeaseUntil Clock
 	Checkpoint string // checkpoint to resume from, empty for none
 	Standby    bool   // admit the task and reserve its resources without running it
