--- a/internal/administration/backend.go
+++ b/internal/administration/backend.go
@@ -21,8 +21,7 @@
 // administration.Unavailable, with OutcomeNotRun if nothing was sent and with
 // OutcomeUnknown if a record may have been appended.
 type Backend interface {
-	// Ready returns nil once the process has caught up with the log and can serve
-	// requests.
+	// Ready returns nil once the process follows the log and can serve requests.
 	Ready(ctx context.Context) error
 
 	// Document returns a version of an environment's document; version 0 is the
@@ -58,6 +57,7 @@
 	// effect on a job that has ended or is already cancelled.
 	Cancel(ctx context.Context, id units.JobID, reason string) (administration.Job, error)
 
+	// Workers, Entries and Teams list every worker, entry process and team.
 	Workers(ctx context.Context) ([]administration.Worker, error)
 	Entries(ctx context.Context) ([]administration.Entry, error)
 	Teams(ctx context.Context) ([]administration.Team, error)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -74,8 +74,8 @@
 	"log lines omitted": true,
 }
 
-// margin extends the time from the first to the last line of the job, in which state
-// changes are included, at both ends.
+// margin is how long before the first and after the last line of the job state changes
+// are still included.
 const margin = time.Second
 
 // Select returns the lines of a job and the state changes during it, sorted by time. It
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,8 +17,9 @@
 const (
 	// queueCapacity is the maximum number of lines that wait for the output.
 	queueCapacity = 1024
-	// DefaultLinesPerSecond and DefaultKindLinesPerSecond bound the lines per second, of all kinds and
-	// of one. At about 250 bytes a line a process writes at most 50 KB a second.
+	// DefaultLinesPerSecond limits the lines per second of all kinds together, and
+	// DefaultKindLinesPerSecond those of one kind. At about 250 bytes per line a
+	// process writes at most 50 KB/s.
 	DefaultLinesPerSecond     = 200
 	DefaultKindLinesPerSecond = 60
 )
--- a/pkg/administration/error.go
+++ b/pkg/administration/error.go
@@ -23,7 +23,7 @@
 	KindInvalid      Kind = "invalid"      // the request is not valid; Details.Problems lists the problems of a document or job
 	KindUnauthorized Kind = "unauthorized" // the token is missing or unknown
 	KindForbidden    Kind = "forbidden"    // the token doesn't permit the operation
-	KindNotFound     Kind = "notFound"     // the path refers to something that doesn't exist
+	KindNotFound     Kind = "notFound"     // the request refers to something that doesn't exist
 	KindLostRace     Kind = "lostRace"     // another version was published first: Details.Winner
 	KindConflict     Kind = "conflict"     // the idempotency key was used for a different request
 	KindTooLarge     Kind = "tooLarge"     // the body exceeds its limit
