--- a/internal/administration/socket_test.go
+++ b/internal/administration/socket_test.go
@@ -38,7 +38,7 @@
 	head := "POST /v1/environments/x/check HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + operator + "\r\n"
 	for _, c := range []struct {
 		name, text string
-		half       bool   // close the client's sending side after the text
+		closeWrite bool   // close the client's sending side after the text
 		want       string // status
 	}{
 		{"truncated body", head + "Content-Length: 100\r\n\r\n{", true, "400"},
@@ -62,7 +62,7 @@
 			if _, err := io.WriteString(conn, c.text); err != nil {
 				t.Fatal(err)
 			}
-			if c.half {
+			if c.closeWrite {
 				_ = conn.(*net.TCPConn).CloseWrite()
 			}
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -117,12 +117,12 @@
 		if variable == "" {
 			return Secret{}
 		}
-		found, ok := lookup(variable)
+		text, ok := lookup(variable)
 		if !ok {
 			n.Report("environment variable %s is not set", variable)
 			return Secret{}
 		}
-		value = found
+		value = text
 	} else {
 		value = n.Secret()
 	}
--- a/pkg/environment/property_test.go
+++ b/pkg/environment/property_test.go
@@ -76,13 +76,13 @@
 		if same := reflect.DeepEqual(a, b); same != (len(Compare(a, b)) == 0) {
 			t.Fatalf("got %v between documents that are equal: %v", Compare(a, b), same)
 		}
-		forth, back := Compare(a, b), Compare(b, a)
-		if len(forth) != len(back) {
-			t.Fatalf("got %d changes one way and %d the other", len(forth), len(back))
+		forward, backward := Compare(a, b), Compare(b, a)
+		if len(forward) != len(backward) {
+			t.Fatalf("got %d changes one way and %d the other", len(forward), len(backward))
 		}
-		for _, c := range forth {
-			if !slices.Contains(back, Change{c.Field, c.After, c.Before}) {
-				t.Fatalf("change %v has no opposite in %v", c, back)
+		for _, c := range forward {
+			if !slices.Contains(backward, Change{c.Field, c.After, c.Before}) {
+				t.Fatalf("change %v has no opposite in %v", c, backward)
 			}
 		}
 	})
--- a/pkg/workerapi/bodies.go
+++ b/pkg/workerapi/bodies.go
@@ -124,13 +124,13 @@
 
 func tableBodyOf(t Table) tableBody {
 	body := tableBody{Epoch: t.Epoch, Clock: millisecondsOf(t.Clock), Tasks: make([]taskBody, len(t.Tasks))}
-	for i, k := range t.Tasks {
+	for i, row := range t.Tasks {
 		body.Tasks[i] = taskBody{
-			Task: k.Task.String(), Attempt: k.Attempt, Kind: k.Kind, State: k.State,
-			Size: resourcesBodyOf(k.Size), LeaseUntil: millisecondsOf(k.LeaseUntil),
-			Throttle: k.Throttle, Checkpoint: k.Checkpoint, Reason: k.Reason,
-			Ran: durationMilliseconds(k.Ran), Usage: resourcesBodyOf(k.Usage),
-			UsageAge: durationMilliseconds(k.UsageAge), Label: k.Label,
+			Task: row.Task.String(), Attempt: row.Attempt, Kind: row.Kind, State: row.State,
+			Size: resourcesBodyOf(row.Size), LeaseUntil: millisecondsOf(row.LeaseUntil),
+			Throttle: row.Throttle, Checkpoint: row.Checkpoint, Reason: row.Reason,
+			Ran: durationMilliseconds(row.Ran), Usage: resourcesBodyOf(row.Usage),
+			UsageAge: durationMilliseconds(row.UsageAge), Label: row.Label,
 		}
 	}
 	return body
@@ -138,17 +138,17 @@
 
 func (b tableBody) table() (Table, error) {
 	table := Table{Epoch: b.Epoch, Clock: b.Clock.clock(), Tasks: make([]Task, len(b.Tasks))}
-	for i, k := range b.Tasks {
-		task, err := units.ParseTask(k.Task)
+	for i, row := range b.Tasks {
+		task, err := units.ParseTask(row.Task)
 		if err != nil {
 			return Table{}, err
 		}
 		table.Tasks[i] = Task{
-			Task: task, Attempt: k.Attempt, Kind: k.Kind, State: k.State,
-			Size: k.Size.resources(), LeaseUntil: k.LeaseUntil.clock(),
-			Throttle: k.Throttle, Checkpoint: k.Checkpoint, Reason: k.Reason,
-			Ran: k.Ran.duration(), Usage: k.Usage.resources(),
-			UsageAge: k.UsageAge.duration(), Label: k.Label,
+			Task: task, Attempt: row.Attempt, Kind: row.Kind, State: row.State,
+			Size: row.Size.resources(), LeaseUntil: row.LeaseUntil.clock(),
+			Throttle: row.Throttle, Checkpoint: row.Checkpoint, Reason: row.Reason,
+			Ran: row.Ran.duration(), Usage: row.Usage.resources(),
+			UsageAge: row.UsageAge.duration(), Label: row.Label,
 		}
 	}
 	return table, nil
