--- a/internal/administration/socket_test.go
+++ b/internal/administration/socket_test.go
@@ -118,7 +118,7 @@
 
 // Guards against one team whose slow requests occupy every slot, so that operators and
 // other teams are rejected.
-func TestOneTeamCannotTakeEveryPlace(t *testing.T) {
+func TestOneTeamCannotTakeEverySlot(t *testing.T) {
 	f := start(t, func(c *administration.Config) { c.Requests = 4 })
 	entered, leave, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	f.backend.BeforeWrite = func() { close(entered); <-leave }
