--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	path := explain.Path(id, lines)
+	path := explain.Select(id, lines)
 	if len(path) == 0 {
 		return fmt.Errorf("none of the %d log lines names job %s", len(lines), id)
 	}
