--- a/internal/wire/generate.go
+++ b/internal/wire/generate.go
@@ -1,6 +1,6 @@
-// Package wire holds the protobuf messages between the processes of wasabihill
-// and the records of its own streams. The generated files are committed, so a
-// build needs no generator; `make generate` needs protoc.
+// Package wire defines the protobuf messages that the processes of wasabihill
+// exchange and the records that they write to their streams. The generated files
+// are committed, so a build needs no generator; `make generate` needs protoc.
 package wire
 
 //go:generate go build -o ../../bin/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
