--- a/cmd/wasabihill-bench/main.go
+++ b/cmd/wasabihill-bench/main.go
@@ -21,7 +21,7 @@
 	var page bytes.Buffer
 	out := io.MultiWriter(os.Stdout, &page)
 	start, met, total := time.Now(), 0, 0
-	for _, f := range trial.Firms {
+	for _, f := range trial.Clusters {
 		var all [][]trial.Comparison
 		for seed := range uint64(max(1, *seeds)) {
 			all = append(all, trial.RunAll(f, seed+1, max(1, *parallel)))
--- a/internal/trial/fixture.go
+++ b/internal/trial/fixture.go
@@ -18,100 +18,100 @@
 }
 
 // fixture is one run: the real ledger and a scheduler between fakes.
-type fixture struct {
-	firm    Firm
-	c       Case
-	version Version
-	s       scheduler
-	l       *ledger.Ledger
-	doc     *environment.Document
-
-	world    *rand.Rand // arrivals and sizes: the same for every version
-	noise    *rand.Rand // requests: the same for every version
-	elapsed  time.Duration
-	offset   units.Offset
-	due      map[time.Duration][]func()
-	backlog  [][]byte // entries of agents that wait for the log
-	machines []*machine
-	kinds    []kind
-	jobs     map[units.JobID]*spec
-	saved    map[units.Task]float64 // work up to the last checkpoint
-	ended    map[ledger.WorkerEpoch]bool
-	learned  *interference
-	m        measures
-	rows     []dispatch.Worker
-	nextJob  int
-	debt     float64 // core seconds of work to be submitted
+type simulation struct {
+	cluster   Cluster
+	scenario  Scenario
+	version   Version
+	scheduler scheduler
+	ledger    *ledger.Ledger
+	document  *environment.Document
+
+	arrivalRand  *rand.Rand // arrivals and sizes: the same for every version
+	requestRand  *rand.Rand // requests: the same for every version
+	elapsed      time.Duration
+	offset       units.Offset
+	events       map[time.Duration][]func()
+	unrecorded   [][]byte // entries of agents that wait for the log
+	machines     []*machine
+	kinds        []kind
+	jobs         map[units.JobID]*jobSpec
+	checkpoints  map[units.Task]float64 // work up to the last checkpoint
+	endedEpochs  map[ledger.WorkerEpoch]bool
+	interference *interference
+	measures     measures
+	workerRows   []dispatch.Worker
+	nextJob      int
+	workDue      float64 // core seconds of work to be submitted
 }
 
 // spec is the truth about a job's tasks.
-type spec struct {
-	kind   *kind
-	cores  float64
-	memory float64 // bytes
-	work   float64 // seconds at full speed
-	at     time.Duration
-	urgent bool
+type jobSpec struct {
+	kind        *kind
+	cores       float64
+	memory      float64 // bytes
+	work        float64 // seconds at full speed
+	submittedAt time.Duration
+	urgent      bool
 }
 
-func newFixture(f Firm, c Case, v Version, seed uint64) *fixture {
-	x := &fixture{firm: f, c: c, version: v, l: ledger.New(), due: map[time.Duration][]func(){}, jobs: map[units.JobID]*spec{},
-		world: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2)), saved: map[units.Task]float64{},
-		ended: map[ledger.WorkerEpoch]bool{}, learned: &interference{}}
-	x.doc = document(f, environment.DomainIn)
-	x.s = dispatch.New(rand.New(rand.NewPCG(seed, 3)))
+func newSimulation(f Cluster, c Scenario, v Version, seed uint64) *simulation {
+	x := &simulation{cluster: f, scenario: c, version: v, ledger: ledger.New(), events: map[time.Duration][]func(){}, jobs: map[units.JobID]*jobSpec{},
+		arrivalRand: rand.New(rand.NewPCG(seed, 1)), requestRand: rand.New(rand.NewPCG(seed, 2)), checkpoints: map[units.Task]float64{},
+		endedEpochs: map[ledger.WorkerEpoch]bool{}, interference: &interference{}}
+	x.document = document(f, environment.DomainIn)
+	x.scheduler = dispatch.New(rand.New(rand.NewPCG(seed, 3)))
 	if v == Naive {
-		x.s = &naive{}
+		x.scheduler = &naive{}
 	}
 	for i := range f.Workers {
-		x.machines = append(x.machines, &machine{id: workerID(i), epoch: 1, domain: domain(i % 3),
+		x.machines = append(x.machines, &machine{id: workerID(i), epoch: 1, domain: domainName(i % 3),
 			rack: units.RackName(fmt.Sprint("rack-", i/9)), alive: true})
 	}
-	x.m.init()
-	x.kinds = kinds(x.world, f)
-	x.l.Observe = x.observe
+	x.measures.init()
+	x.kinds = kinds(x.arrivalRand, f)
+	x.ledger.Observe = x.observe
 	for i := range f.Watchers {
 		x.submitWatcher(i)
 	}
-	x.schedule()
+	x.scheduleEvents()
 	return x
 }
 
-func domain(i int) units.DomainName { return units.DomainName(fmt.Sprint("domain-", i)) }
+func domainName(i int) units.DomainName { return units.DomainName(fmt.Sprint("domain-", i)) }
 
 // document is the environment with domain-0 in the given state.
-func document(f Firm, first environment.DomainState) *environment.Document {
+func document(f Cluster, first environment.DomainState) *environment.Document {
 	worker := f.Capacity.Sub(f.Endpoint)
 	all := units.Resources{Processors: worker.Processors * units.Millicores(f.Workers), Memory: worker.Memory * units.Bytes(f.Workers)}
 	quota := units.Resources{Processors: all.Processors / 3, Memory: all.Memory / 3}
 	doc := &environment.Document{Environment: "trial", LargestWorker: f.Capacity,
 		Guards:   environment.Guards{Enabled: true, LatencyRatio: 1.2},
 		Services: []environment.Service{{Name: "desk", Priority: units.PriorityUrgent, PerEndpoint: f.Endpoint}},
-		FailureDomains: []environment.FailureDomain{{Name: domain(0), State: first}, {Name: domain(1), State: environment.DomainIn},
-			{Name: domain(2), State: environment.DomainIn}}}
+		FailureDomains: []environment.FailureDomain{{Name: domainName(0), State: first}, {Name: domainName(1), State: environment.DomainIn},
+			{Name: domainName(2), State: environment.DomainIn}}}
 	for i := range 3 {
-		doc.Teams = append(doc.Teams, environment.Team{Name: team(i), Quota: quota, MayBorrow: true})
+		doc.Teams = append(doc.Teams, environment.Team{Name: teamName(i), Quota: quota, MayBorrow: true})
 	}
 	return doc
 }
 
-func team(i int) units.TeamName { return units.TeamName(fmt.Sprint("team-", i)) }
+func teamName(i int) units.TeamName { return units.TeamName(fmt.Sprint("team-", i)) }
 
 // schedule enters the events of the case.
-func (x *fixture) schedule() {
-	at := func(t time.Duration, f func()) { x.due[t] = append(x.due[t], f) }
-	if !x.c.LogOutage {
+func (x *simulation) scheduleEvents() {
+	at := func(t time.Duration, f func()) { x.events[t] = append(x.events[t], f) }
+	if !x.scenario.LogOutage {
 		at(crashAt, func() { x.machines[1].crash(x) })
-		at(crashAt+crashBack, func() { x.machines[1].join() })
+		at(crashAt+crashDuration, func() { x.machines[1].join() })
 	}
-	if x.c.BadWorker {
-		at(badFrom, func() { x.machines[2].bad, x.machines[2].leaving = x.version != Ideal, x.version == Ideal })
+	if x.scenario.FailingWorker {
+		at(failingFrom, func() { x.machines[2].failing, x.machines[2].leaving = x.version != Ideal, x.version == Ideal })
 	}
-	if x.c.DomainOut {
-		at(absentFrom, func() { x.doc = document(x.firm, environment.DomainOut) })
-		at(absentTo, func() { x.doc = document(x.firm, environment.DomainIn) })
+	if x.scenario.DomainOut {
+		at(absentFrom, func() { x.document = document(x.cluster, environment.DomainOut) })
+		at(absentTo, func() { x.document = document(x.cluster, environment.DomainIn) })
 		for _, m := range x.machines {
-			if m.domain != domain(0) {
+			if m.domain != domainName(0) {
 				continue
 			}
 			// Freshness of the configuration lets agents obey within 3 s; the
@@ -121,45 +121,45 @@
 			at(absentTo, m.join)
 		}
 	}
-	if x.c.Waves {
+	if x.scenario.NoisyWaves {
 		for t := wavePeriod; t < horizon; t += wavePeriod {
-			at(t, func() { x.wave() })
+			at(t, func() { x.submitWave() })
 		}
 	}
 }
 
 // after runs f a number of steps later.
-func (x *fixture) after(steps int, f func()) {
+func (x *simulation) after(steps int, f func()) {
 	t := x.elapsed + time.Duration(steps)*step
-	x.due[t] = append(x.due[t], f)
+	x.events[t] = append(x.events[t], f)
 }
 
-func (x *fixture) logUp() bool {
-	return !x.c.LogOutage || x.elapsed < outageFrom || x.elapsed >= outageTo
+func (x *simulation) logReachable() bool {
+	return !x.scenario.LogOutage || x.elapsed < outageFrom || x.elapsed >= outageTo
 }
 
 // record appends an entry of an agent, which repeats it until the log is back.
 // One step stands for group commit, another for the reader.
-func (x *fixture) record(entry []byte) { x.backlog = append(x.backlog, entry) }
+func (x *simulation) record(entry []byte) { x.unrecorded = append(x.unrecorded, entry) }
 
-func (x *fixture) apply(entry []byte) {
+func (x *simulation) apply(entry []byte) {
 	x.offset++
-	if err := x.l.Apply(x.offset, entry); err != nil {
+	if err := x.ledger.Apply(x.offset, entry); err != nil {
 		panic(err) // the fixture encodes no malformed entry
 	}
 }
 
 // step advances the clock by 50 ms.
-func (x *fixture) step() {
+func (x *simulation) step() {
 	x.elapsed += step
-	for _, f := range x.due[x.elapsed] {
+	for _, f := range x.events[x.elapsed] {
 		f()
 	}
-	delete(x.due, x.elapsed)
-	x.arrive()
-	if x.logUp() && len(x.backlog) > 0 {
-		entries := x.backlog
-		x.backlog = nil
+	delete(x.events, x.elapsed)
+	x.submitArrivals()
+	if x.logReachable() && len(x.unrecorded) > 0 {
+		entries := x.unrecorded
+		x.unrecorded = nil
 		x.after(2, func() {
 			for _, e := range entries {
 				x.apply(e)
@@ -176,26 +176,26 @@
 		}
 	}
 	x.tick()
-	x.m.sample(x)
+	x.measures.sample(x)
 }
 
 // tick runs the scheduler and records its proposals.
-func (x *fixture) tick() {
-	x.rows = x.rows[:0]
+func (x *simulation) tick() {
+	x.workerRows = x.workerRows[:0]
 	for _, m := range x.machines {
-		if m.seen.ID != "" {
-			w := m.seen
-			w.HeartbeatAge, w.HasSession = x.elapsed-m.seenAt, m.alive
-			x.rows = append(x.rows, w)
+		if m.reported.ID != "" {
+			w := m.reported
+			w.HeartbeatAge, w.HasSession = x.elapsed-m.reportedAt, m.alive
+			x.workerRows = append(x.workerRows, w)
 		}
 	}
-	in := dispatch.Input{Now: time.Unix(0, 0).Add(x.elapsed), Ledger: x.l, Document: x.doc, Workers: x.rows,
-		LogReachable: x.logUp(), EpochEnded: func(h ledger.WorkerEpoch) bool { return x.ended[h] }}
+	in := dispatch.Input{Now: time.Unix(0, 0).Add(x.elapsed), Ledger: x.ledger, Document: x.document, Workers: x.workerRows,
+		LogReachable: x.logReachable(), EpochEnded: func(h ledger.WorkerEpoch) bool { return x.endedEpochs[h] }}
 	if x.version == Product {
-		in.Interference = x.learned.table
+		in.Interference = x.interference.table
 	}
-	for _, p := range x.s.Tick(in) {
-		if !x.logUp() {
+	for _, p := range x.scheduler.Tick(in) {
+		if !x.logReachable() {
 			continue // the append fails
 		}
 		entry := p.Encode()
@@ -204,14 +204,14 @@
 }
 
 // accept applies a proposal and, when it won, launches the attempt.
-func (x *fixture) accept(p dispatch.Proposal, entry []byte) {
-	old := x.l.Task(p.Task)
+func (x *simulation) accept(p dispatch.Proposal, entry []byte) {
+	old := x.ledger.Task(p.Task)
 	waited := old != nil && old.State.Waiting()
 	x.apply(entry)
 	if p.Action != dispatch.Assign || !waited {
 		return // or the same proposal has won before
 	}
-	t := x.l.Task(p.Task)
+	t := x.ledger.Task(p.Task)
 	if t == nil || t.State != ledger.Assigned || t.Attempt != p.Attempt || t.Worker != p.WorkerEpoch.Worker || t.Epoch != p.WorkerEpoch.Epoch {
 		return
 	}
@@ -223,20 +223,20 @@
 }
 
 // observe counts what the fold accepted.
-func (x *fixture) observe(c ledger.Change) {
+func (x *simulation) observe(c ledger.Change) {
 	if c.Reason != "" || c.Kind != "ended" {
 		return
 	}
 	if s := x.jobs[c.Task.Job]; s != nil && s.kind != nil {
-		x.m.finished += s.cores * s.work
-		x.m.ended++
+		x.measures.finished += s.cores * s.work
+		x.measures.ended++
 	}
 }
 
-func (x *fixture) submitWatcher(i int) {
+func (x *simulation) submitWatcher(i int) {
 	id := units.JobID(fmt.Sprint(ledger.WatcherPrefix, "monitor-", i))
-	x.jobs[id] = &spec{cores: 0.25, memory: 256e6}
-	x.apply(ledger.EncodeSubmitted(&wire.JobSubmitted{Job: string(id), Team: string(team(i % 3)), Tasks: 1, Spec: &wire.TaskSpec{
+	x.jobs[id] = &jobSpec{cores: 0.25, memory: 256e6}
+	x.apply(ledger.EncodeSubmitted(&wire.JobSubmitted{Job: string(id), Team: string(teamName(i % 3)), Tasks: 1, Spec: &wire.TaskSpec{
 		Kind: wire.TaskKind_TASK_KIND_WATCHER, Priority: wire.Priority_PRIORITY_HIGH,
 		Size: wire.FromResources(units.Resources{Processors: 250, Memory: 256e6})}}))
 }
--- a/internal/trial/guard.go
+++ b/internal/trial/guard.go
@@ -19,7 +19,7 @@
 
 // suspicion is the slowdown below which a task is not held responsible: what
 // is left may be due to urgent work, which is not throttled.
-const suspicion = 0.02
+const minSlowdown = 0.02
 
 func (i *interference) slowdown(a *attempt) float64 {
 	return i.estimate[units.JobKind(a.spec.kind.name)]
@@ -31,7 +31,7 @@
 
 // naivePause gives the naive guard the same patience as the other one: what
 // differs is that it evicts the newest task and does not throttle.
-const naivePause = 3 * time.Second
+const naiveEvictionInterval = 3 * time.Second
 
 func (i *interference) learn(factor float64, running []*attempt) {
 	if i.estimate == nil {
@@ -48,13 +48,13 @@
 		names = append(names, name)
 	}
 	slices.Sort(names) // sums of floats depend on their order
-	wrong, norm := factor-1, 0.0
+	residual, norm := factor-1, 0.0
 	for _, name := range names {
-		wrong -= i.estimate[name] * shares[name]
+		residual -= i.estimate[name] * shares[name]
 		norm += shares[name] * shares[name]
 	}
 	for _, name := range names {
-		e := max(0, i.estimate[name]+learningRate*wrong*shares[name]/max(1, norm))
+		e := max(0, i.estimate[name]+learningRate*residual*shares[name]/max(1, norm))
 		i.estimate[name] = e
 		i.table[name] = map[units.ServiceName]float64{"desk": 1 + e}
 	}
@@ -62,63 +62,63 @@
 
 // guard is a fake of the agent's control loop. It runs every second on latency
 // that is two seconds old.
-func (m *machine) guard(x *fixture) {
+func (m *machine) guard(x *simulation) {
 	if !m.alive {
 		return
 	}
-	seen := m.lagged[0]
-	m.lagged = [3]float64{m.lagged[1], m.lagged[2], m.factor}
+	seen := m.delayedRatios[0]
+	m.delayedRatios = [3]float64{m.delayedRatios[1], m.delayedRatios[2], m.latencyRatio}
 	if seen == 0 {
 		return
 	}
-	ratio := x.doc.Guards.LatencyRatio
+	ratio := x.document.Guards.LatencyRatio
 	if x.version == Naive {
-		if a := m.newest(); seen > ratio && a != nil && x.elapsed-m.actedAt >= naivePause {
-			m.actedAt = x.elapsed
+		if a := m.newestBatchAttempt(); seen > ratio && a != nil && x.elapsed-m.lastAction >= naiveEvictionInterval {
+			m.lastAction = x.elapsed
 			m.evict(x, a.task, "latency", true)
 		}
 		return
 	}
-	x.learned.learn(m.factor, m.running)
-	if m.memory > 0.95 {
-		if a := m.worstMemory(); a != nil {
+	x.interference.learn(m.latencyRatio, m.running)
+	if m.memoryUse > 0.95 {
+		if a := m.largestMemoryExcess(); a != nil {
 			m.evict(x, a.task, "memory", true)
 		}
 	}
-	if x.elapsed-m.actedAt < 3*time.Second {
+	if x.elapsed-m.lastAction < 3*time.Second {
 		return // the measurement is from before the last action
 	}
 	switch {
 	case seen > 1+(ratio-1)*0.95:
-		m.actedAt = x.elapsed
-		m.relieve(x, max(0.5, setpoint*(ratio-1)/(seen-1)))
+		m.lastAction = x.elapsed
+		m.reduceInterference(x, max(0.5, setpoint*(ratio-1)/(seen-1)))
 	case seen < 1+(ratio-1)*setpoint*0.75:
 		var least *attempt
 		for _, a := range m.running {
-			if a.throttle < 1 && (least == nil || x.learned.slowdown(a) < x.learned.slowdown(least)) {
+			if a.throttle < 1 && (least == nil || x.interference.slowdown(a) < x.interference.slowdown(least)) {
 				least = a
 			}
 		}
 		if least != nil {
 			least.throttle = min(1, least.throttle*1.25)
-			m.actedAt = x.elapsed
+			m.lastAction = x.elapsed
 		}
 	}
 }
 
 // relieve throttles the attempt that slows the endpoint most by what is known
 // in proportion to the excess, or evicts it when it is throttled already.
-func (m *machine) relieve(x *fixture, by float64) {
+func (m *machine) reduceInterference(x *simulation, by float64) {
 	var worst *attempt
-	most := suspicion
-	if m.load > calm {
+	most := minSlowdown
+	if m.processorLoad > contentionThreshold {
 		most = 0 // processors are short, so any task contributes
 	}
 	for _, a := range m.running {
 		if a.spec.kind == nil || a.priority >= units.PriorityUrgent {
 			continue
 		}
-		if e := x.learned.slowdown(a) * a.throttle; e >= most {
+		if e := x.interference.slowdown(a) * a.throttle; e >= most {
 			worst, most = a, e
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-func (m *machine) newest() *attempt {
+func (m *machine) newestBatchAttempt() *attempt {
 	for i := len(m.running) - 1; i >= 0; i-- {
 		if m.running[i].spec.kind != nil {
 			return m.running[i]
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -12,53 +12,55 @@
 
 // machine is a worker with its agent and endpoint.
 type machine struct {
-	id      units.WorkerID
-	epoch   units.Epoch
-	domain  units.DomainName
-	rack    units.RackName
-	alive   bool
-	leaving bool // the domain is out of service
-	bad     bool
-	running []*attempt
-	reports [][]byte // for the next heartbeat
-	seen    dispatch.Worker
-	seenAt  time.Duration
-	factor  float64 // latency with batch over without, now
-	lagged  [3]float64
-	actedAt time.Duration
-	memory  float64 // share in use
-	load    float64 // processors in use, over capacity
+	id            units.WorkerID
+	epoch         units.Epoch
+	domain        units.DomainName
+	rack          units.RackName
+	alive         bool
+	leaving       bool // the domain is out of service
+	failing       bool
+	running       []*attempt
+	reports       [][]byte // for the next heartbeat
+	reported      dispatch.Worker
+	reportedAt    time.Duration
+	latencyRatio  float64 // latency with batch over without, now
+	delayedRatios [3]float64
+	lastAction    time.Duration
+	memoryUse     float64 // share in use
+	processorLoad float64 // processors in use, over capacity
 }
 
 // attempt is a running attempt of a task.
 type attempt struct {
 	task      units.Task
 	attempt   units.Attempt
-	spec      *spec
+	spec      *jobSpec
 	committed units.Resources
 	priority  units.Priority
-	done      float64 // seconds of work
+	workDone  float64 // seconds of work
 	age       float64 // seconds since the start
 	throttle  float64
 }
 
 // Fixed properties of the fakes.
 const (
-	checkpointEvery = 30.0 // seconds of work
-	memoryRampUp    = 10.0 // seconds until a task uses all its memory
-	startup         = 3.0  // seconds without progress at each start: loading a program and gigabytes of input or checkpoint
-	failsAfter      = 4.0  // seconds, on a worker that fails everything
+	checkpointInterval = 30.0 // seconds of work
+	memoryRampUp       = 10.0 // seconds until a task uses all its memory
+	startupTime        = 3.0  // seconds without progress at each start: loading a program and gigabytes of input or checkpoint
+	failureDelay       = 4.0  // seconds, on a worker that fails everything
 	// The interference model: an endpoint's latency is its base latency times
 	// 1 + the noise of the tasks beside it + contention * (use of processors
 	// above calm).
-	calm       = 0.85
-	contention = 2.0
+	contentionThreshold = 0.85
+	contentionFactor    = 2.0
 )
 
-func (m *machine) key() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
+func (m *machine) workerEpoch() ledger.WorkerEpoch {
+	return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch}
+}
 
 // committed is what the agent has admitted.
-func (m *machine) committed(f Firm) units.Resources {
+func (m *machine) committed(f Cluster) units.Resources {
 	sum := f.Endpoint
 	for _, a := range m.running {
 		sum = sum.Add(a.committed)
@@ -67,62 +69,62 @@
 }
 
 // launch admits the attempt or rejects it.
-func (m *machine) launch(x *fixture, p dispatch.Proposal) {
+func (m *machine) launch(x *simulation, p dispatch.Proposal) {
 	if !m.alive || m.epoch != p.WorkerEpoch.Epoch {
 		return // unanswered; the end of the epoch releases it
 	}
-	j := x.l.Job(p.Task.Job)
+	j := x.ledger.Job(p.Task.Job)
 	if j == nil || j.EndSequence != 0 {
 		return
 	}
 	if p.MayEvict {
 		for _, v := range p.Victims {
-			if !p.Committed.Fits(x.firm.Capacity.Sub(m.committed(x.firm))) {
+			if !p.Committed.Fits(x.cluster.Capacity.Sub(m.committed(x.cluster))) {
 				m.evict(x, v.Task, "urgent", true)
 			}
 		}
 	}
-	if m.leaving || !p.Committed.Fits(x.firm.Capacity.Sub(m.committed(x.firm))) {
-		x.m.refused++
+	if m.leaving || !p.Committed.Fits(x.cluster.Capacity.Sub(m.committed(x.cluster))) {
+		x.measures.rejectedLaunches++
 		x.record(ledger.EncodeReleased(p.Task, p.Attempt, ledger.Release{Reason: "no room"}))
 		return
 	}
 	s := x.jobs[p.Task.Job]
 	m.running = append(m.running, &attempt{task: p.Task, attempt: p.Attempt, spec: s, committed: p.Committed,
-		priority: j.LaunchSpec(p.Task.Index).GetPriority().Units(), done: x.saved[p.Task], throttle: 1})
+		priority: j.LaunchSpec(p.Task.Index).GetPriority().Units(), workDone: x.checkpoints[p.Task], throttle: 1})
 	m.reports = append(m.reports, ledger.EncodeStarted(p.Task, p.Attempt))
 	if s.urgent {
-		x.m.urgent = max(x.m.urgent, x.elapsed-s.at)
+		x.measures.urgentStart = max(x.measures.urgentStart, x.elapsed-s.submittedAt)
 		s.urgent = false // later attempts are restarts
 	}
 }
 
 // run advances the attempts by one step.
-func (m *machine) run(x *fixture) {
+func (m *machine) run(x *simulation) {
 	if !m.alive {
 		return
 	}
-	cores, memory, noise := x.requests(m)*float64(x.firm.Endpoint.Processors)/1000, float64(x.firm.Endpoint.Memory), 0.0
+	cores, memory, noise := x.requestLoad(m)*float64(x.cluster.Endpoint.Processors)/1000, float64(x.cluster.Endpoint.Memory), 0.0
 	endpoint := cores
 	for _, a := range m.running {
 		cores += a.spec.cores * a.throttle
 		memory += a.spec.memory * min(1, a.age/memoryRampUp)
 		if a.spec.kind != nil {
-			noise += a.spec.kind.noise * a.throttle
+			noise += a.spec.kind.slowdown * a.throttle
 		}
 	}
-	capacity := float64(x.firm.Capacity.Processors) / 1000
-	m.memory = memory / float64(x.firm.Capacity.Memory)
-	m.load = cores / capacity
-	m.factor = 1 + noise + contention*max(0, min(1, m.load)-calm)
+	capacity := float64(x.cluster.Capacity.Processors) / 1000
+	m.memoryUse = memory / float64(x.cluster.Capacity.Memory)
+	m.processorLoad = cores / capacity
+	m.latencyRatio = 1 + noise + contentionFactor*max(0, min(1, m.processorLoad)-contentionThreshold)
 	speed := 1.0
 	if x.version == Ideal {
-		m.factor = 1
+		m.latencyRatio = 1
 	}
 	if cores > capacity {
 		speed = (capacity - endpoint) / (cores - endpoint)
 	}
-	if m.memory > 1 && x.version != Ideal {
+	if m.memoryUse > 1 && x.version != Ideal {
 		m.kill(x)
 	}
 	kept := m.running[:0]
@@ -135,47 +137,47 @@
 }
 
 // advance runs one attempt for a step and reports whether it ended.
-func (m *machine) advance(x *fixture, a *attempt, speed float64) bool {
+func (m *machine) advance(x *simulation, a *attempt, speed float64) bool {
 	a.age += step.Seconds()
-	if a.age < startup {
+	if a.age < startupTime {
 		return false
 	}
-	if m.bad && a.spec.kind != nil && a.age > failsAfter {
+	if m.failing && a.spec.kind != nil && a.age > failureDelay {
 		m.fail(x, a, "exit 1")
 		return true
 	}
 	if a.spec.kind == nil {
 		return false
 	}
-	before := a.done
-	a.done += step.Seconds() * speed * a.throttle
-	x.m.work += (a.done - before) * a.spec.cores
-	if math.Floor(a.done/checkpointEvery) > math.Floor(before/checkpointEvery) {
-		x.saved[a.task] = a.done
+	before := a.workDone
+	a.workDone += step.Seconds() * speed * a.throttle
+	x.measures.work += (a.workDone - before) * a.spec.cores
+	if math.Floor(a.workDone/checkpointInterval) > math.Floor(before/checkpointInterval) {
+		x.checkpoints[a.task] = a.workDone
 	}
-	if a.done < a.spec.work {
+	if a.workDone < a.spec.work {
 		return false
 	}
-	delete(x.saved, a.task)
+	delete(x.checkpoints, a.task)
 	m.reports = append(m.reports, ledger.EncodeEnded(a.task, a.attempt, wire.Outcome_OUTCOME_COMPLETED,
 		time.Duration(a.age*float64(time.Second)), units.Resources{Processors: units.Millicores(a.spec.cores * 1000), Memory: units.Bytes(a.spec.memory)}))
 	return true
 }
 
-func (m *machine) fail(x *fixture, a *attempt, reason string) {
-	x.m.failures++
+func (m *machine) fail(x *simulation, a *attempt, reason string) {
+	x.measures.failures++
 	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, CountsAsFailure: true}))
 }
 
 // kill ends the attempt that exceeds its committed memory most.
-func (m *machine) kill(x *fixture) {
-	if a := m.worstMemory(); a != nil {
+func (m *machine) kill(x *simulation) {
+	if a := m.largestMemoryExcess(); a != nil {
 		m.fail(x, a, "out of memory")
 		m.remove(a)
 	}
 }
 
-func (m *machine) worstMemory() *attempt {
+func (m *machine) largestMemoryExcess() *attempt {
 	var worst *attempt
 	most := 0.0
 	for _, a := range m.running {
@@ -196,16 +198,16 @@
 }
 
 // evict stops the attempt of a task, with a fresh checkpoint or without.
-func (m *machine) evict(x *fixture, task units.Task, reason string, checkpoint bool) {
+func (m *machine) evict(x *simulation, task units.Task, reason string, checkpoint bool) {
 	for _, a := range m.running {
 		if a.task != task {
 			continue
 		}
 		if checkpoint {
-			x.saved[task] = a.done
+			x.checkpoints[task] = a.workDone
 		}
 		if reason != "domain out" {
-			x.m.evictions++
+			x.measures.evictions++
 		}
 		m.remove(a)
 		m.reports = append(m.reports, ledger.EncodeEvicted(task, a.attempt, "saved", reason))
@@ -214,7 +216,7 @@
 }
 
 // heartbeat publishes the worker's row and hands the reports over.
-func (m *machine) heartbeat(x *fixture) {
+func (m *machine) heartbeat(x *simulation) {
 	if !m.alive {
 		return
 	}
@@ -222,21 +224,21 @@
 		x.record(e)
 	}
 	m.reports = nil
-	committed := m.committed(x.firm)
+	committed := m.committed(x.cluster)
 	evictable := units.Resources{}
 	for _, a := range m.running {
 		if a.spec.kind != nil && a.priority < units.PriorityUrgent {
 			evictable = evictable.Add(a.committed)
 		}
 	}
-	m.seen = dispatch.Worker{ID: m.id, Epoch: m.epoch, Domain: m.domain, Rack: m.rack, Region: "region", Capacity: x.firm.Capacity,
-		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, EndpointLoad: x.requests(m), HasSession: true, Draining: m.leaving}
-	m.seenAt = x.elapsed
+	m.reported = dispatch.Worker{ID: m.id, Epoch: m.epoch, Domain: m.domain, Rack: m.rack, Region: "region", Capacity: x.cluster.Capacity,
+		Committed: committed, Evictable: evictable, Services: []units.ServiceName{"desk"}, EndpointLoad: x.requestLoad(m), HasSession: true, Draining: m.leaving}
+	m.reportedAt = x.elapsed
 }
 
 // leave obeys a domain that operators took out of service. The product moves
 // its work with checkpoints; the naive agent runs on until the instance goes.
-func (m *machine) leave(x *fixture) {
+func (m *machine) leave(x *simulation) {
 	m.leaving = true
 	if x.version == Naive {
 		return
@@ -247,12 +249,12 @@
 }
 
 // crash loses the instance with what ran; its lessor records the expiry.
-func (m *machine) crash(x *fixture) {
-	h := m.key()
+func (m *machine) crash(x *simulation) {
+	h := m.workerEpoch()
 	m.alive, m.running, m.reports = false, nil, nil
-	sinceGrant := time.Duration(x.noise.Int64N(int64(lease/4/step))) * step
+	sinceGrant := time.Duration(x.requestRand.Int64N(int64(lease/4/step))) * step
 	at := x.elapsed + lease + leaseMargin - sinceGrant
-	x.due[at] = append(x.due[at], func() { x.ended[h] = true })
+	x.events[at] = append(x.events[at], func() { x.endedEpochs[h] = true })
 }
 
 func (m *machine) join() {
--- a/internal/trial/naive.go
+++ b/internal/trial/naive.go
@@ -16,25 +16,25 @@
 }
 
 // naiveVisits bounds the tasks read in one tick.
-const naiveVisits = 300
+const maxNaiveVisits = 300
 
 func (n *naive) Tick(in dispatch.Input) []dispatch.Proposal {
 	if !in.LogReachable {
 		return nil
 	}
-	out := n.release(in)
-	rooms := make([]units.Resources, len(in.Workers))
+	out := n.releaseExpired(in)
+	free := make([]units.Resources, len(in.Workers))
 	for i, w := range in.Workers {
 		h := ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}
-		rooms[i] = w.Capacity.Sub(w.Committed).Sub(in.Ledger.LaunchingOn(h).Committed)
+		free[i] = w.Capacity.Sub(w.Committed).Sub(in.Ledger.LaunchingOn(h).Committed)
 	}
 	visits := 0
-	for _, j := range waiting(in.Ledger) {
+	for _, j := range waitingJobs(in.Ledger) {
 		for _, index := range j.Waiting() {
-			if visits++; visits > naiveVisits {
+			if visits++; visits > maxNaiveVisits {
 				return out
 			}
-			if p, ok := n.place(in, rooms, j, index); ok {
+			if p, ok := n.place(in, free, j, index); ok {
 				out = append(out, p)
 			}
 		}
@@ -42,7 +42,7 @@
 	return out
 }
 
-func waiting(l *ledger.Ledger) []*ledger.Job {
+func waitingJobs(l *ledger.Ledger) []*ledger.Job {
 	var jobs []*ledger.Job
 	for _, name := range l.Teams() {
 		for p := units.PriorityLow; p <= units.PriorityUrgent; p++ {
@@ -53,21 +53,21 @@
 	return jobs
 }
 
-func (n *naive) place(in dispatch.Input, rooms []units.Resources, j *ledger.Job, index uint32) (dispatch.Proposal, bool) {
-	for range rooms {
-		n.next = (n.next + 1) % len(rooms)
+func (n *naive) place(in dispatch.Input, free []units.Resources, j *ledger.Job, index uint32) (dispatch.Proposal, bool) {
+	for range free {
+		n.next = (n.next + 1) % len(free)
 		w := in.Workers[n.next]
-		if !j.Size.Fits(rooms[n.next]) || in.Document.DomainIsOut(w.Domain) || !w.HasSession {
+		if !j.Size.Fits(free[n.next]) || in.Document.DomainIsOut(w.Domain) || !w.HasSession {
 			continue
 		}
-		rooms[n.next] = rooms[n.next].Sub(j.Size)
+		free[n.next] = free[n.next].Sub(j.Size)
 		return dispatch.Proposal{Action: dispatch.Assign, Task: units.Task{Job: j.ID, Index: index}, Attempt: j.Tasks[index].Attempt + 1,
 			WorkerEpoch: ledger.WorkerEpoch{Worker: w.ID, Epoch: w.Epoch}, Committed: j.Size}, true
 	}
 	return dispatch.Proposal{}, false
 }
 
-func (n *naive) release(in dispatch.Input) []dispatch.Proposal {
+func (n *naive) releaseExpired(in dispatch.Input) []dispatch.Proposal {
 	var out []dispatch.Proposal
 	for h := range in.Ledger.WorkerEpochs() {
 		if !in.EpochEnded(h) {
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -22,7 +22,7 @@
 )
 
 // line is one row of the table.
-type line struct {
+type row struct {
 	name           string
 	product, naive float64
 	ratio          float64
@@ -31,10 +31,10 @@
 }
 
 // lines lists the measures of a case.
-func (c Comparison) lines() []line {
+func (c Comparison) rows() []row {
 	p, n, i := c.Results[Product], c.Results[Naive], c.Results[Ideal]
 	evictions := float64(p.Evictions) / max(1, float64(n.Evictions))
-	out := []line{
+	out := []row{
 		{"batch of ideal", p.Finished / i.Finished, n.Finished / i.Finished, p.Finished / n.Finished, ">= 0.90", p.Finished >= targetOfIdeal*i.Finished},
 		{"batch of naive, core hours", p.Finished / 3600, n.Finished / 3600, p.Finished / n.Finished, ">= 1.3x", p.Finished >= targetOfNaive*n.Finished},
 		{"evictions", float64(p.Evictions), float64(n.Evictions), evictions, "<= 0.2x", evictions <= targetEvictions},
@@ -42,10 +42,10 @@
 		{"service p99 over quiet", p.P99 / p.QuietP99, n.P99 / n.QuietP99, quotient(p.P99/p.QuietP99, n.P99/n.QuietP99), "<= 1.2", p.P99 <= targetLatency*p.QuietP99},
 		{"urgent start, longest s", p.UrgentStart.Seconds(), n.UrgentStart.Seconds(), quotient(p.UrgentStart.Seconds(), n.UrgentStart.Seconds()), "<= 1.4", p.UrgentStart <= targetUrgent},
 	}
-	if c.Case.DomainOut {
+	if c.Scenario.DomainOut {
 		out = append(out,
-			line{"work in absence, of share", p.AbsentShare, n.AbsentShare, p.AbsentShare / n.AbsentShare, ">= 0.95", p.AbsentShare >= targetAbsence},
-			line{"back to full, s", p.BackToFull.Seconds(), n.BackToFull.Seconds(), quotient(p.BackToFull.Seconds(), n.BackToFull.Seconds()), "<= 30",
+			row{"work in absence, of share", p.AbsenceShare, n.AbsenceShare, p.AbsenceShare / n.AbsenceShare, ">= 0.95", p.AbsenceShare >= targetAbsence},
+			row{"back to full, s", p.BackToFull.Seconds(), n.BackToFull.Seconds(), quotient(p.BackToFull.Seconds(), n.BackToFull.Seconds()), "<= 30",
 				p.BackToFull >= 0 && p.BackToFull <= targetReturn})
 	}
 	return out
@@ -60,14 +60,14 @@
 
 // Print writes the table of a firm: the means over the seeds, and met only
 // where every seed meets the target. It returns how many lines do.
-func Print(w io.Writer, f Firm, seeds [][]Comparison) (met, total int) {
+func Print(w io.Writer, f Cluster, seeds [][]Comparison) (met, total int) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\tmeasure\tproduct\tnaive\tratio\ttarget\t\n", f.Name)
-	for i, c := range Cases {
-		for k, l := range seeds[0][i].lines() {
-			mean, hits := line{}, 0
+	for i, c := range Scenarios {
+		for k, l := range seeds[0][i].rows() {
+			mean, hits := row{}, 0
 			for _, s := range seeds {
-				o := s[i].lines()[k]
+				o := s[i].rows()[k]
 				n := float64(len(seeds))
 				mean.product, mean.naive, mean.ratio = mean.product+o.product/n, mean.naive+o.naive/n, mean.ratio+o.ratio/n
 				if o.met {
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -15,42 +15,42 @@
 )
 
 // Firm is the shape of a firm's environment.
-type Firm struct {
-	Name     string
-	Workers  int
-	Capacity units.Resources // of each worker
-	Endpoint units.Resources // reserved by the endpoint beside each worker
-	Watchers int
-	Sizes    float64 // cores of a typical task
+type Cluster struct {
+	Name      string
+	Workers   int
+	Capacity  units.Resources // of each worker
+	Endpoint  units.Resources // reserved by the endpoint beside each worker
+	Watchers  int
+	TaskCores float64 // cores of a typical task
 }
 
 // Firms are the two firms at their present size, with one endpoint beside each
 // of 11 workers in 3 failure domains, in racks of three.
-var Firms = []Firm{
+var Clusters = []Cluster{
 	{"Barafu", 11, units.Resources{Processors: 32_000, Memory: 125e9}, units.Resources{Processors: 8000, Memory: 16e9}, 9, 2},
 	{"Saumwerk", 11, units.Resources{Processors: 16_000, Memory: 60e9}, units.Resources{Processors: 4000, Memory: 8e9}, 6, 1},
 }
 
 // Case is one scenario. Times are from the start.
-type Case struct {
-	Name      string
-	Load      float64 // offered batch work over what the workers hold beside the endpoints
-	Shift     bool    // requests rise to twice and move from domain to domain
-	Waves     bool    // bursts of noisy tasks every three minutes
-	Wrong     bool    // declared sizes off by up to ten times either way
-	BadWorker bool    // one worker fails everything from one minute to the end
-	LogOutage bool    // from five to fifteen minutes
-	DomainOut bool    // from seven to thirteen minutes
+type Scenario struct {
+	Name          string
+	Load          float64 // offered batch work over what the workers hold beside the endpoints
+	LoadShift     bool    // requests rise to twice and move from domain to domain
+	NoisyWaves    bool    // bursts of noisy tasks every three minutes
+	WrongSizes    bool    // declared sizes off by up to ten times either way
+	FailingWorker bool    // one worker fails everything from one minute to the end
+	LogOutage     bool    // from five to fifteen minutes
+	DomainOut     bool    // from seven to thirteen minutes
 }
 
 // Cases are the scenarios of the trial. Offered work exceeds what fits, so that
 // the batch finished shows the throughput and not the offer.
-var Cases = []Case{
+var Scenarios = []Scenario{
 	{Name: "steady", Load: 1.1},
-	{Name: "load shift", Load: 1.1, Shift: true},
-	{Name: "noisy waves", Load: 1.1, Waves: true},
-	{Name: "sizes wrong 10x", Load: 1.1, Wrong: true},
-	{Name: "failing worker", Load: 1.1, BadWorker: true},
+	{Name: "load shift", Load: 1.1, LoadShift: true},
+	{Name: "noisy waves", Load: 1.1, NoisyWaves: true},
+	{Name: "sizes wrong 10x", Load: 1.1, WrongSizes: true},
+	{Name: "failing worker", Load: 1.1, FailingWorker: true},
 	{Name: "log outage", Load: 1.1, LogOutage: true},
 	{Name: "domain out", Load: 1.1, DomainOut: true},
 	{Name: "overload 2x", Load: 2},
@@ -58,16 +58,16 @@
 
 // Times of the scenarios.
 const (
-	step       = 50 * time.Millisecond
-	horizon    = 25 * time.Minute
-	crashAt    = 4 * time.Minute // one instance dies in every case but the log outage
-	crashBack  = 3 * time.Minute
-	badFrom    = time.Minute
-	outageFrom = 5 * time.Minute
-	outageTo   = 15 * time.Minute
-	absentFrom = 7 * time.Minute
-	absentTo   = 13 * time.Minute
-	wavePeriod = 3 * time.Minute
+	step          = 50 * time.Millisecond
+	horizon       = 25 * time.Minute
+	crashAt       = 4 * time.Minute // one instance dies in every case but the log outage
+	crashDuration = 3 * time.Minute
+	failingFrom   = time.Minute
+	outageFrom    = 5 * time.Minute
+	outageTo      = 15 * time.Minute
+	absentFrom    = 7 * time.Minute
+	absentTo      = 13 * time.Minute
+	wavePeriod    = 3 * time.Minute
 	// A lease of 8 s; the lessor records its end 1 s after it could be over,
 	// counted from a grant up to L/4 earlier.
 	lease       = 8 * time.Second
@@ -89,23 +89,23 @@
 
 // Result is what one run measured.
 type Result struct {
-	Finished     float64       // core seconds of the tasks that ended
-	Evictions    int           // by guards and for urgent work; planned moves not counted
-	Failures     int           // attempts that failed
-	Refused      int           // launches that an agent rejected
-	Unwatched    time.Duration // longest gap of any watcher
-	P99          float64       // of requests, in base latencies
-	QuietP99     float64       // the same requests without batch
-	AbsentShare  float64       // work done in the absence over the remaining capacity's share of the work before
-	BackToFull   time.Duration // from the domain's return, -1 when not reached
-	UrgentStart  time.Duration // longest from submission to running
-	EndedTasks   int
-	RejectedLogs uint64 // entries that lost in the fold
+	Finished         float64       // core seconds of the tasks that ended
+	Evictions        int           // by guards and for urgent work; planned moves not counted
+	Failures         int           // attempts that failed
+	RejectedLaunches int           // launches that an agent rejected
+	Unwatched        time.Duration // longest gap of any watcher
+	P99              float64       // of requests, in base latencies
+	QuietP99         float64       // the same requests without batch
+	AbsenceShare     float64       // work done in the absence over the remaining capacity's share of the work before
+	BackToFull       time.Duration // from the domain's return, -1 when not reached
+	UrgentStart      time.Duration // longest from submission to running
+	EndedTasks       int
+	RejectedEntries  uint64 // entries that lost in the fold
 }
 
 // Run drives one version through a case.
-func Run(f Firm, c Case, v Version, seed uint64, length time.Duration) Result {
-	x := newFixture(f, c, v, seed)
+func Run(f Cluster, c Scenario, v Version, seed uint64, length time.Duration) Result {
+	x := newSimulation(f, c, v, seed)
 	for x.elapsed < length {
 		x.step()
 	}
@@ -114,12 +114,12 @@
 
 // RunAll runs every case of a firm with each version, at most parallel at a
 // time.
-func RunAll(f Firm, seed uint64, parallel int) []Comparison {
-	out := make([]Comparison, len(Cases))
+func RunAll(f Cluster, seed uint64, parallel int) []Comparison {
+	out := make([]Comparison, len(Scenarios))
 	var g errgroup.Group
 	g.SetLimit(parallel)
-	for i, c := range Cases {
-		out[i].Case = c
+	for i, c := range Scenarios {
+		out[i].Scenario = c
 		for v := range out[i].Results {
 			g.Go(func() error {
 				out[i].Results[v] = Run(f, c, Version(v), seed, horizon)
@@ -133,8 +133,8 @@
 
 // Comparison holds the results of one case by version.
 type Comparison struct {
-	Case    Case
-	Results [Ideal + 1]Result
+	Scenario Scenario
+	Results  [Ideal + 1]Result
 }
 
 func workerID(i int) units.WorkerID { return units.WorkerID(fmt.Sprint("worker-", i)) }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -8,7 +8,7 @@
 // TestRepeatable guards the figures: the same seed must give the same result.
 func TestRepeatable(t *testing.T) {
 	for _, v := range []Version{Product, Naive, Ideal} {
-		first, second := Run(Firms[1], Cases[2], v, 7, 4*time.Minute), Run(Firms[1], Cases[2], v, 7, 4*time.Minute)
+		first, second := Run(Clusters[1], Scenarios[2], v, 7, 4*time.Minute), Run(Clusters[1], Scenarios[2], v, 7, 4*time.Minute)
 		if first != second {
 			t.Errorf("%v: got %+v, then %+v", v, first, second)
 		}
@@ -19,7 +19,7 @@
 // exist for must show, and a failing worker must take tasks from the naive
 // version all the time.
 func TestNaiveIsWorse(t *testing.T) {
-	product, naive := Run(Firms[1], Cases[4], Product, 1, 6*time.Minute), Run(Firms[1], Cases[4], Naive, 1, 6*time.Minute)
+	product, naive := Run(Clusters[1], Scenarios[4], Product, 1, 6*time.Minute), Run(Clusters[1], Scenarios[4], Naive, 1, 6*time.Minute)
 	if product.Finished <= naive.Finished || product.Failures*10 > naive.Failures || product.P99/product.QuietP99 >= naive.P99/naive.QuietP99 {
 		t.Errorf("got product %+v, naive %+v", product, naive)
 	}
--- a/internal/trial/work.go
+++ b/internal/trial/work.go
@@ -13,26 +13,26 @@
 
 // kind is the truth about a job kind.
 type kind struct {
-	name     string
-	cores    float64
-	memory   float64
-	work     float64 // seconds
-	noise    float64 // latency ratio that a task adds to the endpoint beside it
-	declared float64 // factor by which owners overstate sizes
-	wrong    float64 // the same when declarations are badly off
+	name           string
+	cores          float64
+	memory         float64
+	work           float64 // seconds
+	slowdown       float64 // latency ratio that a task adds to the endpoint beside it
+	declaredFactor float64 // factor by which owners overstate sizes
+	wrongFactor    float64 // the same when declarations are badly off
 }
 
 // kinds draws a dozen kinds, three of them noisy. Owners overstate sizes by up
 // to 2.5 times in every case; in one case by 0.1 to 10 times.
-func kinds(r *rand.Rand, f Firm) []kind {
+func kinds(r *rand.Rand, f Cluster) []kind {
 	var all []kind
 	perCore := float64(f.Capacity.Memory-f.Endpoint.Memory) / float64(f.Capacity.Processors-f.Endpoint.Processors) * 1000
 	for i := range 12 {
-		cores := f.Sizes * (0.5 + r.Float64())
+		cores := f.TaskCores * (0.5 + r.Float64())
 		k := kind{name: fmt.Sprint("kind-", i), cores: cores, memory: cores * perCore * (0.4 + 0.5*r.Float64()),
-			work: 30 + 90*r.Float64(), noise: 0.003, declared: 1 + 1.5*r.Float64(), wrong: math.Pow(10, 2*r.Float64()-1)}
+			work: 30 + 90*r.Float64(), slowdown: 0.003, declaredFactor: 1 + 1.5*r.Float64(), wrongFactor: math.Pow(10, 2*r.Float64()-1)}
 		if i%4 == 3 {
-			k.noise = 0.25 + 0.35*r.Float64()
+			k.slowdown = 0.25 + 0.35*r.Float64()
 		}
 		all = append(all, k)
 	}
@@ -40,21 +40,21 @@
 }
 
 // arrive submits jobs so that the offered work follows the load of the case.
-func (x *fixture) arrive() {
-	perWorker := float64(x.firm.Capacity.Processors-x.firm.Endpoint.Processors) / 1000
-	x.debt += x.c.Load * perWorker * float64(x.firm.Workers) * step.Seconds()
-	for x.debt > 0 {
-		k := &x.kinds[x.world.IntN(len(x.kinds))]
-		if k.noise > 0.1 && x.world.IntN(3) > 0 {
+func (x *simulation) submitArrivals() {
+	perWorker := float64(x.cluster.Capacity.Processors-x.cluster.Endpoint.Processors) / 1000
+	x.workDue += x.scenario.Load * perWorker * float64(x.cluster.Workers) * step.Seconds()
+	for x.workDue > 0 {
+		k := &x.kinds[x.arrivalRand.IntN(len(x.kinds))]
+		if k.slowdown > 0.1 && x.arrivalRand.IntN(3) > 0 {
 			continue // noisy kinds are rarer outside waves
 		}
-		x.submit(k, 1+x.world.IntN(8))
+		x.submit(k, 1+x.arrivalRand.IntN(8))
 	}
 }
 
 // wave submits a burst of one noisy kind.
-func (x *fixture) wave() {
-	k := &x.kinds[3+4*x.world.IntN(3)]
+func (x *simulation) submitWave() {
+	k := &x.kinds[3+4*x.arrivalRand.IntN(3)]
 	for range 10 {
 		x.submit(k, 8)
 	}
@@ -62,53 +62,53 @@
 
 // submit enters one job. Every version draws the same numbers, so all of them
 // see the same work.
-func (x *fixture) submit(k *kind, tasks int) {
+func (x *simulation) submit(k *kind, tasks int) {
 	x.nextJob++
 	id := units.JobID(fmt.Sprint("job-", x.nextJob))
-	jitter := 0.9 + 0.2*x.world.Float64()
-	s := &spec{kind: k, cores: k.cores * jitter, memory: k.memory * jitter, work: k.work * (0.8 + 0.4*x.world.Float64()), at: x.elapsed}
-	priority := []wire.Priority{wire.Priority_PRIORITY_LOW, wire.Priority_PRIORITY_NORMAL, wire.Priority_PRIORITY_HIGH}[x.world.IntN(3)]
+	jitter := 0.9 + 0.2*x.arrivalRand.Float64()
+	s := &jobSpec{kind: k, cores: k.cores * jitter, memory: k.memory * jitter, work: k.work * (0.8 + 0.4*x.arrivalRand.Float64()), submittedAt: x.elapsed}
+	priority := []wire.Priority{wire.Priority_PRIORITY_LOW, wire.Priority_PRIORITY_NORMAL, wire.Priority_PRIORITY_HIGH}[x.arrivalRand.IntN(3)]
 	if x.nextJob%40 == 0 {
 		s.urgent, priority, tasks = true, wire.Priority_PRIORITY_URGENT, 1
 	}
 	x.jobs[id] = s
-	x.debt -= s.cores * s.work * float64(tasks)
-	name := team(x.world.IntN(3))
+	x.workDue -= s.cores * s.work * float64(tasks)
+	name := teamName(x.arrivalRand.IntN(3))
 	entry := ledger.EncodeSubmitted(&wire.JobSubmitted{Job: string(id), Team: string(name), Tasks: uint32(tasks), Spec: &wire.TaskSpec{
-		Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: priority, JobKind: k.name, Size: wire.FromResources(x.declared(s)),
+		Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: priority, JobKind: k.name, Size: wire.FromResources(x.declaredSize(s)),
 		RunMilliseconds: int64(s.work * 1000)}})
-	if x.logUp() { // without a log nothing is accepted, and the caller submits again
+	if x.logReachable() { // without a log nothing is accepted, and the caller submits again
 		x.apply(entry)
 		return
 	}
-	x.due[outageTo] = append(x.due[outageTo], func() { s.at = x.elapsed; x.apply(entry) })
+	x.events[outageTo] = append(x.events[outageTo], func() { s.submittedAt = x.elapsed; x.apply(entry) })
 }
 
 // declared is the size that the owner declares. A size that exceeds what a
 // worker holds beside its endpoint is turned down at submission, so owners
 // declare at most that.
-func (x *fixture) declared(s *spec) units.Resources {
-	factor := s.kind.declared
+func (x *simulation) declaredSize(s *jobSpec) units.Resources {
+	factor := s.kind.declaredFactor
 	switch {
 	case x.version == Ideal:
 		factor = 1
-	case x.c.Wrong:
-		factor = s.kind.wrong
+	case x.scenario.WrongSizes:
+		factor = s.kind.wrongFactor
 	}
-	most := x.firm.Capacity.Sub(x.firm.Endpoint)
+	most := x.cluster.Capacity.Sub(x.cluster.Endpoint)
 	return units.Resources{Processors: min(most.Processors*7/8, units.Millicores(s.cores*factor*1000)),
 		Memory: min(most.Memory, units.Bytes(s.memory*factor))}
 }
 
 // requests is how busy an endpoint is with requests, as a share of what it
 // reserves.
-func (x *fixture) requests(m *machine) float64 {
-	if !x.c.Shift {
+func (x *simulation) requestLoad(m *machine) float64 {
+	if !x.scenario.LoadShift {
 		return 0.4
 	}
 	// The peak moves to another domain every two minutes and exceeds what is
 	// reserved, so it takes from what batch leaves idle.
-	if domain(int(x.elapsed/(2*time.Minute))%3) == m.domain {
+	if domainName(int(x.elapsed/(2*time.Minute))%3) == m.domain {
 		return 1.4
 	}
 	return 0.4
