--- a/internal/trial/guard.go
+++ b/internal/trial/guard.go
@@ -8,8 +8,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// interference learns, from lagging latency, how much each kind slows an
-// endpoint: normalized least mean squares over the kinds that ran.
+// interference estimates from endpoint latency how much each job kind slows down
+// an endpoint, by normalized least mean squares over the kinds that run.
 type interference struct {
 	table    dispatch.Interference
 	estimate map[units.JobKind]float64
@@ -17,22 +17,24 @@
 
 const learningRate = 0.25
 
-// suspicion is the slowdown below which a task is not held responsible: what
-// is left may be due to urgent work, which is not throttled.
+// minSlowdown is the estimated slowdown below which a task is not throttled: the
+// remaining excess may come from urgent tasks, which are not throttled.
 const minSlowdown = 0.02
 
 func (i *interference) slowdown(a *attempt) float64 {
 	return i.estimate[units.JobKind(a.spec.kind.name)]
 }
 
-// setpoint is the share of the tolerated slowdown that the guard aims at; the
-// rest is for tasks that start before their effect is seen.
+// setpoint is the share of the tolerated slowdown that the guard aims at. The
+// rest is a margin for tasks that start before their effect is measured.
 const setpoint = 0.8
 
-// naivePause gives the naive guard the same patience as the other one: what
-// differs is that it evicts the newest task and does not throttle.
+// naiveEvictionInterval is the minimum time between evictions by the naive guard.
+// It equals the interval between actions of the other guard, so that the two
+// differ only in that the naive one evicts the newest task and never throttles.
 const naiveEvictionInterval = 3 * time.Second
 
+// learn updates the estimates from one latency measurement.
 func (i *interference) learn(factor float64, running []*attempt) {
 	if i.estimate == nil {
 		i.estimate, i.table = map[units.JobKind]float64{}, dispatch.Interference{}
@@ -60,20 +62,20 @@
 	}
 }
 
-// guard is a fake of the agent's control loop. It runs every second on latency
-// that is two seconds old.
+// guard simulates one pass of the agent's control loop, which runs every second
+// on latency that is two seconds old.
 func (m *machine) guard(x *simulation) {
 	if !m.alive {
 		return
 	}
-	seen := m.delayedRatios[0]
+	measured := m.delayedRatios[0]
 	m.delayedRatios = [3]float64{m.delayedRatios[1], m.delayedRatios[2], m.latencyRatio}
-	if seen == 0 {
+	if measured == 0 {
 		return
 	}
 	ratio := x.document.Guards.LatencyRatio
 	if x.version == Naive {
-		if a := m.newestBatchAttempt(); seen > ratio && a != nil && x.elapsed-m.lastAction >= naiveEvictionInterval {
+		if a := m.newestBatchAttempt(); measured > ratio && a != nil && x.elapsed-m.lastAction >= naiveEvictionInterval {
 			m.lastAction = x.elapsed
 			m.evict(x, a.task, "latency", true)
 		}
@@ -86,13 +88,13 @@
 		}
 	}
 	if x.elapsed-m.lastAction < 3*time.Second {
-		return // the measurement is from before the last action
+		return // the measurement predates the last action
 	}
 	switch {
-	case seen > 1+(ratio-1)*0.95:
+	case measured > 1+(ratio-1)*0.95:
 		m.lastAction = x.elapsed
-		m.reduceInterference(x, max(0.5, setpoint*(ratio-1)/(seen-1)))
-	case seen < 1+(ratio-1)*setpoint*0.75:
+		m.reduceInterference(x, max(0.5, setpoint*(ratio-1)/(measured-1)))
+	case measured < 1+(ratio-1)*setpoint*0.75:
 		var least *attempt
 		for _, a := range m.running {
 			if a.throttle < 1 && (least == nil || x.interference.slowdown(a) < x.interference.slowdown(least)) {
@@ -106,13 +108,14 @@
 	}
 }
 
-// relieve throttles the attempt that slows the endpoint most by what is known
-// in proportion to the excess, or evicts it when it is throttled already.
+// reduceInterference multiplies the throttle of the attempt with the largest
+// estimated slowdown by the factor by. It evicts the attempt if it is already
+// throttled to 0.2 or less.
 func (m *machine) reduceInterference(x *simulation, by float64) {
 	var worst *attempt
 	most := minSlowdown
 	if m.processorLoad > contentionThreshold {
-		most = 0 // processors are short, so any task contributes
+		most = 0 // processors are scarce, so every task contributes
 	}
 	for _, a := range m.running {
 		if a.spec.kind == nil || a.priority >= units.PriorityUrgent {
@@ -131,6 +134,8 @@
 	}
 }
 
+// newestBatchAttempt returns the batch attempt that started last, or nil.
+// newestBatchAttempt returns the batch attempt that started last, or nil.
 func (m *machine) newestBatchAttempt() *attempt {
 	for i := len(m.running) - 1; i >= 0; i-- {
 		if m.running[i].spec.kind != nil {
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -10,27 +10,27 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// machine is a worker with its agent and endpoint.
+// machine simulates a worker with its agent and endpoint.
 type machine struct {
 	id            units.WorkerID
 	epoch         units.Epoch
 	domain        units.DomainName
 	rack          units.RackName
 	alive         bool
-	leaving       bool // the domain is out of service
+	leaving       bool // the failure domain is out of service
 	failing       bool
 	running       []*attempt
-	reports       [][]byte // for the next heartbeat
+	reports       [][]byte // entries to send with the next heartbeat
 	reported      dispatch.Worker
 	reportedAt    time.Duration
-	latencyRatio  float64 // latency with batch over without, now
+	latencyRatio  float64 // current endpoint latency with batch divided by latency without
 	delayedRatios [3]float64
 	lastAction    time.Duration
-	memoryUse     float64 // share in use
-	processorLoad float64 // processors in use, over capacity
+	memoryUse     float64 // share of the capacity in use
+	processorLoad float64 // processors requested divided by capacity
 }
 
-// attempt is a running attempt of a task.
+// attempt is a running attempt of a task on a machine.
 type attempt struct {
 	task      units.Task
 	attempt   units.Attempt
@@ -42,15 +42,15 @@
 	throttle  float64
 }
 
-// Fixed properties of the fakes.
+// Properties of the simulated machines.
 const (
 	checkpointInterval = 30.0 // seconds of work
-	memoryRampUp       = 10.0 // seconds until a task uses all its memory
-	startupTime        = 3.0  // seconds without progress at each start: loading a program and gigabytes of input or checkpoint
-	failureDelay       = 4.0  // seconds, on a worker that fails everything
-	// The interference model: an endpoint's latency is its base latency times
-	// 1 + the noise of the tasks beside it + contention * (use of processors
-	// above calm).
+	memoryRampUp       = 10.0 // seconds until a task uses all of its memory
+	startupTime        = 3.0  // seconds without progress at each start, for loading the program and gigabytes of input or checkpoint
+	failureDelay       = 4.0  // seconds until a task fails on the failing worker
+	// Interference model: the latency of an endpoint is its base latency times
+	// 1 + the slowdowns of the tasks on the same worker + contentionFactor *
+	// (processor load above contentionThreshold).
 	contentionThreshold = 0.85
 	contentionFactor    = 2.0
 )
@@ -59,7 +59,7 @@
 	return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch}
 }
 
-// committed is what the agent has admitted.
+// committed returns the resources of the endpoint and of all admitted attempts.
 func (m *machine) committed(f Cluster) units.Resources {
 	sum := f.Endpoint
 	for _, a := range m.running {
@@ -68,10 +68,10 @@
 	return sum
 }
 
-// launch admits the attempt or rejects it.
+// launch admits or rejects an attempt.
 func (m *machine) launch(x *simulation, p dispatch.Proposal) {
 	if !m.alive || m.epoch != p.WorkerEpoch.Epoch {
-		return // unanswered; the end of the epoch releases it
+		return // no reply; the attempt is released when the epoch ends
 	}
 	j := x.ledger.Job(p.Task.Job)
 	if j == nil || j.EndSequence != 0 {
@@ -99,7 +99,7 @@
 	}
 }
 
-// run advances the attempts by one step.
+// run advances all attempts by one step.
 func (m *machine) run(x *simulation) {
 	if !m.alive {
 		return
@@ -136,7 +136,7 @@
 	m.running = kept
 }
 
-// advance runs one attempt for a step and reports whether it ended.
+// advance runs one attempt for one step and reports whether the attempt ended.
 func (m *machine) advance(x *simulation, a *attempt, speed float64) bool {
 	a.age += step.Seconds()
 	if a.age < startupTime {
@@ -164,12 +164,15 @@
 	return true
 }
 
+// fail reports a failed attempt.
+// fail reports a failed attempt.
 func (m *machine) fail(x *simulation, a *attempt, reason string) {
 	x.measures.failures++
 	m.reports = append(m.reports, ledger.EncodeReleased(a.task, a.attempt, ledger.Release{Reason: reason, CountsAsFailure: true}))
 }
 
-// kill ends the attempt that exceeds its committed memory most.
+// kill fails the attempt that exceeds its committed memory most, as the kernel
+// does when memory is exhausted.
 func (m *machine) kill(x *simulation) {
 	if a := m.largestMemoryExcess(); a != nil {
 		m.fail(x, a, "out of memory")
@@ -177,6 +180,10 @@
 	}
 }
 
+// largestMemoryExcess returns the batch attempt that exceeds its committed memory
+// most, or nil.
+// largestMemoryExcess returns the batch attempt that exceeds its committed memory
+// most, or nil.
 func (m *machine) largestMemoryExcess() *attempt {
 	var worst *attempt
 	most := 0.0
@@ -197,7 +204,7 @@
 	}
 }
 
-// evict stops the attempt of a task, with a fresh checkpoint or without.
+// evict stops the attempt of a task, optionally after writing a checkpoint.
 func (m *machine) evict(x *simulation, task units.Task, reason string, checkpoint bool) {
 	for _, a := range m.running {
 		if a.task != task {
@@ -215,7 +222,8 @@
 	}
 }
 
-// heartbeat publishes the worker's row and hands the reports over.
+// heartbeat updates the worker's row for the scheduler and records the pending
+// reports.
 func (m *machine) heartbeat(x *simulation) {
 	if !m.alive {
 		return
@@ -236,8 +244,9 @@
 	m.reportedAt = x.elapsed
 }
 
-// leave obeys a domain that operators took out of service. The product moves
-// its work with checkpoints; the naive agent runs on until the instance goes.
+// leave is called when operators take the failure domain out of service. The
+// product evicts its tasks with checkpoints; the naive agent runs them until the
+// instance stops.
 func (m *machine) leave(x *simulation) {
 	m.leaving = true
 	if x.version == Naive {
@@ -248,7 +257,8 @@
 	}
 }
 
-// crash loses the instance with what ran; its lessor records the expiry.
+// crash ends the instance and everything that runs on it. The lessor records the
+// lease expiry later.
 func (m *machine) crash(x *simulation) {
 	h := m.workerEpoch()
 	m.alive, m.running, m.reports = false, nil, nil
@@ -257,6 +267,8 @@
 	x.events[at] = append(x.events[at], func() { x.endedEpochs[h] = true })
 }
 
+// join starts a new instance with the next epoch.
+// join starts a new instance with the next epoch.
 func (m *machine) join() {
 	m.epoch++
 	m.alive, m.leaving = true, false
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -8,10 +8,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// measures accumulates what a run shows.
+// measures accumulates the measurements of a run.
 type measures struct {
 	finished         float64
-	work             float64 // core seconds done, also by attempts that are lost later
+	work             float64 // core seconds done, including attempts that are lost later
 	ended            int
 	evictions        int
 	failures         int
@@ -19,10 +19,10 @@
 	urgentStart      time.Duration
 
 	latency, quiet *hdrhistogram.Histogram
-	lastWatched    map[units.JobID]time.Duration // last seen running, from the first start on
+	lastWatched    map[units.JobID]time.Duration // time at which each watcher last ran, from its first start on
 	unwatched      time.Duration
-	workAt         map[time.Duration]float64 // work done at that time
-	coresBefore    float64                   // cores committed in the domain before its absence
+	workAt         map[time.Duration]float64 // work done up to that time
+	coresBefore    float64                   // sum over samples of the cores committed in the domain before its absence
 	samples        int
 	backToFull     time.Duration
 }
@@ -32,8 +32,8 @@
 	m.lastWatched, m.workAt, m.backToFull = map[units.JobID]time.Duration{}, map[time.Duration]float64{}, -1
 }
 
-// Requests: a log-normal service time, whose sigma gives a p99 of 2.3 times the
-// median without batch.
+// serviceTimeSigma is the sigma of the log-normal service time of requests. It
+// gives a p99 of 2.3 times the median without batch.
 const serviceTimeSigma = 0.35
 
 func (m *measures) sample(x *simulation) {
@@ -66,10 +66,11 @@
 	}
 }
 
-// sampleDomain watches the domain that leaves: the processors committed to
-// batch there in the minute before, and when they first reach 95% of that after
-// its return. What throttles leave idle is not counted, because it depends on
-// which tasks happen to run.
+// sampleDomain measures the domain that is taken out of service: the processors
+// committed to batch there in the minute before, and the time after its return
+// at which they first reach 95% of that. It counts committed processors, not used
+// ones, because the share that throttling leaves unused depends on which tasks
+// happen to run.
 func (m *measures) sampleDomain(x *simulation) {
 	cores := 0.0
 	for _, c := range x.machines {
@@ -107,9 +108,9 @@
 				remaining++
 			}
 		}
-		// The worker that crashed is missing in the two minutes before the
-		// absence and back during it. Earlier minutes would flatter, because
-		// sizes are not learned yet.
+		// The crashed worker is missing in the two minutes before the absence and
+		// is back during it. Earlier minutes are not used: sizes are not learned
+		// then, so the result would look better than it is.
 		perWorker := (x.measures.workAt[absentFrom] - x.measures.workAt[absentFrom-2*time.Minute]) / 120 / float64(len(x.machines)-1)
 		share := perWorker * float64(remaining) * (absentTo - absentFrom).Seconds()
 		r.AbsenceShare = (x.measures.workAt[absentTo] - x.measures.workAt[absentFrom]) / share
--- a/internal/trial/naive.go
+++ b/internal/trial/naive.go
@@ -9,13 +9,14 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// naive assigns in order of submission, first fit on declared sizes from a
-// round-robin position, learns nothing and repeats at once.
+// naive is the baseline scheduler. It assigns tasks in order of submission to the
+// first worker that fits their declared size, starting at a round-robin position.
+// It learns nothing and retries failed tasks at once.
 type naive struct {
 	next int
 }
 
-// naiveVisits bounds the tasks read in one tick.
+// maxNaiveVisits is the maximum number of tasks considered in one tick.
 const maxNaiveVisits = 300
 
 func (n *naive) Tick(in dispatch.Input) []dispatch.Proposal {
@@ -42,6 +43,8 @@
 	return out
 }
 
+// waitingJobs returns the jobs with waiting tasks, in order of submission.
+// waitingJobs returns the jobs with waiting tasks, in order of submission.
 func waitingJobs(l *ledger.Ledger) []*ledger.Job {
 	var jobs []*ledger.Job
 	for _, name := range l.Teams() {
@@ -53,6 +56,8 @@
 	return jobs
 }
 
+// place proposes the next worker with sufficient free resources for the task.
+// place proposes the next worker with sufficient free resources for the task.
 func (n *naive) place(in dispatch.Input, free []units.Resources, j *ledger.Job, index uint32) (dispatch.Proposal, bool) {
 	for range free {
 		n.next = (n.next + 1) % len(free)
@@ -67,6 +72,8 @@
 	return dispatch.Proposal{}, false
 }
 
+// releaseExpired proposes the release of all tasks whose worker epoch has ended.
+// releaseExpired proposes the release of all tasks whose worker epoch has ended.
 func (n *naive) releaseExpired(in dispatch.Input) []dispatch.Proposal {
 	var out []dispatch.Proposal
 	for h := range in.Ledger.WorkerEpochs() {
--- a/internal/trial/fixture.go
+++ b/internal/trial/simulation.go
@@ -12,12 +12,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// scheduler is what the versions differ in.
+// scheduler is the part that differs between versions.
 type scheduler interface {
 	Tick(dispatch.Input) []dispatch.Proposal
 }
 
-// fixture is one run: the real ledger and a scheduler between fakes.
+// simulation is one run of a scheduler and the real ledger; everything around
+// them is a fake.
 type simulation struct {
 	cluster   Cluster
 	scenario  Scenario
@@ -26,25 +27,25 @@
 	ledger    *ledger.Ledger
 	document  *environment.Document
 
-	arrivalRand  *rand.Rand // arrivals and sizes: the same for every version
-	requestRand  *rand.Rand // requests: the same for every version
+	arrivalRand  *rand.Rand // source of arrivals and sizes, equal for all versions
+	requestRand  *rand.Rand // source of request latencies and lease times, equal for all versions
 	elapsed      time.Duration
 	offset       units.Offset
 	events       map[time.Duration][]func()
-	unrecorded   [][]byte // entries of agents that wait for the log
+	unrecorded   [][]byte // entries of agents, not yet appended to the log
 	machines     []*machine
 	kinds        []kind
 	jobs         map[units.JobID]*jobSpec
-	checkpoints  map[units.Task]float64 // work up to the last checkpoint
+	checkpoints  map[units.Task]float64 // work done up to the last checkpoint
 	endedEpochs  map[ledger.WorkerEpoch]bool
 	interference *interference
 	measures     measures
 	workerRows   []dispatch.Worker
 	nextJob      int
-	workDue      float64 // core seconds of work to be submitted
+	workDue      float64 // core seconds of work not yet submitted
 }
 
-// spec is the truth about a job's tasks.
+// jobSpec is the actual resource use and work of each task of a job.
 type jobSpec struct {
 	kind        *kind
 	cores       float64
@@ -79,7 +80,8 @@
 
 func domainName(i int) units.DomainName { return units.DomainName(fmt.Sprint("domain-", i)) }
 
-// document is the environment with domain-0 in the given state.
+// document returns the configuration of the environment with domain-0 in the
+// given state.
 func document(f Cluster, first environment.DomainState) *environment.Document {
 	worker := f.Capacity.Sub(f.Endpoint)
 	all := units.Resources{Processors: worker.Processors * units.Millicores(f.Workers), Memory: worker.Memory * units.Bytes(f.Workers)}
@@ -97,7 +99,7 @@
 
 func teamName(i int) units.TeamName { return units.TeamName(fmt.Sprint("team-", i)) }
 
-// schedule enters the events of the case.
+// scheduleEvents adds the events of the scenario.
 func (x *simulation) scheduleEvents() {
 	at := func(t time.Duration, f func()) { x.events[t] = append(x.events[t], f) }
 	if !x.scenario.LogOutage {
@@ -114,8 +116,8 @@
 			if m.domain != domainName(0) {
 				continue
 			}
-			// Freshness of the configuration lets agents obey within 3 s; the
-			// instances go a while later.
+			// Agents receive the new configuration within 3 s; the instances stop
+			// later.
 			at(absentFrom+3*time.Second, func() { m.leave(x) })
 			at(absentFrom+30*time.Second, func() { m.crash(x) })
 			at(absentTo, m.join)
@@ -128,7 +130,7 @@
 	}
 }
 
-// after runs f a number of steps later.
+// after runs f the given number of steps later.
 func (x *simulation) after(steps int, f func()) {
 	t := x.elapsed + time.Duration(steps)*step
 	x.events[t] = append(x.events[t], f)
@@ -138,18 +140,19 @@
 	return !x.scenario.LogOutage || x.elapsed < outageFrom || x.elapsed >= outageTo
 }
 
-// record appends an entry of an agent, which repeats it until the log is back.
-// One step stands for group commit, another for the reader.
+// record queues an entry of an agent, which retries the append until the log is
+// reachable. The entry is applied two steps after its append: one step for the
+// group commit and one for the reader.
 func (x *simulation) record(entry []byte) { x.unrecorded = append(x.unrecorded, entry) }
 
 func (x *simulation) apply(entry []byte) {
 	x.offset++
 	if err := x.ledger.Apply(x.offset, entry); err != nil {
-		panic(err) // the fixture encodes no malformed entry
+		panic(err) // the simulation encodes no malformed entry
 	}
 }
 
-// step advances the clock by 50 ms.
+// step advances the clock by one step (50 ms).
 func (x *simulation) step() {
 	x.elapsed += step
 	for _, f := range x.events[x.elapsed] {
@@ -203,13 +206,13 @@
 	}
 }
 
-// accept applies a proposal and, when it won, launches the attempt.
+// accept applies a proposal and launches the attempt if the ledger accepted it.
 func (x *simulation) accept(p dispatch.Proposal, entry []byte) {
 	old := x.ledger.Task(p.Task)
 	waited := old != nil && old.State.Waiting()
 	x.apply(entry)
 	if p.Action != dispatch.Assign || !waited {
-		return // or the same proposal has won before
+		return // otherwise the same proposal was accepted before
 	}
 	t := x.ledger.Task(p.Task)
 	if t == nil || t.State != ledger.Assigned || t.Attempt != p.Attempt || t.Worker != p.WorkerEpoch.Worker || t.Epoch != p.WorkerEpoch.Epoch {
@@ -222,7 +225,7 @@
 	}
 }
 
-// observe counts what the fold accepted.
+// observe counts the tasks whose end the ledger accepted.
 func (x *simulation) observe(c ledger.Change) {
 	if c.Reason != "" || c.Kind != "ended" {
 		return
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Targets of the trial. They are fixed; a result that misses one is printed as
+// Targets of the trial, which are fixed. A result below its target is printed as
 // missed.
 const (
 	targetOfIdeal   = 0.90
@@ -17,11 +17,11 @@
 	targetReturn    = 30 * time.Second
 	targetLatency   = 1.2
 	targetUrgent    = 1400 * time.Millisecond
-	// One lease and one start, taken as the 1.4 s in which urgent work starts.
+	// One lease plus one start, for which the target of urgent starts is used.
 	targetUnwatched = lease + targetUrgent
 )
 
-// line is one row of the table.
+// row is one row of the printed table.
 type row struct {
 	name           string
 	product, naive float64
@@ -30,7 +30,7 @@
 	met            bool
 }
 
-// lines lists the measures of a case.
+// rows returns the measurements of a scenario.
 func (c Comparison) rows() []row {
 	p, n, i := c.Results[Product], c.Results[Naive], c.Results[Ideal]
 	evictions := float64(p.Evictions) / max(1, float64(n.Evictions))
@@ -51,6 +51,8 @@
 	return out
 }
 
+// quotient returns a / b, or 0 if b is 0.
+// quotient returns a / b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -58,8 +60,9 @@
 	return a / b
 }
 
-// Print writes the table of a firm: the means over the seeds, and met only
-// where every seed meets the target. It returns how many lines do.
+// Print writes the table of a cluster. Figures are means over the seeds; a target
+// is met only if every seed meets it. Print returns the number of targets met and
+// the total number of targets.
 func Print(w io.Writer, f Cluster, seeds [][]Comparison) (met, total int) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\tmeasure\tproduct\tnaive\tratio\ttarget\t\n", f.Name)
@@ -82,6 +85,6 @@
 			fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%s\t%s\n", c.Name, l.name, mean.product, mean.naive, mean.ratio, l.target, verdict)
 		}
 	}
-	_ = t.Flush() // as with every other write to a report on standard output
+	_ = t.Flush() // write errors of reports on standard output are ignored
 	return met, total
 }
--- a/internal/trial/work.go
+++ b/internal/trial/work.go
@@ -11,19 +11,20 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// kind is the truth about a job kind.
+// kind is the actual behaviour of the tasks of a job kind.
 type kind struct {
 	name           string
 	cores          float64
 	memory         float64
 	work           float64 // seconds
-	slowdown       float64 // latency ratio that a task adds to the endpoint beside it
-	declaredFactor float64 // factor by which owners overstate sizes
-	wrongFactor    float64 // the same when declarations are badly off
+	slowdown       float64 // added to the latency ratio of the endpoint on the same worker
+	declaredFactor float64 // declared size divided by actual size
+	wrongFactor    float64 // the same in the scenario with wrong sizes
 }
 
-// kinds draws a dozen kinds, three of them noisy. Owners overstate sizes by up
-// to 2.5 times in every case; in one case by 0.1 to 10 times.
+// kinds returns twelve random kinds, three of which interfere strongly. Declared
+// sizes are 1 to 2.5 times the actual size, and 0.1 to 10 times in the scenario
+// with wrong sizes.
 func kinds(r *rand.Rand, f Cluster) []kind {
 	var all []kind
 	perCore := float64(f.Capacity.Memory-f.Endpoint.Memory) / float64(f.Capacity.Processors-f.Endpoint.Processors) * 1000
@@ -39,20 +40,21 @@
 	return all
 }
 
-// arrive submits jobs so that the offered work follows the load of the case.
+// submitArrivals submits jobs so that the offered work matches the load of the
+// scenario.
 func (x *simulation) submitArrivals() {
 	perWorker := float64(x.cluster.Capacity.Processors-x.cluster.Endpoint.Processors) / 1000
 	x.workDue += x.scenario.Load * perWorker * float64(x.cluster.Workers) * step.Seconds()
 	for x.workDue > 0 {
 		k := &x.kinds[x.arrivalRand.IntN(len(x.kinds))]
 		if k.slowdown > 0.1 && x.arrivalRand.IntN(3) > 0 {
-			continue // noisy kinds are rarer outside waves
+			continue // strongly interfering kinds are rarer outside the bursts
 		}
 		x.submit(k, 1+x.arrivalRand.IntN(8))
 	}
 }
 
-// wave submits a burst of one noisy kind.
+// submitWave submits a burst of one strongly interfering kind.
 func (x *simulation) submitWave() {
 	k := &x.kinds[3+4*x.arrivalRand.IntN(3)]
 	for range 10 {
@@ -60,8 +62,8 @@
 	}
 }
 
-// submit enters one job. Every version draws the same numbers, so all of them
-// see the same work.
+// submit submits one job. All versions draw the same random numbers and so get
+// the same work.
 func (x *simulation) submit(k *kind, tasks int) {
 	x.nextJob++
 	id := units.JobID(fmt.Sprint("job-", x.nextJob))
@@ -77,16 +79,16 @@
 	entry := ledger.EncodeSubmitted(&wire.JobSubmitted{Job: string(id), Team: string(name), Tasks: uint32(tasks), Spec: &wire.TaskSpec{
 		Kind: wire.TaskKind_TASK_KIND_BATCH, Priority: priority, JobKind: k.name, Size: wire.FromResources(x.declaredSize(s)),
 		RunMilliseconds: int64(s.work * 1000)}})
-	if x.logReachable() { // without a log nothing is accepted, and the caller submits again
+	if x.logReachable() { // while the log is unreachable no job is accepted; the caller retries afterwards
 		x.apply(entry)
 		return
 	}
 	x.events[outageTo] = append(x.events[outageTo], func() { s.submittedAt = x.elapsed; x.apply(entry) })
 }
 
-// declared is the size that the owner declares. A size that exceeds what a
-// worker holds beside its endpoint is turned down at submission, so owners
-// declare at most that.
+// declaredSize returns the size that the owner of a job declares. Submission
+// rejects a size above the capacity that a worker has left beside its endpoint,
+// so the declared size is limited to it.
 func (x *simulation) declaredSize(s *jobSpec) units.Resources {
 	factor := s.kind.declaredFactor
 	switch {
@@ -100,14 +102,14 @@
 		Memory: min(most.Memory, units.Bytes(s.memory*factor))}
 }
 
-// requests is how busy an endpoint is with requests, as a share of what it
-// reserves.
+// requestLoad returns the load of an endpoint by requests, as a share of its
+// reservation.
 func (x *simulation) requestLoad(m *machine) float64 {
 	if !x.scenario.LoadShift {
 		return 0.4
 	}
-	// The peak moves to another domain every two minutes and exceeds what is
-	// reserved, so it takes from what batch leaves idle.
+	// The peak moves to another domain every two minutes. It exceeds the
+	// reservation and so uses processors that batch leaves free.
 	if domainName(int(x.elapsed/(2*time.Minute))%3) == m.domain {
 		return 1.4
 	}
