--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -55,9 +55,7 @@
 	contentionFactor    = 2.0
 )
 
-func (m *machine) workerEpoch() ledger.WorkerEpoch {
-	return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch}
-}
+func (m *machine) epochKey() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
 
 // committed returns the resources of the endpoint and of all admitted attempts.
 func (m *machine) committed(f Cluster) units.Resources {
@@ -104,19 +102,19 @@
 	if !m.alive {
 		return
 	}
-	cores, memory, noise := x.requestLoad(m)*float64(x.cluster.Endpoint.Processors)/1000, float64(x.cluster.Endpoint.Memory), 0.0
+	cores, memory, slowdown := x.requestLoad(m)*float64(x.cluster.Endpoint.Processors)/1000, float64(x.cluster.Endpoint.Memory), 0.0
 	endpoint := cores
 	for _, a := range m.running {
 		cores += a.spec.cores * a.throttle
 		memory += a.spec.memory * min(1, a.age/memoryRampUp)
 		if a.spec.kind != nil {
-			noise += a.spec.kind.slowdown * a.throttle
+			slowdown += a.spec.kind.slowdown * a.throttle
 		}
 	}
 	capacity := float64(x.cluster.Capacity.Processors) / 1000
 	m.memoryUse = memory / float64(x.cluster.Capacity.Memory)
 	m.processorLoad = cores / capacity
-	m.latencyRatio = 1 + noise + contentionFactor*max(0, min(1, m.processorLoad)-contentionThreshold)
+	m.latencyRatio = 1 + slowdown + contentionFactor*max(0, min(1, m.processorLoad)-contentionThreshold)
 	speed := 1.0
 	if x.version == Ideal {
 		m.latencyRatio = 1
@@ -260,7 +258,7 @@
 // crash ends the instance and everything that runs on it. The lessor records the
 // lease expiry later.
 func (m *machine) crash(x *simulation) {
-	h := m.workerEpoch()
+	h := m.epochKey()
 	m.alive, m.running, m.reports = false, nil, nil
 	sinceGrant := time.Duration(x.requestRand.Int64N(int64(lease/4/step))) * step
 	at := x.elapsed + lease + leaseMargin - sinceGrant
