--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -55,7 +55,8 @@
 	contentionFactor    = 2.0
 )
 
-func (m *machine) epochKey() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
+// key identifies the current epoch of the worker.
+func (m *machine) key() ledger.WorkerEpoch { return ledger.WorkerEpoch{Worker: m.id, Epoch: m.epoch} }
 
 // committed returns the resources of the endpoint and of all admitted attempts.
 func (m *machine) committed(f Cluster) units.Resources {
@@ -258,7 +259,7 @@
 // crash ends the instance and everything that runs on it. The lessor records the
 // lease expiry later.
 func (m *machine) crash(x *simulation) {
-	h := m.epochKey()
+	h := m.key()
 	m.alive, m.running, m.reports = false, nil, nil
 	sinceGrant := time.Duration(x.requestRand.Int64N(int64(lease/4/step))) * step
 	at := x.elapsed + lease + leaseMargin - sinceGrant
