--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -27,7 +27,7 @@
 	epoch units.Epoch
 }
 
-func (f *fixture) sleep(d time.Duration) { f.clock.Add(int64(d)); f.core.Advance() }
+func (f *fixture) advance(d time.Duration) { f.clock.Add(int64(d)); f.core.Advance() }
 
 func (f *fixture) now() workerapi.Clock { return workerapi.Clock(f.clock.Load()) }
 
@@ -51,7 +51,7 @@
 	},
 }
 
-func contract(t *testing.T, test func(t *testing.T, ctx context.Context, f *fixture)) {
+func eachImplementation(t *testing.T, test func(t *testing.T, ctx context.Context, f *fixture)) {
 	for name, implementation := range implementations {
 		t.Run(name, func(t *testing.T) {
 			f := &fixture{}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (f *fixture) row(t *testing.T) workerapi.Task {
+func (f *fixture) onlyTask(t *testing.T) workerapi.Task {
 	t.Helper()
 	table, err := f.Tasks(context.Background())
 	if err != nil || len(table.Tasks) != 1 {
@@ -77,7 +77,7 @@
 	return table.Tasks[0]
 }
 
-func wantKind(t *testing.T, what string, err error, want workerapi.Kind) {
+func wantErrorKind(t *testing.T, what string, err error, want workerapi.Kind) {
 	t.Helper()
 	if want == "" && err == nil {
 		return
@@ -90,17 +90,17 @@
 // Guards against tasks that outlive their lease, are extended by a late
 // renewal, or make progress while the worker's process was paused.
 func TestLeaseLapses(t *testing.T) {
-	contract(t, func(t *testing.T, ctx context.Context, f *fixture) {
-		wantKind(t, "start", f.Start(ctx, f.request(1)), "")
-		f.sleep(time.Second)
+	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
+		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
+		f.advance(time.Second)
 		f.clock.Add(int64(time.Minute)) // paused: no ticks in between
-		task := f.row(t)
+		task := f.onlyTask(t)
 		if task.State != workerapi.Expired || task.Ran != time.Second {
 			t.Errorf("got %s after %s, want expired after 1s", task.State, task.Ran)
 		}
 		_, err := f.Renew(ctx, f.epoch, f.now()+workerapi.Clock(time.Hour), []units.Task{task.Task})
-		wantKind(t, "late renewal", err, "")
-		if got := f.row(t).State; got != workerapi.Expired {
+		wantErrorKind(t, "late renewal", err, "")
+		if got := f.onlyTask(t).State; got != workerapi.Expired {
 			t.Errorf("after a late renewal: got %s, want expired", got)
 		}
 		run := f.core.Runs()[0]
@@ -112,8 +112,8 @@
 
 // Guards against a worker that obeys a former holder.
 func TestStaleEpochIsFenced(t *testing.T) {
-	contract(t, func(t *testing.T, ctx context.Context, f *fixture) {
-		wantKind(t, "start", f.Start(ctx, f.request(1)), "")
+	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
+		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
 		if _, err := f.Hold(ctx, "agent-2"); err != nil {
 			t.Fatal(err)
 		}
@@ -127,11 +127,11 @@
 			"stop":       func() error { return f.Stop(ctx, old, task, 1) },
 			"forget":     func() error { return f.Forget(ctx, old, task, 1) },
 		}
-		before := f.row(t)
+		before := f.onlyTask(t)
 		for name, call := range calls {
-			wantKind(t, name, call(), workerapi.Fenced)
+			wantErrorKind(t, name, call(), workerapi.Fenced)
 		}
-		if got := f.row(t); got != before {
+		if got := f.onlyTask(t); got != before {
 			t.Errorf("fenced calls changed the task: got %+v, want %+v", got, before)
 		}
 	})
@@ -148,31 +148,31 @@
 		want    workerapi.TaskState // "" when the row is gone
 	}{
 		{"start", nil, func(ctx context.Context, f *fixture) error { return f.Start(ctx, f.request(1)) }, workerapi.Running},
-		{"renew", startOne, func(ctx context.Context, f *fixture) error {
+		{"renew", startTask, func(ctx context.Context, f *fixture) error {
 			_, err := f.Renew(ctx, f.epoch, 1<<50, []units.Task{task})
 			return err
 		}, workerapi.Running},
-		{"throttle", startOne, func(ctx context.Context, f *fixture) error { return f.Throttle(ctx, f.epoch, task, 1, 0.5) }, workerapi.Running},
-		{"checkpoint", startOne, func(ctx context.Context, f *fixture) error {
+		{"throttle", startTask, func(ctx context.Context, f *fixture) error { return f.Throttle(ctx, f.epoch, task, 1, 0.5) }, workerapi.Running},
+		{"checkpoint", startTask, func(ctx context.Context, f *fixture) error {
 			_, err := f.Checkpoint(ctx, f.epoch, task, 1, true)
 			return err
 		}, workerapi.Checkpointed},
-		{"stop", startOne, func(ctx context.Context, f *fixture) error { return f.Stop(ctx, f.epoch, task, 1) }, workerapi.Stopped},
-		{"activate", standbyOne, func(ctx context.Context, f *fixture) error { return f.Activate(ctx, f.epoch, task, 1, 2) }, workerapi.Running},
+		{"stop", startTask, func(ctx context.Context, f *fixture) error { return f.Stop(ctx, f.epoch, task, 1) }, workerapi.Stopped},
+		{"activate", startStandby, func(ctx context.Context, f *fixture) error { return f.Activate(ctx, f.epoch, task, 1, 2) }, workerapi.Running},
 		{"forget", func(ctx context.Context, f *fixture) error {
-			return errors.Join(startOne(ctx, f), f.Stop(ctx, f.epoch, task, 1))
+			return errors.Join(startTask(ctx, f), f.Stop(ctx, f.epoch, task, 1))
 		}, func(ctx context.Context, f *fixture) error { return f.Forget(ctx, f.epoch, task, 1) }, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.op, func(t *testing.T) {
-			contract(t, func(t *testing.T, ctx context.Context, f *fixture) {
+			eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 				if c.prepare != nil {
-					wantKind(t, "prepare", c.prepare(ctx, f), "")
+					wantErrorKind(t, "prepare", c.prepare(ctx, f), "")
 				}
 				f.core.SetFaults(Faults{LoseReplies: 1, LoseOp: c.op})
-				wantKind(t, "reply lost", c.call(ctx, f), workerapi.Unknown)
+				wantErrorKind(t, "reply lost", c.call(ctx, f), workerapi.Unknown)
 				first, _ := f.Tasks(ctx)
-				wantKind(t, "repeat", c.call(ctx, f), "")
+				wantErrorKind(t, "repeat", c.call(ctx, f), "")
 				second, _ := f.Tasks(ctx)
 				if len(first.Tasks) != len(second.Tasks) || len(second.Tasks) > 0 && first.Tasks[0] != second.Tasks[0] {
 					t.Errorf("the repeat changed the table: got %+v, want %+v", second, first)
@@ -185,9 +185,9 @@
 	}
 }
 
-func startOne(ctx context.Context, f *fixture) error { return f.Start(ctx, f.request(1)) }
+func startTask(ctx context.Context, f *fixture) error { return f.Start(ctx, f.request(1)) }
 
-func standbyOne(ctx context.Context, f *fixture) error {
+func startStandby(ctx context.Context, f *fixture) error {
 	r := f.request(1)
 	r.Standby = true
 	return f.Start(ctx, r)
@@ -196,67 +196,67 @@
 // Guards against a delayed start that repeats an attempt or brings an older one
 // back, and against a table beyond the worker's capacity.
 func TestStartRules(t *testing.T) {
-	contract(t, func(t *testing.T, ctx context.Context, f *fixture) {
-		wantKind(t, "start", f.Start(ctx, f.request(2)), "")
-		wantKind(t, "duplicate", f.Start(ctx, f.request(2)), "")
-		wantKind(t, "lower attempt", f.Start(ctx, f.request(1)), workerapi.Conflict)
-		wantKind(t, "higher attempt while running", f.Start(ctx, f.request(3)), workerapi.Conflict)
+	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
+		wantErrorKind(t, "start", f.Start(ctx, f.request(2)), "")
+		wantErrorKind(t, "duplicate", f.Start(ctx, f.request(2)), "")
+		wantErrorKind(t, "lower attempt", f.Start(ctx, f.request(1)), workerapi.Conflict)
+		wantErrorKind(t, "higher attempt while running", f.Start(ctx, f.request(3)), workerapi.Conflict)
 		large := f.request(1)
 		large.Task.Index, large.Size.Processors = 1, 3001
-		wantKind(t, "too large", f.Start(ctx, large), workerapi.Full)
+		wantErrorKind(t, "too large", f.Start(ctx, large), workerapi.Full)
 		late := f.request(1)
 		late.Task.Index, late.LeaseUntil = 1, f.now()
-		wantKind(t, "lease over", f.Start(ctx, late), workerapi.Conflict)
-		wantKind(t, "attempt 0", f.Start(ctx, f.request(0)), workerapi.Invalid)
-		wantKind(t, "unknown task", f.Stop(ctx, f.epoch, units.Task{Job: "other"}, 1), workerapi.NotFound)
-		wantKind(t, "forget while running", f.Forget(ctx, f.epoch, f.request(2).Task, 2), workerapi.Conflict)
-		wantKind(t, "stop", f.Stop(ctx, f.epoch, f.request(2).Task, 2), "")
-		wantKind(t, "forget", f.Forget(ctx, f.epoch, f.request(2).Task, 2), "")
-		wantKind(t, "forgotten attempt", f.Start(ctx, f.request(2)), workerapi.Conflict)
-		wantKind(t, "next attempt", f.Start(ctx, f.request(3)), "")
+		wantErrorKind(t, "lease over", f.Start(ctx, late), workerapi.Conflict)
+		wantErrorKind(t, "attempt 0", f.Start(ctx, f.request(0)), workerapi.Invalid)
+		wantErrorKind(t, "unknown task", f.Stop(ctx, f.epoch, units.Task{Job: "other"}, 1), workerapi.NotFound)
+		wantErrorKind(t, "forget while running", f.Forget(ctx, f.epoch, f.request(2).Task, 2), workerapi.Conflict)
+		wantErrorKind(t, "stop", f.Stop(ctx, f.epoch, f.request(2).Task, 2), "")
+		wantErrorKind(t, "forget", f.Forget(ctx, f.epoch, f.request(2).Task, 2), "")
+		wantErrorKind(t, "forgotten attempt", f.Start(ctx, f.request(2)), workerapi.Conflict)
+		wantErrorKind(t, "next attempt", f.Start(ctx, f.request(3)), "")
 	})
 }
 
 // Guards against progress that ignores throttling or is lost at a checkpoint,
 // and against usage that shows without its lag.
 func TestProgress(t *testing.T) {
-	contract(t, func(t *testing.T, ctx context.Context, f *fixture) {
+	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		f.core.ActualSize = func(r workerapi.StartRequest) units.Resources {
 			r.Size.Processors *= 2
 			return r.Size
 		}
 		r := f.request(1)
-		wantKind(t, "start", f.Start(ctx, r), "")
-		f.sleep(time.Second)
-		if got := f.row(t); got.Usage != (units.Resources{}) {
+		wantErrorKind(t, "start", f.Start(ctx, r), "")
+		f.advance(time.Second)
+		if got := f.onlyTask(t); got.Usage != (units.Resources{}) {
 			t.Errorf("usage before the lag: got %v, want none", got.Usage)
 		}
-		f.sleep(time.Second)
-		if got := f.row(t); got.Usage.Processors != 2000 || got.UsageAge != 2*time.Second {
+		f.advance(time.Second)
+		if got := f.onlyTask(t); got.Usage.Processors != 2000 || got.UsageAge != 2*time.Second {
 			t.Errorf("usage: got %v aged %s, want 2 cores aged 2s", got.Usage, got.UsageAge)
 		}
-		wantKind(t, "throttle", f.Throttle(ctx, f.epoch, r.Task, 1, 0.5), "")
-		f.sleep(2 * time.Second) // 3 s of work done
+		wantErrorKind(t, "throttle", f.Throttle(ctx, f.epoch, r.Task, 1, 0.5), "")
+		f.advance(2 * time.Second) // 3 s of work done
 		name, err := f.Checkpoint(ctx, f.epoch, r.Task, 1, true)
-		wantKind(t, "checkpoint", err, "")
+		wantErrorKind(t, "checkpoint", err, "")
 		next := f.request(2)
 		next.Checkpoint = name
-		wantKind(t, "resume", f.Start(ctx, next), "")
-		f.sleep(1900 * time.Millisecond)
-		if got := f.row(t).State; got != workerapi.Running {
+		wantErrorKind(t, "resume", f.Start(ctx, next), "")
+		f.advance(1900 * time.Millisecond)
+		if got := f.onlyTask(t).State; got != workerapi.Running {
 			t.Errorf("before the remaining work is done: got %s, want running", got)
 		}
-		f.sleep(100 * time.Millisecond)
-		if got := f.row(t).State; got != workerapi.Completed {
+		f.advance(100 * time.Millisecond)
+		if got := f.onlyTask(t).State; got != workerapi.Completed {
 			t.Errorf("after the remaining work: got %s, want completed", got)
 		}
 		f.core.SetFaults(Faults{FailTasks: true})
-		wantKind(t, "start on a failing worker", f.Start(ctx, f.request(3)), "")
-		if got := f.row(t); got.State != workerapi.Failed || got.Reason == "" {
+		wantErrorKind(t, "start on a failing worker", f.Start(ctx, f.request(3)), "")
+		if got := f.onlyTask(t); got.State != workerapi.Failed || got.Reason == "" {
 			t.Errorf("failing worker: got %s %q, want failed with a reason", got.State, got.Reason)
 		}
 		f.core.SetFaults(Faults{Unreachable: true})
-		wantKind(t, "unreachable", f.Stop(ctx, f.epoch, r.Task, 3), workerapi.Unknown)
+		wantErrorKind(t, "unreachable", f.Stop(ctx, f.epoch, r.Task, 3), workerapi.Unknown)
 		if found := Overlaps(f.core.Runs()); len(found) != 0 {
 			t.Errorf("overlaps: got %v, want none", found)
 		}
@@ -289,7 +289,7 @@
 			defer server.Close()
 			defer transport.CloseIdleConnections()
 			_, err := (&workerapi.Client{BaseURL: server.URL, HTTP: &http.Client{Transport: transport}}).Tasks(t.Context())
-			wantKind(t, "tasks", err, c.want)
+			wantErrorKind(t, "tasks", err, c.want)
 		})
 	}
 }
--- a/internal/standin/worker/core.go
+++ b/internal/standin/worker/core.go
@@ -37,16 +37,16 @@
 	// declared run time.
 	ActualRunTime func(workerapi.StartRequest) time.Duration
 
-	mu      sync.Mutex
-	origin  time.Time
-	last    workerapi.Clock
-	epoch   units.Epoch
-	holder  string
-	tasks   map[units.Task]*row
-	highest map[units.Task]units.Attempt // highest attempt seen, kept after Forget
-	runs    []Run
-	faults  Faults
-	saved   int
+	mu              sync.Mutex
+	origin          time.Time
+	lastAdvance     workerapi.Clock
+	epoch           units.Epoch
+	holder          string
+	tasks           map[units.Task]*row
+	highest         map[units.Task]units.Attempt // highest attempt seen, kept after Forget
+	runs            []Run
+	faults          Faults
+	checkpointCount int
 }
 
 var _ workerapi.Worker = (*Core)(nil)
@@ -54,12 +54,12 @@
 // row is one task. Once its state is an ended one it never changes again.
 type row struct {
 	workerapi.Task
-	request workerapi.StartRequest
-	target  time.Duration // work to do; 0 runs until stopped
-	done    time.Duration // work done, including that of the checkpoint
-	actual  units.Resources
-	samples []sample // in order of time
-	run     int      // index into runs, -1 while not running
+	request    workerapi.StartRequest
+	workTotal  time.Duration // work to do; 0 runs until stopped
+	workDone   time.Duration // work done, including that of the checkpoint
+	actualSize units.Resources
+	samples    []sample // in order of time
+	run        int      // index into runs, -1 while not running
 }
 
 type sample struct {
@@ -67,14 +67,14 @@
 	usage units.Resources
 }
 
-func (r *row) held() bool {
+func (r *row) active() bool {
 	return r.State == workerapi.Running || r.State == workerapi.Standby
 }
 
 // lock takes the mutex and brings the table up to the present: leases are
 // checked before any progress is counted, so that a process that resumes after
 // a pause runs nothing past its leases.
-func (c *Core) lock() {
+func (c *Core) lockAndAdvance() {
 	c.mu.Lock()
 	if c.tasks == nil {
 		c.tasks = make(map[units.Task]*row)
@@ -95,16 +95,16 @@
 // Advance brings leases and progress up to the present. The server calls it on
 // a ticker; every other method does so first.
 func (c *Core) Advance() {
-	c.lock()
+	c.lockAndAdvance()
 	c.mu.Unlock()
 }
 
 func (c *Core) advance(now workerapi.Clock) {
-	elapsed := time.Duration(now - c.last)
-	from := c.last
-	c.last = now
+	elapsed := time.Duration(now - c.lastAdvance)
+	from := c.lastAdvance
+	c.lastAdvance = now
 	for _, r := range c.tasks {
-		if !r.held() {
+		if !r.active() {
 			continue
 		}
 		if now >= r.LeaseUntil {
@@ -115,8 +115,8 @@
 			continue
 		}
 		r.Ran += elapsed
-		r.done += time.Duration(float64(elapsed) * r.Throttle * c.faults.speed())
-		if r.target > 0 && r.done >= r.target {
+		r.workDone += time.Duration(float64(elapsed) * r.Throttle * c.faults.speed())
+		if r.workTotal > 0 && r.workDone >= r.workTotal {
 			c.end(r, workerapi.Completed, now)
 		}
 	}
@@ -125,7 +125,7 @@
 func (c *Core) end(r *row, state workerapi.TaskState, at workerapi.Clock) {
 	r.State = state
 	if r.run >= 0 {
-		c.runs[r.run].End, c.runs[r.run].Open, c.runs[r.run].State = c.wall(at), false, state
+		c.runs[r.run].End, c.runs[r.run].Open, c.runs[r.run].State = c.wallClock(at), false, state
 		r.run = -1
 	}
 	r.samples = append(r.samples, sample{at: at})
@@ -133,40 +133,40 @@
 
 // Hold implements workerapi.Worker.
 func (c *Core) Hold(ctx context.Context, holder string) (workerapi.Holder, error) {
-	if err := c.before(ctx, "hold"); err != nil {
+	if err := c.applyFaults(ctx, "hold"); err != nil {
 		return workerapi.Holder{}, err
 	}
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
 	if holder == "" {
 		return workerapi.Holder{}, fault.New("hold", workerapi.Invalid, "no holder named")
 	}
 	c.epoch++
 	c.holder = holder
-	return workerapi.Holder{Epoch: c.epoch, Clock: c.last, Capacity: c.Capacity}, c.after("hold")
+	return workerapi.Holder{Epoch: c.epoch, Clock: c.lastAdvance, Capacity: c.Capacity}, c.loseReply("hold")
 }
 
 // Tasks implements workerapi.Worker. The rows are ordered by task.
 func (c *Core) Tasks(ctx context.Context) (workerapi.Table, error) {
-	if err := c.before(ctx, "tasks"); err != nil {
+	if err := c.applyFaults(ctx, "tasks"); err != nil {
 		return workerapi.Table{}, err
 	}
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
-	if err := c.after("tasks"); err != nil {
+	if err := c.loseReply("tasks"); err != nil {
 		return workerapi.Table{}, err
 	}
-	table := workerapi.Table{Epoch: c.epoch, Clock: c.last, Tasks: make([]workerapi.Task, 0, len(c.tasks))}
+	table := workerapi.Table{Epoch: c.epoch, Clock: c.lastAdvance, Tasks: make([]workerapi.Task, 0, len(c.tasks))}
 	for _, r := range c.tasks {
 		t := r.Task
-		t.Usage, t.UsageAge = r.usage(c.last, c.UsageLag)
+		t.Usage, t.UsageAge = r.usage(c.lastAdvance, c.UsageLag)
 		table.Tasks = append(table.Tasks, t)
 	}
-	sort.Slice(table.Tasks, func(i, j int) bool { return less(table.Tasks[i].Task, table.Tasks[j].Task) })
+	sort.Slice(table.Tasks, func(i, j int) bool { return taskLess(table.Tasks[i].Task, table.Tasks[j].Task) })
 	return table, nil
 }
 
-func less(a, b units.Task) bool {
+func taskLess(a, b units.Task) bool {
 	if a.Job != b.Job {
 		return a.Job < b.Job
 	}
@@ -188,12 +188,12 @@
 
 // Start implements workerapi.Worker.
 func (c *Core) Start(ctx context.Context, request workerapi.StartRequest) error {
-	if err := c.before(ctx, "start"); err != nil {
+	if err := c.applyFaults(ctx, "start"); err != nil {
 		return err
 	}
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
-	if err := c.fence("start", request.Epoch); err != nil {
+	if err := c.checkEpoch("start", request.Epoch); err != nil {
 		return err
 	}
 	if request.Attempt == 0 || request.Size.Processors < 0 || request.Size.Memory < 0 || request.Size.Accelerators < 0 || request.RunTime < 0 {
@@ -201,60 +201,60 @@
 	}
 	existing := c.tasks[request.Task]
 	if existing != nil && existing.Attempt == request.Attempt {
-		return c.after("start")
+		return c.loseReply("start")
 	}
-	if request.Attempt <= c.highest[request.Task] || existing != nil && existing.held() {
+	if request.Attempt <= c.highest[request.Task] || existing != nil && existing.active() {
 		return fault.New("start", workerapi.Conflict, "task %s: attempt %d is not newer than %d", request.Task, request.Attempt, c.highest[request.Task])
 	}
-	if request.LeaseUntil <= c.last {
+	if request.LeaseUntil <= c.lastAdvance {
 		return fault.New("start", workerapi.Conflict, "task %s: lease ended before the start", request.Task)
 	}
 	if !request.Size.Fits(c.Capacity.Sub(c.committed())) {
 		return fault.New("start", workerapi.Full, "task %s needs %s", request.Task, request.Size)
 	}
-	c.add(request)
-	return c.after("start")
+	c.addRow(request)
+	return c.loseReply("start")
 }
 
-func (c *Core) add(request workerapi.StartRequest) {
+func (c *Core) addRow(request workerapi.StartRequest) {
 	r := &row{
 		Task: workerapi.Task{
 			Task: request.Task, Attempt: request.Attempt, Kind: request.Kind, State: workerapi.Standby,
 			Size: request.Size, LeaseUntil: request.LeaseUntil, Throttle: 1,
 			Checkpoint: request.Checkpoint, Label: request.Label,
 		},
-		request: request, target: request.RunTime, actual: request.Size,
-		done: progressOf(request.Checkpoint), run: -1,
+		request: request, workTotal: request.RunTime, actualSize: request.Size,
+		workDone: checkpointProgress(request.Checkpoint), run: -1,
 	}
 	if c.ActualSize != nil {
-		r.actual = c.ActualSize(request)
+		r.actualSize = c.ActualSize(request)
 	}
 	if c.ActualRunTime != nil {
-		r.target = c.ActualRunTime(request)
+		r.workTotal = c.ActualRunTime(request)
 	}
 	c.tasks[request.Task] = r
 	if !request.Standby {
-		c.runRow(r)
+		c.startRow(r)
 	}
 }
 
 // runRow runs a task. Only now does its attempt count as seen: a standby that is
 // dropped without having run may be admitted again.
-func (c *Core) runRow(r *row) {
+func (c *Core) startRow(r *row) {
 	c.highest[r.Task.Task] = r.Attempt
 	r.State = workerapi.Running
-	r.samples = append(r.samples, sample{c.last, r.actual})
-	c.openRun(r)
+	r.samples = append(r.samples, sample{c.lastAdvance, r.actualSize})
+	c.recordRunStart(r)
 	if c.faults.FailTasks {
 		r.Reason = "worker fails every task"
-		c.end(r, workerapi.Failed, c.last)
+		c.end(r, workerapi.Failed, c.lastAdvance)
 	}
 }
 
 func (c *Core) committed() units.Resources {
 	var sum units.Resources
 	for _, r := range c.tasks {
-		if r.held() {
+		if r.active() {
 			sum = sum.Add(r.Size)
 		}
 	}
@@ -263,12 +263,12 @@
 
 // Activate implements workerapi.Worker.
 func (c *Core) Activate(ctx context.Context, e units.Epoch, t units.Task, attempt, as units.Attempt) error {
-	if err := c.before(ctx, "activate"); err != nil {
+	if err := c.applyFaults(ctx, "activate"); err != nil {
 		return err
 	}
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
-	if err := c.fence("activate", e); err != nil {
+	if err := c.checkEpoch("activate", e); err != nil {
 		return err
 	}
 	r := c.tasks[t]
@@ -276,34 +276,34 @@
 	case r == nil:
 		return fault.New("activate", workerapi.NotFound, "no task %s", t)
 	case r.Attempt == as && r.State != workerapi.Standby:
-		return c.after("activate")
+		return c.loseReply("activate")
 	case r.Attempt != attempt || r.State != workerapi.Standby || as < attempt:
 		return fault.New("activate", workerapi.Conflict, "task %s is attempt %d, %s", t, r.Attempt, r.State)
 	}
 	r.Attempt = as
-	c.runRow(r)
-	return c.after("activate")
+	c.startRow(r)
+	return c.loseReply("activate")
 }
 
 // Renew implements workerapi.Worker.
 func (c *Core) Renew(ctx context.Context, e units.Epoch, until workerapi.Clock, tasks []units.Task) (workerapi.Clock, error) {
-	if err := c.before(ctx, "renew"); err != nil {
+	if err := c.applyFaults(ctx, "renew"); err != nil {
 		return 0, err
 	}
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
-	if err := c.fence("renew", e); err != nil {
+	if err := c.checkEpoch("renew", e); err != nil {
 		return 0, err
 	}
 	for _, t := range tasks {
-		if r := c.tasks[t]; r != nil && r.held() && until > r.LeaseUntil {
+		if r := c.tasks[t]; r != nil && r.active() && until > r.LeaseUntil {
 			r.LeaseUntil = until
 		}
 	}
-	return c.last, c.after("renew")
+	return c.lastAdvance, c.loseReply("renew")
 }
 
-func (c *Core) fence(op string, e units.Epoch) error {
+func (c *Core) checkEpoch(op string, e units.Epoch) error {
 	if e != c.epoch {
 		return fault.New(op, workerapi.Fenced, "epoch %d is not the current epoch %d", e, c.epoch)
 	}
@@ -311,8 +311,8 @@
 }
 
 // find returns the row of an attempt.
-func (c *Core) find(op string, e units.Epoch, t units.Task, a units.Attempt) (*row, error) {
-	if err := c.fence(op, e); err != nil {
+func (c *Core) findAttempt(op string, e units.Epoch, t units.Task, a units.Attempt) (*row, error) {
+	if err := c.checkEpoch(op, e); err != nil {
 		return nil, err
 	}
 	r := c.tasks[t]
@@ -328,11 +328,11 @@
 // checkpointName names a new checkpoint of r. The name carries the work done,
 // which stands for the saved state: any worker can resume from it.
 func (c *Core) checkpointName(r *row) string {
-	c.saved++
-	return fmt.Sprintf("%s/%s/%d/%d@%s", c.Name, r.Task.Task, r.Attempt, c.saved, r.done.Round(time.Millisecond))
+	c.checkpointCount++
+	return fmt.Sprintf("%s/%s/%d/%d@%s", c.Name, r.Task.Task, r.Attempt, c.checkpointCount, r.workDone.Round(time.Millisecond))
 }
 
-func progressOf(checkpoint string) time.Duration {
+func checkpointProgress(checkpoint string) time.Duration {
 	_, text, _ := strings.Cut(checkpoint, "@")
 	done, err := time.ParseDuration(text)
 	if err != nil {
--- a/internal/standin/worker/faults.go
+++ b/internal/standin/worker/faults.go
@@ -28,13 +28,13 @@
 
 // SetFaults replaces the faults in force.
 func (c *Core) SetFaults(f Faults) {
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
 // before applies the faults that precede the effect of a call.
-func (c *Core) before(ctx context.Context, op string) error {
+func (c *Core) applyFaults(ctx context.Context, op string) error {
 	c.mu.Lock()
 	f := c.faults
 	c.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // after drops the reply of a call that has taken effect.
-func (c *Core) after(op string) error {
+func (c *Core) loseReply(op string) error {
 	if c.faults.LoseReplies == 0 || c.faults.LoseOp != "" && c.faults.LoseOp != op {
 		return nil
 	}
@@ -65,16 +65,16 @@
 // ran has ended, the table is empty, the epoch is one nobody holds, and the
 // monotonic clock begins anew unless Clock is set.
 func (c *Core) Restart() {
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
 	for _, r := range c.tasks {
-		if r.held() {
-			c.end(r, workerapi.Failed, c.last)
+		if r.active() {
+			c.end(r, workerapi.Failed, c.lastAdvance)
 		}
 	}
 	clear(c.tasks)
 	c.epoch += 1000
 	if c.Clock == nil {
-		c.origin, c.last = time.Now(), 0
+		c.origin, c.lastAdvance = time.Now(), 0
 	}
 }
--- a/internal/standin/worker/runs.go
+++ b/internal/standin/worker/runs.go
@@ -27,19 +27,19 @@
 // many times over.
 const maxRuns = 200_000
 
-func (c *Core) wall(at workerapi.Clock) time.Time {
+func (c *Core) wallClock(at workerapi.Clock) time.Time {
 	if c.Clock != nil {
 		return time.Unix(0, int64(at)).UTC()
 	}
 	return c.origin.Round(0).Add(time.Duration(at)).UTC()
 }
 
-func (c *Core) openRun(r *row) {
+func (c *Core) recordRunStart(r *row) {
 	if len(c.runs) >= maxRuns {
 		return
 	}
 	r.run = len(c.runs)
-	now := c.wall(c.last)
+	now := c.wallClock(c.lastAdvance)
 	c.runs = append(c.runs, Run{
 		Worker: c.Name, Task: r.Task.Task.String(), Attempt: r.Attempt, Epoch: c.epoch,
 		Start: now, End: now, Open: true, State: workerapi.Running,
@@ -48,12 +48,12 @@
 
 // Runs returns the log, oldest first.
 func (c *Core) Runs() []Run {
-	c.lock()
+	c.lockAndAdvance()
 	defer c.mu.Unlock()
 	runs := append([]Run{}, c.runs...)
 	for i := range runs {
 		if runs[i].Open {
-			runs[i].End = c.wall(c.last)
+			runs[i].End = c.wallClock(c.lastAdvance)
 		}
 	}
 	return runs
@@ -74,7 +74,7 @@
 	for _, r := range ordered {
 		if p, ok := latest[r.Task]; ok && r.Start.Before(p.End) {
 			found = append(found, fmt.Sprintf("task %s: attempt %d on %s ran until %s, attempt %d on %s from %s",
-				r.Task, p.Attempt, p.Worker, clockText(p.End), r.Attempt, r.Worker, clockText(r.Start)))
+				r.Task, p.Attempt, p.Worker, formatTime(p.End), r.Attempt, r.Worker, formatTime(r.Start)))
 		}
 		if p, ok := seen[attempt{r.Task, r.Attempt}]; ok {
 			found = append(found, fmt.Sprintf("task %s: attempt %d ran on %s and again on %s", r.Task, r.Attempt, p.Worker, r.Worker))
@@ -87,4 +87,4 @@
 	return found
 }
 
-func clockText(t time.Time) string { return t.Format("15:04:05.000") }
+func formatTime(t time.Time) string { return t.Format("15:04:05.000") }
