--- a/internal/standin/logservice/faults.go
+++ b/internal/standin/logservice/faults.go
@@ -82,7 +82,7 @@
 	i.faults, i.random = f, rand.New(rand.NewPCG(f.Seed, 0))
 }
 
-func (i *injector) forAppend() (Outcome, time.Duration) {
+func (i *injector) nextAppend() (Outcome, time.Duration) {
 	delay := i.delay()
 	switch {
 	case i.faults.Outage:
@@ -107,7 +107,7 @@
 	return OutcomeDone, delay
 }
 
-func (i *injector) forRead() (outage bool, delay time.Duration) {
+func (i *injector) nextRead() (outage bool, delay time.Duration) {
 	return i.faults.Outage, i.delay()
 }
 
--- a/internal/standin/logservice/log.go
+++ b/internal/standin/logservice/log.go
@@ -60,10 +60,10 @@
 }
 
 type stream struct {
-	first   units.Offset
-	entries []entry
-	late    [][]byte      // payloads that take effect after the next append
-	grown   chan struct{} // closed on the next append
+	first    units.Offset
+	entries  []entry
+	late     [][]byte      // payloads that take effect after the next append
+	appended chan struct{} // closed on the next append
 }
 
 func (s *stream) next() units.Offset { return s.first + units.Offset(len(s.entries)) }
@@ -81,12 +81,12 @@
 		return 0, fault.New(op, logservice.Refused, "record of %d bytes exceeds %d", len(payload), limit)
 	}
 	l.mu.Lock()
-	outcome, delay := l.injector.forAppend()
+	outcome, delay := l.injector.nextAppend()
 	l.mu.Unlock()
 	if !pause.For(ctx, delay) {
 		return 0, fault.Wrap(op, logservice.Unknown, ctx.Err())
 	}
-	offset, err := l.commit(op, name, payload, outcome)
+	offset, err := l.applyAppend(op, name, payload, outcome)
 	if err == nil && !pause.For(ctx, delay) {
 		return 0, fault.Wrap(op, logservice.Unknown, ctx.Err())
 	}
@@ -94,14 +94,14 @@
 }
 
 // commit gives the append its effect and outcome under the lock.
-func (l *Log) commit(op, name string, payload []byte, outcome Outcome) (units.Offset, error) {
+func (l *Log) applyAppend(op, name string, payload []byte, outcome Outcome) (units.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if outcome == OutcomeUnavailable {
 		return 0, fault.New(op, logservice.Unavailable, "injected outage")
 	}
-	if !l.bucket.take(l.Rate, now) {
+	if !l.bucket.allow(l.Rate, now) {
 		l.counts.Limited++
 		return 0, fault.New(op, logservice.Unavailable, "append rate exceeds %g/s", l.Rate)
 	}
@@ -120,8 +120,8 @@
 	}
 	s.late = nil
 	l.prune(s, now)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	if outcome == OutcomeLost {
 		return 0, fault.New(op, logservice.Unknown, "injected loss of the reply")
 	}
@@ -148,7 +148,7 @@
 	}
 	l.mu.Lock()
 	l.counts.Reads++
-	outage, delay := l.injector.forRead()
+	outage, delay := l.injector.nextRead()
 	l.mu.Unlock()
 	if !pause.For(ctx, delay) {
 		return logservice.Batch{}, fault.Wrap(op, logservice.Unavailable, ctx.Err())
@@ -159,7 +159,7 @@
 	timer := time.NewTimer(min(max(wait, 0), maxReadWait))
 	defer timer.Stop()
 	for {
-		batch, grown, err := l.slice(name, from, limit)
+		batch, grown, err := l.recordsFrom(name, from, limit)
 		if err != nil || len(batch.Records) > 0 || from > batch.Next || wait <= 0 {
 			return batch, err
 		}
@@ -175,7 +175,7 @@
 
 // slice returns the records from offset from on and the channel that the next
 // append closes.
-func (l *Log) slice(name string, from units.Offset, limit int) (logservice.Batch, <-chan struct{}, error) {
+func (l *Log) recordsFrom(name string, from units.Offset, limit int) (logservice.Batch, <-chan struct{}, error) {
 	const op = "read"
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +193,7 @@
 		batch.Records = append(batch.Records, logservice.Record{Offset: from, Payload: payload})
 		bytes += len(payload)
 	}
-	return batch, s.grown, nil
+	return batch, s.appended, nil
 }
 
 // SetFaults replaces the injected faults.
@@ -230,7 +230,7 @@
 	if l.streams == nil {
 		l.streams = make(map[string]*stream)
 	}
-	s := &stream{first: 1, grown: make(chan struct{})}
+	s := &stream{first: 1, appended: make(chan struct{})}
 	if l.FromZero {
 		s.first = 0
 	}
@@ -258,21 +258,21 @@
 
 // bucket is a token bucket that holds at most a tenth of a second of appends.
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-func (b *bucket) take(rate float64, now time.Time) bool {
+func (b *bucket) allow(rate float64, now time.Time) bool {
 	if rate <= 0 {
 		return true
 	}
 	burst := max(1, rate/10)
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*now.Sub(b.filled).Seconds())
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.filled = now
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -280,9 +280,9 @@
 	return true
 }
 
-func orDefault(value, otherwise int) int {
+func orDefault(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -23,7 +23,7 @@
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
 	mux.HandleFunc("GET /v1/streams/{stream}/records", l.serveRead)
 	mux.HandleFunc("POST /v1/faults", l.serveFaults)
-	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, l.Counts()) })
+	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { replyJSON(w, http.StatusOK, l.Counts()) })
 	return mux
 }
 
@@ -39,10 +39,10 @@
 	}
 	offset, err := l.Append(r.Context(), r.PathValue("stream"), payload)
 	if err != nil {
-		l.fail(w, err)
+		l.replyError(w, err)
 		return
 	}
-	reply(w, http.StatusOK, map[string]units.Offset{"offset": offset})
+	replyJSON(w, http.StatusOK, map[string]units.Offset{"offset": offset})
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -54,21 +54,21 @@
 	batch, err := l.read(r.Context(), r.PathValue("stream"), from, wait, limit)
 	switch {
 	case err == nil:
-		reply(w, http.StatusOK, toBody(batch))
+		replyJSON(w, http.StatusOK, newBatchBody(batch))
 	case fault.Is(err, logservice.Expired):
-		reply(w, http.StatusGone, toBody(batch))
+		replyJSON(w, http.StatusGone, newBatchBody(batch))
 	default:
-		l.fail(w, err)
+		l.replyError(w, err)
 	}
 }
 
-func readQuery(r *http.Request, most int) (from units.Offset, limit int, wait time.Duration, err error) {
+func readQuery(r *http.Request, maxLimit int) (from units.Offset, limit int, wait time.Duration, err error) {
 	query := r.URL.Query()
 	n, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
 		return 0, 0, 0, errors.New("from: want an offset")
 	}
-	limit = most
+	limit = maxLimit
 	if text := query.Get("limit"); text != "" {
 		if limit, err = strconv.Atoi(text); err != nil || limit < 1 {
 			return 0, 0, 0, errors.New("limit: want a positive number")
@@ -79,7 +79,7 @@
 			return 0, 0, 0, errors.New("wait: want a duration such as 250ms")
 		}
 	}
-	return units.Offset(n), min(limit, most), wait, nil
+	return units.Offset(n), min(limit, maxLimit), wait, nil
 }
 
 func (l *Log) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 	Records []recordBody `json:"records"`
 }
 
-func toBody(b logservice.Batch) batchBody {
+func newBatchBody(b logservice.Batch) batchBody {
 	body := batchBody{First: b.First, Next: b.Next, Records: make([]recordBody, len(b.Records))}
 	for i, r := range b.Records {
 		body.Records[i] = recordBody(r)
@@ -120,7 +120,7 @@
 
 // fail answers a failed operation. A lost reply closes the connection without
 // an answer, which is what its client would see.
-func (l *Log) fail(w http.ResponseWriter, err error) {
+func (l *Log) replyError(w http.ResponseWriter, err error) {
 	switch {
 	case fault.Is(err, logservice.Unknown):
 		panic(http.ErrAbortHandler)
@@ -132,7 +132,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func replyJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
