--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -226,7 +226,7 @@
 // Guards against an endpoint that sets the outcome header: only the agent may
 // report that a request was not run.
 func TestOutcomeOfEndpointIsIgnored(t *testing.T) {
-	w, e := forwardRequest(t, "POST", standin.RequestID, "1", headers.DeadlineHeader, "5s")
+	w, e := forwardRequest(t, "POST", standin.RequestIDHeader, "1", headers.DeadlineHeader, "5s")
 	if got := w.Header().Get(headers.OutcomeHeader); w.Code != 200 || got != string(headers.Done) || e.Executed()["1"] != 1 {
 		t.Errorf("got status %d, outcome %q, executed %v", w.Code, got, e.Executed())
 	}
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -44,7 +44,7 @@
 		if response.StatusCode >= 500 {
 			continue
 		}
-		for _, name := range []string{endpoint.RequestID, endpoint.WholeCheck} {
+		for _, name := range []string{endpoint.RequestIDHeader, endpoint.ResponseDigestHeader} {
 			w.Header().Set(name, response.Header.Get(name))
 		}
 		w.Header().Set(headers.OutcomeHeader, string(headers.Done))
@@ -80,7 +80,7 @@
 	for i, s := range history {
 		id := fmt.Sprintf("%d-%s", i, s.Fault)
 		r := send(c, "POST", url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, fmt.Sprint(s.Idempotent),
-			endpoint.RequestID, id, endpoint.FaultName, s.Fault, headers.DeadlineHeader, "200ms")
+			endpoint.RequestIDHeader, id, endpoint.FaultHeader, s.Fault, headers.DeadlineHeader, "200ms")
 		outcomes[id] = r.outcome
 		if r.outcome == headers.Done && r.status == http.StatusOK && r.verify(id) != "" {
 			found["truncated or mismatched response returned"]++
@@ -157,7 +157,7 @@
 		for i := range 8 {
 			go func() {
 				id := fmt.Sprint(i)
-				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "5s")
+				results <- send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, id, headers.DeadlineHeader, "5s")
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -66,9 +66,9 @@
 	switch {
 	case r.err != nil:
 		return r.err.Error()
-	case r.header.Get(endpoint.RequestID) != id:
-		return "response to request " + r.header.Get(endpoint.RequestID)
-	case r.header.Get(endpoint.WholeCheck) != fmt.Sprintf("%016x", xxhash.Sum64(r.body)):
+	case r.header.Get(endpoint.RequestIDHeader) != id:
+		return "response to request " + r.header.Get(endpoint.RequestIDHeader)
+	case r.header.Get(endpoint.ResponseDigestHeader) != fmt.Sprintf("%016x", xxhash.Sum64(r.body)):
 		return "body is not whole"
 	}
 	return ""
@@ -136,7 +136,7 @@
 		for _, method := range []string{"GET", "POST"} {
 			id := test.fault + method
 			r := send(c, method, e.url+"/services/desk/", strings.NewReader("body"), headers.IdempotentHeader, "false",
-				"Idempotency-Key", id, endpoint.RequestID, id, endpoint.FaultName, test.fault, headers.DeadlineHeader, "300ms")
+				"Idempotency-Key", id, endpoint.RequestIDHeader, id, endpoint.FaultHeader, test.fault, headers.DeadlineHeader, "300ms")
 			if r.outcome != test.outcome || r.err != nil {
 				t.Errorf("%s: got outcome %q, status %d, error %v; want %q", id, r.outcome, r.status, r.err, test.outcome)
 			}
@@ -172,7 +172,7 @@
 					// The load balancer stops sending when readiness is off.
 					for i := 0; !stopped.Load() && e.gateway.Ready() && i < 100_000; i++ {
 						id := fmt.Sprint(worker, "-", i)
-						r := send(c, "POST", e.url+"/services/desk/", bytes.NewReader([]byte(id)), endpoint.RequestID, id)
+						r := send(c, "POST", e.url+"/services/desk/", bytes.NewReader([]byte(id)), endpoint.RequestIDHeader, id)
 						sent.Add(1)
 						outcomes.Store(id, r.outcome)
 						switch {
@@ -228,11 +228,11 @@
 	e := newEntry(t, gateway.Options{})
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 5 << 20}, e)
 	c := newClient(t)
-	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestID, "1"); r.outcome != headers.Done || r.verify("1") != "" {
+	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, "1"); r.outcome != headers.Done || r.verify("1") != "" {
 		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.verify("1"))
 	}
 	for _, method := range []string{"GET", "POST"} {
-		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultName, "truncated"); r.err == nil {
+		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultHeader, "truncated"); r.err == nil {
 			t.Errorf("%s: got a normal end of a truncated response after %d bytes", method, len(r.body))
 		}
 	}
@@ -249,7 +249,7 @@
 	for _, idempotent := range []string{"true", "false"} {
 		for i := range 60 {
 			id := fmt.Sprint(idempotent, i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.IdempotentHeader, idempotent)
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, id, headers.IdempotentHeader, idempotent)
 			if r.outcome != headers.Done || r.verify(id) != "" {
 				t.Errorf("%s: got outcome %q, %s", id, r.outcome, r.verify(id))
 			}
@@ -299,13 +299,13 @@
 	e := newEntry(t, gateway.Options{MaxServiceRequests: 6})
 	a := newAgent(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond, Slots: 1}, e)
 	c := newClient(t)
-	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, "first") // sets the estimate of the service time
+	send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, "first") // sets the estimate of the service time
 	var wait sync.WaitGroup
 	var done, rejected atomic.Int64
 	for i := range 12 {
 		wait.Go(func() {
 			id := fmt.Sprint(i)
-			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestID, id, headers.DeadlineHeader, "250ms")
+			r := send(c, "POST", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, id, headers.DeadlineHeader, "250ms")
 			switch {
 			case r.outcome == headers.Done:
 				done.Add(1)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -181,7 +181,7 @@
 	if len(r.body) == 0 {
 		h.Body = http.NoBody
 	}
-	h.Header.Set(endpoint.RequestID, id)
+	h.Header.Set(endpoint.RequestIDHeader, id)
 	h.Header.Set(headers.IdempotentHeader, strconv.FormatBool(q.idempotent))
 	if r.options.Deadline > 0 {
 		h.Header.Set(headers.DeadlineHeader, r.options.Deadline.String())
@@ -226,13 +226,13 @@
 	if response.StatusCode != http.StatusOK {
 		return outcome
 	}
-	if response.Header.Get(endpoint.RequestID) != id {
+	if response.Header.Get(endpoint.RequestIDHeader) != id {
 		into.faults["answer of another request"]++
 	}
-	if response.Header.Get(endpoint.Digest) != r.digest {
+	if response.Header.Get(endpoint.BodyDigestHeader) != r.digest {
 		into.faults["request body changed"]++
 	}
-	if response.Header.Get(endpoint.WholeCheck) != fmt.Sprintf("%016x", xxhash.Sum64(body)) {
+	if response.Header.Get(endpoint.ResponseDigestHeader) != fmt.Sprintf("%016x", xxhash.Sum64(body)) {
 		into.faults["answer not whole"]++
 	}
 	return outcome
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -26,7 +26,7 @@
 	go func() { defer close(ended); _ = e.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	wrong := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(endpoint.RequestID, "other")
+		w.Header().Set(endpoint.RequestIDHeader, "other")
 		_, _ = w.Write([]byte("cut"))
 	}))
 	defer wrong.Close()
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -25,10 +25,10 @@
 
 // Headers of the substitute.
 const (
-	RequestID  = "Request-Id"  // of the caller; echoed, and recorded when executed
-	Digest     = "Body-Digest" // xxhash of the request body, on responses
-	FaultName  = "Fault"       // on a request: the fault to inject
-	WholeCheck = "Response-Digest"
+	RequestIDHeader      = "Request-Id"  // of the caller; echoed, and recorded when executed
+	BodyDigestHeader     = "Body-Digest" // xxhash of the request body, on responses
+	FaultHeader          = "Fault"       // on a request: the fault to inject
+	ResponseDigestHeader = "Response-Digest"
 )
 
 // Options configures an Endpoint. Zero fields take the defaults.
@@ -57,15 +57,15 @@
 	active   atomic.Int64
 	lastBusy atomic.Int64
 
-	mu       sync.Mutex // guards the rest
-	random   *rand.Rand
-	executed map[string]int
-	unnamed  int
-	silenced []net.Conn
+	mu          sync.Mutex // guards the rest
+	random      *rand.Rand
+	executed    map[string]int
+	unnamed     int
+	silentConns []net.Conn
 }
 
 // maxRecorded bounds the memory for executed request ids.
-const maxRecorded = 4_000_000
+const maxExecutedIDs = 4_000_000
 
 // New binds the address.
 func New(o Options) (*Endpoint, error) {
@@ -91,7 +91,7 @@
 	mux.HandleFunc("GET /v1/executed", e.serveExecuted)
 	mux.HandleFunc("POST /v1/faults", e.serveFaults)
 	mux.HandleFunc("/", e.serve)
-	e.server = &http.Server{Handler: mux, ConnState: e.limit, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
+	e.server = &http.Server{Handler: mux, ConnState: e.limitConnections, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	return e, nil
 }
 
@@ -99,7 +99,7 @@
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
 // limit closes connections above the limit at once, as a runner does.
-func (e *Endpoint) limit(conn net.Conn, state http.ConnState) {
+func (e *Endpoint) limitConnections(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		if e.conns.Add(1) > int64(e.options.Connections) {
@@ -115,8 +115,8 @@
 	// leaveQuiet is how long the endpoint must have been idle after it announced
 	// that it leaves. It matters when the agent does not answer: then a request
 	// may be on its way that the endpoint cannot know of.
-	leaveQuiet   = 200 * time.Millisecond
-	leaveTimeout = 30 * time.Second
+	leaveIdleTime = 200 * time.Millisecond
+	leaveTimeout  = 30 * time.Second
 )
 
 // Run serves and announces until ctx ends, then leaves: it announces that it
@@ -145,11 +145,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	e.lastBusy.Store(time.Now().UnixNano())
-	tick := time.NewTicker(leaveQuiet / 4)
+	tick := time.NewTicker(leaveIdleTime / 4)
 	defer tick.Stop()
 	for ; ctx.Err() == nil; <-tick.C {
 		expected := e.announce("leaving")
-		if !expected && e.active.Load() == 0 && time.Now().UnixNano()-e.lastBusy.Load() > int64(leaveQuiet) {
+		if !expected && e.active.Load() == 0 && time.Now().UnixNano()-e.lastBusy.Load() > int64(leaveIdleTime) {
 			break
 		}
 	}
@@ -160,7 +160,7 @@
 func (e *Endpoint) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, c := range e.silenced {
+	for _, c := range e.silentConns {
 		c.Close()
 	}
 	e.server.Close()
@@ -228,17 +228,17 @@
 	if e.options.Spread > 0 {
 		d = time.Duration(float64(d) * math.Exp(e.random.NormFloat64()*e.options.Spread))
 	}
-	name := r.Header.Get(FaultName)
+	name := r.Header.Get(FaultHeader)
 	if name == "" && e.options.FaultShare > 0 && e.random.Float64() < e.options.FaultShare {
 		name = e.options.Fault
 	}
 	return d, faults[name]
 }
 
-func (e *Endpoint) record(id string) {
+func (e *Endpoint) recordExecution(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if id == "" || len(e.executed) >= maxRecorded {
+	if id == "" || len(e.executed) >= maxExecutedIDs {
 		e.unnamed++
 		return
 	}
@@ -265,29 +265,29 @@
 		return
 	}
 	d, inject := e.draw(r)
-	if inject != nil && inject(e, w, r, before) {
+	if inject != nil && inject(e, w, r, beforeExecution) {
 		return
 	}
-	e.record(r.Header.Get(RequestID))
-	if !work(r, d) {
+	e.recordExecution(r.Header.Get(RequestIDHeader))
+	if !waitServiceTime(r, d) {
 		return
 	}
-	if inject != nil && inject(e, w, r, after) {
+	if inject != nil && inject(e, w, r, afterExecution) {
 		return
 	}
-	answer := e.answer(r, body)
-	w.Header().Set(RequestID, r.Header.Get(RequestID))
-	w.Header().Set(Digest, fmt.Sprintf("%016x", xxhash.Sum64(body)))
-	w.Header().Set(WholeCheck, fmt.Sprintf("%016x", xxhash.Sum64(answer)))
+	answer := e.responseBody(r, body)
+	w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
+	w.Header().Set(BodyDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(body)))
+	w.Header().Set(ResponseDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(answer)))
 	w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
 	_, _ = w.Write(answer)
 }
 
 // work takes the service time and reports false when the client has left.
-func work(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
+func waitServiceTime(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
 
-func (e *Endpoint) answer(r *http.Request, body []byte) []byte {
-	answer := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestID), xxhash.Sum64(body))
+func (e *Endpoint) responseBody(r *http.Request, body []byte) []byte {
+	answer := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestIDHeader), xxhash.Sum64(body))
 	if n := e.options.ResponseBytes - len(answer); n > 0 {
 		answer = append(answer, bytes.Repeat([]byte("x"), n)...)
 	}
--- a/internal/standin/endpoint/faults.go
+++ b/internal/standin/endpoint/faults.go
@@ -9,53 +9,53 @@
 )
 
 // moment tells a fault whether the request has been executed.
-type moment int
+type phase int
 
 const (
-	before moment = iota
-	after
+	beforeExecution phase = iota
+	afterExecution
 )
 
 // fault misbehaves and reports whether the request is finished with.
-type fault func(e *Endpoint, w http.ResponseWriter, r *http.Request, m moment) bool
+type fault func(e *Endpoint, w http.ResponseWriter, r *http.Request, m phase) bool
 
 // slowTime is what the fault slow adds; it exceeds usual latency targets.
-const slowTime = 2 * time.Second
+const slowDelay = 2 * time.Second
 
 var faults = map[string]fault{
-	"resetBefore": func(_ *Endpoint, _ http.ResponseWriter, _ *http.Request, m moment) bool {
-		if m == before {
+	"resetBefore": func(_ *Endpoint, _ http.ResponseWriter, _ *http.Request, m phase) bool {
+		if m == beforeExecution {
 			panic(http.ErrAbortHandler)
 		}
 		return false
 	},
-	"resetAfter": func(_ *Endpoint, _ http.ResponseWriter, _ *http.Request, m moment) bool {
-		if m == after {
+	"resetAfter": func(_ *Endpoint, _ http.ResponseWriter, _ *http.Request, m phase) bool {
+		if m == afterExecution {
 			panic(http.ErrAbortHandler)
 		}
 		return false
 	},
-	"silentBefore": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m moment) bool {
-		return m == before && e.silence(w)
+	"silentBefore": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m phase) bool {
+		return m == beforeExecution && e.stopAnswering(w)
 	},
-	"silent": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m moment) bool {
-		return m == after && e.silence(w)
+	"silent": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m phase) bool {
+		return m == afterExecution && e.stopAnswering(w)
 	},
-	"slow": func(_ *Endpoint, _ http.ResponseWriter, r *http.Request, m moment) bool {
-		return m == after && !work(r, slowTime)
+	"slow": func(_ *Endpoint, _ http.ResponseWriter, r *http.Request, m phase) bool {
+		return m == afterExecution && !waitServiceTime(r, slowDelay)
 	},
-	"truncated": func(e *Endpoint, w http.ResponseWriter, r *http.Request, m moment) bool {
-		if m == before {
+	"truncated": func(e *Endpoint, w http.ResponseWriter, r *http.Request, m phase) bool {
+		if m == beforeExecution {
 			return false
 		}
-		answer := e.answer(r, nil)
-		w.Header().Set(RequestID, r.Header.Get(RequestID))
+		answer := e.responseBody(r, nil)
+		w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	},
-	"duplicate": func(e *Endpoint, w http.ResponseWriter, r *http.Request, m moment) bool {
-		if m == before {
+	"duplicate": func(e *Endpoint, w http.ResponseWriter, r *http.Request, m phase) bool {
+		if m == beforeExecution {
 			return false
 		}
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -63,34 +63,34 @@
 			return false
 		}
 		defer conn.Close()
-		body := e.answer(r, nil)
+		body := e.responseBody(r, nil)
 		for range 2 {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %016x\r\nContent-Length: %d\r\n\r\n%s",
-				RequestID, r.Header.Get(RequestID), WholeCheck, xxhash.Sum64(body), len(body), body)
+				RequestIDHeader, r.Header.Get(RequestIDHeader), ResponseDigestHeader, xxhash.Sum64(body), len(body), body)
 			// The duplicate arrives late: when the next request is on the connection.
-			_ = conn.SetReadDeadline(time.Now().Add(slowTime))
+			_ = conn.SetReadDeadline(time.Now().Add(slowDelay))
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
 				break
 			}
 		}
 		return true
 	},
-	"error": func(_ *Endpoint, w http.ResponseWriter, _ *http.Request, m moment) bool {
-		if m == after {
+	"error": func(_ *Endpoint, w http.ResponseWriter, _ *http.Request, m phase) bool {
+		if m == afterExecution {
 			http.Error(w, "injected error", http.StatusInternalServerError)
 		}
-		return m == after
+		return m == afterExecution
 	},
 }
 
 // silence keeps the connection open and never answers on it.
-func (e *Endpoint) silence(w http.ResponseWriter) bool {
+func (e *Endpoint) stopAnswering(w http.ResponseWriter) bool {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return false
 	}
 	e.mu.Lock()
-	e.silenced = append(e.silenced, conn)
+	e.silentConns = append(e.silentConns, conn)
 	e.mu.Unlock()
 	return true
 }
--- a/internal/standin/endpoint/leave_test.go
+++ b/internal/standin/endpoint/leave_test.go
@@ -46,7 +46,7 @@
 	select {
 	case <-left:
 		t.Fatal("left while its agent had a request for it")
-	case <-time.After(3 * leaveQuiet):
+	case <-time.After(3 * leaveIdleTime):
 	}
 	response, err := http.Post("http://"+e.Address()+"/", "text/plain", strings.NewReader("x"))
 	if err != nil {
