--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -201,8 +201,8 @@
 	if a.Status != 0 {
 		g.answers++
 	}
-	if a.Cut(cutSlack) {
-		g.cuts = append(g.cuts, cutRequest{host: g.fleet.entries[n].name, sent: a.Sent, at: a.Sent.Add(a.After), text: a.Err.Error()})
+	if a.CutOff(cutSlack) {
+		g.cuts = append(g.cuts, cutRequest{host: g.fleet.entries[n].name, sent: a.SentAt, at: a.SentAt.Add(a.Elapsed), text: a.Err.Error()})
 	}
 	return a
 }
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -36,8 +36,8 @@
 	RetryAfter string
 	State      string        // of the job, when asked for
 	Malformed  bool          // a body that can't be read
-	Sent       time.Time     // when the whole request had been written; zero if it never was
-	After      time.Duration // from then to the end
+	SentAt     time.Time     // when the whole request had been written; zero if it never was
+	Elapsed    time.Duration // from then to the end
 	Err        error
 }
 
@@ -104,8 +104,8 @@
 	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	defer func() {
 		if at := written.Load(); at > 0 {
-			a.Sent = time.Unix(0, at)
-			a.After = time.Since(a.Sent)
+			a.SentAt = time.Unix(0, at)
+			a.Elapsed = time.Since(a.SentAt)
 		}
 	}()
 	response, err := c.transport.RoundTrip(request)
@@ -130,10 +130,10 @@
 
 // Cut reports whether the other side broke off a request that it had read: the
 // whole request had been sent for longer than slack when the connection ended.
-func (a Answer) Cut(slack time.Duration) bool {
+func (a Answer) CutOff(slack time.Duration) bool {
 	var timeout net.Error
 	if a.Err == nil || errors.As(a.Err, &timeout) && timeout.Timeout() || errors.Is(a.Err, context.Canceled) {
 		return false
 	}
-	return !a.Sent.IsZero() && a.After > slack
+	return !a.SentAt.IsZero() && a.Elapsed > slack
 }
--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a caller that blames the other side for its own time limit, and
 // against one that overlooks a request which was read and broken off.
-func TestCutIsToldFromTimeout(t *testing.T) {
+func TestCutIsDistinguishedFromTimeout(t *testing.T) {
 	const slack = 20 * time.Millisecond
 	for _, c := range []struct {
 		name    string
@@ -29,8 +29,8 @@
 		server := httptest.NewServer(c.handler)
 		client := &Client{Host: "desk.example", Address: strings.TrimPrefix(server.URL, "http://"), Timeout: 300 * time.Millisecond}
 		a := client.Cancel(context.Background(), "/q/1")
-		if got := a.Cut(slack); got != c.want {
-			t.Errorf("%s: got cut %t (error %v after %v), want %t", c.name, got, a.Err, a.After, c.want)
+		if got := a.CutOff(slack); got != c.want {
+			t.Errorf("%s: got cut %t (error %v after %v), want %t", c.name, got, a.Err, a.Elapsed, c.want)
 		}
 		client.Close()
 		server.Close()
@@ -46,13 +46,13 @@
 	address := listener.Addr().String()
 	listener.Close()
 	client := &Client{Address: address, Timeout: time.Second}
-	if a := client.Cancel(context.Background(), "/q/1"); a.Err == nil || a.Cut(0) {
-		t.Errorf("got error %v, cut %t; want an error and no cut", a.Err, a.Cut(0))
+	if a := client.Cancel(context.Background(), "/q/1"); a.Err == nil || a.CutOff(0) {
+		t.Errorf("got error %v, cut %t; want an error and no cut", a.Err, a.CutOff(0))
 	}
 }
 
 // Guards against states that are read from answers that hold none.
-func TestMalformedStateIsTold(t *testing.T) {
+func TestMalformedStateIsReported(t *testing.T) {
 	for body, want := range map[string]Answer{`{"state":"running"}`: {Status: 200, State: "running"}, `{`: {Status: 200, Malformed: true}} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if _, err := w.Write([]byte(body)); err != nil {
