--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -125,7 +125,7 @@
 	}
 	h.toStore = open("127.0.0.1:0", h.door.Address)
 	h.sessions = open(at(advertised, deployment.SessionPort), at(ip, deployment.SessionPort))
-	h.settings = deployment.Process{Name: h.name, IP: ip, Domain: h.domain, Service: service, MemoryMb: 256, First: true}
+	h.settings = deployment.Process{Name: h.name, IP: ip, Domain: h.domain, Service: service, MemoryMb: 256, FirstStart: true}
 	if h.role == "entry" {
 		h.clients = open("127.0.0.1:0", at(ip, deployment.ClientsPort))
 	} else {
@@ -135,9 +135,9 @@
 	if err != nil {
 		return fault.Wrap("open relays of "+h.name, NotStarted, err)
 	}
-	h.settings.Store = h.toStore.Address()
+	h.settings.StoreAddress = h.toStore.Address()
 	if h.toRunner != nil {
-		h.settings.Runner = h.toRunner.Address()
+		h.settings.RunnerAddress = h.toRunner.Address()
 	}
 	path := h.settingsPath(r)
 	h.process = &childprocess.Process{
@@ -203,7 +203,7 @@
 
 // restart starts a process that has ended, not for the first time.
 func (h *host) restart(r *Run) error {
-	h.settings.First = false
+	h.settings.FirstStart = false
 	if err := h.writeSettings(h.settingsPath(r)); err != nil {
 		return err
 	}
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -28,14 +28,14 @@
 
 // Process is what a settings file says of one process.
 type Process struct {
-	Name     string
-	IP       string
-	Domain   string
-	Store    string // address
-	Runner   string // address; empty for an entry process
-	Service  string
-	MemoryMb int
-	First    bool // the whole system starts for the first time
+	Name          string
+	IP            string
+	Domain        string
+	StoreAddress  string // address
+	RunnerAddress string // address; empty for an entry process
+	Service       string
+	MemoryMb      int
+	FirstStart    bool // the whole system starts for the first time
 }
 
 func (p Process) address(port int) string { return net.JoinHostPort(p.IP, strconv.Itoa(port)) }
@@ -62,8 +62,8 @@
 status_s = 120
 [platform]
 address = %q
-`, p.Name, p.IP, p.Domain, SessionPort, SessionPort, p.First, p.Runner, p.Service,
-		p.address(ClientsPort), p.address(ReadinessPort), p.address(HeartbeatsPort), p.MemoryMb, p.Store)
+`, p.Name, p.IP, p.Domain, SessionPort, SessionPort, p.FirstStart, p.RunnerAddress, p.Service,
+		p.address(ClientsPort), p.address(ReadinessPort), p.address(HeartbeatsPort), p.MemoryMb, p.StoreAddress)
 }
 
 // Route is a queue of the configuration.
