--- a/internal/capacity/agents.go
+++ b/internal/capacity/agents.go
@@ -63,7 +63,7 @@
 		return "leases"
 	}
 	return struct{}{}, func(detail Detail) Sample {
-		sample := Take(classify, detail)
+		sample := TakeSample(classify, detail)
 		sample.Counters = map[string]int64{"documents": documents.Load(), "parsed": parsed.Load()}
 		sample.LastDocument = time.Unix(0, last.Load())
 		return sample
--- a/internal/capacity/child.go
+++ b/internal/capacity/child.go
@@ -71,9 +71,9 @@
 // The details. Asking for the traffic of thousands of connections takes tens of
 // milliseconds, too long for a wait that polls.
 const (
-	Counted   Detail = "counted"   // the counters alone
-	Full      Detail = "full"      // everything
-	Collected Detail = "collected" // everything, after a collection
+	CountersOnly Detail = "counted"   // the counters alone
+	Full         Detail = "full"      // everything
+	FullAfterGC  Detail = "collected" // everything, after a collection
 )
 
 func (c *child) sample(detail Detail) (s Sample, err error) {
--- a/internal/capacity/cluster.go
+++ b/internal/capacity/cluster.go
@@ -26,11 +26,11 @@
 
 const (
 	// settle lets sessions, learned addresses and snapshots come to rest.
-	settle = 5 * time.Second
+	settleTime = 5 * time.Second
 	// readyTimeout bounds each wait for a state of the cluster.
 	readyTimeout = 2 * time.Minute
 	pollInterval = 50 * time.Millisecond
-	shortRun     = 2 * time.Second
+	shortRunTime = 2 * time.Second
 )
 
 // Phase is what each role used during one window.
@@ -38,7 +38,7 @@
 	Name            string
 	Agents, Entries Difference
 	Appends, Bytes  float64 // per second, at the log
-	Limited         float64 // appends per second that the log turned away
+	RejectedAppends float64 // appends per second that the log turned away
 	Started         float64 // tasks per second that workers began
 }
 
@@ -61,8 +61,8 @@
 	platform        *platform
 	agents, entries *child
 	client          *administration.Client
-	base            units.Offset
-	documents       int
+	baseVersion     units.Offset
+	published       int
 }
 
 // Measure runs a cluster through an idle, a loaded and a starting window.
@@ -76,7 +76,7 @@
 	if err := c.awaitWorkers(ctx); err != nil {
 		return r, err
 	}
-	if r.EntriesIdle, err = c.entries.sample(Collected); err != nil {
+	if r.EntriesIdle, err = c.entries.sample(FullAfterGC); err != nil {
 		return r, err
 	}
 	if err := c.phase(ctx, &r, "idle", nil); err != nil {
@@ -93,10 +93,10 @@
 			return r, err
 		}
 	}
-	if r.AgentsEnd, err = c.agents.sample(Collected); err != nil {
+	if r.AgentsEnd, err = c.agents.sample(FullAfterGC); err != nil {
 		return r, err
 	}
-	if r.EntriesEnd, err = c.entries.sample(Collected); err != nil {
+	if r.EntriesEnd, err = c.entries.sample(FullAfterGC); err != nil {
 		return r, err
 	}
 	if o.Starts > 0 {
@@ -112,17 +112,17 @@
 	}
 	c := &cluster{Options: o, platform: p}
 	var ready entriesReady
-	if c.entries, err = startChild(ctx, "entries", entriesSettings{o.Entries, p.logAt}, &ready); err != nil {
+	if c.entries, err = startChild(ctx, "entries", entriesSettings{o.Entries, p.logAddress}, &ready); err != nil {
 		c.stop()
 		return nil, err
 	}
-	c.client = &administration.Client{Servers: ready.Administrations, Token: token, Timeout: 5 * time.Second}
+	c.client = &administration.Client{Servers: ready.Administrations, Token: operatorToken, Timeout: 5 * time.Second}
 	if err := await(ctx, "the first document", func() bool { return c.publish(ctx) == nil }); err != nil {
 		c.stop()
 		return nil, err
 	}
 	var none struct{}
-	if c.agents, err = startChild(ctx, "agents", agentsSettings{o.Workers, p.workers, ready.Links}, &none); err != nil {
+	if c.agents, err = startChild(ctx, "agents", agentsSettings{o.Workers, p.workersAddress, ready.Links}, &none); err != nil {
 		c.stop()
 		return nil, err
 	}
@@ -141,12 +141,12 @@
 // publish publishes the next document.
 func (c *cluster) publish(ctx context.Context) error {
 	published, err := c.client.Publish(ctx, administration.Publication{
-		Environment: environmentName, Key: fmt.Sprint("capacity-", c.documents), Base: c.base, Author: "capacity", Text: document(c.documents)}, "document")
+		Environment: environmentName, Key: fmt.Sprint("capacity-", c.published), Base: c.baseVersion, Author: "capacity", Text: document(c.published)}, "document")
 	if err != nil {
 		return err
 	}
-	c.base = published.Version
-	c.documents++
+	c.baseVersion = published.Version
+	c.published++
 	return nil
 }
 
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	return pause(ctx, settle)
+	return sleep(ctx, settleTime)
 }
 
 // phase measures one window while load runs; load ends with its context.
@@ -197,12 +197,12 @@
 	var group errgroup.Group
 	if load != nil {
 		group.Go(func() error { return load(loading) })
-		if err := pause(ctx, settle); err != nil {
+		if err := sleep(ctx, settleTime); err != nil {
 			return err
 		}
 	}
 	var agents, entries [2]Sample
-	log, runs := c.platform.log.Counts(), c.runs()
+	log, runs := c.platform.log.Counts(), c.runCount()
 	var err error
 	for i := range 2 {
 		if agents[i], err = c.agents.sample(Full); err != nil {
@@ -212,7 +212,7 @@
 			return err
 		}
 		if i == 0 {
-			if err := pause(ctx, c.Window); err != nil {
+			if err := sleep(ctx, c.Window); err != nil {
 				return err
 			}
 		}
@@ -220,13 +220,13 @@
 	p := Phase{Name: name, Agents: Between(agents[0], agents[1]), Entries: Between(entries[0], entries[1])}
 	after, seconds := c.platform.log.Counts(), p.Entries.Seconds
 	p.Appends, p.Bytes = float64(after.Appends-log.Appends)/seconds, float64(after.Bytes-log.Bytes)/seconds
-	p.Limited, p.Started = float64(after.Limited-log.Limited)/seconds, float64(c.runs()-runs)/seconds
+	p.RejectedAppends, p.Started = float64(after.Limited-log.Limited)/seconds, float64(c.runCount()-runs)/seconds
 	r.Phases = append(r.Phases, p)
 	end()
 	return group.Wait()
 }
 
-func (c *cluster) runs() (n int) {
+func (c *cluster) runCount() (n int) {
 	for _, core := range c.platform.cores {
 		n += len(core.Runs())
 	}
@@ -247,7 +247,7 @@
 		}
 		var last Sample
 		err = await(ctx, "the document is in force in every agent", func() bool {
-			s, err := c.agents.sample(Counted)
+			s, err := c.agents.sample(CountersOnly)
 			last = s
 			return err == nil && s.Counters["documents"]-before.Counters["documents"] >= int64(c.Workers)
 		})
@@ -289,10 +289,10 @@
 		return err
 	}
 	want := c.Workers * c.Tasks / longJobTasks * longJobTasks
-	if err := await(ctx, "all long tasks run", func() bool { return c.runs() >= want }); err != nil {
+	if err := await(ctx, "all long tasks run", func() bool { return c.runCount() >= want }); err != nil {
 		return err
 	}
-	return pause(ctx, settle)
+	return sleep(ctx, settleTime)
 }
 
 // submitSteadily submits jobs of short tasks at the rate of Starts, and an
@@ -304,16 +304,16 @@
 	begin := time.Now()
 	urgent := make(map[string]time.Time)
 	for i, next := 0, begin; ctx.Err() == nil && i < 1_000_000; i, next = i+1, next.Add(interval) {
-		if pause(ctx, time.Until(next)) != nil {
+		if sleep(ctx, time.Until(next)) != nil {
 			break
 		}
 		group.Go(func() error {
-			_, _ = c.submit(context.WithoutCancel(ctx), fmt.Sprint("short-", i), c.JobTasks, units.PriorityNormal, shortRun)
+			_, _ = c.submit(context.WithoutCancel(ctx), fmt.Sprint("short-", i), c.JobTasks, units.PriorityNormal, shortRunTime)
 			return nil
 		})
 		if time.Since(begin) > time.Duration(len(urgent)+1)*time.Second {
 			sent := time.Now()
-			if job, err := c.submit(ctx, fmt.Sprint("urgent-", i), 1, units.PriorityUrgent, shortRun); err == nil {
+			if job, err := c.submit(ctx, fmt.Sprint("urgent-", i), 1, units.PriorityUrgent, shortRunTime); err == nil {
 				urgent[string(job.ID)] = sent
 			}
 		}
--- a/internal/capacity/document_test.go
+++ b/internal/capacity/document_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := len(d.Teams), teams; got != want {
+	if got, want := len(d.Teams), teamCount; got != want {
 		t.Errorf("teams: got %d, want %d", got, want)
 	}
 }
--- a/internal/capacity/entries.go
+++ b/internal/capacity/entries.go
@@ -18,7 +18,7 @@
 )
 
 // token is the operator's in every measurement.
-const token = "capacity"
+const operatorToken = "capacity"
 
 // entriesSettings are those of the role that holds the entry processes.
 type entriesSettings struct {
@@ -63,7 +63,7 @@
 		return "other"
 	}
 	return ready, func(detail Detail) Sample {
-		sample := Take(classify, detail)
+		sample := TakeSample(classify, detail)
 		sample.Counters = counters(scope)
 		return sample
 	}, stop, nil
@@ -82,7 +82,7 @@
 		ID: units.EntryID(fmt.Sprintf("entry-%d", i+1)), Environment: environmentName,
 		FailureDomain: domains[i%len(domains)], Region: region(i),
 		CallerAddress: addresses[0], AdminAddress: addresses[1], LinkAddress: addresses[2], AdvertisedLinkAddress: addresses[2],
-		LogAddress: netip.MustParseAddrPort(log), OperatorToken: settings.NewSecret(token),
+		LogAddress: netip.MustParseAddrPort(log), OperatorToken: settings.NewSecret(operatorToken),
 		Limits: settings.EntryLimits{
 			CallerRequests: 10_000, CallerBody: units.MiB, CallerTimeout: time.Minute, AdminRequests: 256, AdminBody: units.MiB,
 			AdminTimeout: 10 * time.Second, HeaderBytes: 16 * units.KiB, Connections: 20_000, TimelineEvents: 20_000, StreamsPerSession: 1024,
--- a/internal/capacity/platform.go
+++ b/internal/capacity/platform.go
@@ -30,11 +30,11 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "// version %d\n{\"environment\": %q, \"failureDomains\": [", version, environmentName)
 	for i, d := range domains {
-		fmt.Fprintf(&b, "%s{\"name\": %q, \"region\": %q, \"state\": \"in\"}", comma(i), d, region(i))
+		fmt.Fprintf(&b, "%s{\"name\": %q, \"region\": %q, \"state\": \"in\"}", separator(i), d, region(i))
 	}
 	b.WriteString("], \"teams\": [")
-	for i := range teams {
-		fmt.Fprintf(&b, "%s{\"name\": %q, \"quota\": {\"processors\": \"200\", \"memory\": \"800GiB\", \"accelerators\": 0}, \"mayBorrow\": true}", comma(i), teamName(i))
+	for i := range teamCount {
+		fmt.Fprintf(&b, "%s{\"name\": %q, \"quota\": {\"processors\": \"200\", \"memory\": \"800GiB\", \"accelerators\": 0}, \"mayBorrow\": true}", separator(i), teamName(i))
 	}
 	b.WriteString(`], "services": [{"name": "mouldDesk", "team": "team-001", "priority": "urgent", "latencyTarget": "50ms",
   "perEndpoint": {"processors": "8", "memory": "16GiB"}, "slots": 8, "connections": 64}],
@@ -43,11 +43,11 @@
 	return []byte(b.String())
 }
 
-const teams = 150
+const teamCount = 150
 
-func teamName(i int) string { return fmt.Sprintf("team-%03d", i%teams+1) }
+func teamName(i int) string { return fmt.Sprintf("team-%03d", i%teamCount+1) }
 
-func comma(i int) string {
+func separator(i int) string {
 	if i == 0 {
 		return ""
 	}
@@ -56,13 +56,13 @@
 
 // platform holds the stand-ins for the log service and the workers.
 type platform struct {
-	log     *logservice.Log
-	cores   []*worker.Core
-	logAt   string // addresses
-	workers string
-	servers []*http.Server
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	log            *logservice.Log
+	cores          []*worker.Core
+	logAddress     string // addresses
+	workersAddress string
+	servers        []*http.Server
+	stop           context.CancelFunc
+	running        sync.WaitGroup
 }
 
 func startPlatform(ctx context.Context, workers int, rate float64) (*platform, error) {
@@ -76,8 +76,8 @@
 		mux.Handle(prefix+"/", http.StripPrefix(prefix, worker.NewHandler(core)))
 	}
 	var err error
-	if p.logAt, err = p.serve(p.log.Handler()); err == nil {
-		p.workers, err = p.serve(mux)
+	if p.logAddress, err = p.serve(p.log.Handler()); err == nil {
+		p.workersAddress, err = p.serve(mux)
 	}
 	if err != nil {
 		p.close()
--- a/internal/capacity/recovery.go
+++ b/internal/capacity/recovery.go
@@ -18,21 +18,21 @@
 
 // Recovered is what an entry process without state needed to load a log.
 type Recovered struct {
-	Jobs, Running int
-	Entries       int // of the jobs stream over the day
-	Tail          int // entries after the snapshot
-	Took          time.Duration
-	Sample        Sample // after recovery and a collection
-	Unsettled     uint64 // resident before the collection
+	Jobs, Running        int
+	Entries              int // of the jobs stream over the day
+	EntriesAfterSnapshot int // entries after the snapshot
+	Duration             time.Duration
+	Sample               Sample // after recovery and a collection
+	ResidentBeforeGC     uint64 // resident before the collection
 }
 
 // snapshotEvery is that of the entry process: the most entries that follow the
 // newest snapshot.
-const snapshotEvery = 20_000
+const snapshotInterval = 20_000
 
 const (
-	dayTasks   = 10   // tasks of each job of the day
-	logWorkers = 1000 // workers that the log names
+	dayTasks          = 10   // tasks of each job of the day
+	registeredWorkers = 1000 // workers that the log names
 )
 
 // Recover fills a log with a day of jobs, starts an entry process on it, and
@@ -50,12 +50,12 @@
 	}
 	started := time.Now()
 	var ready entriesReady
-	c, err := startChild(ctx, "entries", entriesSettings{1, p.logAt}, &ready)
+	c, err := startChild(ctx, "entries", entriesSettings{1, p.logAddress}, &ready)
 	if err != nil {
 		return r, err
 	}
 	defer c.stop()
-	client := &administration.Client{Servers: ready.Administrations, Token: token, Timeout: time.Second}
+	client := &administration.Client{Servers: ready.Administrations, Token: operatorToken, Timeout: time.Second}
 	newest := jobID(r.Jobs - 1)
 	err = await(ctx, "the entry process shows the newest job", func() bool {
 		job, err := client.Job(ctx, newest)
@@ -64,13 +64,13 @@
 	if err != nil {
 		return r, err
 	}
-	r.Took = time.Since(started)
+	r.Duration = time.Since(started)
 	first, err := c.sample(Full)
 	if err != nil {
 		return r, err
 	}
-	r.Unsettled = first.Resident
-	r.Sample, err = c.sample(Collected)
+	r.ResidentBeforeGC = first.Resident
+	r.Sample, err = c.sample(FullAfterGC)
 	return r, err
 }
 
@@ -92,36 +92,36 @@
 		return err
 	}
 	day := dayOfJobs(r.Jobs, r.Running)
-	r.Entries, r.Tail = len(day), min(snapshotEvery, len(day))
-	at, err := appendAll(ctx, jobs, day[:len(day)-r.Tail])
+	r.Entries, r.EntriesAfterSnapshot = len(day), min(snapshotInterval, len(day))
+	offset, err := appendAll(ctx, jobs, day[:len(day)-r.EntriesAfterSnapshot])
 	if err != nil {
 		return err
 	}
-	if err := follower.Wait(ctx, at); err != nil {
+	if err := follower.Wait(ctx, offset); err != nil {
 		return err
 	}
 	if err := (&stream.Snapshotter[*ledger.Ledger]{Follower: follower, Writer: jobs}).Append(ctx); err != nil {
 		return err
 	}
-	_, err = appendAll(ctx, jobs, day[len(day)-r.Tail:])
+	_, err = appendAll(ctx, jobs, day[len(day)-r.EntriesAfterSnapshot:])
 	return err
 }
 
-func appendAll(ctx context.Context, w *stream.Writer, entries [][]byte) (at units.Offset, err error) {
+func appendAll(ctx context.Context, w *stream.Writer, entries [][]byte) (offset units.Offset, err error) {
 	for batch := range slices.Chunk(entries, 500) {
-		if at, err = w.Append(ctx, batch...); err != nil {
-			return at, err
+		if offset, err = w.Append(ctx, batch...); err != nil {
+			return offset, err
 		}
 	}
-	return at, nil
+	return offset, nil
 }
 
 func registrations() (entries [][]byte) {
-	for i := range logWorkers {
+	for i := range registeredWorkers {
 		entries = append(entries, roster.EncodeRegistered(roster.Worker{
 			ID: workerName(i), Epoch: 4, Domain: domains[i%len(domains)], Rack: units.RackName(fmt.Sprintf("rack-%03d", i/3)), Region: region(i),
 			LinkAddress: "10.0.0.1:7100", Capacity: units.Resources{Processors: 32000, Memory: 125e9},
-			Lessor: roster.WorkerEpoch{Worker: workerName((i + len(domains)) % logWorkers), Epoch: 4},
+			Lessor: roster.WorkerEpoch{Worker: workerName((i + len(domains)) % registeredWorkers), Epoch: 4},
 		}))
 	}
 	return entries
@@ -140,7 +140,7 @@
 		}))
 		for n := range dayTasks {
 			task := units.Task{Job: id, Index: uint32(n)}
-			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.WorkerEpoch{Worker: workerName((i*dayTasks + n) % logWorkers), Epoch: 4}, size, false),
+			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.WorkerEpoch{Worker: workerName((i*dayTasks + n) % registeredWorkers), Epoch: 4}, size, false),
 				ledger.EncodeStarted(task, 1))
 			if (jobs-i-1)*dayTasks+n >= running {
 				entries = append(entries, ledger.EncodeEnded(task, 1, wire.Outcome_OUTCOME_COMPLETED, time.Minute, size))
@@ -153,5 +153,5 @@
 // Print writes one line.
 func (r Recovered) Print(w io.Writer) {
 	fmt.Fprintf(w, "%6d jobs, %6d running tasks, %7d entries, %6d after the snapshot: %.2f s, heap %.1f MB, resident %.1f MB (%.1f MB before a collection)\n",
-		r.Jobs, r.Running, r.Entries, r.Tail, r.Took.Seconds(), mega(r.Sample.Heap), mega(r.Sample.Resident), mega(r.Unsettled))
+		r.Jobs, r.Running, r.Entries, r.EntriesAfterSnapshot, r.Duration.Seconds(), megabytes(r.Sample.Heap), megabytes(r.Sample.Resident), megabytes(r.ResidentBeforeGC))
 }
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -46,11 +46,11 @@
 type Classifier func(local, remote int) string
 
 // Take samples this process.
-func Take(classify Classifier, detail Detail) Sample {
-	if detail == Counted {
+func TakeSample(classify Classifier, detail Detail) Sample {
+	if detail == CountersOnly {
 		return Sample{At: time.Now()}
 	}
-	if detail == Collected {
+	if detail == FullAfterGC {
 		runtime.GC()
 	}
 	var memory runtime.MemStats
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -30,15 +30,15 @@
 		if p.Started > 0 {
 			bytes = fmt.Sprintf("%.0f", p.Bytes/p.Started)
 		}
-		fmt.Fprintf(t, "%s\t%.1f\t%.0f\t%.1f\t%.0f\t%s\t\t\n", p.Name, p.Appends, p.Bytes, p.Limited, p.Started, bytes)
+		fmt.Fprintf(t, "%s\t%.1f\t%.0f\t%.1f\t%.0f\t%s\t\t\n", p.Name, p.Appends, p.Bytes, p.RejectedAppends, p.Started, bytes)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "per agent after a collection: %.2f MB heap and stacks, %.0f goroutines; process %.0f MB resident\n",
-		mega(r.AgentsEnd.Heap)/float64(r.Workers), float64(r.AgentsEnd.Goroutines)/float64(r.Workers), mega(r.AgentsEnd.Resident))
+		megabytes(r.AgentsEnd.Heap)/float64(r.Workers), float64(r.AgentsEnd.Goroutines)/float64(r.Workers), megabytes(r.AgentsEnd.Resident))
 	fmt.Fprintf(w, "per entry process after a collection: %.1f MB idle, %.1f MB with tasks; process %.0f MB resident\n",
-		mega(r.EntriesIdle.Heap)/n, mega(r.EntriesEnd.Heap)/n, mega(r.EntriesEnd.Resident))
+		megabytes(r.EntriesIdle.Heap)/n, megabytes(r.EntriesEnd.Heap)/n, megabytes(r.EntriesEnd.Resident))
 	if len(r.InForce) > 0 {
 		fmt.Fprintf(w, "document of %d B in force in the last agent after %v; an agent parsed it %.2f times and exchanged %.0f B meanwhile\n",
 			len(document(0)), r.InForce, r.Parsed, r.ChangeBytes)
@@ -49,4 +49,4 @@
 	return nil
 }
 
-func mega(bytes uint64) float64 { return float64(bytes) / 1e6 }
+func megabytes(bytes uint64) float64 { return float64(bytes) / 1e6 }
