--- a/internal/standin/worker/command.go
+++ b/internal/standin/worker/command.go
@@ -16,8 +16,8 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// NewHandler serves the worker interface and the stand-in's own GET /v1/runs,
-// POST /v1/faults and POST /v1/restart.
+// NewHandler returns a handler for the worker interface and for the paths that
+// only the stand-in has: GET /v1/runs, POST /v1/faults and POST /v1/restart.
 func NewHandler(c *Core) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", workerapi.NewHandler(c))
@@ -45,11 +45,12 @@
 	return mux
 }
 
-// advanceInterval bounds how late the run log notices an ended lease. Progress
-// past the end of a lease is never counted, whatever the interval.
+// advanceInterval is the maximum delay with which an expired lease shows in the
+// run log. Progress past the end of a lease is never counted, whatever the
+// interval.
 const advanceInterval = 20 * time.Millisecond
 
-// Serve serves c on the listener until ctx ends.
+// Serve serves c on the listener until ctx is done.
 func Serve(ctx context.Context, listener net.Listener, c *Core) error {
 	server := &http.Server{Handler: NewHandler(c), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/standin/worker/commands.go
+++ b/internal/standin/worker/commands.go
@@ -33,7 +33,7 @@
 }
 
 // Checkpoint implements workerapi.Worker. A repeated call for a task that has
-// already been checkpointed and stopped returns the same checkpoint.
+// already been checkpointed and stopped returns the existing checkpoint.
 func (c *Core) Checkpoint(ctx context.Context, e units.Epoch, t units.Task, a units.Attempt, stop bool) (string, error) {
 	if err := c.applyFaults(ctx, "checkpoint"); err != nil {
 		return "", err
@@ -58,7 +58,7 @@
 	return name, c.loseReply("checkpoint")
 }
 
-// Stop implements workerapi.Worker. Stopping an ended task has no effect.
+// Stop implements workerapi.Worker. It has no effect on a task that has ended.
 func (c *Core) Stop(ctx context.Context, e units.Epoch, t units.Task, a units.Attempt) error {
 	if err := c.applyFaults(ctx, "stop"); err != nil {
 		return err
@@ -75,8 +75,8 @@
 	return c.loseReply("stop")
 }
 
-// Forget implements workerapi.Worker. Forgetting an unknown task has no effect,
-// so that a repeated call is harmless.
+// Forget implements workerapi.Worker. It has no effect on an unknown task, so a
+// repeated call is harmless.
 func (c *Core) Forget(ctx context.Context, e units.Epoch, t units.Task, a units.Attempt) error {
 	if err := c.applyFaults(ctx, "forget"); err != nil {
 		return err
--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is one worker behind the interface, with a clock moved by hand.
+// fixture is one worker behind the interface, with a manually advanced clock.
 type fixture struct {
 	workerapi.Worker
 	core  *Core
@@ -40,7 +40,8 @@
 	}
 }
 
-// implementations are the ways to reach a worker; each passes the same cases.
+// implementations are the implementations of the interface under test: the core
+// itself, and the HTTP client with the handler. Each must pass the same cases.
 var implementations = map[string]func(*testing.T, *Core) workerapi.Worker{
 	"core": func(_ *testing.T, c *Core) workerapi.Worker { return c },
 	"client": func(t *testing.T, c *Core) workerapi.Worker {
@@ -87,13 +88,14 @@
 	}
 }
 
-// Guards against tasks that outlive their lease, are extended by a late
-// renewal, or make progress while the worker's process was paused.
+// Guards against tasks that run past the end of their lease, that a late renewal
+// revives, or that make progress past the lease while the worker's process is
+// paused.
 func TestLeaseLapses(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
 		f.advance(time.Second)
-		f.clock.Add(int64(time.Minute)) // paused: no ticks in between
+		f.clock.Add(int64(time.Minute)) // the process is paused: no Advance in between
 		task := f.onlyTask(t)
 		if task.State != workerapi.Expired || task.Ran != time.Second {
 			t.Errorf("got %s after %s, want expired after 1s", task.State, task.Ran)
@@ -110,7 +112,8 @@
 	})
 }
 
-// Guards against a worker that obeys a former holder.
+// Guards against a worker that accepts calls of a former holder, whose epoch is
+// stale.
 func TestStaleEpochIsFenced(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
@@ -137,8 +140,8 @@
 	})
 }
 
-// Guards against effects that depend on whether the reply of a call arrived: a
-// repeat after a lost reply must succeed and change nothing more.
+// Guards against calls that are not idempotent: a call that is retried after its
+// reply was lost must succeed and have no further effect.
 func TestLostReplies(t *testing.T) {
 	task := units.Task{Job: "watcher/freezer", Index: 0}
 	cases := []struct {
@@ -193,8 +196,8 @@
 	return f.Start(ctx, r)
 }
 
-// Guards against a delayed start that repeats an attempt or brings an older one
-// back, and against a table beyond the worker's capacity.
+// Guards against a delayed start that runs an attempt twice or runs an attempt
+// that has been replaced, and against tasks that exceed the worker's capacity.
 func TestStartRules(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		wantErrorKind(t, "start", f.Start(ctx, f.request(2)), "")
@@ -217,8 +220,8 @@
 	})
 }
 
-// Guards against progress that ignores throttling or is lost at a checkpoint,
-// and against usage that shows without its lag.
+// Guards against progress that ignores throttling or is lost at a checkpoint, and
+// against usage that becomes visible before its lag has passed.
 func TestProgress(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		f.core.ActualSize = func(r workerapi.StartRequest) units.Resources {
@@ -263,7 +266,8 @@
 	})
 }
 
-// Guards against a client that takes a broken or hostile reply for an answer.
+// Guards against a client that accepts a truncated, malformed or oversized reply
+// as valid, or maps a status to the wrong kind of error.
 func TestClientErrorKinds(t *testing.T) {
 	cases := map[string]struct {
 		status int
@@ -294,7 +298,7 @@
 	}
 }
 
-// Guards against a malformed request that harms the worker or passes.
+// Guards against a malformed request that is accepted or makes the worker panic.
 func TestMalformedRequests(t *testing.T) {
 	handler := NewHandler(&Core{Name: "worker-1"})
 	for _, r := range []struct{ method, path, body string }{
--- a/internal/standin/worker/core.go
+++ b/internal/standin/worker/core.go
@@ -1,8 +1,7 @@
 // Package worker is a stand-in for the platform's worker. Core implements
-// workerapi.Worker in memory; tests use it directly, with a clock of their own,
-// and the command serves it over HTTP. It keeps a log of every interval in
-// which an attempt really ran, so that a checker can prove that no task ran on
-// two workers at once.
+// workerapi.Worker in memory. Tests use it directly, with their own clock; the
+// command serves it over HTTP. It logs every interval in which an attempt actually
+// ran, so that a checker can verify that no task ran on two workers at once.
 package worker
 
 import (
@@ -18,22 +17,22 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Core is a worker in memory. Set the exported fields before use; the zero
-// value of each optional field is a well-behaved worker.
+// Core is an in-memory worker. Set the exported fields before use. With the zero
+// values of the optional fields the worker has no faults.
 type Core struct {
 	Name       units.WorkerID
 	Capacity   units.Resources
 	FirstEpoch units.Epoch // the first Hold issues FirstEpoch + 1
 
-	// Clock reads the worker's monotonic clock; nil means the time since the
-	// first call, on the process's monotonic clock.
+	// Clock returns the worker's monotonic clock. If it is nil, the clock is the
+	// time since the first call, on the process's monotonic clock.
 	Clock func() workerapi.Clock
-	// UsageLag is how old a usage sample is when it becomes visible.
+	// UsageLag is the age at which a usage sample becomes visible.
 	UsageLag time.Duration
-	// ActualSize returns what a task really uses at full speed; nil means its
-	// declared size.
+	// ActualSize returns the resources that a task uses at full speed; nil means
+	// its declared size.
 	ActualSize func(workerapi.StartRequest) units.Resources
-	// ActualRunTime returns how long a task really runs; nil means its
+	// ActualRunTime returns the run time of a task at full speed; nil means its
 	// declared run time.
 	ActualRunTime func(workerapi.StartRequest) time.Duration
 
@@ -43,7 +42,7 @@
 	epoch           units.Epoch
 	holder          string
 	tasks           map[units.Task]*row
-	highest         map[units.Task]units.Attempt // highest attempt seen, kept after Forget
+	highest         map[units.Task]units.Attempt // highest attempt that has run, kept after Forget
 	runs            []Run
 	faults          Faults
 	checkpointCount int
@@ -51,15 +50,15 @@
 
 var _ workerapi.Worker = (*Core)(nil)
 
-// row is one task. Once its state is an ended one it never changes again.
+// row is one task. It does not change any more once the task has ended.
 type row struct {
 	workerapi.Task
 	request    workerapi.StartRequest
-	workTotal  time.Duration // work to do; 0 runs until stopped
-	workDone   time.Duration // work done, including that of the checkpoint
+	workTotal  time.Duration // total work; a task with 0 runs until it is stopped
+	workDone   time.Duration // work done, including the work saved in the checkpoint
 	actualSize units.Resources
-	samples    []sample // in order of time
-	run        int      // index into runs, -1 while not running
+	samples    []sample // ordered by time
+	run        int      // index into runs; -1 if not running
 }
 
 type sample struct {
@@ -67,13 +66,14 @@
 	usage units.Resources
 }
 
+// active reports whether the task holds resources and a lease.
 func (r *row) active() bool {
 	return r.State == workerapi.Running || r.State == workerapi.Standby
 }
 
-// lock takes the mutex and brings the table up to the present: leases are
-// checked before any progress is counted, so that a process that resumes after
-// a pause runs nothing past its leases.
+// lockAndAdvance locks the mutex and advances all tasks to the current time.
+// Leases are checked before progress is counted, so a process that resumes after a
+// pause runs no task past its lease.
 func (c *Core) lockAndAdvance() {
 	c.mu.Lock()
 	if c.tasks == nil {
@@ -92,8 +92,8 @@
 	return workerapi.Clock(time.Since(c.origin))
 }
 
-// Advance brings leases and progress up to the present. The server calls it on
-// a ticker; every other method does so first.
+// Advance updates leases and progress to the current time. The server calls it
+// periodically; every other method does the same first.
 func (c *Core) Advance() {
 	c.lockAndAdvance()
 	c.mu.Unlock()
@@ -122,6 +122,7 @@
 	}
 }
 
+// end ends a task and closes its run, if any.
 func (c *Core) end(r *row, state workerapi.TaskState, at workerapi.Clock) {
 	r.State = state
 	if r.run >= 0 {
@@ -173,7 +174,8 @@
 	return a.Index < b.Index
 }
 
-// usage returns the newest sample that is at least lag old.
+// usage returns the newest sample that is at least lag old, and drops the samples
+// before it.
 func (r *row) usage(now workerapi.Clock, lag time.Duration) (units.Resources, time.Duration) {
 	var visible units.Resources
 	kept := 0
@@ -238,8 +240,8 @@
 	}
 }
 
-// runRow runs a task. Only now does its attempt count as seen: a standby that is
-// dropped without having run may be admitted again.
+// startRow runs a task. Only then its attempt counts as used: a standby that ended
+// without running may be started again with the same attempt.
 func (c *Core) startRow(r *row) {
 	c.highest[r.Task.Task] = r.Attempt
 	r.State = workerapi.Running
@@ -303,6 +305,7 @@
 	return c.lastAdvance, c.loseReply("renew")
 }
 
+// checkEpoch rejects a call with an epoch other than the current one.
 func (c *Core) checkEpoch(op string, e units.Epoch) error {
 	if e != c.epoch {
 		return fault.New(op, workerapi.Fenced, "epoch %d is not the current epoch %d", e, c.epoch)
@@ -310,7 +313,8 @@
 	return nil
 }
 
-// find returns the row of an attempt.
+// findAttempt returns the row of an attempt, or an error if the epoch is stale or
+// the attempt is not the current one.
 func (c *Core) findAttempt(op string, e units.Epoch, t units.Task, a units.Attempt) (*row, error) {
 	if err := c.checkEpoch(op, e); err != nil {
 		return nil, err
@@ -325,13 +329,14 @@
 	return r, nil
 }
 
-// checkpointName names a new checkpoint of r. The name carries the work done,
-// which stands for the saved state: any worker can resume from it.
+// checkpointName returns the name of a new checkpoint of r. The name contains the
+// work done, in place of saved state, so that any worker can resume from it.
 func (c *Core) checkpointName(r *row) string {
 	c.checkpointCount++
 	return fmt.Sprintf("%s/%s/%d/%d@%s", c.Name, r.Task.Task, r.Attempt, c.checkpointCount, r.workDone.Round(time.Millisecond))
 }
 
+// checkpointProgress returns the work done that a checkpoint's name contains.
 func checkpointProgress(checkpoint string) time.Duration {
 	_, text, _ := strings.Cut(checkpoint, "@")
 	done, err := time.ParseDuration(text)
--- a/internal/standin/worker/faults.go
+++ b/internal/standin/worker/faults.go
@@ -8,13 +8,13 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Faults are the misbehaviours that a test or POST /v1/faults switches on. The
-// zero value is a healthy worker.
+// Faults are the faults that a test or POST /v1/faults injects. The zero value is
+// a healthy worker.
 type Faults struct {
 	FailTasks   bool          `json:"failTasks"`   // every task that starts fails at once
-	Speed       float64       `json:"speed"`       // share of the full speed at which tasks progress; 0 means 1
-	Delay       time.Duration `json:"delay"`       // before each call takes effect, in nanoseconds
-	LoseReplies int           `json:"loseReplies"` // next calls that take effect without a reply
+	Speed       float64       `json:"speed"`       // progress of tasks as a share of the full speed; 0 means 1
+	Delay       time.Duration `json:"delay"`       // delay before each call takes effect, in nanoseconds
+	LoseReplies int           `json:"loseReplies"` // number of next calls that take effect but whose reply is lost
 	LoseOp      string        `json:"loseOp"`      // restricts LoseReplies to one operation, such as "start"
 	Unreachable bool          `json:"unreachable"` // calls fail without effect
 }
@@ -26,14 +26,14 @@
 	return f.Speed
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (c *Core) SetFaults(f Faults) {
 	c.lockAndAdvance()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
-// before applies the faults that precede the effect of a call.
+// applyFaults applies the faults that precede the effect of a call.
 func (c *Core) applyFaults(ctx context.Context, op string) error {
 	c.mu.Lock()
 	f := c.faults
@@ -42,8 +42,8 @@
 		return fault.New(op, workerapi.Unknown, "worker unreachable")
 	}
 	if f.Delay > 0 {
-		// A call that has reached the worker takes effect even when its
-		// caller has given up, so ctx does not cut the delay short.
+		// A call that has reached the worker takes effect even if its caller no
+		// longer waits, so the delay does not end when ctx does.
 		time.Sleep(f.Delay)
 	}
 	if err := ctx.Err(); err != nil && f.Delay == 0 {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// after drops the reply of a call that has taken effect.
+// loseReply returns an error if a fault drops the reply of a call that has taken
+// effect.
 func (c *Core) loseReply(op string) error {
 	if c.faults.LoseReplies == 0 || c.faults.LoseOp != "" && c.faults.LoseOp != op {
 		return nil
@@ -61,9 +62,9 @@
 	return fault.New(op, workerapi.Unknown, "reply lost")
 }
 
-// Restart stands for a new instance of the worker under the same name: whatever
-// ran has ended, the table is empty, the epoch is one nobody holds, and the
-// monotonic clock begins anew unless Clock is set.
+// Restart simulates a new instance of the worker under the same name: all running
+// tasks have failed, the table is empty, no agent holds the new epoch, and the
+// monotonic clock starts again at 0 unless Clock is set.
 func (c *Core) Restart() {
 	c.lockAndAdvance()
 	defer c.mu.Unlock()
--- a/internal/standin/worker/runs.go
+++ b/internal/standin/worker/runs.go
@@ -9,22 +9,22 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Run is one interval in which an attempt really ran. Start and End lie on the
-// host's wall clock as read when the worker started plus its monotonic clock,
-// so that the runs of several workers on one host compare.
+// Run is one interval in which an attempt actually ran. Start and End are the
+// host's wall clock at the start of the worker plus the worker's monotonic clock,
+// so that runs of several workers on one host can be compared.
 type Run struct {
 	Worker  units.WorkerID      `json:"worker"`
 	Task    string              `json:"task"`
 	Attempt units.Attempt       `json:"attempt"`
 	Epoch   units.Epoch         `json:"epoch"`
 	Start   time.Time           `json:"start"`
-	End     time.Time           `json:"end"`  // the present while Open
+	End     time.Time           `json:"end"`  // the current time while Open
 	Open    bool                `json:"open"` // still running
 	State   workerapi.TaskState `json:"state"`
 }
 
-// maxRuns bounds the log; it holds a day of the target's tasks on one worker
-// many times over.
+// maxRuns is the maximum length of the run log, many times the number of tasks
+// that one worker runs in a day at the target load.
 const maxRuns = 200_000
 
 func (c *Core) wallClock(at workerapi.Clock) time.Time {
@@ -46,7 +46,7 @@
 	})
 }
 
-// Runs returns the log, oldest first.
+// Runs returns the run log, oldest run first.
 func (c *Core) Runs() []Run {
 	c.lockAndAdvance()
 	defer c.mu.Unlock()
@@ -59,8 +59,8 @@
 	return runs
 }
 
-// Overlaps describes every pair of runs of one task that share an instant. It
-// also reports an attempt that ran twice, on one worker or on two.
+// Overlaps returns a description of each pair of runs of one task that overlap in
+// time, and of each attempt that ran twice, on one worker or on two.
 func Overlaps(runs []Run) []string {
 	ordered := append([]Run(nil), runs...)
 	sort.SliceStable(ordered, func(i, j int) bool { return ordered[i].Start.Before(ordered[j].Start) })
