--- a/internal/standin/logservice/command.go
+++ b/internal/standin/logservice/command.go
@@ -19,7 +19,7 @@
 )
 
 const description = `An in-memory substitute for the platform's log service. It keeps named
-streams of records and forgets them when it stops.
+streams of records, which are lost when it stops.
 
 Run it with the limits of the real service:
 
@@ -42,7 +42,7 @@
    curl -d '{"outage":true}' http://127.0.0.1:7000/v1/faults
    curl -d '{"delay":"200ms","jitter":"300ms"}' http://127.0.0.1:7000/v1/faults`
 
-// Command returns the subcommand that serves a Log until its context ends.
+// Command returns the subcommand that serves a Log until its context is done.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:        "log",
@@ -64,14 +64,14 @@
 				Rate: c.Float("rate"), MaxRecord: c.Int("max-record"),
 				RetainAge: c.Duration("retain-age"), RetainCount: c.Int("retain-count"),
 			}
-			klog.InfoS("log service listens", "address", listener.Addr().String(), "rate", log.Rate, "retainAge", log.RetainAge)
+			klog.InfoS("log service listening", "address", listener.Addr().String(), "rate", log.Rate, "retainAge", log.RetainAge)
 			return Serve(ctx, listener, log)
 		},
 	}
 }
 
-// Serve answers requests on listener until ctx ends, then lets requests in
-// progress finish.
+// Serve serves log on listener until ctx is done, then waits for the requests in
+// progress.
 func Serve(ctx context.Context, listener net.Listener, log *Log) error {
 	server := &http.Server{Handler: log.Handler(), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/standin/logservice/contract_test.go
+++ b/internal/standin/logservice/contract_test.go
@@ -21,13 +21,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is one implementation under contract and the way to inject faults.
+// fixture is one implementation of the log service under test, with a function
+// that injects faults.
 type fixture struct {
 	service logservice.Service
 	faults  func(standin.Faults)
 }
 
-// implementations lists what the contract holds for.
+// implementations are the implementations under test: the log itself, and the
+// HTTP client with the handler.
 var implementations = map[string]func(*testing.T, *standin.Log) fixture{
 	"core": func(_ *testing.T, l *standin.Log) fixture { return fixture{l, l.SetFaults} },
 	"http": func(t *testing.T, l *standin.Log) fixture {
@@ -63,7 +65,8 @@
 	}
 }
 
-// TestContractOrder guards against gaps, reordering and altered payloads.
+// TestContractOrder guards against gaps in the offsets, reordered records and
+// altered payloads.
 func TestContractOrder(t *testing.T) {
 	eachImplementation(t, func() *standin.Log { return &standin.Log{ReadLimit: 3} }, func(t *testing.T, ctx context.Context, f fixture, _ *standin.Log) {
 		want := [][]byte{[]byte("a"), {0, 1, 255}, {}, []byte("d"), []byte("e")}
@@ -94,8 +97,8 @@
 	})
 }
 
-// TestContractLongPoll guards against a read at the tail that misses an append
-// or does not end.
+// TestContractLongPoll guards against a waiting read at the end of a stream that
+// misses an append or does not time out.
 func TestContractLongPoll(t *testing.T) {
 	eachImplementation(t, func() *standin.Log { return &standin.Log{} }, func(t *testing.T, ctx context.Context, f fixture, _ *standin.Log) {
 		appended := make(chan error, 1)
@@ -117,8 +120,8 @@
 	})
 }
 
-// TestContractRetention guards against a reader that cannot find out where the
-// retained records start.
+// TestContractRetention guards against an error for an expired offset that does
+// not contain the offset of the first retained record.
 func TestContractRetention(t *testing.T) {
 	eachImplementation(t, func() *standin.Log { return &standin.Log{RetainCount: 2} }, func(t *testing.T, ctx context.Context, f fixture, _ *standin.Log) {
 		for range 5 {
@@ -136,8 +139,9 @@
 	})
 }
 
-// TestContractFaults guards against a wrong kind of error: one other than
-// Unknown for an append that took effect, or a fault that outlives its cause.
+// TestContractFaults guards against the wrong kind of error, such as one other
+// than Unknown for an append that took effect, and against a fault that persists
+// after it was cleared.
 func TestContractFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults  standin.Faults
@@ -187,8 +191,8 @@
 	}
 }
 
-// TestContractRate guards against a substitute that accepts more than its rate,
-// and against an excess append that takes effect.
+// TestContractRate guards against appends above the rate limit that are accepted,
+// and against rejected appends that take effect.
 func TestContractRate(t *testing.T) {
 	eachImplementation(t, func() *standin.Log { return &standin.Log{Rate: 0.001} }, func(t *testing.T, ctx context.Context, f fixture, l *standin.Log) {
 		if _, err := f.service.Append(ctx, "s", []byte("x")); err != nil {
@@ -203,8 +207,8 @@
 	})
 }
 
-// TestCommand guards against a subcommand that does not serve or does not stop
-// with its context.
+// TestCommand guards against a subcommand that fails to start or does not stop
+// when its context is done.
 func TestCommand(t *testing.T) {
 	var help bytes.Buffer
 	command := standin.Command()
@@ -224,7 +228,8 @@
 	}
 }
 
-// FuzzHandler guards against a request body or query that makes the server fail.
+// FuzzHandler guards against a request body or query that makes the server panic
+// or reply with a server error.
 func FuzzHandler(f *testing.F) {
 	f.Add("/v1/streams/s/records", "POST", []byte("x"))
 	f.Add("/v1/streams/s/records?from=1&limit=2&wait=-1s", "GET", []byte(nil))
@@ -235,7 +240,7 @@
 	f.Fuzz(func(t *testing.T, target, method string, body []byte) {
 		request, err := http.NewRequest(method, target, bytes.NewReader(body))
 		if err != nil || strings.Contains(target, "wait") && !strings.Contains(target, "wait=-") {
-			return // a wait only makes the run longer
+			return // a wait would only slow down the fuzzing
 		}
 		defer l.SetFaults(standin.Faults{})
 		recorder := httptest.NewRecorder()
--- a/internal/standin/logservice/faults.go
+++ b/internal/standin/logservice/faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Outcome is what an injected fault does to one append.
+// Outcome is the effect of an injected fault on one append.
 type Outcome string
 
 // The outcomes of an append.
@@ -18,28 +18,30 @@
 	OutcomeLate        Outcome = "late"        // no reply; takes effect after the next append of the stream
 )
 
-// maxScript bounds the outcomes that one request to /v1/faults may script.
+// maxScript is the maximum number of outcomes in the script of one request to
+// /v1/faults.
 const maxScript = 10000
 
-// Faults describes what goes wrong from now on. The zero value means nothing.
+// Faults are the faults that a test or POST /v1/faults injects. The zero value
+// injects none.
 type Faults struct {
 	Outage      bool      `json:"outage"`      // every append and read is rejected
-	Delay       Duration  `json:"delay"`       // before and after the effect of an append, and before a read
-	Jitter      Duration  `json:"jitter"`      // a random part added to Delay
+	Delay       Duration  `json:"delay"`       // delay before and after the effect of an append, and before a read
+	Jitter      Duration  `json:"jitter"`      // maximum of a random delay added to Delay
 	LoseReplies float64   `json:"loseReplies"` // share of appends whose reply is lost after the effect
 	Late        float64   `json:"late"`        // share of appends that take effect late
 	Unavailable float64   `json:"unavailable"` // share of appends rejected without effect
-	Seed        uint64    `json:"seed"`        // of the random source for shares and jitter
+	Seed        uint64    `json:"seed"`        // seed of the random source for shares and jitter
 	Script      []Outcome `json:"script"`      // outcomes of the next appends, in order, before the shares apply
 }
 
-// Duration is a time.Duration that JSON writes as "50ms".
+// Duration is a time.Duration that is encoded in JSON as a string such as "50ms".
 type Duration time.Duration
 
-// MarshalJSON writes d as a Go duration.
+// MarshalJSON encodes d as a Go duration.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// UnmarshalJSON reads a Go duration.
+// UnmarshalJSON decodes a Go duration.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
@@ -50,7 +52,7 @@
 	return err
 }
 
-// Validate reports the first value that makes no sense.
+// Validate returns an error that describes the first invalid value.
 func (f Faults) Validate() error {
 	if f.Delay < 0 || f.Jitter < 0 {
 		return fmt.Errorf("delay %s or jitter %s is negative", time.Duration(f.Delay), time.Duration(f.Jitter))
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// injector draws the outcome of each operation. Log holds its lock around it.
+// injector determines the outcome of each operation. It is guarded by the mutex of
+// Log.
 type injector struct {
 	faults Faults
 	random *rand.Rand
--- a/internal/standin/logservice/log.go
+++ b/internal/standin/logservice/log.go
@@ -1,7 +1,8 @@
-// Package logservice is a small in-memory substitute for the platform's log
-// service, for tests and `make run`. It has the limits that the product must
-// live with: capped append rate, maximum record size, limited retention,
-// outages, slowness and replies lost after the append took effect.
+// Package logservice is an in-memory substitute for the platform's log service,
+// for tests and `make run`. It has the limits and faults of the real service that
+// the product must handle: a limited append rate, a maximum record size, limited
+// retention, outages, slow operations, and replies that are lost after the append
+// took effect.
 package logservice
 
 import (
@@ -16,28 +17,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Limits of a Log whose fields are zero.
+// Limits of a Log. The defaults apply to fields that are zero.
 const (
 	DefaultMaxRecord = 1 << 20
 	DefaultReadLimit = 1000
-	// maxReadBytes bounds one read so that its reply stays below the client's limit.
+	// maxReadBytes limits one read so that its reply stays below the client's limit.
 	maxReadBytes = 8 << 20
 	maxStreams   = 1024
-	// maxReadWait bounds how long one read holds a connection.
+	// maxReadWait is the maximum time for which one read occupies a connection.
 	maxReadWait = 30 * time.Second
 )
 
 var streamName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`)
 
-// Log is the log service in memory. It implements the client's Service, so
-// tests use it directly. Fields are set before the first call; the zero value
-// keeps everything and limits nothing but the record size.
+// Log is an in-memory log service. It implements logservice.Service, so tests use
+// it directly. Set the exported fields before the first call. The zero value
+// retains all records and limits only the sizes of records and reads.
 type Log struct {
 	Rate        float64       // appends per second over all streams; 0 means no limit
-	MaxRecord   int           // bytes of one payload
+	MaxRecord   int           // maximum bytes of one payload
 	RetainAge   time.Duration // 0 means forever
 	RetainCount int           // records per stream; 0 means all
-	ReadLimit   int           // records returned by one read
+	ReadLimit   int           // maximum number of records returned by one read
 	FromZero    bool          // streams start at offset 0 instead of 1
 
 	mu       sync.Mutex
@@ -49,7 +50,8 @@
 
 var _ logservice.Service = (*Log)(nil)
 
-// Counts says what a Log has done since it was made.
+// Counts are the operations of a Log since its creation. Limited counts the
+// appends rejected because of the rate limit.
 type Counts struct {
 	Appends, Reads, Bytes, Limited int64
 }
@@ -62,13 +64,13 @@
 type stream struct {
 	first    units.Offset
 	entries  []entry
-	late     [][]byte      // payloads that take effect after the next append
-	appended chan struct{} // closed on the next append
+	late     [][]byte      // payloads to append after the next append
+	appended chan struct{} // closed by the next append
 }
 
 func (s *stream) next() units.Offset { return s.first + units.Offset(len(s.entries)) }
 
-// Append implements the client's Service.
+// Append implements logservice.Service.
 func (l *Log) Append(ctx context.Context, name string, payload []byte) (units.Offset, error) {
 	const op = "append"
 	if err := ctx.Err(); err != nil {
@@ -93,7 +95,7 @@
 	return offset, err
 }
 
-// commit gives the append its effect and outcome under the lock.
+// applyAppend applies an append with the given outcome.
 func (l *Log) applyAppend(op, name string, payload []byte, outcome Outcome) (units.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +138,7 @@
 	return offset
 }
 
-// Read implements the client's Service.
+// Read implements logservice.Service.
 func (l *Log) Read(ctx context.Context, name string, from units.Offset, wait time.Duration) (logservice.Batch, error) {
 	return l.read(ctx, name, from, wait, orDefault(l.ReadLimit, DefaultReadLimit))
 }
@@ -173,8 +175,8 @@
 	}
 }
 
-// slice returns the records from offset from on and the channel that the next
-// append closes.
+// recordsFrom returns the records from offset from on, without waiting, and the
+// channel that the next append closes.
 func (l *Log) recordsFrom(name string, from units.Offset, limit int) (logservice.Batch, <-chan struct{}, error) {
 	const op = "read"
 	l.mu.Lock()
@@ -203,14 +205,14 @@
 	l.injector.set(f)
 }
 
-// Counts returns what the log has done so far.
+// Counts returns the counts of operations so far.
 func (l *Log) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Expire drops all records of a stream below offset, as retention would.
+// Expire drops all records of a stream below an offset, as retention does.
 func (l *Log) Expire(name string, below units.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,7 +221,7 @@
 	}
 }
 
-// stream returns the stream of that name; streams exist from first use.
+// stream returns the stream with the given name and creates it on first use.
 func (l *Log) stream(op, name string) (*stream, error) {
 	if s, ok := l.streams[name]; ok {
 		return s, nil
@@ -256,7 +258,7 @@
 	s.first += units.Offset(n)
 }
 
-// bucket is a token bucket that holds at most a tenth of a second of appends.
+// bucket is a token bucket whose burst is the appends of a tenth of a second.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -13,11 +13,11 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxFaultsBody bounds the body of POST /v1/faults.
+// maxFaultsBody is the maximum size in bytes of the body of POST /v1/faults.
 const maxFaultsBody = 1 << 20
 
-// Handler serves the HTTP interface of the log service, and /v1/faults, which
-// only the substitute has.
+// Handler returns a handler for the HTTP interface of the log service and for
+// /v1/faults and /v1/counts, which only the substitute has.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
@@ -98,7 +98,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// recordBody and batchBody are the JSON of a read's reply.
+// recordBody and batchBody are the JSON encoding of the reply to a read.
 type recordBody struct {
 	Offset  units.Offset `json:"offset"`
 	Payload []byte       `json:"payload"`
@@ -118,8 +118,8 @@
 	return body
 }
 
-// fail answers a failed operation. A lost reply closes the connection without
-// an answer, which is what its client would see.
+// replyError replies to a failed operation. To simulate a lost reply it closes the
+// connection without replying.
 func (l *Log) replyError(w http.ResponseWriter, err error) {
 	switch {
 	case fault.Is(err, logservice.Unknown):
