--- a/internal/standin/logservice/command.go
+++ b/internal/standin/logservice/command.go
@@ -19,7 +19,7 @@
 )
 
 const description = `An in-memory substitute for the platform's log service. It keeps named
-streams of records, which are lost when it stops.
+streams of records and forgets them when it stops.
 
 Run it with the limits of the real service:
 
