--- a/internal/standin/endpoint/command.go
+++ b/internal/standin/endpoint/command.go
@@ -28,7 +28,7 @@
   # What was executed, for a checker
   curl http://127.0.0.1:8080/v1/executed`
 
-// Command is the subcommand endpoint of wasabihill-standin.
+// Command returns the subcommand that runs an Endpoint.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:        "endpoint",
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint is a substitute for a service's endpoint (runner). It takes
-// a configurable time for each request, records what it executed, and can
-// misbehave in the ways that real endpoints and their connections do.
+// Package endpoint is a substitute for a service's endpoint (runner). It spends a
+// configurable time on each request, records the requests that it executed, and
+// can inject the faults of real endpoints and their connections.
 package endpoint
 
 import (
@@ -23,30 +23,30 @@
 	"wasabihill.example/wasabihill/internal/pause"
 )
 
-// Headers of the substitute.
+// HTTP headers of the substitute.
 const (
-	RequestIDHeader      = "Request-Id"  // of the caller; echoed, and recorded when executed
-	BodyDigestHeader     = "Body-Digest" // xxhash of the request body, on responses
-	FaultHeader          = "Fault"       // on a request: the fault to inject
+	RequestIDHeader      = "Request-Id"  // request id of the caller; echoed, and recorded on execution
+	BodyDigestHeader     = "Body-Digest" // on a response: xxhash of the request body
+	FaultHeader          = "Fault"       // on a request: fault to inject
 	ResponseDigestHeader = "Response-Digest"
 )
 
-// Options configures an Endpoint. Zero fields take the defaults.
+// Options configures an Endpoint. Defaults apply to zero fields.
 type Options struct {
 	Service       string
 	Address       string // IP:port to listen on; default 127.0.0.1:0
-	Agent         string // base URL of the agent's announcement listener; empty announces nowhere
+	Agent         string // base URL of the agent's announcement listener; if empty, nothing is announced
 	Slots         int    // default 8
 	Connections   int    // default 64
 	ServiceTime   time.Duration
 	Spread        float64 // sigma of the log-normal service time; 0 for a constant one
-	ResponseBytes int     // length of a response body; default that of a short JSON object
-	Fault         string  // injected into a share of the requests
+	ResponseBytes int     // minimum length of a response body, which is padded to it
+	Fault         string  // fault that is injected into a share of the requests
 	FaultShare    float64
 	Seed          uint64
 }
 
-// Endpoint is the substitute.
+// Endpoint is a substitute for a service's endpoint.
 type Endpoint struct {
 	options  Options
 	listener net.Listener
@@ -64,10 +64,11 @@
 	silentConns []net.Conn
 }
 
-// maxRecorded bounds the memory for executed request ids.
+// maxExecutedIDs limits the memory used for executed request ids.
 const maxExecutedIDs = 4_000_000
 
-// New binds the address.
+// New returns an endpoint that listens on the address of the options. Run serves
+// it.
 func New(o Options) (*Endpoint, error) {
 	if o.Address == "" {
 		o.Address = "127.0.0.1:0"
@@ -95,10 +96,10 @@
 	return e, nil
 }
 
-// Address is where the endpoint listens.
+// Address returns the address on which the endpoint listens.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// limit closes connections above the limit at once, as a runner does.
+// limitConnections closes connections above the limit at once, as a runner does.
 func (e *Endpoint) limitConnections(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -112,15 +113,15 @@
 
 const (
 	announceInterval = time.Second
-	// leaveQuiet is how long the endpoint must have been idle after it announced
-	// that it leaves. It matters when the agent does not answer: then a request
-	// may be on its way that the endpoint cannot know of.
+	// leaveIdleTime is the time for which the endpoint must be idle before it exits,
+	// after it announced that it is leaving. It matters if the agent does not reply:
+	// a request may then still be in transit.
 	leaveIdleTime = 200 * time.Millisecond
 	leaveTimeout  = 30 * time.Second
 )
 
-// Run serves and announces until ctx ends, then leaves: it announces that it
-// is leaving, finishes what it has and returns.
+// Run serves requests and announces the endpoint until ctx is done. It then
+// announces that the endpoint is leaving, finishes the requests and returns.
 func (e *Endpoint) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- e.server.Serve(e.listener) }()
@@ -141,6 +142,8 @@
 	}
 }
 
+// leave announces that the endpoint is leaving and shuts the server down once the
+// agent expects no more replies and the endpoint is idle.
 func (e *Endpoint) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
@@ -156,7 +159,7 @@
 	_ = e.server.Shutdown(ctx)
 }
 
-// close drops the connections that a fault silenced.
+// close closes the server and the connections on which a fault stopped replies.
 func (e *Endpoint) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,8 +170,9 @@
 	e.client.CloseIdleConnections()
 }
 
-// announce ignores failures: the next announcement follows soon. It reports
-// whether the agent has admitted requests that it has no answer to.
+// announce sends the endpoint's state to the agent. It ignores failures, because
+// announcements are periodic. It reports whether the agent has admitted requests
+// to which the endpoint has not replied.
 func (e *Endpoint) announce(state string) (expected bool) {
 	if e.options.Agent == "" {
 		return false
@@ -193,7 +197,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"executed": e.executed, "unnamed": e.unnamed})
 }
 
-// Executed returns how often each request id was executed.
+// Executed returns the number of executions of each request id.
 func (e *Endpoint) Executed() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,7 +224,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// draw returns the service time and fault of the next request.
+// draw returns the service time and fault of a request.
 func (e *Endpoint) draw(r *http.Request) (time.Duration, fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -245,8 +249,8 @@
 	e.executed[id]++
 }
 
-// serve executes one request. A request is recorded before its service time:
-// from then on it has taken effect.
+// serve executes one request. The request is recorded before its service time
+// starts, because from then on it counts as executed.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	e.active.Add(1)
 	defer func() {
@@ -283,7 +287,8 @@
 	_, _ = w.Write(answer)
 }
 
-// work takes the service time and reports false when the client has left.
+// waitServiceTime waits for the service time. It reports false if the client
+// disconnected.
 func waitServiceTime(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
 
 func (e *Endpoint) responseBody(r *http.Request, body []byte) []byte {
--- a/internal/standin/endpoint/faults.go
+++ b/internal/standin/endpoint/faults.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// moment tells a fault whether the request has been executed.
+// phase is the point of request processing at which a fault is invoked.
 type phase int
 
 const (
@@ -16,10 +16,11 @@
 	afterExecution
 )
 
-// fault misbehaves and reports whether the request is finished with.
+// fault injects a fault in the given phase and reports whether the processing of
+// the request ends there.
 type fault func(e *Endpoint, w http.ResponseWriter, r *http.Request, m phase) bool
 
-// slowTime is what the fault slow adds; it exceeds usual latency targets.
+// slowDelay is the delay of the fault slow; it exceeds usual latency targets.
 const slowDelay = 2 * time.Second
 
 var faults = map[string]fault{
@@ -67,7 +68,8 @@
 		for range 2 {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %016x\r\nContent-Length: %d\r\n\r\n%s",
 				RequestIDHeader, r.Header.Get(RequestIDHeader), ResponseDigestHeader, xxhash.Sum64(body), len(body), body)
-			// The duplicate arrives late: when the next request is on the connection.
+			// The duplicate is sent late, when the next request arrives on the
+			// connection.
 			_ = conn.SetReadDeadline(time.Now().Add(slowDelay))
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
 				break
@@ -83,7 +85,7 @@
 	},
 }
 
-// silence keeps the connection open and never answers on it.
+// stopAnswering keeps the connection open without ever replying on it.
 func (e *Endpoint) stopAnswering(w http.ResponseWriter) bool {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/standin/endpoint/leave_test.go
+++ b/internal/standin/endpoint/leave_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// Guards against an endpoint that closes after a quiet moment although its agent
-// still has an admitted request for it, as an agent without processor time does.
+// Guards against an endpoint that exits after a short idle time although its agent
+// has admitted a request for it that is still to arrive, which happens when the
+// agent is starved of processor time.
 func TestLeavingEndpointWaitsForItsAgent(t *testing.T) {
 	var admitted atomic.Bool
 	var leaving atomic.Int64
@@ -45,12 +46,12 @@
 	}
 	select {
 	case <-left:
-		t.Fatal("left while its agent had a request for it")
+		t.Fatal("endpoint exited while its agent had an admitted request for it")
 	case <-time.After(3 * leaveIdleTime):
 	}
 	response, err := http.Post("http://"+e.Address()+"/", "text/plain", strings.NewReader("x"))
 	if err != nil {
-		t.Fatalf("the late request: %v", err)
+		t.Fatalf("request while leaving: %v", err)
 	}
 	response.Body.Close()
 	admitted.Store(false)
