--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -1,6 +1,6 @@
-// Package callers stands in for the users' clients: it submits jobs, asks for
-// their states and cancels them, and keeps its connection open until the other
-// side ends it.
+// Package callers is a stand-in for the users' clients. It submits jobs, queries
+// their states and cancels them, and keeps its connections open until the server
+// closes them.
 package callers
 
 import (
@@ -17,31 +17,32 @@
 	"time"
 )
 
-// Step is a step of a job.
+// Step is one step of a job.
 type Step struct {
 	Tasks       int
-	After       []int // steps that must be done first
+	After       []int // indexes of the steps that must complete first
 	LongRunning bool
 }
 
-// Job is what a caller submits. Every task takes one core.
+// Job is a job to submit. Every task requires one core.
 type Job struct {
-	Spec  string // tells the stand-in of the runners what the tasks do
+	Spec  string // instructions for the stand-in of the runners on what the tasks do
 	Steps []Step
 }
 
-// Answer is what a caller gets.
+// Answer is the result of a request.
 type Answer struct {
-	Status     int // 0 without a whole answer
+	Status     int // 0 if no complete response was received
 	RetryAfter string
-	State      string        // of the job, when asked for
-	Malformed  bool          // a body that can't be read
-	SentAt     time.Time     // when the whole request had been written; zero if it never was
-	Elapsed    time.Duration // from then to the end
+	State      string        // state of the job, for a request by State
+	Malformed  bool          // the body cannot be decoded
+	SentAt     time.Time     // time at which the whole request had been written; zero if it was not
+	Elapsed    time.Duration // time from SentAt to the end of the request
 	Err        error
 }
 
-// Client sends to one entry process at a time. Set the exported fields before use.
+// Client sends requests to the entry process at Address. Set the exported fields
+// before use.
 type Client struct {
 	Host    string
 	Address string
@@ -50,10 +51,10 @@
 	transport http.Transport
 }
 
-// Close gives up open connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Submit hands the job in.
+// Submit submits the job.
 func (c *Client) Submit(ctx context.Context, path string, job Job) Answer {
 	steps := make([]map[string]any, len(job.Steps))
 	for i, s := range job.Steps {
@@ -72,7 +73,7 @@
 	return c.send(ctx, http.MethodPost, path, string(body))
 }
 
-// State asks for the job's state.
+// State queries the state of the job.
 func (c *Client) State(ctx context.Context, path string) Answer {
 	return c.send(ctx, http.MethodGet, path, "")
 }
@@ -82,7 +83,7 @@
 	return c.send(ctx, http.MethodDelete, path, "")
 }
 
-var errIncomplete = errors.New("the answer is incomplete")
+var errIncomplete = errors.New("response is incomplete")
 
 func (c *Client) send(ctx context.Context, method, path, body string) (a Answer) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -100,7 +101,7 @@
 		return Answer{Err: err}
 	}
 	request.Host, request.ContentLength = c.Host, int64(len(body))
-	request.GetBody = nil // net/http must not send it a second time by itself
+	request.GetBody = nil // prevents net/http from retrying the request
 	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	defer func() {
 		if at := written.Load(); at > 0 {
@@ -128,8 +129,9 @@
 	return a
 }
 
-// Cut reports whether the other side broke off a request that it had read: the
-// whole request had been sent for longer than slack when the connection ended.
+// CutOff reports whether the server dropped a request that it had read: the
+// connection ended more than slack after the whole request had been sent. The
+// caller's own timeout or cancellation does not count.
 func (a Answer) CutOff(slack time.Duration) bool {
 	var timeout net.Error
 	if a.Err == nil || errors.As(a.Err, &timeout) && timeout.Timeout() || errors.Is(a.Err, context.Canceled) {
--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Guards against a caller that blames the other side for its own time limit, and
-// against one that overlooks a request which was read and broken off.
+// Guards against a caller that reports its own timeout as a request cut off by the
+// server, and against one that misses a request that the server read and dropped.
 func TestCutIsDistinguishedFromTimeout(t *testing.T) {
 	const slack = 20 * time.Millisecond
 	for _, c := range []struct {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Guards against a refused connection that counts as a request cut off.
+// Guards against a refused connection that is reported as a request cut off.
 func TestRefusedConnectionIsNoCut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against states that are read from answers that hold none.
+// Guards against a state that is read from a response without a valid one.
 func TestMalformedStateIsReported(t *testing.T) {
 	for body, want := range map[string]Answer{`{"state":"running"}`: {Status: 200, State: "running"}, `{`: {Status: 200, Malformed: true}} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
