--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment writes what the platform gives to the processes of a
-// deployment: their settings files and the operators' records.
+// Package deployment generates the input that the platform gives to the processes
+// of a deployment: their settings files and the operators' records.
 package deployment
 
 import (
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/internal/standin/metastore"
 )
 
-// The ports of a process on its own address.
+// Ports on which a process listens.
 const (
 	ClientsPort    = 8161
 	ReadinessPort  = 8167
@@ -19,28 +19,29 @@
 	SessionPort    = 7720
 )
 
-// SettingsVariable names the environment variable with the path of the settings
-// file, and ReadinessPath what the platform asks on ReadinessPort.
+// SettingsVariable is the environment variable that contains the path of the
+// settings file. ReadinessPath is the path of the platform's readiness probe on
+// ReadinessPort.
 const (
 	SettingsVariable = "WASABIHILL_SETTINGS"
 	ReadinessPath    = "/api/readiness"
 )
 
-// Process is what a settings file says of one process.
+// Process contains the settings of one process.
 type Process struct {
 	Name          string
 	IP            string
 	Domain        string
 	StoreAddress  string // address
-	RunnerAddress string // address; empty for an entry process
+	RunnerAddress string // empty for an entry process
 	Service       string
 	MemoryMb      int
-	FirstStart    bool // the whole system starts for the first time
+	FirstStart    bool // first start of the whole system
 }
 
 func (p Process) address(port int) string { return net.JoinHostPort(p.IP, strconv.Itoa(port)) }
 
-// Settings is the text of the settings file.
+// Settings returns the text of the settings file.
 func (p Process) Settings() string {
 	return fmt.Sprintf(`node = %q
 ip = %q
@@ -66,7 +67,7 @@
 		p.address(ClientsPort), p.address(ReadinessPort), p.address(HeartbeatsPort), p.MemoryMb, p.StoreAddress)
 }
 
-// Route is a queue of the configuration.
+// Route is the route of one queue in the configuration.
 type Route struct {
 	Name        string
 	Host        string
@@ -75,12 +76,12 @@
 	MaxAttempts int
 }
 
-// Operator writes the operators' records.
+// Operator writes the operators' records to the store.
 type Operator struct{ Store *metastore.Log }
 
 const operatorTopic = "keyed.op"
 
-// Configure puts a version of the configuration in force.
+// Configure writes the record of a version of the configuration.
 func (o Operator) Configure(version int, service string, routes []Route) error {
 	list := make([]map[string]any, len(routes))
 	for i, r := range routes {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// Evacuate takes a failure domain out, or back in.
+// Evacuate takes a failure domain out of service, or puts it back into service.
 func (o Operator) Evacuate(domain string, out bool) {
 	var record []byte
 	if out {
