--- a/internal/capacity/agents.go
+++ b/internal/capacity/agents.go
@@ -18,14 +18,14 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// agentsSettings are those of the role that holds all agents.
+// agentsSettings are the settings of the role that runs all agents.
 type agentsSettings struct {
 	Count   int
-	Workers string   // address that serves every worker under its name
-	Entries []string // seed addresses
+	Workers string   // address that serves each worker under its name as path prefix
+	Entries []string // addresses of entry processes to which agents connect first
 }
 
-// workerConnections is what the agent's main uses.
+// workerConnections is the value that the agent's program uses.
 const workerConnections = 8
 
 func startAgents(ctx context.Context, s agentsSettings) (any, func(Detail) Sample, func(), error) {
@@ -70,8 +70,8 @@
 	}, func() { cancel(); running.Wait() }, nil
 }
 
-// newAgent builds agent i as the agent's main does, with an endpoint of eight
-// slots beside it.
+// newAgent returns agent i, configured as in the agent's program, with an endpoint
+// of eight slots.
 func newAgent(i int, s agentsSettings) *agent.Agent {
 	name := workerName(i)
 	return &agent.Agent{
--- a/internal/capacity/child.go
+++ b/internal/capacity/child.go
@@ -13,11 +13,11 @@
 	"k8s.io/klog/v2"
 )
 
-// A child is a process of the measurement that holds one role, so that the
-// operating system accounts for the role alone. The parent writes a line to ask
-// for a sample and closes the pipe to end the child.
+// A child is a process of the measurement that runs one role, so that the
+// operating system accounts for each role separately. The parent writes a line to
+// request a sample and closes the pipe to stop the child.
 
-// stopTimeout ends a child that does not stop by itself.
+// stopTimeout is the time after which a child that has not stopped is killed.
 const stopTimeout = 20 * time.Second
 
 type child struct {
@@ -26,8 +26,8 @@
 	output  *bufio.Scanner
 }
 
-// startChild starts this program again in a role, hands it its settings, and
-// decodes its first line into ready.
+// startChild starts this program as a child process in the given role, sends it
+// its settings, and decodes the first line of its output into ready.
 func startChild(ctx context.Context, role string, settings, ready any) (*child, error) {
 	encoded, err := json.Marshal(settings)
 	if err != nil {
@@ -60,20 +60,20 @@
 
 func (c *child) read(into any) error {
 	if !c.output.Scan() {
-		return fmt.Errorf("the child process ended: %w", c.output.Err())
+		return fmt.Errorf("read from child process: %w", c.output.Err())
 	}
 	return json.Unmarshal(c.output.Bytes(), into)
 }
 
-// Detail says what a sample contains.
+// Detail selects the contents of a sample.
 type Detail string
 
-// The details. Asking for the traffic of thousands of connections takes tens of
-// milliseconds, too long for a wait that polls.
+// The details. Reading the traffic of thousands of connections takes tens of
+// milliseconds, which is too long for polling.
 const (
-	CountersOnly Detail = "counted"   // the counters alone
+	CountersOnly Detail = "counted"   // only the counters
 	Full         Detail = "full"      // everything
-	FullAfterGC  Detail = "collected" // everything, after a collection
+	FullAfterGC  Detail = "collected" // everything, after a garbage collection
 )
 
 func (c *child) sample(detail Detail) (s Sample, err error) {
@@ -91,15 +91,16 @@
 	_ = c.command.Wait()
 }
 
-// serveChild is the child's side: it reads the settings, starts the role, says
-// that it is ready, and answers until the parent closes the pipe.
+// serveChild runs in the child process: it reads the settings, starts the role,
+// reports that it is ready, and replies with samples until the parent closes the
+// pipe.
 func serveChild[S any](ctx context.Context, start func(context.Context, S) (ready any, sample func(Detail) Sample, stop func(), err error)) error {
 	klog.LogToStderr(false)
-	klog.SetOutput(io.Discard) // every entry process reports every document
+	klog.SetOutput(io.Discard) // each entry process logs each document
 	input := bufio.NewScanner(os.Stdin)
 	input.Buffer(nil, 1<<20)
 	if !input.Scan() {
-		return fmt.Errorf("no settings: %w", input.Err())
+		return fmt.Errorf("read settings: %w", input.Err())
 	}
 	var settings S
 	if err := json.Unmarshal(input.Bytes(), &settings); err != nil {
--- a/internal/capacity/cluster.go
+++ b/internal/capacity/cluster.go
@@ -13,49 +13,51 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Options says how large a cluster is measured.
+// Options are the size and load of the measured cluster.
 type Options struct {
 	Workers, Entries int
 	Tasks            int     // long tasks per worker
 	Starts           float64 // short tasks submitted per second during the loaded window
 	JobTasks         int     // tasks of each job submitted for Starts
-	Rate             float64 // appends per second that the log takes
+	Rate             float64 // appends per second that the log accepts
 	Window           time.Duration
-	Changes          int // documents published one after the other
+	Changes          int // documents published one after another
 }
 
 const (
-	// settle lets sessions, learned addresses and snapshots come to rest.
+	// settleTime is the wait until sessions, learned addresses and snapshots are
+	// stable.
 	settleTime = 5 * time.Second
-	// readyTimeout bounds each wait for a state of the cluster.
+	// readyTimeout limits each wait for a state of the cluster.
 	readyTimeout = 2 * time.Minute
 	pollInterval = 50 * time.Millisecond
 	shortRunTime = 2 * time.Second
 )
 
-// Phase is what each role used during one window.
+// Phase contains the resource use of each role during one window.
 type Phase struct {
 	Name            string
 	Agents, Entries Difference
 	Appends, Bytes  float64 // per second, at the log
-	RejectedAppends float64 // appends per second that the log turned away
-	Started         float64 // tasks per second that workers began
+	RejectedAppends float64 // appends per second that the log rejected because of its rate limit
+	Started         float64 // tasks per second that workers started
 }
 
-// Result is what the measurement of one cluster found.
+// Result contains the measurements of one cluster.
 type Result struct {
 	Options
 	Phases      []Phase
-	AgentsEnd   Sample // after a collection, with the long tasks running
+	AgentsEnd   Sample // after a garbage collection, with the long tasks running
 	EntriesEnd  Sample
-	EntriesIdle Sample          // after a collection, before any task
-	InForce     []time.Duration // from the publication to the last agent
-	Parsed      []float64       // times that an agent parsed each document
-	ChangeBytes []float64       // payload between an agent and entry processes meanwhile
-	Urgent      []time.Duration // from submission to the start on a worker
+	EntriesIdle Sample          // after a garbage collection, before any task
+	InForce     []time.Duration // time from the publication of each document until the last agent applied it
+	Parsed      []float64       // mean number of times that an agent parsed each document
+	ChangeBytes []float64       // payload bytes between an agent and entry processes in that time
+	Urgent      []time.Duration // time from submission to the start on a worker
 }
 
-// cluster is a running cluster: stand-ins here, each role in its own process.
+// cluster is a running cluster: the stand-ins of the platform run in this process,
+// each role in its own.
 type cluster struct {
 	Options
 	platform        *platform
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// await polls a condition; an error names what never happened.
+// await polls a condition until it holds. The error after a timeout names the
+// condition.
 func await(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -158,7 +161,7 @@
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w", what, ctx.Err())
+			return fmt.Errorf("condition not reached: %s: %w", what, ctx.Err())
 		}
 	}
 	return nil
@@ -190,7 +193,8 @@
 	return sleep(ctx, settleTime)
 }
 
-// phase measures one window while load runs; load ends with its context.
+// phase measures one window while load runs. load must return when its context is
+// done.
 func (c *cluster) phase(ctx context.Context, r *Result, name string, load func(context.Context) error) error {
 	loading, end := context.WithCancel(ctx)
 	defer end()
@@ -226,6 +230,7 @@
 	return group.Wait()
 }
 
+// runCount returns the number of runs that the workers have started.
 func (c *cluster) runCount() (n int) {
 	for _, core := range c.platform.cores {
 		n += len(core.Runs())
@@ -233,8 +238,8 @@
 	return n
 }
 
-// measureChanges publishes documents and waits until each is in force in every
-// agent.
+// measureChanges publishes documents and waits until every agent has applied each
+// of them.
 func (c *cluster) measureChanges(ctx context.Context, r *Result) error {
 	for range c.Changes {
 		before, err := c.agents.sample(Full)
@@ -273,7 +278,7 @@
 	return c.client.Submit(ctx, "job", administration.EncodeSubmission(s), key)
 }
 
-// longJobTasks is the size of the jobs that run throughout.
+// longJobTasks is the number of tasks of each long job.
 const longJobTasks = 10
 
 func (c *cluster) startLongTasks(ctx context.Context) error {
@@ -295,8 +300,8 @@
 	return sleep(ctx, settleTime)
 }
 
-// submitSteadily submits jobs of short tasks at the rate of Starts, and an
-// urgent one every second.
+// submitSteadily submits jobs of short tasks so that Starts tasks start per
+// second, and one urgent job per second.
 func (c *cluster) submitSteadily(ctx context.Context, r *Result) error {
 	var group errgroup.Group
 	group.SetLimit(256)
@@ -323,6 +328,8 @@
 	return nil
 }
 
+// urgentStarts returns the sorted times from submission to the first start of the
+// given jobs.
 func (c *cluster) urgentStarts(sent map[string]time.Time) (starts []time.Duration) {
 	first := make(map[string]time.Time)
 	for _, core := range c.platform.cores {
--- a/internal/capacity/command.go
+++ b/internal/capacity/command.go
@@ -1,8 +1,9 @@
-// Package capacity measures what control costs: the processor time, memory and
-// traffic of agents and entry processes, and the appends at the log service, as
-// the cluster grows. It runs the product's own code against the platform's
-// stand-ins over loopback. All agents share one process and all entry processes
-// another, so that the operating system accounts for each role alone.
+// Package capacity measures the cost of the control plane for clusters of
+// different sizes: the processor time, memory and traffic of agents and entry
+// processes, and the appends to the log service. It runs the product's own code
+// against stand-ins of the platform over loopback. All agents run in one process
+// and all entry processes in another, so that the operating system accounts for
+// each role separately.
 package capacity
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Command returns the program.
+// Command returns the root command of wasabihill-capacity.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "wasabihill-capacity",
--- a/internal/capacity/document_test.go
+++ b/internal/capacity/document_test.go
@@ -6,7 +6,8 @@
 	"wasabihill.example/wasabihill/pkg/environment"
 )
 
-// Guards against a measurement of a document that agents reject.
+// Guards against a generated document that agents reject, so that nothing is
+// measured.
 func TestDocumentIsValid(t *testing.T) {
 	d, err := environment.Parse("document", document(3))
 	if err != nil {
@@ -17,8 +18,8 @@
 	}
 }
 
-// BenchmarkDocument measures what each agent and entry process spends on a new
-// document.
+// BenchmarkDocument measures the parsing of a document, which each agent and entry
+// process does for each new one.
 func BenchmarkDocument(b *testing.B) {
 	text := document(0)
 	b.SetBytes(int64(len(text)))
--- a/internal/capacity/entries.go
+++ b/internal/capacity/entries.go
@@ -17,16 +17,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// token is the operator's in every measurement.
+// operatorToken is the operator's token in all measurements.
 const operatorToken = "capacity"
 
-// entriesSettings are those of the role that holds the entry processes.
+// entriesSettings are the settings of the role that runs all entry processes.
 type entriesSettings struct {
 	Count int
 	Log   string // address
 }
 
-// entriesReady says where the entry processes listen.
+// entriesReady contains the addresses on which the entry processes listen.
 type entriesReady struct{ Links, Administrations []string }
 
 func startEntries(ctx context.Context, s entriesSettings) (any, func(Detail) Sample, func(), error) {
@@ -69,6 +69,7 @@
 	}, stop, nil
 }
 
+// counters returns the sum of each counter over all entry processes.
 func counters(scope tally.TestScope) map[string]int64 {
 	values := make(map[string]int64)
 	for _, c := range scope.Snapshot().Counters() {
@@ -93,7 +94,7 @@
 	return e
 }
 
-// reserveAddresses reserves addresses until this process ends.
+// reserveAddresses reserves n addresses until this process exits.
 func reserveAddresses(n int) ([]netip.AddrPort, error) {
 	var addresses []netip.AddrPort
 	for range n {
--- a/internal/capacity/platform.go
+++ b/internal/capacity/platform.go
@@ -16,7 +16,7 @@
 
 const environmentName = "production"
 
-// domains are the four failure domains of the target, in two regions.
+// domains are the four failure domains of the target cluster, in two regions.
 var domains = []units.DomainName{"pwani-a", "pwani-b", "bara-a", "bara-b"}
 
 func region(i int) units.RegionName {
@@ -24,8 +24,8 @@
 	return units.RegionName(name)
 }
 
-// document returns a document with the target's 150 teams; version changes its
-// text without changing what it asks for.
+// document returns a configuration document with the 150 teams of the target
+// cluster. version changes its text but not its meaning.
 func document(version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// version %d\n{\"environment\": %q, \"failureDomains\": [", version, environmentName)
@@ -54,11 +54,11 @@
 	return ", "
 }
 
-// platform holds the stand-ins for the log service and the workers.
+// platform contains the stand-ins of the log service and the workers.
 type platform struct {
 	log            *logservice.Log
 	cores          []*worker.Core
-	logAddress     string // addresses
+	logAddress     string
 	workersAddress string
 	servers        []*http.Server
 	stop           context.CancelFunc
@@ -98,7 +98,8 @@
 	return listener.Addr().String(), nil
 }
 
-// advance lets tasks end on workers that nobody asks.
+// advance updates the workers periodically, so that tasks also end on workers that
+// receive no requests.
 func (p *platform) advance(ctx context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
--- a/internal/capacity/recovery.go
+++ b/internal/capacity/recovery.go
@@ -16,28 +16,29 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Recovered is what an entry process without state needed to load a log.
+// Recovered contains the time and memory that an entry process without state
+// needs to load a log.
 type Recovered struct {
 	Jobs, Running        int
-	Entries              int // of the jobs stream over the day
-	EntriesAfterSnapshot int // entries after the snapshot
+	Entries              int // entries of the jobs stream in the day
+	EntriesAfterSnapshot int
 	Duration             time.Duration
-	Sample               Sample // after recovery and a collection
-	ResidentBeforeGC     uint64 // resident before the collection
+	Sample               Sample // after recovery and a garbage collection
+	ResidentBeforeGC     uint64 // resident set size in bytes before the garbage collection
 }
 
-// snapshotEvery is that of the entry process: the most entries that follow the
-// newest snapshot.
+// snapshotInterval is the value that entry processes use: the maximum number of
+// entries that follow the newest snapshot.
 const snapshotInterval = 20_000
 
 const (
-	dayTasks          = 10   // tasks of each job of the day
-	registeredWorkers = 1000 // workers that the log names
+	dayTasks          = 10   // tasks of each job
+	registeredWorkers = 1000 // workers registered in the log
 )
 
-// Recover fills a log with a day of jobs, starts an entry process on it, and
-// waits until its administration API shows the newest job. Jobs and running
-// tasks are those of the target times scale.
+// Recover fills a log with the jobs of one day, starts an entry process that loads
+// it, and waits until its administration API shows the newest job. The numbers of
+// jobs and running tasks are those of the target cluster multiplied by scale.
 func Recover(ctx context.Context, scale float64) (Recovered, error) {
 	p, err := startPlatform(ctx, 0, 0)
 	if err != nil {
@@ -76,8 +77,8 @@
 
 func jobID(i int) units.JobID { return units.JobID(fmt.Sprintf("job-%08d", i)) }
 
-// fillLog appends the registrations, the day of jobs, and a snapshot with the
-// most entries that may follow one.
+// fillLog appends the registrations and the jobs of one day, with a snapshot that
+// is followed by the maximum number of entries.
 func (p *platform) fillLog(ctx context.Context, r *Recovered) error {
 	ctx, end := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -127,8 +128,8 @@
 	return entries
 }
 
-// dayOfJobs returns the entries of jobs whose tasks were assigned, started and,
-// except for the newest ones, ended.
+// dayOfJobs returns the entries of jobs whose tasks were assigned and started. All
+// tasks have also ended, except the newest, whose number is running.
 func dayOfJobs(jobs, running int) (entries [][]byte) {
 	size := units.Resources{Processors: 1900, Memory: 3 * units.GiB}
 	for i := range jobs {
@@ -150,7 +151,7 @@
 	return entries
 }
 
-// Print writes one line.
+// Print writes the measurement as one line.
 func (r Recovered) Print(w io.Writer) {
 	fmt.Fprintf(w, "%6d jobs, %6d running tasks, %7d entries, %6d after the snapshot: %.2f s, heap %.1f MB, resident %.1f MB (%.1f MB before a collection)\n",
 		r.Jobs, r.Running, r.Entries, r.EntriesAfterSnapshot, r.Duration.Seconds(), megabytes(r.Sample.Heap), megabytes(r.Sample.Resident), megabytes(r.ResidentBeforeGC))
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -12,40 +12,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Traffic counts what the open TCP connections of one class have carried.
+// Traffic is the traffic of the open TCP connections of one class.
 type Traffic struct {
 	Connections    int
-	Sent, Received uint64 // payload bytes; sent counts when acknowledged
-	Segments       uint64 // both directions, acknowledgements included
+	Sent, Received uint64 // payload bytes; sent bytes count when acknowledged
+	Segments       uint64 // in both directions, including acknowledgements
 }
 
-// headerBytes is the size of the IPv4 and TCP headers of a segment with time
-// stamps, which Linux uses by default.
+// headerBytes is the size of the IPv4 and TCP headers of a segment with
+// timestamps, which Linux uses by default.
 const headerBytes = 20 + 32
 
-// Payload returns the payload of both directions.
+// Payload returns the payload bytes of both directions.
 func (t Traffic) Payload() uint64 { return t.Sent + t.Received }
 
-// Wire returns the payload with the headers of the segments.
+// Wire returns the bytes of both directions including segment headers.
 func (t Traffic) Wire() uint64 { return t.Payload() + t.Segments*headerBytes }
 
-// Sample is what a process has used since its start.
+// Sample is the resource use of a process since its start.
 type Sample struct {
 	At           time.Time
 	CPU          time.Duration
-	Heap         uint64 // live heap and stacks; after a collection when asked for
+	Heap         uint64 // heap and stacks in use; after a garbage collection with FullAfterGC
 	Resident     uint64 // RSS
 	Allocations  uint64
 	Goroutines   int
 	Traffic      map[string]Traffic
-	Counters     map[string]int64 // of the parts in the process, added up
-	LastDocument time.Time        // when an agent last took over a newer document
+	Counters     map[string]int64 // summed over all agents or entry processes in the process
+	LastDocument time.Time        // time at which an agent last applied a newer document
 }
 
-// Classifier names the class of a connection by the ports at its ends.
+// Classifier returns the class of a connection from its local and remote port.
 type Classifier func(local, remote int) string
 
-// Take samples this process.
+// TakeSample samples this process.
 func TakeSample(classify Classifier, detail Detail) Sample {
 	if detail == CountersOnly {
 		return Sample{At: time.Now()}
@@ -67,7 +67,7 @@
 	return s
 }
 
-// resident returns the resident set size, 0 when the system does not tell.
+// resident returns the resident set size in bytes, or 0 if it is not available.
 func resident() uint64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -81,9 +81,8 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// traffic asks the kernel what each open connection of this process carried.
-// Nothing sits between the two ends, so counting costs the measured code
-// nothing.
+// traffic reads the counters of each open connection of this process from the
+// kernel. No proxy is needed, so counting adds no cost to the measured code.
 func traffic(classify Classifier) map[string]Traffic {
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -126,15 +125,15 @@
 	return 0
 }
 
-// Difference is what a process used between two samples.
+// Difference is the resource use of a process between two samples.
 type Difference struct {
 	Seconds float64
-	Cores   float64 // processor seconds a second
+	Cores   float64 // processor seconds per second
 	first   Sample
 	last    Sample
 }
 
-// Between returns the difference of two samples of one process.
+// Between returns the difference between two samples of one process.
 func Between(first, last Sample) Difference {
 	seconds := last.At.Sub(first.At).Seconds()
 	return Difference{Seconds: seconds, Cores: (last.CPU - first.CPU).Seconds() / seconds, first: first, last: last}
@@ -145,13 +144,13 @@
 	return (float64(d.last.Traffic[class].Payload()) - float64(d.first.Traffic[class].Payload())) / d.Seconds
 }
 
-// Wire returns the bytes per second of a class with headers.
+// Wire returns the bytes per second of a class, including segment headers.
 func (d Difference) Wire(class string) float64 {
 	return (float64(d.last.Traffic[class].Wire()) - float64(d.first.Traffic[class].Wire())) / d.Seconds
 }
 
-// Count returns the change per second of a counter, adding up all that end in
-// the suffix.
+// Count returns the increase per second of all counters whose names end with
+// suffix, summed up.
 func (d Difference) Count(suffix string) float64 {
 	var sum int64
 	for name, value := range d.last.Counters {
--- a/internal/capacity/sample_test.go
+++ b/internal/capacity/sample_test.go
@@ -11,7 +11,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Guards against figures that count the wrong connections or directions.
+// Guards against traffic that is counted for the wrong class of connections or the
+// wrong direction.
 func TestTrafficCountsAClass(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +53,8 @@
 	}
 }
 
-// Guards against rates over the wrong time and against sums that miss a part.
+// Guards against rates computed over the wrong time, and against sums that omit
+// some of the counters.
 func TestBetween(t *testing.T) {
 	start := time.Now()
 	first := Sample{At: start, Counters: map[string]int64{"entry.heartbeats": 10}, Traffic: map[string]Traffic{"log": {Sent: 5}}}
@@ -71,7 +73,8 @@
 	}
 }
 
-// Guards against a day whose tasks do not add up to the target's.
+// Guards against a generated day with the wrong number of jobs, tasks or running
+// tasks.
 func TestDayOfJobs(t *testing.T) {
 	const jobs, running = 20, 50
 	entries := dayOfJobs(jobs, running)
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Print writes what was measured, one line per window.
+// Print writes the tables of the measurements, with one line per window.
 func (r Result) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%d workers, %d entry processes, log limited to %g appends/s, windows of %s\n", r.Workers, r.Entries, r.Rate, r.Window)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
