--- a/internal/capacity/child.go
+++ b/internal/capacity/child.go
@@ -60,7 +60,7 @@
 
 func (c *child) read(into any) error {
 	if !c.output.Scan() {
-		return fmt.Errorf("read from child process: %w", c.output.Err())
+		return fmt.Errorf("child process ended: %w", c.output.Err())
 	}
 	return json.Unmarshal(c.output.Bytes(), into)
 }
@@ -100,7 +100,7 @@
 	input := bufio.NewScanner(os.Stdin)
 	input.Buffer(nil, 1<<20)
 	if !input.Scan() {
-		return fmt.Errorf("read settings: %w", input.Err())
+		return fmt.Errorf("settings are missing: %w", input.Err())
 	}
 	var settings S
 	if err := json.Unmarshal(input.Bytes(), &settings); err != nil {
--- a/internal/capacity/cluster.go
+++ b/internal/capacity/cluster.go
@@ -300,8 +300,8 @@
 	return sleep(ctx, settleTime)
 }
 
-// submitSteadily submits jobs of short tasks so that Starts tasks start per
-// second, and one urgent job per second.
+// submitSteadily submits Starts short tasks per second, in jobs of JobTasks tasks,
+// and one urgent job per second. It adds the start times of the urgent jobs to r.
 func (c *cluster) submitSteadily(ctx context.Context, r *Result) error {
 	var group errgroup.Group
 	group.SetLimit(256)
--- a/internal/capacity/document_test.go
+++ b/internal/capacity/document_test.go
@@ -6,8 +6,7 @@
 	"wasabihill.example/wasabihill/pkg/environment"
 )
 
-// Guards against a generated document that agents reject, so that nothing is
-// measured.
+// Guards against measuring with a generated document that agents reject.
 func TestDocumentIsValid(t *testing.T) {
 	d, err := environment.Parse("document", document(3))
 	if err != nil {
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -32,7 +32,7 @@
 	Name          string
 	IP            string
 	Domain        string
-	StoreAddress  string // address
+	StoreAddress  string
 	RunnerAddress string // empty for an entry process
 	Service       string
 	MemoryMb      int
--- a/internal/trial/guard.go
+++ b/internal/trial/guard.go
@@ -134,7 +134,6 @@
 	}
 }
 
-// newestBatchAttempt returns the batch attempt that started last, or nil.
 // newestBatchAttempt returns the batch attempt that started last, or nil.
 func (m *machine) newestBatchAttempt() *attempt {
 	for i := len(m.running) - 1; i >= 0; i-- {
--- a/internal/trial/machine.go
+++ b/internal/trial/machine.go
@@ -163,7 +163,6 @@
 	return true
 }
 
-// fail reports a failed attempt.
 // fail reports a failed attempt.
 func (m *machine) fail(x *simulation, a *attempt, reason string) {
 	x.measures.failures++
@@ -179,8 +178,6 @@
 	}
 }
 
-// largestMemoryExcess returns the batch attempt that exceeds its committed memory
-// most, or nil.
 // largestMemoryExcess returns the batch attempt that exceeds its committed memory
 // most, or nil.
 func (m *machine) largestMemoryExcess() *attempt {
@@ -266,7 +263,6 @@
 	x.events[at] = append(x.events[at], func() { x.endedEpochs[h] = true })
 }
 
-// join starts a new instance with the next epoch.
 // join starts a new instance with the next epoch.
 func (m *machine) join() {
 	m.epoch++
--- a/internal/trial/naive.go
+++ b/internal/trial/naive.go
@@ -43,7 +43,6 @@
 	return out
 }
 
-// waitingJobs returns the jobs with waiting tasks, in order of submission.
 // waitingJobs returns the jobs with waiting tasks, in order of submission.
 func waitingJobs(l *ledger.Ledger) []*ledger.Job {
 	var jobs []*ledger.Job
@@ -56,7 +55,6 @@
 	return jobs
 }
 
-// place proposes the next worker with sufficient free resources for the task.
 // place proposes the next worker with sufficient free resources for the task.
 func (n *naive) place(in dispatch.Input, free []units.Resources, j *ledger.Job, index uint32) (dispatch.Proposal, bool) {
 	for range free {
@@ -72,7 +70,6 @@
 	return dispatch.Proposal{}, false
 }
 
-// releaseExpired proposes the release of all tasks whose worker epoch has ended.
 // releaseExpired proposes the release of all tasks whose worker epoch has ended.
 func (n *naive) releaseExpired(in dispatch.Input) []dispatch.Proposal {
 	var out []dispatch.Proposal
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -51,7 +51,6 @@
 	return out
 }
 
-// quotient returns a / b, or 0 if b is 0.
 // quotient returns a / b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
