--- a/internal/standin/worker/core.go
+++ b/internal/standin/worker/core.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// startRow runs a task. Only then its attempt counts as used: a standby that ended
-// without running may be started again with the same attempt.
+// startRow runs a task. Only then does its attempt count as used: a standby that
+// ended without running may be started again with the same attempt.
 func (c *Core) startRow(r *row) {
 	c.highest[r.Task.Task] = r.Attempt
 	r.State = workerapi.Running
