--- a/cmd/wasabihill-bench/main.go
+++ b/cmd/wasabihill-bench/main.go
@@ -22,7 +22,7 @@
 	var page bytes.Buffer
 	out := io.MultiWriter(os.Stdout, &page)
 	start, targetsMet, targetCount := time.Now(), 0, 0
-	for _, f := range trial.Firms {
+	for _, f := range trial.Clusters {
 		var results [][]trial.Comparison
 		for seed := range uint64(max(1, *seeds)) {
 			results = append(results, trial.RunAll(f, seed+1, max(1, *parallel)))
--- a/internal/capacity/document_test.go
+++ b/internal/capacity/document_test.go
@@ -6,19 +6,19 @@
 	"wasabihill.example/wasabihill/pkg/environment"
 )
 
-// Guards against a measurement of a document that agents reject.
+// Guards against measuring with a generated document that agents reject.
 func TestDocumentIsValid(t *testing.T) {
 	d, err := environment.Parse("document", document(3))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := len(d.Teams), teams; got != want {
+	if got, want := len(d.Teams), teamCount; got != want {
 		t.Errorf("teams: got %d, want %d", got, want)
 	}
 }
 
-// BenchmarkDocument measures what each agent and entry process spends on a new
-// document.
+// BenchmarkDocument measures the parsing of a document, which each agent and entry
+// process does for each new one.
 func BenchmarkDocument(b *testing.B) {
 	text := document(0)
 	b.SetBytes(int64(len(text)))
--- a/internal/capacity/entries.go
+++ b/internal/capacity/entries.go
@@ -17,16 +17,16 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// token is the operator's in every measurement.
-const token = "capacity"
+// operatorToken is the operator's token in all measurements.
+const operatorToken = "capacity"
 
-// entriesSettings are those of the role that holds the entry processes.
+// entriesSettings are the settings of the role that runs all entry processes.
 type entriesSettings struct {
 	Count int
 	Log   string // address
 }
 
-// entriesReady says where the entry processes listen.
+// entriesReady contains the addresses on which the entry processes listen.
 type entriesReady struct{ Links, Administrations []string }
 
 func startEntries(ctx context.Context, s entriesSettings) (any, func(Detail) Sample, func(), error) {
@@ -63,12 +63,13 @@
 		return "other"
 	}
 	return ready, func(detail Detail) Sample {
-		sample := Take(classify, detail)
+		sample := TakeSample(classify, detail)
 		sample.Counters = counters(scope)
 		return sample
 	}, stop, nil
 }
 
+// counters returns the sum of each counter over all entry processes.
 func counters(scope tally.TestScope) map[string]int64 {
 	values := make(map[string]int64)
 	for _, c := range scope.Snapshot().Counters() {
@@ -82,7 +83,7 @@
 		ID: units.EntryID(fmt.Sprintf("entry-%d", i+1)), Environment: environmentName,
 		FailureDomain: domains[i%len(domains)], Region: region(i),
 		CallerAddress: addresses[0], AdminAddress: addresses[1], LinkAddress: addresses[2], AdvertisedLinkAddress: addresses[2],
-		LogAddress: netip.MustParseAddrPort(log), OperatorToken: settings.NewSecret(token),
+		LogAddress: netip.MustParseAddrPort(log), OperatorToken: settings.NewSecret(operatorToken),
 		Limits: settings.EntryLimits{
 			CallerRequests: 10_000, CallerBody: units.MiB, CallerTimeout: time.Minute, AdminRequests: 256, AdminBody: units.MiB,
 			AdminTimeout: 10 * time.Second, HeaderBytes: 16 * units.KiB, Connections: 20_000, TimelineEvents: 20_000, StreamsPerSession: 1024,
@@ -93,7 +94,7 @@
 	return e
 }
 
-// reserveAddresses reserves addresses until this process ends.
+// reserveAddresses reserves n addresses until this process exits.
 func reserveAddresses(n int) ([]netip.AddrPort, error) {
 	var addresses []netip.AddrPort
 	for range n {
--- a/internal/capacity/recovery.go
+++ b/internal/capacity/recovery.go
@@ -16,28 +16,29 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Recovered is what an entry process without state needed to load a log.
+// Recovered contains the time and memory that an entry process without state
+// needs to load a log.
 type Recovered struct {
-	Jobs, Running int
-	Entries       int // of the jobs stream over the day
-	Tail          int // entries after the snapshot
-	Took          time.Duration
-	Sample        Sample // after recovery and a collection
-	Unsettled     uint64 // resident before the collection
+	Jobs, Running        int
+	Entries              int // entries of the jobs stream in the day
+	EntriesAfterSnapshot int
+	Duration             time.Duration
+	Sample               Sample // after recovery and a garbage collection
+	ResidentBeforeGC     uint64 // resident set size in bytes before the garbage collection
 }
 
-// snapshotEvery is that of the entry process: the most entries that follow the
-// newest snapshot.
-const snapshotEvery = 20_000
+// snapshotInterval is the value that entry processes use: the maximum number of
+// entries that follow the newest snapshot.
+const snapshotInterval = 20_000
 
 const (
-	dayTasks   = 10   // tasks of each job of the day
-	logWorkers = 1000 // workers that the log names
+	dayTasks          = 10   // tasks of each job
+	registeredWorkers = 1000 // workers registered in the log
 )
 
-// Recover fills a log with a day of jobs, starts an entry process on it, and
-// waits until its administration API shows the newest job. Jobs and running
-// tasks are those of the target times scale.
+// Recover fills a log with the jobs of one day, starts an entry process that loads
+// it, and waits until its administration API shows the newest job. The numbers of
+// jobs and running tasks are those of the target cluster multiplied by scale.
 func Recover(ctx context.Context, scale float64) (Recovered, error) {
 	p, err := startPlatform(ctx, 0, 0)
 	if err != nil {
@@ -50,12 +51,12 @@
 	}
 	started := time.Now()
 	var ready entriesReady
-	c, err := startChild(ctx, "entries", entriesSettings{1, p.logAt}, &ready)
+	c, err := startChild(ctx, "entries", entriesSettings{1, p.logAddress}, &ready)
 	if err != nil {
 		return r, err
 	}
 	defer c.stop()
-	client := &administration.Client{Servers: ready.Administrations, Token: token, Timeout: time.Second}
+	client := &administration.Client{Servers: ready.Administrations, Token: operatorToken, Timeout: time.Second}
 	newest := jobID(r.Jobs - 1)
 	err = await(ctx, "the entry process shows the newest job", func() bool {
 		job, err := client.Job(ctx, newest)
@@ -64,20 +65,20 @@
 	if err != nil {
 		return r, err
 	}
-	r.Took = time.Since(started)
+	r.Duration = time.Since(started)
 	first, err := c.sample(Full)
 	if err != nil {
 		return r, err
 	}
-	r.Unsettled = first.Resident
-	r.Sample, err = c.sample(Collected)
+	r.ResidentBeforeGC = first.Resident
+	r.Sample, err = c.sample(FullAfterGC)
 	return r, err
 }
 
 func jobID(i int) units.JobID { return units.JobID(fmt.Sprintf("job-%08d", i)) }
 
-// fillLog appends the registrations, the day of jobs, and a snapshot with the
-// most entries that may follow one.
+// fillLog appends the registrations and the jobs of one day, with a snapshot that
+// is followed by the maximum number of entries.
 func (p *platform) fillLog(ctx context.Context, r *Recovered) error {
 	ctx, end := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -92,43 +93,43 @@
 		return err
 	}
 	day := dayOfJobs(r.Jobs, r.Running)
-	r.Entries, r.Tail = len(day), min(snapshotEvery, len(day))
-	at, err := appendAll(ctx, jobs, day[:len(day)-r.Tail])
+	r.Entries, r.EntriesAfterSnapshot = len(day), min(snapshotInterval, len(day))
+	offset, err := appendAll(ctx, jobs, day[:len(day)-r.EntriesAfterSnapshot])
 	if err != nil {
 		return err
 	}
-	if err := follower.Wait(ctx, at); err != nil {
+	if err := follower.Wait(ctx, offset); err != nil {
 		return err
 	}
 	if err := (&stream.Snapshotter[*ledger.Ledger]{Follower: follower, Writer: jobs}).Append(ctx); err != nil {
 		return err
 	}
-	_, err = appendAll(ctx, jobs, day[len(day)-r.Tail:])
+	_, err = appendAll(ctx, jobs, day[len(day)-r.EntriesAfterSnapshot:])
 	return err
 }
 
-func appendAll(ctx context.Context, w *stream.Writer, entries [][]byte) (at units.Offset, err error) {
+func appendAll(ctx context.Context, w *stream.Writer, entries [][]byte) (offset units.Offset, err error) {
 	for batch := range slices.Chunk(entries, 500) {
-		if at, err = w.Append(ctx, batch...); err != nil {
-			return at, err
+		if offset, err = w.Append(ctx, batch...); err != nil {
+			return offset, err
 		}
 	}
-	return at, nil
+	return offset, nil
 }
 
 func registrations() (entries [][]byte) {
-	for i := range logWorkers {
+	for i := range registeredWorkers {
 		entries = append(entries, roster.EncodeRegistered(roster.Worker{
 			ID: workerName(i), Epoch: 4, Domain: domains[i%len(domains)], Rack: units.RackName(fmt.Sprintf("rack-%03d", i/3)), Region: region(i),
 			LinkAddress: "10.0.0.1:7100", Capacity: units.Resources{Processors: 32000, Memory: 125e9},
-			Lessor: roster.WorkerEpoch{Worker: workerName((i + len(domains)) % logWorkers), Epoch: 4},
+			Lessor: roster.WorkerEpoch{Worker: workerName((i + len(domains)) % registeredWorkers), Epoch: 4},
 		}))
 	}
 	return entries
 }
 
-// dayOfJobs returns the entries of jobs whose tasks were assigned, started and,
-// except for the newest ones, ended.
+// dayOfJobs returns the entries of jobs whose tasks were assigned and started. All
+// tasks have also ended, except the newest, whose number is running.
 func dayOfJobs(jobs, running int) (entries [][]byte) {
 	size := units.Resources{Processors: 1900, Memory: 3 * units.GiB}
 	for i := range jobs {
@@ -140,7 +141,7 @@
 		}))
 		for n := range dayTasks {
 			task := units.Task{Job: id, Index: uint32(n)}
-			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.WorkerEpoch{Worker: workerName((i*dayTasks + n) % logWorkers), Epoch: 4}, size, false),
+			entries = append(entries, ledger.EncodeAssigned(task, 1, ledger.WorkerEpoch{Worker: workerName((i*dayTasks + n) % registeredWorkers), Epoch: 4}, size, false),
 				ledger.EncodeStarted(task, 1))
 			if (jobs-i-1)*dayTasks+n >= running {
 				entries = append(entries, ledger.EncodeEnded(task, 1, wire.Outcome_OUTCOME_COMPLETED, time.Minute, size))
@@ -150,8 +151,8 @@
 	return entries
 }
 
-// Print writes one line.
+// Print writes the measurement as one line.
 func (r Recovered) Print(w io.Writer) {
 	fmt.Fprintf(w, "%6d jobs, %6d running tasks, %7d entries, %6d after the snapshot: %.2f s, heap %.1f MB, resident %.1f MB (%.1f MB before a collection)\n",
-		r.Jobs, r.Running, r.Entries, r.Tail, r.Took.Seconds(), mega(r.Sample.Heap), mega(r.Sample.Resident), mega(r.Unsettled))
+		r.Jobs, r.Running, r.Entries, r.EntriesAfterSnapshot, r.Duration.Seconds(), megabytes(r.Sample.Heap), megabytes(r.Sample.Resident), megabytes(r.ResidentBeforeGC))
 }
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint is a substitute for a service's endpoint (runner). It takes
-// a configurable time for each request, records what it executed, and can
-// misbehave in the ways that real endpoints and their connections do.
+// Package endpoint is a substitute for a service's endpoint (runner). It spends a
+// configurable time on each request, records the requests that it executed, and
+// can inject the faults of real endpoints and their connections.
 package endpoint
 
 import (
@@ -23,30 +23,30 @@
 	"wasabihill.example/wasabihill/internal/pause"
 )
 
-// Headers of the substitute.
+// HTTP headers of the substitute.
 const (
-	RequestID  = "Request-Id"  // of the caller; echoed, and recorded when executed
-	Digest     = "Body-Digest" // xxhash of the request body, on responses
-	FaultName  = "Fault"       // on a request: the fault to inject
-	WholeCheck = "Response-Digest"
+	RequestIDHeader      = "Request-Id"  // request id of the caller; echoed, and recorded on execution
+	BodyDigestHeader     = "Body-Digest" // on a response: xxhash of the request body
+	FaultHeader          = "Fault"       // on a request: fault to inject
+	ResponseDigestHeader = "Response-Digest"
 )
 
-// Options configures an Endpoint. Zero fields take the defaults.
+// Options configures an Endpoint. Defaults apply to zero fields.
 type Options struct {
 	Service       string
 	Address       string // IP:port to listen on; default 127.0.0.1:0
-	Agent         string // base URL of the agent's announcement listener; empty announces nowhere
+	Agent         string // base URL of the agent's announcement listener; if empty, nothing is announced
 	Slots         int    // default 8
 	Connections   int    // default 64
 	ServiceTime   time.Duration
 	Spread        float64 // sigma of the log-normal service time; 0 for a constant one
-	ResponseBytes int     // length of a response body; default that of a short JSON object
-	Fault         string  // injected into a share of the requests
+	ResponseBytes int     // minimum length of a response body, which is padded to it
+	Fault         string  // fault that is injected into a share of the requests
 	FaultShare    float64
 	Seed          uint64
 }
 
-// Endpoint is the substitute.
+// Endpoint is a substitute for a service's endpoint.
 type Endpoint struct {
 	options  Options
 	listener net.Listener
@@ -57,17 +57,18 @@
 	active   atomic.Int64
 	lastBusy atomic.Int64
 
-	mu       sync.Mutex // guards the rest
-	random   *rand.Rand
-	executed map[string]int
-	unnamed  int
-	silenced []net.Conn
+	mu          sync.Mutex // guards the rest
+	random      *rand.Rand
+	executed    map[string]int
+	unnamed     int
+	silentConns []net.Conn
 }
 
-// maxRecorded bounds the memory for executed request ids.
-const maxRecorded = 4_000_000
+// maxExecutedIDs limits the memory used for executed request ids.
+const maxExecutedIDs = 4_000_000
 
-// New binds the address.
+// New returns an endpoint that listens on the address of the options. Run serves
+// it.
 func New(o Options) (*Endpoint, error) {
 	if o.Address == "" {
 		o.Address = "127.0.0.1:0"
@@ -91,15 +92,15 @@
 	mux.HandleFunc("GET /v1/executed", e.serveExecuted)
 	mux.HandleFunc("POST /v1/faults", e.serveFaults)
 	mux.HandleFunc("/", e.serve)
-	e.server = &http.Server{Handler: mux, ConnState: e.limit, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
+	e.server = &http.Server{Handler: mux, ConnState: e.limitConnections, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	return e, nil
 }
 
-// Address is where the endpoint listens.
+// Address returns the address on which the endpoint listens.
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// limit closes connections above the limit at once, as a runner does.
-func (e *Endpoint) limit(conn net.Conn, state http.ConnState) {
+// limitConnections closes connections above the limit at once, as a runner does.
+func (e *Endpoint) limitConnections(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		if e.conns.Add(1) > int64(e.options.Connections) {
@@ -112,15 +113,15 @@
 
 const (
 	announceInterval = time.Second
-	// leaveQuiet is how long the endpoint must have been idle after it announced
-	// that it leaves. It matters when the agent does not answer: then a request
-	// may be on its way that the endpoint cannot know of.
-	leaveQuiet   = 200 * time.Millisecond
-	leaveTimeout = 30 * time.Second
+	// leaveIdleTime is the time for which the endpoint must be idle before it exits,
+	// after it announced that it is leaving. It matters if the agent does not reply:
+	// a request may then still be in transit.
+	leaveIdleTime = 200 * time.Millisecond
+	leaveTimeout  = 30 * time.Second
 )
 
-// Run serves and announces until ctx ends, then leaves: it announces that it
-// is leaving, finishes what it has and returns.
+// Run serves requests and announces the endpoint until ctx is done. It then
+// announces that the endpoint is leaving, finishes the requests and returns.
 func (e *Endpoint) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- e.server.Serve(e.listener) }()
@@ -141,34 +142,37 @@
 	}
 }
 
+// leave announces that the endpoint is leaving and shuts the server down once the
+// agent expects no more replies and the endpoint is idle.
 func (e *Endpoint) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	e.lastBusy.Store(time.Now().UnixNano())
-	tick := time.NewTicker(leaveQuiet / 4)
+	tick := time.NewTicker(leaveIdleTime / 4)
 	defer tick.Stop()
 	for ; ctx.Err() == nil; <-tick.C {
 		expected := e.announce("leaving")
-		if !expected && e.active.Load() == 0 && time.Now().UnixNano()-e.lastBusy.Load() > int64(leaveQuiet) {
+		if !expected && e.active.Load() == 0 && time.Now().UnixNano()-e.lastBusy.Load() > int64(leaveIdleTime) {
 			break
 		}
 	}
 	_ = e.server.Shutdown(ctx)
 }
 
-// close drops the connections that a fault silenced.
+// close closes the server and the connections on which a fault stopped replies.
 func (e *Endpoint) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, c := range e.silenced {
+	for _, c := range e.silentConns {
 		c.Close()
 	}
 	e.server.Close()
 	e.client.CloseIdleConnections()
 }
 
-// announce ignores failures: the next announcement follows soon. It reports
-// whether the agent has admitted requests that it has no answer to.
+// announce sends the endpoint's state to the agent. It ignores failures, because
+// announcements are periodic. It reports whether the agent has admitted requests
+// to which the endpoint has not replied.
 func (e *Endpoint) announce(state string) (expected bool) {
 	if e.options.Agent == "" {
 		return false
@@ -193,7 +197,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"executed": e.executed, "unnamed": e.unnamed})
 }
 
-// Executed returns how often each request id was executed.
+// Executed returns the number of executions of each request id.
 func (e *Endpoint) Executed() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,7 +224,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// draw returns the service time and fault of the next request.
+// draw returns the service time and fault of a request.
 func (e *Endpoint) draw(r *http.Request) (time.Duration, fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -228,25 +232,25 @@
 	if e.options.Spread > 0 {
 		d = time.Duration(float64(d) * math.Exp(e.random.NormFloat64()*e.options.Spread))
 	}
-	name := r.Header.Get(FaultName)
+	name := r.Header.Get(FaultHeader)
 	if name == "" && e.options.FaultShare > 0 && e.random.Float64() < e.options.FaultShare {
 		name = e.options.Fault
 	}
 	return d, faults[name]
 }
 
-func (e *Endpoint) record(id string) {
+func (e *Endpoint) recordExecution(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if id == "" || len(e.executed) >= maxRecorded {
+	if id == "" || len(e.executed) >= maxExecutedIDs {
 		e.unnamed++
 		return
 	}
 	e.executed[id]++
 }
 
-// serve executes one request. A request is recorded before its service time:
-// from then on it has taken effect.
+// serve executes one request. The request is recorded before its service time
+// starts, because from then on it counts as executed.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	e.active.Add(1)
 	defer func() {
@@ -265,29 +269,30 @@
 		return
 	}
 	d, inject := e.draw(r)
-	if inject != nil && inject(e, w, r, before) {
+	if inject != nil && inject(e, w, r, beforeExecution) {
 		return
 	}
-	e.record(r.Header.Get(RequestID))
-	if !work(r, d) {
+	e.recordExecution(r.Header.Get(RequestIDHeader))
+	if !waitServiceTime(r, d) {
 		return
 	}
-	if inject != nil && inject(e, w, r, after) {
+	if inject != nil && inject(e, w, r, afterExecution) {
 		return
 	}
-	answer := e.answer(r, body)
-	w.Header().Set(RequestID, r.Header.Get(RequestID))
-	w.Header().Set(Digest, fmt.Sprintf("%016x", xxhash.Sum64(body)))
-	w.Header().Set(WholeCheck, fmt.Sprintf("%016x", xxhash.Sum64(answer)))
+	answer := e.responseBody(r, body)
+	w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
+	w.Header().Set(BodyDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(body)))
+	w.Header().Set(ResponseDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(answer)))
 	w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
 	_, _ = w.Write(answer)
 }
 
-// work takes the service time and reports false when the client has left.
-func work(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
+// waitServiceTime waits for the service time. It reports false if the client
+// disconnected.
+func waitServiceTime(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
 
-func (e *Endpoint) answer(r *http.Request, body []byte) []byte {
-	answer := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestID), xxhash.Sum64(body))
+func (e *Endpoint) responseBody(r *http.Request, body []byte) []byte {
+	answer := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestIDHeader), xxhash.Sum64(body))
 	if n := e.options.ResponseBytes - len(answer); n > 0 {
 		answer = append(answer, bytes.Repeat([]byte("x"), n)...)
 	}
--- a/internal/standin/logservice/log.go
+++ b/internal/standin/logservice/log.go
@@ -1,7 +1,8 @@
-// Package logservice is a small in-memory substitute for the platform's log
-// service, for tests and `make run`. It has the limits that the product must
-// live with: capped append rate, maximum record size, limited retention,
-// outages, slowness and replies lost after the append took effect.
+// Package logservice is an in-memory substitute for the platform's log service,
+// for tests and `make run`. It has the limits and faults of the real service that
+// the product must handle: a limited append rate, a maximum record size, limited
+// retention, outages, slow operations, and replies that are lost after the append
+// took effect.
 package logservice
 
 import (
@@ -16,28 +17,28 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Limits of a Log whose fields are zero.
+// Limits of a Log. The defaults apply to fields that are zero.
 const (
 	DefaultMaxRecord = 1 << 20
 	DefaultReadLimit = 1000
-	// maxReadBytes bounds one read so that its reply stays below the client's limit.
+	// maxReadBytes limits one read so that its reply stays below the client's limit.
 	maxReadBytes = 8 << 20
 	maxStreams   = 1024
-	// maxReadWait bounds how long one read holds a connection.
+	// maxReadWait is the maximum time for which one read occupies a connection.
 	maxReadWait = 30 * time.Second
 )
 
 var streamName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`)
 
-// Log is the log service in memory. It implements the client's Service, so
-// tests use it directly. Fields are set before the first call; the zero value
-// keeps everything and limits nothing but the record size.
+// Log is an in-memory log service. It implements logservice.Service, so tests use
+// it directly. Set the exported fields before the first call. The zero value
+// retains all records and limits only the sizes of records and reads.
 type Log struct {
 	Rate        float64       // appends per second over all streams; 0 means no limit
-	MaxRecord   int           // bytes of one payload
+	MaxRecord   int           // maximum bytes of one payload
 	RetainAge   time.Duration // 0 means forever
 	RetainCount int           // records per stream; 0 means all
-	ReadLimit   int           // records returned by one read
+	ReadLimit   int           // maximum number of records returned by one read
 	FromZero    bool          // streams start at offset 0 instead of 1
 
 	mu       sync.Mutex
@@ -49,7 +50,8 @@
 
 var _ logservice.Service = (*Log)(nil)
 
-// Counts says what a Log has done since it was made.
+// Counts are the operations of a Log since its creation. Limited counts the
+// appends rejected because of the rate limit.
 type Counts struct {
 	Appends, Reads, Bytes, Limited int64
 }
@@ -60,15 +62,15 @@
 }
 
 type stream struct {
-	first   units.Offset
-	entries []entry
-	late    [][]byte      // payloads that take effect after the next append
-	grown   chan struct{} // closed on the next append
+	first    units.Offset
+	entries  []entry
+	late     [][]byte      // payloads to append after the next append
+	appended chan struct{} // closed by the next append
 }
 
 func (s *stream) next() units.Offset { return s.first + units.Offset(len(s.entries)) }
 
-// Append implements the client's Service.
+// Append implements logservice.Service.
 func (l *Log) Append(ctx context.Context, name string, payload []byte) (units.Offset, error) {
 	const op = "append"
 	if err := ctx.Err(); err != nil {
@@ -81,27 +83,27 @@
 		return 0, fault.New(op, logservice.Refused, "record of %d bytes exceeds %d", len(payload), limit)
 	}
 	l.mu.Lock()
-	outcome, delay := l.injector.forAppend()
+	outcome, delay := l.injector.nextAppend()
 	l.mu.Unlock()
 	if !pause.For(ctx, delay) {
 		return 0, fault.Wrap(op, logservice.Unknown, ctx.Err())
 	}
-	offset, err := l.commit(op, name, payload, outcome)
+	offset, err := l.applyAppend(op, name, payload, outcome)
 	if err == nil && !pause.For(ctx, delay) {
 		return 0, fault.Wrap(op, logservice.Unknown, ctx.Err())
 	}
 	return offset, err
 }
 
-// commit gives the append its effect and outcome under the lock.
-func (l *Log) commit(op, name string, payload []byte, outcome Outcome) (units.Offset, error) {
+// applyAppend applies an append with the given outcome.
+func (l *Log) applyAppend(op, name string, payload []byte, outcome Outcome) (units.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if outcome == OutcomeUnavailable {
 		return 0, fault.New(op, logservice.Unavailable, "injected outage")
 	}
-	if !l.bucket.take(l.Rate, now) {
+	if !l.bucket.allow(l.Rate, now) {
 		l.counts.Limited++
 		return 0, fault.New(op, logservice.Unavailable, "append rate exceeds %g/s", l.Rate)
 	}
@@ -120,8 +122,8 @@
 	}
 	s.late = nil
 	l.prune(s, now)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	if outcome == OutcomeLost {
 		return 0, fault.New(op, logservice.Unknown, "injected loss of the reply")
 	}
@@ -136,7 +138,7 @@
 	return offset
 }
 
-// Read implements the client's Service.
+// Read implements logservice.Service.
 func (l *Log) Read(ctx context.Context, name string, from units.Offset, wait time.Duration) (logservice.Batch, error) {
 	return l.read(ctx, name, from, wait, orDefault(l.ReadLimit, DefaultReadLimit))
 }
@@ -148,7 +150,7 @@
 	}
 	l.mu.Lock()
 	l.counts.Reads++
-	outage, delay := l.injector.forRead()
+	outage, delay := l.injector.nextRead()
 	l.mu.Unlock()
 	if !pause.For(ctx, delay) {
 		return logservice.Batch{}, fault.Wrap(op, logservice.Unavailable, ctx.Err())
@@ -159,7 +161,7 @@
 	timer := time.NewTimer(min(max(wait, 0), maxReadWait))
 	defer timer.Stop()
 	for {
-		batch, grown, err := l.slice(name, from, limit)
+		batch, grown, err := l.recordsFrom(name, from, limit)
 		if err != nil || len(batch.Records) > 0 || from > batch.Next || wait <= 0 {
 			return batch, err
 		}
@@ -173,9 +175,9 @@
 	}
 }
 
-// slice returns the records from offset from on and the channel that the next
-// append closes.
-func (l *Log) slice(name string, from units.Offset, limit int) (logservice.Batch, <-chan struct{}, error) {
+// recordsFrom returns the records from offset from on, without waiting, and the
+// channel that the next append closes.
+func (l *Log) recordsFrom(name string, from units.Offset, limit int) (logservice.Batch, <-chan struct{}, error) {
 	const op = "read"
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +195,7 @@
 		batch.Records = append(batch.Records, logservice.Record{Offset: from, Payload: payload})
 		bytes += len(payload)
 	}
-	return batch, s.grown, nil
+	return batch, s.appended, nil
 }
 
 // SetFaults replaces the injected faults.
@@ -203,14 +205,14 @@
 	l.injector.set(f)
 }
 
-// Counts returns what the log has done so far.
+// Counts returns the counts of operations so far.
 func (l *Log) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Expire drops all records of a stream below offset, as retention would.
+// Expire drops all records of a stream below an offset, as retention does.
 func (l *Log) Expire(name string, below units.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,7 +221,7 @@
 	}
 }
 
-// stream returns the stream of that name; streams exist from first use.
+// stream returns the stream with the given name and creates it on first use.
 func (l *Log) stream(op, name string) (*stream, error) {
 	if s, ok := l.streams[name]; ok {
 		return s, nil
@@ -230,7 +232,7 @@
 	if l.streams == nil {
 		l.streams = make(map[string]*stream)
 	}
-	s := &stream{first: 1, grown: make(chan struct{})}
+	s := &stream{first: 1, appended: make(chan struct{})}
 	if l.FromZero {
 		s.first = 0
 	}
@@ -256,23 +258,23 @@
 	s.first += units.Offset(n)
 }
 
-// bucket is a token bucket that holds at most a tenth of a second of appends.
+// bucket is a token bucket whose burst is the appends of a tenth of a second.
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-func (b *bucket) take(rate float64, now time.Time) bool {
+func (b *bucket) allow(rate float64, now time.Time) bool {
 	if rate <= 0 {
 		return true
 	}
 	burst := max(1, rate/10)
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*now.Sub(b.filled).Seconds())
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.filled = now
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -280,9 +282,9 @@
 	return true
 }
 
-func orDefault(value, otherwise int) int {
+func orDefault(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
