--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	if address == "entry" {
-		return gatedSession{sim.network.Connect(name, "entry", sim.platform.Accept(gateHandler(g, handler))), g}, nil
+		return gatedSession{sim.network.Connect(name, "entry", sim.platform.SessionHandler(gateHandler(g, handler))), g}, nil
 	}
 	s, err := sim.network.Dial(name, strings.TrimPrefix(address, "link/"), address)
 	if err != nil {
@@ -158,7 +158,7 @@
 	for _, c := range sim.cores {
 		runs = append(runs, c.Runs()...)
 	}
-	return sim.platform.Check(runs, domains)
+	return sim.platform.Problems(runs, domains)
 }
 
 // waitForBatchTasks waits until every batch task has ended, at most for limit.
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -69,22 +69,22 @@
 		}
 	},
 	"logDown": func(sim *simulation, e event) {
-		sim.platform.SetLog(false)
+		sim.platform.SetLogReachable(false)
 		time.Sleep(e.lasts)
-		sim.platform.SetLog(true)
+		sim.platform.SetLogReachable(true)
 	},
 	// domainOut takes a failure domain out of service while the entry processes
 	// cannot read that change, and submits enough tasks meanwhile that some are
 	// assigned to the domain.
 	"domainOut": func(sim *simulation, e event) {
-		sim.platform.Freeze(true)
+		sim.platform.SetConfigurationFrozen(true)
 		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(4 * time.Second)
 		for i := range uint32(tasksWhileOut) {
 			sim.platform.Submit(200+uint32(e.at/time.Millisecond)*tasksWhileOut+i, newBatchSpec(2*time.Second, 1000))
 		}
 		time.Sleep(e.lasts)
-		sim.platform.Freeze(false)
+		sim.platform.SetConfigurationFrozen(false)
 		sim.platform.Publish([]string{string(domains[e.worker])}, nil)
 		time.Sleep(5 * time.Second)
 		sim.platform.Publish(nil, nil)
@@ -147,7 +147,7 @@
 			go faults[e.kind](sim, e)
 		}
 		time.Sleep(70*time.Second - time.Since(start))
-		sim.network.SetNoise(0)
+		sim.network.SetFaultRate(0)
 		afterFaults(sim)
 	})
 }
@@ -163,7 +163,7 @@
 		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
 			return func(sim *simulation) {
 				if !sim.waitForBatchTasks(2 * time.Minute) {
-					sim.platform.Problem("tasks have not ended two minutes after the last fault")
+					sim.platform.AddProblem("tasks have not ended two minutes after the last fault")
 				}
 			}
 		})
--- a/internal/agent/naive_test.go
+++ b/internal/agent/naive_test.go
@@ -134,7 +134,7 @@
 			expectNoViolations(t, runHistory(t, c.events, 7, 0, func(*simulation) func(*simulation) { return func(*simulation) {} }))
 			problems := runHistory(t, c.events, 7, 0, func(sim *simulation) func(*simulation) {
 				sim.newProcess = newNaiveAgent
-				sim.platform.Naive = true
+				sim.platform.ReleaseSilentWorkers = true
 				return func(*simulation) {}
 			})
 			all := strings.Join(problems, "\n")
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -74,7 +74,7 @@
 		if holder != "w3" {
 			sim.t.Fatalf("the watcher runs on %q, want w3", holder)
 		}
-		sim.platform.SetLog(false)
+		sim.platform.SetLogReachable(false)
 		time.Sleep(3 * time.Second)
 		sim.processGates[holder].kill()
 		died := time.Now()
@@ -86,7 +86,7 @@
 					continue
 				}
 				t.Logf("the standby runs %s after the holder died", runs[0].Start.Sub(died).Round(time.Millisecond))
-				sim.platform.SetLog(true)
+				sim.platform.SetLogReachable(true)
 				time.Sleep(20 * time.Second)
 				if attempt, now := sim.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
 					sim.t.Errorf("recorded: got attempt %d on %q, want %d on %s", attempt, now, runs[0].Attempt, name)
@@ -107,7 +107,7 @@
 		test(sim, func(path string, message, reply Message) error {
 			ctx, cancel := context.WithTimeout(sim.ctx, 5*time.Second)
 			defer cancel()
-			return sim.network.Connect("entry", "w1", sim.platform.Handler("w1")).Call(ctx, path, message, reply)
+			return sim.network.Connect("entry", "w1", sim.platform.AgentHandler("w1")).Call(ctx, path, message, reply)
 		})
 	}))
 }
@@ -265,7 +265,7 @@
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	platform := entries.NewPlatform(1, nil)
 	sessions := make(chan *link.Session, 64)
-	accept := platform.Accept(nil)
+	accept := platform.SessionHandler(nil)
 	listener := &link.Listener{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case sessions <- link.SessionFromContext(r.Context()):
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -59,16 +59,16 @@
 // candidate is an elector with its own connection to the store, which the test can cut.
 type candidate struct {
 	*leadership.Elector
-	storeConnection *metastore.Door
+	storeConnection *metastore.Server
 	terms           chan leadership.Term
 	stop            func()
 }
 
 func start(t *testing.T, log *metastore.Log, name string, change func(*leadership.Elector)) *candidate {
 	t.Helper()
-	connection := log.Open()
+	connection := log.NewServer()
 	c := &candidate{storeConnection: connection, terms: make(chan leadership.Term, 16)}
-	c.Elector = &leadership.Elector{Store: platform.NewStore(connection.Address), Name: name, Address: name, FirstStart: true}
+	c.Elector = &leadership.Elector{Store: platform.NewStoreClient(connection.Address), Name: name, Address: name, FirstStart: true}
 	c.RunLeader = func(ctx context.Context, term leadership.Term) {
 		c.terms <- term
 		<-ctx.Done()
@@ -118,7 +118,7 @@
 		if cut == 200 { // about a second: the leader loses the store
 			for _, c := range candidates {
 				if c.Leads(c.Leader().Term) {
-					c.storeConnection.Set(metastore.Fault{Silent: true})
+					c.storeConnection.SetFault(metastore.Fault{NoReply: true})
 				}
 			}
 		}
@@ -169,14 +169,14 @@
 	if promised, reachable, _ := b.Promise(term); promised || !reachable {
 		t.Errorf("with the store: got promised %t, reachable %t, want a refusal", promised, reachable)
 	}
-	b.storeConnection.Set(metastore.Fault{Silent: true})
+	b.storeConnection.SetFault(metastore.Fault{NoReply: true})
 	time.Sleep(1500 * time.Millisecond)
 	if promised, _, _ := b.Promise(term); !promised {
 		t.Error("without the store: got a refusal, want a promise")
 	}
 	at := bootclock.Now()
-	a.storeConnection.Set(metastore.Fault{Silent: true})
-	b.storeConnection.Set(metastore.Fault{})
+	a.storeConnection.SetFault(metastore.Fault{NoReply: true})
+	b.storeConnection.SetFault(metastore.Fault{})
 	b.wantTerm(t, 8*time.Second)
 	if waited := bootclock.Now().Sub(at); waited < leadership.PromiseDuration-100*time.Millisecond {
 		t.Errorf("claimed %v after the promise, want at least %v", waited, leadership.PromiseDuration)
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -287,7 +287,7 @@
 	}
 	for _, j := range g.order {
 		if !j.accepted.IsZero() && !g.ended(j) {
-			g.unexpected(j, "an accepted job ends", "last shown as %q, %d of its tasks run", j.last(), g.fleet.witness.Live(j.id))
+			g.unexpected(j, "an accepted job ends", "last shown as %q, %d of its tasks run", j.last(), g.fleet.witness.RunningTasks(j.id))
 		}
 	}
 	g.cancelWatchers(ctx, c)
@@ -296,7 +296,7 @@
 // ended reports whether nothing more is to come of the job.
 func (g *loadGenerator) ended(j *job) bool {
 	if j.shape.job.Spec == watchSpec && j.cancelSent.IsZero() {
-		return g.fleet.witness.Live(j.id) == j.shape.job.Steps[0].Tasks
+		return g.fleet.witness.RunningTasks(j.id) == j.shape.job.Steps[0].Tasks
 	}
 	return final[j.last()]
 }
@@ -313,9 +313,9 @@
 	}
 	deadline := time.Now().Add(watchersGone)
 	for _, j := range watchers {
-		for g.fleet.witness.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollEvery) {
+		for g.fleet.witness.RunningTasks(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollEvery) {
 		}
-		if n := g.fleet.witness.Live(j.id); n > 0 && ctx.Err() == nil {
+		if n := g.fleet.witness.RunningTasks(j.id); n > 0 && ctx.Err() == nil {
 			g.unexpected(j, "cancelled jobs stop", "%d tasks still run", n)
 		}
 	}
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -146,8 +146,8 @@
 func (e *evidence) firstDone() map[string]time.Time {
 	done := make(map[string]time.Time)
 	for _, x := range e.runs {
-		if first, ok := done[x.Task]; x.How == "done" && (!ok || x.Ended.Before(first)) {
-			done[x.Task] = x.Ended
+		if first, ok := done[x.Task]; x.End == "done" && (!ok || x.EndTime.Before(first)) {
+			done[x.Task] = x.EndTime
 		}
 	}
 	return done
@@ -159,14 +159,14 @@
 		id, step := taskName(x.Task)
 		j := e.jobs[id]
 		if j == nil || step >= len(j.shape.job.Steps) {
-			broken(x.Began, id, "%s started on %s, which nobody submitted", x.Task, x.Runner)
+			broken(x.StartTime, id, "%s started on %s, which nobody submitted", x.Task, x.Runner)
 			continue
 		}
 		for _, before := range j.shape.job.Steps[step].After {
 			for index := range j.shape.job.Steps[before].Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", id, before, index)
-				if at, ok := done[name]; !ok || at.After(x.Began) {
-					broken(x.Began, id, "%s started on %s before %s was done", x.Task, x.Runner, name)
+				if at, ok := done[name]; !ok || at.After(x.StartTime) {
+					broken(x.StartTime, id, "%s started on %s before %s was done", x.Task, x.Runner, name)
 				}
 			}
 		}
@@ -181,9 +181,9 @@
 	}
 	changes := make(map[string][]change)
 	for _, x := range e.runs {
-		changes[x.Runner] = append(changes[x.Runner], change{x.Began, 1, x.Task})
-		if !x.Ended.IsZero() {
-			changes[x.Runner] = append(changes[x.Runner], change{x.Ended, -1, x.Task})
+		changes[x.Runner] = append(changes[x.Runner], change{x.StartTime, 1, x.Task})
+		if !x.EndTime.IsZero() {
+			changes[x.Runner] = append(changes[x.Runner], change{x.EndTime, -1, x.Task})
 		}
 	}
 	for name, list := range changes {
@@ -201,19 +201,19 @@
 func (e *evidence) checkAttempts(broken report) {
 	failures := make(map[string][]time.Time)
 	for _, x := range e.runs {
-		if x.How == "failed" && x.Noted {
-			failures[x.Task] = append(failures[x.Task], x.Ended)
+		if x.End == "failed" && x.Acknowledged {
+			failures[x.Task] = append(failures[x.Task], x.EndTime)
 		}
 	}
 	for _, x := range e.runs {
 		n := 0
 		for _, at := range failures[x.Task] {
-			if at.Before(x.Began) {
+			if at.Before(x.StartTime) {
 				n++
 			}
 		}
 		if n >= maxAttempts {
-			broken(x.Began, jobOf(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
+			broken(x.StartTime, jobOf(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
 		}
 	}
 }
@@ -221,18 +221,18 @@
 func (e *evidence) checkCancels(broken report) {
 	for _, x := range e.runs {
 		j := e.jobs[jobOf(x.Task)]
-		if j == nil || j.cancelled.IsZero() || !x.Began.After(j.cancelled.Add(cancelBound)) || !e.calm(hostOf(x.Runner), x.Began, inTouch) {
+		if j == nil || j.cancelled.IsZero() || !x.StartTime.After(j.cancelled.Add(cancelBound)) || !e.calm(hostOf(x.Runner), x.StartTime, inTouch) {
 			continue
 		}
-		broken(x.Began, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.Began.Sub(j.cancelled).Round(time.Millisecond))
+		broken(x.StartTime, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.StartTime.Sub(j.cancelled).Round(time.Millisecond))
 	}
 }
 
 func (e *evidence) checkDomains(broken report) {
 	for _, x := range e.runs {
 		for _, a := range e.out {
-			if a.domain == x.Domain && a.covers(x.Began, evacuateIn) && e.calm(hostOf(x.Runner), x.Began, inTouch) {
-				broken(x.Began, jobOf(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond), a.domain)
+			if a.domain == x.Domain && a.covers(x.StartTime, evacuateIn) && e.calm(hostOf(x.Runner), x.StartTime, inTouch) {
+				broken(x.StartTime, jobOf(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond), a.domain)
 			}
 		}
 	}
@@ -241,8 +241,8 @@
 func (e *evidence) checkDrains(broken report) {
 	for _, x := range e.runs {
 		for _, a := range e.drained {
-			if a.runner == x.Runner && a.covers(x.Began, drainBound) && e.calm(a.host, x.Began, inTouch) {
-				broken(x.Began, jobOf(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond))
+			if a.runner == x.Runner && a.covers(x.StartTime, drainBound) && e.calm(a.host, x.StartTime, inTouch) {
+				broken(x.StartTime, jobOf(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond))
 			}
 		}
 	}
@@ -251,7 +251,7 @@
 func (e *evidence) checkRefusals(broken report) {
 	for _, x := range e.runs {
 		if j := e.jobs[jobOf(x.Task)]; j != nil && j.refused {
-			broken(x.Began, j.id, "%s started on %s although every submission was refused", x.Task, x.Runner)
+			broken(x.StartTime, j.id, "%s started on %s although every submission was refused", x.Task, x.Runner)
 		}
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -56,20 +56,20 @@
 	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, silence(storeLink, false, true), restore(storeLink)},
 	{"storeLinkReset", anyHost, false, false, time.Millisecond, reset(storeLink), nil},
 	{"storeRefuses", anyHost, false, false, 5 * time.Second, door(metastore.Fault{Status: 503}), door(metastore.Fault{})},
-	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, door(metastore.Fault{Lose: true, Appends: true}), door(metastore.Fault{})},
-	{"storeWritesLate", anyHost, false, false, 4 * time.Second, door(metastore.Fault{Lose: true, Late: 2 * time.Second, Appends: true}), door(metastore.Fault{})},
-	{"storeSlow", allHosts, false, false, 4 * time.Second, door(metastore.Fault{Delay: 200 * time.Millisecond}), door(metastore.Fault{})},
-	{"storeSilent", allHosts, false, false, 5 * time.Second, door(metastore.Fault{Silent: true}), door(metastore.Fault{})},
+	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, door(metastore.Fault{DropReply: true, OnlyAppends: true}), door(metastore.Fault{})},
+	{"storeWritesLate", anyHost, false, false, 4 * time.Second, door(metastore.Fault{DropReply: true, ApplyDelay: 2 * time.Second, OnlyAppends: true}), door(metastore.Fault{})},
+	{"storeSlow", allHosts, false, false, 4 * time.Second, door(metastore.Fault{ReplyDelay: 200 * time.Millisecond}), door(metastore.Fault{})},
+	{"storeSilent", allHosts, false, false, 5 * time.Second, door(metastore.Fault{NoReply: true}), door(metastore.Fault{})},
 	{"storeDown", allHosts, false, false, 5 * time.Second, door(metastore.Fault{Reset: true}), door(metastore.Fault{})},
-	{"storeForgets", allHosts, false, false, time.Millisecond, func(r *Run, _ *host) { r.fleet.store.Forget() }, nil},
+	{"storeForgets", allHosts, false, false, time.Millisecond, func(r *Run, _ *host) { r.fleet.store.DeleteHistory() }, nil},
 
 	{"clientsReset", entries, false, false, time.Millisecond, reset(clientLink), nil},
 	{"clientsSlow", entries, false, false, 4 * time.Second, delay(clientLink, 100*time.Millisecond), restore(clientLink)},
 
-	{"runnerSilent", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{Silent: true}), runner(taskrunner.Fault{})},
+	{"runnerSilent", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{NoReply: true}), runner(taskrunner.Fault{})},
 	{"runnerRefuses", agents, false, false, 4 * time.Second, runner(taskrunner.Fault{Status: 503}), runner(taskrunner.Fault{})},
-	{"runnerLate", agents, false, false, 4 * time.Second, runner(taskrunner.Fault{LateBy: 1500 * time.Millisecond}), runner(taskrunner.Fault{})},
-	{"runnerMute", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{HeldBack: true}), runner(taskrunner.Fault{})},
+	{"runnerLate", agents, false, false, 4 * time.Second, runner(taskrunner.Fault{OrderDelay: 1500 * time.Millisecond}), runner(taskrunner.Fault{})},
+	{"runnerMute", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{NoHeartbeats: true}), runner(taskrunner.Fault{})},
 	{"runnerCrash", agents, false, false, 4 * time.Second, func(_ *Run, h *host) { h.runner.Crash() }, func(_ *Run, h *host) { h.runner.Restart() }},
 	{"runnerReborn", agents, false, false, time.Millisecond, func(_ *Run, h *host) { h.runner.Restart() }, nil},
 	{"runnerDrains", agents, false, true, 6 * time.Second, func(_ *Run, h *host) { h.runner.Drain() }, (*Run).replaceRunner},
@@ -134,9 +134,11 @@
 	return func(_ *Run, h *host) { l(h).Delay(d) }
 }
 
-func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Set(f) } }
+func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.SetFault(f) } }
 
-func runner(f taskrunner.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.runner.Set(f) } }
+func runner(f taskrunner.Fault) func(*Run, *host) {
+	return func(_ *Run, h *host) { h.runner.SetFault(f) }
+}
 
 // replaceRunner begins a new life of a runner that has drained.
 func (r *Run) replaceRunner(h *host) {
@@ -181,7 +183,7 @@
 
 // noteDrain keeps when an agent learned that its runner drains.
 func (r *Run) noteDrain(h *host) {
-	known := h.runner.Drained()
+	known := h.runner.DrainAcknowledgedAt()
 	if known.IsZero() {
 		return
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -42,7 +42,7 @@
 	domain   string
 	settings deployment.Process
 	process  *childprocess.Process
-	door     *metastore.Door
+	door     *metastore.Server
 	toStore  *relay.Relay
 	sessions *relay.Relay // links of other processes to this one
 	clients  *relay.Relay // of an entry process
@@ -59,7 +59,7 @@
 type fleet struct {
 	store    *metastore.Log
 	operator deployment.Operator
-	witness  *taskrunner.Witness
+	witness  *taskrunner.Recorder
 	entries  []*host
 	agents   []*host
 	stop     context.CancelFunc // of the runners
@@ -76,14 +76,14 @@
 // work tells a runner what the tasks of a job do, by the job's spec.
 func work(_, spec string) taskrunner.Work {
 	return map[string]taskrunner.Work{
-		quickSpec: {Time: 60 * time.Millisecond}, slowSpec: {Time: 700 * time.Millisecond},
-		hopelessSpec: {Time: 30 * time.Millisecond, Fails: true}, watchSpec: {},
+		quickSpec: {Duration: 60 * time.Millisecond}, slowSpec: {Duration: 700 * time.Millisecond},
+		hopelessSpec: {Duration: 30 * time.Millisecond, Fails: true}, watchSpec: {},
 	}[spec]
 }
 
 func newFleet(r *Run) (*fleet, error) {
 	store := metastore.NewLog()
-	f := &fleet{store: store, operator: deployment.Operator{Store: store}, witness: taskrunner.NewWitness()}
+	f := &fleet{store: store, operator: deployment.Operator{Store: store}, witness: taskrunner.NewRecorder()}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	// Each process of a run has a loopback address of its own, and another one
@@ -94,7 +94,7 @@
 		if i >= r.Entries {
 			role, n = "agent", i-r.Entries
 		}
-		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), door: store.Open()}
+		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), door: store.NewServer()}
 		if err := h.connect(r, fmt.Sprintf("%s.%d", net, 2*i+1), fmt.Sprintf("%s.%d", net, 2*i+2)); err != nil {
 			f.close()
 			return nil, err
@@ -167,8 +167,8 @@
 func (f *fleet) startRunner(ctx context.Context, h *host, n int) error {
 	h.runner = taskrunner.New(taskrunner.Settings{
 		ID: runnerPrefix + h.name, Service: service, Domain: h.domain, Labels: []string{"a", fmt.Sprint("rack-", n/2)},
-		Cores: runnerCores, MemoryMb: 64_000, Witness: f.witness, LeaseLimit: 10 * time.Second, StopTime: 20 * time.Millisecond,
-		AcceptsAll: true, ClockRate: 1 - 0.005*float64(n%5), Work: work,
+		Cores: runnerCores, MemoryMb: 64_000, Recorder: f.witness, MaxLease: 10 * time.Second, StopDelay: 20 * time.Millisecond,
+		IgnoreCapacity: true, ClockRate: 1 - 0.005*float64(n%5), Work: work,
 	})
 	listener, err := net.Listen("tcp", h.toRunner.Target())
 	if err != nil {
@@ -248,12 +248,12 @@
 // heal ends every fault and starts what does not run.
 func (f *fleet) heal(r *Run) {
 	for _, h := range f.hosts() {
-		h.door.Set(metastore.Fault{})
+		h.door.SetFault(metastore.Fault{})
 		for _, l := range h.links() {
 			l.Restore()
 		}
 		if h.runner != nil {
-			h.runner.Set(taskrunner.Fault{})
+			h.runner.SetFault(taskrunner.Fault{})
 		}
 		h.process.Signal(syscall.SIGCONT)
 	}
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -91,10 +91,10 @@
 	for _, x := range r.Runs {
 		if first.Job != "" && jobOf(x.Task) == first.Job {
 			ended := "runs on"
-			if !x.Ended.IsZero() {
-				ended = fmt.Sprintf("%s at %.3f s, recorded %t", x.How, x.Ended.Sub(r.Began).Seconds(), x.Noted)
+			if !x.EndTime.IsZero() {
+				ended = fmt.Sprintf("%s at %.3f s, recorded %t", x.End, x.EndTime.Sub(r.Began).Seconds(), x.Acknowledged)
 			}
-			fmt.Fprintf(w, "    %s attempt %d on %s from %.3f s: %s\n", x.Task, x.Attempt, x.Runner, x.Began.Sub(r.Began).Seconds(), ended)
+			fmt.Fprintf(w, "    %s attempt %d on %s from %.3f s: %s\n", x.Task, x.Attempt, x.Runner, x.StartTime.Sub(r.Began).Seconds(), ended)
 		}
 	}
 	for _, process := range r.Processes {
@@ -143,7 +143,7 @@
 func (r *Result) lanes() []lane {
 	end := r.Began
 	for _, x := range r.Runs {
-		end = later(later(end, x.Began), x.Ended)
+		end = later(later(end, x.StartTime), x.EndTime)
 	}
 	for _, f := range r.Faults {
 		end = later(end, f.Ended)
@@ -167,7 +167,7 @@
 		}
 		for _, x := range r.Runs {
 			if hostOf(x.Runner) == name {
-				l.Bars = append(l.Bars, place(x.Began, x.Ended, "run", fmt.Sprintf("%s attempt %d %s", x.Task, x.Attempt, x.How)))
+				l.Bars = append(l.Bars, place(x.StartTime, x.EndTime, "run", fmt.Sprintf("%s attempt %d %s", x.Task, x.Attempt, x.End)))
 			}
 		}
 		for _, f := range r.Faults {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -184,22 +184,22 @@
 		e             evidence
 	}{
 		{"attempts", "failed attempts are counted", evidence{jobs: map[string]*job{"j": {id: "j", shape: hopeless}}, runs: []taskrunner.Run{
-			{Task: "j.0.0.0", Runner: "runner-a", Began: at(0), Ended: at(1), How: "failed", Noted: true},
-			{Task: "j.0.0.0", Runner: "runner-a", Began: at(1), Ended: at(2), How: "failed", Noted: true},
-			{Task: "j.0.0.0", Runner: "runner-a", Began: at(3)},
+			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(0), EndTime: at(1), End: "failed", Acknowledged: true},
+			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(1), EndTime: at(2), End: "failed", Acknowledged: true},
+			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(3)},
 		}}},
 		{"cancel", "a cancelled job starts nothing", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, cancelled: at(0)}},
-			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(5)}}}},
+			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(5)}}}},
 		{"drain", "nothing starts on a draining runner", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick}},
 			drained: []absence{{runner: "runner-a", host: "a", from: at(0), until: at(9)}},
-			runs:    []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(4)}}}},
+			runs:    []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(4)}}}},
 		{"refusal", "a refused job never runs", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, refused: true}},
-			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(5)}}}},
+			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(5)}}}},
 		{"completed", "a completed job has done its work", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), completed}}}}}},
 		{"end", "a job ends as its tasks do", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), failed}}}}}},
 		{"planned stop", "a planned stop cuts no request off", evidence{cuts: []cutRequest{{host: "entry-0", sent: at(0.5), at: at(1)}},
 			faults: []injected{{Kind: terminateKind, Host: "entry-0", Planned: true, Began: at(0), Ended: at(3)}}}},
-		{"unknown job", "steps run in their order", evidence{runs: []taskrunner.Run{{Task: "x.0.0.0", Began: at(0)}}}},
+		{"unknown job", "steps run in their order", evidence{runs: []taskrunner.Run{{Task: "x.0.0.0", StartTime: at(0)}}}},
 	} {
 		found := false
 		for _, b := range c.e.judge() {
--- a/internal/standin/entries/network.go
+++ b/internal/standin/entries/network.go
@@ -23,18 +23,18 @@
 // Network carries messages between processes in memory. It loses replies,
 // delays and repeats messages, and cuts pairs of processes apart.
 type Network struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	noise  float64
-	cut    map[[2]string]bool
-	served map[string]http.Handler
-	ctx    context.Context // ends late deliveries
+	mu        sync.Mutex
+	random    *rand.Rand
+	faultRate float64
+	cut       map[[2]string]bool
+	handlers  map[string]http.Handler
+	ctx       context.Context // ends late deliveries
 }
 
 // NewNetwork returns a network on which each fault strikes a message with
 // probability noise. Late deliveries end with ctx.
 func NewNetwork(ctx context.Context, seed uint64, noise float64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 2)), noise: noise, cut: map[[2]string]bool{}, served: map[string]http.Handler{}, ctx: ctx}
+	return &Network{random: rand.New(rand.NewPCG(seed, 2)), faultRate: noise, cut: map[[2]string]bool{}, handlers: map[string]http.Handler{}, ctx: ctx}
 }
 
 // SetCut cuts two processes apart or joins them again.
@@ -45,27 +45,27 @@
 }
 
 // SetNoise changes the probability of each fault.
-func (n *Network) SetNoise(noise float64) {
+func (n *Network) SetFaultRate(noise float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.noise = noise
+	n.faultRate = noise
 }
 
 // Serve lets others dial the address.
 func (n *Network) Serve(address string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.served[address] = handler
+	n.handlers[address] = handler
 }
 
 // Dial connects process from to the process to at a served address.
 func (n *Network) Dial(from, to, address string) (*Session, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.served[address] == nil {
+	if n.handlers[address] == nil {
 		return nil, fault.Wrap("dial", link.NotSent, errLost)
 	}
-	return n.Connect(from, to, n.served[address]), nil
+	return n.Connect(from, to, n.handlers[address]), nil
 }
 
 // Connect returns a session whose calls the handler answers.
@@ -74,17 +74,17 @@
 }
 
 // chance draws what happens to one message.
-func (n *Network) chance(from, to string) (cut, lost, repeated bool, delay, late time.Duration) {
+func (n *Network) drawFaults(from, to string) (cut, lost, repeated bool, delay, late time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	hit := func() bool { return n.random.Float64() < n.noise }
+	hit := func() bool { return n.random.Float64() < n.faultRate }
 	return n.cut[[2]string{from, to}], hit(), hit(), time.Duration(n.random.IntN(10)) * time.Millisecond, time.Duration(n.random.IntN(12000)) * time.Millisecond
 }
 
 var errLost = errors.New("lost")
 
 func (n *Network) call(ctx context.Context, from, to string, handler http.Handler, path string, message, reply proto.Message) error {
-	cut, lost, repeated, delay, late := n.chance(from, to)
+	cut, lost, repeated, delay, late := n.drawFaults(from, to)
 	if cut || handler == nil {
 		<-ctx.Done()
 		return fault.Wrap("call", link.Unknown, ctx.Err())
--- a/internal/standin/entries/platform.go
+++ b/internal/standin/entries/platform.go
@@ -22,24 +22,24 @@
 // Platform is one folded state that every entry shows. It records what the
 // agents do wrong.
 type Platform struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	workers  map[string]*registration
-	tasks    map[units.Task]*record
-	order    []units.Task
-	document []byte
-	offset   uint64
-	logDown  bool
-	readAt   time.Time // last read at the tail
-	handlers map[string]http.Handler
-	network  *Network
-	problems []string
-	refused  map[attempt]bool
-	outages  []outage
-	guards   bool
-	frozen   bool                 // the entries have lost the stream of configurations
-	Naive    bool                 // release tasks of workers that are silent for 5 s
-	heard    map[string]time.Time // worker
+	mu                   sync.Mutex
+	random               *rand.Rand
+	workers              map[string]*registration
+	tasks                map[units.Task]*record
+	order                []units.Task
+	document             []byte
+	offset               uint64
+	logUnreachable       bool
+	lastLogRead          time.Time // last read at the tail
+	handlers             map[string]http.Handler
+	network              *Network
+	problems             []string
+	refused              map[attempt]bool
+	outages              []outage
+	guardsEnabled        bool
+	configurationFrozen  bool                 // the entries have lost the stream of configurations
+	ReleaseSilentWorkers bool                 // release tasks of workers that are silent for 5 s
+	lastHeartbeat        map[string]time.Time // worker
 }
 
 // outage is a time during which a domain was out of service.
@@ -70,7 +70,7 @@
 func NewPlatform(seed uint64, n *Network) *Platform {
 	p := &Platform{
 		random: rand.New(rand.NewPCG(seed, 1)), workers: map[string]*registration{}, tasks: map[units.Task]*record{},
-		handlers: map[string]http.Handler{}, network: n, refused: map[attempt]bool{}, heard: map[string]time.Time{}, readAt: time.Now(),
+		handlers: map[string]http.Handler{}, network: n, refused: map[attempt]bool{}, lastHeartbeat: map[string]time.Time{}, lastLogRead: time.Now(),
 	}
 	p.Publish(nil, nil)
 	return p
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	document := &environment.Document{
-		Environment: "trial", DrainedWorkers: drained, Guards: environment.Guards{Enabled: p.guards, LatencyRatio: 1.2},
+		Environment: "trial", DrainedWorkers: drained, Guards: environment.Guards{Enabled: p.guardsEnabled, LatencyRatio: 1.2},
 		Teams:         []environment.Team{{Name: "moulds", Quota: units.Resources{Processors: 64000, Memory: 64 * units.GiB}}},
 		LargestWorker: units.Resources{Processors: 64000, Memory: 64 * units.GiB},
 		Services: []environment.Service{{Name: "desk", Team: "moulds", Priority: units.PriorityUrgent, LatencyTarget: 50 * time.Millisecond,
@@ -95,7 +95,7 @@
 		p.recordOutage(name, state == environment.DomainOut)
 		document.FailureDomains = append(document.FailureDomains, environment.FailureDomain{Name: units.DomainName(name), Region: "r", State: state})
 	}
-	if !p.frozen {
+	if !p.configurationFrozen {
 		p.document, p.offset = environment.Encode(document), p.offset+1
 	}
 }
@@ -124,14 +124,14 @@
 }
 
 // Problem records a violated rule.
-func (p *Platform) Problem(format string, args ...any) {
+func (p *Platform) AddProblem(format string, args ...any) {
 	if len(p.problems) < 20 {
 		p.problems = append(p.problems, fmt.Sprintf(format, args...))
 	}
 }
 
 // Accept serves one session dialled by an agent.
-func (p *Platform) Accept(back http.Handler) http.Handler {
+func (p *Platform) SessionHandler(back http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /link/heartbeat", link.Handle(func(_ context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 		p.mu.Lock()
@@ -143,20 +143,20 @@
 }
 
 func (p *Platform) heartbeat(h *wire.Heartbeat) *wire.HeartbeatReply {
-	p.heard[h.Worker] = time.Now()
-	if !p.logDown && !p.frozen {
-		p.readAt = time.Now()
+	p.lastHeartbeat[h.Worker] = time.Now()
+	if !p.logUnreachable && !p.configurationFrozen {
+		p.lastLogRead = time.Now()
 	}
-	reply := &wire.HeartbeatReply{Entry: "entry", ConfigOffset: p.offset, LogReachable: !p.logDown,
-		ConfigStalenessMilliseconds: time.Since(p.readAt).Milliseconds()}
+	reply := &wire.HeartbeatReply{Entry: "entry", ConfigOffset: p.offset, LogReachable: !p.logUnreachable,
+		ConfigStalenessMilliseconds: time.Since(p.lastLogRead).Milliseconds()}
 	if h.ConfigOffset < p.offset {
 		reply.ConfigDocument = p.document
 	}
 	if !h.Committed.Units().Fits(h.Capacity.Units()) {
-		p.Problem("worker %s committed %s of %s", h.Worker, h.Committed.Units(), h.Capacity.Units())
+		p.AddProblem("worker %s committed %s of %s", h.Worker, h.Committed.Units(), h.Capacity.Units())
 	}
-	if h.Epoch != 0 && !p.logDown {
-		p.fold(h, reply)
+	if h.Epoch != 0 && !p.logUnreachable {
+		p.applyHeartbeat(h, reply)
 	}
 	if w := p.workers[h.Worker]; w != nil {
 		reply.RegisteredEpoch, reply.LeaseTerm, reply.Expired = w.epoch, w.term, w.expired
@@ -184,7 +184,7 @@
 }
 
 // fold applies what a heartbeat asks to be recorded, by the rules of the log.
-func (p *Platform) fold(h *wire.Heartbeat, reply *wire.HeartbeatReply) {
+func (p *Platform) applyHeartbeat(h *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	w := p.workers[h.Worker]
 	if w == nil || h.Epoch > w.epoch {
 		w = &registration{epoch: h.Epoch, term: 1}
@@ -202,7 +202,7 @@
 		p.chooseLessor(h.Worker, w, w.lessor)
 	}
 	for _, r := range h.Reports {
-		p.report(h.Worker, h.Epoch, r)
+		p.applyReport(h.Worker, h.Epoch, r)
 		reply.ReportsAcknowledged = append(reply.ReportsAcknowledged, r.Task)
 	}
 	for _, e := range h.Expiries {
@@ -272,7 +272,7 @@
 
 // report records a report about the current attempt, or the activation of a
 // standby as the next one.
-func (p *Platform) report(worker string, epoch uint64, report *wire.TaskReport) {
+func (p *Platform) applyReport(worker string, epoch uint64, report *wire.TaskReport) {
 	r := p.tasks[report.Task.Task()]
 	if r == nil {
 		return // launched by a test itself
@@ -304,21 +304,21 @@
 func (p *Platform) Dispatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		for name, at := range p.heard {
-			if p.Naive && time.Since(at) > 5*time.Second {
+		for name, at := range p.lastHeartbeat {
+			if p.ReleaseSilentWorkers && time.Since(at) > 5*time.Second {
 				p.release(name, func(units.Task, *record) bool { return true })
 			}
 		}
 		var names []string
 		for _, name := range []string{"w1", "w2", "w3"} {
-			if w := p.workers[name]; w != nil && !w.expired && (!p.Naive || time.Since(p.heard[name]) < 5*time.Second) {
+			if w := p.workers[name]; w != nil && !w.expired && (!p.ReleaseSilentWorkers || time.Since(p.lastHeartbeat[name]) < 5*time.Second) {
 				names = append(names, name)
 			}
 		}
 		launches := map[string]*wire.Launch{}
 		for _, name := range p.order {
 			r := p.tasks[name]
-			if r.worker == "" && !r.ended && len(names) > 0 && !p.logDown {
+			if r.worker == "" && !r.ended && len(names) > 0 && !p.logUnreachable {
 				r.worker = names[p.random.IntN(len(names))]
 				r.epoch, r.attempt = p.workers[r.worker].epoch, r.attempt+1
 			}
@@ -359,7 +359,7 @@
 		if result.Outcome == wire.Outcome_OUTCOME_REFUSED {
 			p.refused[attempt{result.Task.Task(), units.Attempt(result.Task.Attempt)}] = true
 		}
-		if r.attempt != result.Task.Attempt || r.worker != worker || r.ended || p.logDown {
+		if r.attempt != result.Task.Attempt || r.worker != worker || r.ended || p.logUnreachable {
 			continue
 		}
 		if result.Outcome == wire.Outcome_OUTCOME_REFUSED {
@@ -381,18 +381,18 @@
 }
 
 // SetLog makes the log reachable or not.
-func (p *Platform) SetLog(reachable bool) {
+func (p *Platform) SetLogReachable(reachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.logDown = !reachable
+	p.logUnreachable = !reachable
 }
 
 // Freeze cuts the entries off from the stream of configurations or joins them
 // to it again.
-func (p *Platform) Freeze(frozen bool) {
+func (p *Platform) SetConfigurationFrozen(frozen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.frozen = frozen
+	p.configurationFrozen = frozen
 }
 
 // Document returns the newest document as entries send it.
@@ -403,7 +403,7 @@
 }
 
 // Handler returns what the worker's agent serves on its newest session.
-func (p *Platform) Handler(worker string) http.Handler {
+func (p *Platform) AgentHandler(worker string) http.Handler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.handlers[worker]
@@ -419,7 +419,7 @@
 
 // Check returns the recorded problems and those of the runs: a refused attempt
 // that ran, and a start in a domain that was out for more than 3 s.
-func (p *Platform) Check(runs []worker.Run, domains map[string]units.DomainName) []string {
+func (p *Platform) Problems(runs []worker.Run, domains map[string]units.DomainName) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	problems := append(worker.Overlaps(runs), p.problems...)
@@ -441,7 +441,7 @@
 // EnableGuards publishes a document with the guards switched on.
 func (p *Platform) EnableGuards() {
 	p.mu.Lock()
-	p.guards = true
+	p.guardsEnabled = true
 	p.mu.Unlock()
 	p.Publish(nil, nil)
 }
--- a/internal/standin/metastore/log.go
+++ b/internal/standin/metastore/log.go
@@ -203,7 +203,7 @@
 }
 
 // Forget deletes the history of every topic; the newest record of each key stays.
-func (l *Log) Forget() {
+func (l *Log) DeleteHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, t := range l.topics {
@@ -212,7 +212,7 @@
 }
 
 // Last returns the newest record of a topic, or nil.
-func (l *Log) Last(topic string) []byte {
+func (l *Log) LastValue(topic string) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.topic(topic)
--- a/internal/standin/metastore/door.go
+++ b/internal/standin/metastore/server.go
@@ -20,19 +20,19 @@
 // Fault is how the store treats the callers of one door. The zero value is a
 // store that works.
 type Fault struct {
-	Status int           // refuse with this status; nothing is done
-	Silent bool          // do nothing and answer nothing
-	Reset  bool          // do nothing and reset the connection
-	Lose   bool          // do it and answer nothing
-	Late   time.Duration // with Lose: do it after this time
-	Delay  time.Duration // before every answer
+	Status     int           // refuse with this status; nothing is done
+	NoReply    bool          // do nothing and answer nothing
+	Reset      bool          // do nothing and reset the connection
+	DropReply  bool          // do it and answer nothing
+	ApplyDelay time.Duration // with Lose: do it after this time
+	ReplyDelay time.Duration // before every answer
 	// Only appends are affected when Appends is set.
-	Appends bool
+	OnlyAppends bool
 }
 
 // Door is one address of the store, so that a test can treat one process
 // differently from the others.
-type Door struct {
+type Server struct {
 	Address string
 	log     *Log
 	server  *httptest.Server
@@ -43,35 +43,35 @@
 }
 
 // Open returns a new door to the log. Close ends it.
-func (l *Log) Open() *Door {
-	d := &Door{log: l}
+func (l *Log) NewServer() *Server {
+	d := &Server{log: l}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/log-append", d.guard(d.appendRecords))
-	mux.HandleFunc("GET /api/log-read", d.guard(d.readRecords))
-	mux.HandleFunc("GET /api/log-newest", d.guard(d.newestRecords))
+	mux.HandleFunc("POST /api/log-append", d.withFault(d.appendRecords))
+	mux.HandleFunc("GET /api/log-read", d.withFault(d.readRecords))
+	mux.HandleFunc("GET /api/log-newest", d.withFault(d.newestRecords))
 	d.server = httptest.NewServer(mux)
 	d.Address = strings.TrimPrefix(d.server.URL, "http://")
 	return d
 }
 
 // Close ends the door.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.server.CloseClientConnections()
 	d.server.Close()
 }
 
 // Set replaces the fault of the door.
-func (d *Door) Set(f Fault) {
+func (d *Server) SetFault(f Fault) {
 	d.mu.Lock()
 	d.fault = f
 	d.mu.Unlock()
-	if f.Silent || f.Reset {
+	if f.NoReply || f.Reset {
 		d.server.CloseClientConnections() // a wait that is under way gets no answer either
 	}
 }
 
 // Calls returns how many calls the door has received.
-func (d *Door) Calls() int {
+func (d *Server) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
@@ -80,7 +80,7 @@
 // silence is longer than any caller of a test waits.
 const silence = 10 * time.Second
 
-func (d *Door) guard(serve http.HandlerFunc) http.HandlerFunc {
+func (d *Server) withFault(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.calls++
@@ -92,22 +92,22 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if f.Appends && r.Method != http.MethodPost {
+		if f.OnlyAppends && r.Method != http.MethodPost {
 			f = Fault{}
 		}
-		if f.Delay > 0 {
-			wait(r.Context(), f.Delay)
+		if f.ReplyDelay > 0 {
+			wait(r.Context(), f.ReplyDelay)
 		}
 		switch {
-		case f.Silent:
+		case f.NoReply:
 			wait(r.Context(), silence)
 			abort(w)
 		case f.Reset:
 			abort(w)
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
-		case f.Lose:
-			d.lose(r, f.Late, serve)
+		case f.DropReply:
+			d.serveWithoutReply(r, f.ApplyDelay, serve)
 			wait(r.Context(), silence)
 			abort(w)
 		default:
@@ -117,7 +117,7 @@
 }
 
 // lose carries the call out, late if asked for, without an answer.
-func (d *Door) lose(r *http.Request, late time.Duration, serve http.HandlerFunc) {
+func (d *Server) serveWithoutReply(r *http.Request, late time.Duration, serve http.HandlerFunc) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -152,7 +152,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (d *Door) appendRecords(w http.ResponseWriter, r *http.Request) {
+func (d *Server) appendRecords(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -183,7 +183,7 @@
 
 func keyed(topic string) bool { return strings.HasPrefix(topic, "keyed.") }
 
-func (d *Door) readRecords(w http.ResponseWriter, r *http.Request) {
+func (d *Server) readRecords(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(number(q, "waitMs"))*time.Millisecond)
 	defer cancel()
@@ -204,7 +204,7 @@
 // pageSize is the most items of one answer.
 const pageSize = 500
 
-func (d *Door) newestRecords(w http.ResponseWriter, r *http.Request) {
+func (d *Server) newestRecords(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	page, more, end := d.log.items(q.Get("topic"), q.Get("after"), pageSize)
 	items := make([]map[string]any, len(page))
--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -12,8 +12,8 @@
 
 // Work is what a run does.
 type Work struct {
-	Time  time.Duration // until it ends by itself; 0 for a run that never does
-	Fails bool
+	Duration time.Duration // until it ends by itself; 0 for a run that never does
+	Fails    bool
 }
 
 // Settings describe a runner. They do not change.
@@ -25,12 +25,12 @@
 	Cores    int // capacity
 	MemoryMb int
 	Work     func(task, spec string) Work
-	Witness  *Witness
+	Recorder *Recorder
 	// LeaseLimit bounds a lease; StopTime is how long a stop takes.
-	LeaseLimit time.Duration
-	StopTime   time.Duration
+	MaxLease  time.Duration
+	StopDelay time.Duration
 	// AcceptsAll starts whatever the agent asks for, room or not.
-	AcceptsAll bool
+	IgnoreCapacity bool
 	// ClockRate is the speed of the runner's clock; 1 when zero.
 	ClockRate float64
 }
@@ -54,11 +54,11 @@
 
 // Fault is how a runner treats its agent.
 type Fault struct {
-	Silent   bool          // answer nothing
-	Status   int           // refuse every call with this status
-	LateBy   time.Duration // carry orders out this late, without an answer
-	FailAll  bool          // every run fails at once
-	HeldBack bool          // send no announcements
+	NoReply      bool          // answer nothing
+	Status       int           // refuse every call with this status
+	OrderDelay   time.Duration // carry orders out this late, without an answer
+	FailRuns     bool          // every run fails at once
+	NoHeartbeats bool          // send no announcements
 }
 
 // Runner is one runner. Its methods are safe for concurrent use.
@@ -93,7 +93,7 @@
 func (r *Runner) reset() {
 	for task, x := range r.runs {
 		x.timer.Stop()
-		r.Witness.ended(task, x.attempt, r.ID, "gone")
+		r.Recorder.recordEnd(task, x.attempt, r.ID, "gone")
 	}
 	r.born, r.token, r.until = time.Now(), 0, time.Time{}
 	r.runs, r.highest = make(map[string]*run), make(map[string]int64)
@@ -130,28 +130,28 @@
 
 // Drained returns when an agent first acknowledged that the runner drains; zero
 // for not yet.
-func (r *Runner) Drained() time.Time {
+func (r *Runner) DrainAcknowledgedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.drained
 }
 
 // Set replaces the runner's fault.
-func (r *Runner) Set(f Fault) {
+func (r *Runner) SetFault(f Fault) {
 	r.mu.Lock()
 	r.fault = f
 	r.mu.Unlock()
 }
 
 // Running returns the number of runs under way.
-func (r *Runner) Running() int {
+func (r *Runner) RunningTasks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs)
 }
 
 // Started returns the number of runs that were ever started here.
-func (r *Runner) Started() int {
+func (r *Runner) StartCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.begun
@@ -178,7 +178,7 @@
 func (r *Runner) extend(untilMs int64) {
 	r.noteLapse()
 	until := r.at(untilMs)
-	if limit := time.Now().Add(r.LeaseLimit); until.After(limit) {
+	if limit := time.Now().Add(r.MaxLease); until.After(limit) {
 		until = limit
 	}
 	if until.After(r.until) {
@@ -214,7 +214,7 @@
 	if time.Now().After(r.at(untilMs)) {
 		return "late"
 	}
-	if len(r.runs) >= r.Cores && !r.AcceptsAll {
+	if len(r.runs) >= r.Cores && !r.IgnoreCapacity {
 		return "room"
 	}
 	r.begin(task, spec, attempt)
@@ -227,11 +227,11 @@
 	r.begun++
 	work := r.Work(task, spec)
 	how := "done"
-	if work.Fails || r.fault.FailAll {
+	if work.Fails || r.fault.FailRuns {
 		how = "failed"
 	}
-	after := work.Time
-	if r.fault.FailAll {
+	after := work.Duration
+	if r.fault.FailRuns {
 		after = time.Millisecond
 	}
 	if after == 0 {
@@ -241,7 +241,7 @@
 	x := &run{attempt: attempt, began: time.Now(), pace: 100}
 	x.timer = time.AfterFunc(after, func() { r.end(born, task, attempt, how) })
 	r.runs[task] = x
-	r.Witness.started(task, attempt, r)
+	r.Recorder.recordStart(task, attempt, r)
 	r.watchLease(born, task, attempt)
 }
 
@@ -274,7 +274,7 @@
 	delete(r.runs, task)
 	r.number++
 	r.ends = append(r.ends, ended{number: r.number, task: task, attempt: attempt, how: how})
-	r.Witness.ended(task, attempt, r.ID, how)
+	r.Recorder.recordEnd(task, attempt, r.ID, how)
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -290,7 +290,7 @@
 	x, born := r.runs[task], r.born
 	r.mu.Unlock()
 	if x != nil && x.attempt <= attempt {
-		time.AfterFunc(r.StopTime, func() { r.end(born, task, x.attempt, "stopped") })
+		time.AfterFunc(r.StopDelay, func() { r.end(born, task, x.attempt, "stopped") })
 	}
 	return ""
 }
--- a/internal/standin/taskrunner/serve.go
+++ b/internal/standin/taskrunner/serve.go
@@ -60,7 +60,7 @@
 func (r *Runner) announcement(address, agent string) (url string, body []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down || r.fault.HeldBack {
+	if r.down || r.fault.NoHeartbeats {
 		return "", nil, false
 	}
 	r.seq++
@@ -103,12 +103,12 @@
 		switch {
 		case down:
 			panic(http.ErrAbortHandler)
-		case f.Silent:
+		case f.NoReply:
 			<-q.Context().Done()
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
-		case f.LateBy > 0 && isOrder:
-			time.AfterFunc(f.LateBy, func() { serve(&discard{}, q, in) })
+		case f.OrderDelay > 0 && isOrder:
+			time.AfterFunc(f.OrderDelay, func() { serve(&discard{}, q, in) })
 			<-q.Context().Done()
 		case q.Header.Get("X-Expected-Instance") != expected:
 			w.WriteHeader(http.StatusMisdirectedRequest)
@@ -173,7 +173,7 @@
 	}
 	for len(r.ends) > 0 && r.ends[0].number <= in.LastSeen {
 		if e := r.ends[0]; !e.lapsed {
-			r.Witness.noted(e.task, e.attempt, r.ID)
+			r.Recorder.recordAcknowledgement(e.task, e.attempt, r.ID)
 		}
 		r.ends = r.ends[1:]
 	}
