--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -134,10 +134,10 @@
 	return func(_ *Run, h *host) { l(h).Delay(d) }
 }
 
-func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.SetFault(f) } }
+func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Inject(f) } }
 
 func runner(f taskrunner.Fault) func(*Run, *host) {
-	return func(_ *Run, h *host) { h.runner.SetFault(f) }
+	return func(_ *Run, h *host) { h.runner.Inject(f) }
 }
 
 // replaceRunner begins a new life of a runner that has drained.
