--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -118,7 +118,7 @@
 		if cut == 200 { // about a second: the leader loses the store
 			for _, c := range candidates {
 				if c.Leads(c.Leader().Term) {
-					c.storeConnection.Inject(metastore.Fault{NoReply: true})
+					c.storeConnection.Set(metastore.Fault{NoReply: true})
 				}
 			}
 		}
@@ -169,14 +169,14 @@
 	if promised, reachable, _ := b.Promise(term); promised || !reachable {
 		t.Errorf("with the store: got promised %t, reachable %t, want a refusal", promised, reachable)
 	}
-	b.storeConnection.Inject(metastore.Fault{NoReply: true})
+	b.storeConnection.Set(metastore.Fault{NoReply: true})
 	time.Sleep(1500 * time.Millisecond)
 	if promised, _, _ := b.Promise(term); !promised {
 		t.Error("without the store: got a refusal, want a promise")
 	}
 	at := bootclock.Now()
-	a.storeConnection.Inject(metastore.Fault{NoReply: true})
-	b.storeConnection.Inject(metastore.Fault{})
+	a.storeConnection.Set(metastore.Fault{NoReply: true})
+	b.storeConnection.Set(metastore.Fault{})
 	b.wantTerm(t, 8*time.Second)
 	if waited := bootclock.Now().Sub(at); waited < leadership.PromiseDuration-100*time.Millisecond {
 		t.Errorf("claimed %v after the promise, want at least %v", waited, leadership.PromiseDuration)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -134,11 +134,9 @@
 	return func(_ *Run, h *host) { l(h).Delay(d) }
 }
 
-func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Inject(f) } }
+func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Set(f) } }
 
-func runner(f taskrunner.Fault) func(*Run, *host) {
-	return func(_ *Run, h *host) { h.runner.Inject(f) }
-}
+func runner(f taskrunner.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.runner.Set(f) } }
 
 // replaceRunner begins a new life of a runner that has drained.
 func (r *Run) replaceRunner(h *host) {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -248,12 +248,12 @@
 // heal ends every fault and starts what does not run.
 func (f *fleet) heal(r *Run) {
 	for _, h := range f.hosts() {
-		h.door.Inject(metastore.Fault{})
+		h.door.Set(metastore.Fault{})
 		for _, l := range h.links() {
 			l.Restore()
 		}
 		if h.runner != nil {
-			h.runner.Inject(taskrunner.Fault{})
+			h.runner.Set(taskrunner.Fault{})
 		}
 		h.process.Signal(syscall.SIGCONT)
 	}
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -61,7 +61,7 @@
 }
 
 // Set replaces the fault of the door.
-func (d *Server) Inject(f Fault) {
+func (d *Server) Set(f Fault) {
 	d.mu.Lock()
 	d.fault = f
 	d.mu.Unlock()
--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -137,7 +137,7 @@
 }
 
 // Set replaces the runner's fault.
-func (r *Runner) Inject(f Fault) {
+func (r *Runner) Set(f Fault) {
 	r.mu.Lock()
 	r.fault = f
 	r.mu.Unlock()
