--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -58,7 +58,7 @@
 	{"storeRefuses", anyHost, false, false, 5 * time.Second, door(metastore.Fault{Status: 503}), door(metastore.Fault{})},
 	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, door(metastore.Fault{DropReply: true, OnlyAppends: true}), door(metastore.Fault{})},
 	{"storeWritesLate", anyHost, false, false, 4 * time.Second, door(metastore.Fault{DropReply: true, ApplyDelay: 2 * time.Second, OnlyAppends: true}), door(metastore.Fault{})},
-	{"storeSlow", allHosts, false, false, 4 * time.Second, door(metastore.Fault{ReplyDelay: 200 * time.Millisecond}), door(metastore.Fault{})},
+	{"storeSlow", allHosts, false, false, 4 * time.Second, door(metastore.Fault{CallDelay: 200 * time.Millisecond}), door(metastore.Fault{})},
 	{"storeSilent", allHosts, false, false, 5 * time.Second, door(metastore.Fault{NoReply: true}), door(metastore.Fault{})},
 	{"storeDown", allHosts, false, false, 5 * time.Second, door(metastore.Fault{Reset: true}), door(metastore.Fault{})},
 	{"storeForgets", allHosts, false, false, time.Millisecond, func(r *Run, _ *host) { r.fleet.store.DeleteHistory() }, nil},
--- a/internal/standin/metastore/log.go
+++ b/internal/standin/metastore/log.go
@@ -1,6 +1,6 @@
-// Package metastore stands in for the platform's metadata store in tests:
-// topics of records, topics with keys, conditional and fenced appends, and the
-// faults that the store may have for all callers or for one.
+// Package metastore is a stand-in for the platform's metadata store in tests. It
+// implements topics of records, keyed topics, conditional and fenced appends, and
+// faults of the store that affect all callers or one.
 package metastore
 
 import (
@@ -10,47 +10,48 @@
 	"sync"
 )
 
-// Failures of an operation, as the handler answers them.
+// The reasons for which an operation is rejected.
 var (
-	errConflict = errors.New("topic ends elsewhere")
-	errFenced   = errors.New("producer is fenced")
-	errSequence = errors.New("another sequence number is expected")
-	errExpired  = errors.New("records were deleted")
+	errConflict   = errors.New("end of the topic differs from the expected one")
+	errFenced     = errors.New("producer is fenced by a newer epoch")
+	errOutOfOrder = errors.New("sequence number is not the next one of the producer")
+	errExpired    = errors.New("requested records were deleted")
 )
 
 // record is one record of a topic.
 type record struct {
 	key   string
-	value []byte // nil deletes the key
+	value []byte // nil: tombstone of the key
 }
 
-// producer is what a topic remembers of an idempotent producer.
+// producer is the state of an idempotent producer of a topic.
 type producer struct {
-	epoch    uint64
-	next     uint64
-	answered map[uint64]answer // the last appends
+	epoch        uint64
+	nextSequence uint64
+	replies      map[uint64]appendReply // replies to the last appends, by sequence number
 }
 
-type answer struct{ offset, end uint64 }
+type appendReply struct{ offset, end uint64 }
 
-// remembered is how many appends of a producer are answered again.
-const remembered = 5
+// retainedReplies is the number of last appends of a producer that can be repeated
+// with the same reply.
+const retainedReplies = 5
 
 type topic struct {
-	first     uint64
-	records   []record // from offset first on
-	newest    map[string]uint64
-	values    map[string][]byte
-	producers map[string]*producer
+	first         uint64
+	records       []record // retained records; the first one has offset first
+	newestOffsets map[string]uint64
+	newestValues  map[string][]byte
+	producers     map[string]*producer
 }
 
 func (t *topic) end() uint64 { return t.first + uint64(len(t.records)) }
 
-// Log holds the topics. It is safe for concurrent use.
+// Log is the content of the store. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	topics  map[string]*topic
-	changed chan struct{} // closed and replaced with each append
+	changed chan struct{} // closed and replaced at each append
 }
 
 // NewLog returns an empty log.
@@ -58,94 +59,101 @@
 	return &Log{topics: make(map[string]*topic), changed: make(chan struct{})}
 }
 
+// topic returns the topic of that name, which it creates if necessary. l.mu must
+// be held.
 func (l *Log) topic(name string) *topic {
 	t := l.topics[name]
 	if t == nil {
-		t = &topic{newest: make(map[string]uint64), values: make(map[string][]byte), producers: make(map[string]*producer)}
+		t = &topic{newestOffsets: make(map[string]uint64), newestValues: make(map[string][]byte), producers: make(map[string]*producer)}
 		l.topics[name] = t
 	}
 	return t
 }
 
-// request is an append.
-type request struct {
-	topic    string
-	records  []record
-	at       *uint64
-	producer string
-	epoch    uint64
-	sequence uint64
+// appendRequest holds the arguments of an append. expectedEnd is nil for an
+// unconditional append; producer is empty for one that is not idempotent.
+type appendRequest struct {
+	topic       string
+	records     []record
+	expectedEnd *uint64
+	producer    string
+	epoch       uint64
+	sequence    uint64
 }
 
-// expected is the sequence number of an errSequence.
-func (l *Log) append(r request) (a answer, expected uint64, err error) {
+// append appends the records of a request. With errOutOfOrder it returns the
+// sequence number that is expected.
+func (l *Log) append(r appendRequest) (reply appendReply, expected uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.topic(r.topic)
-	if r.at != nil && *r.at != t.end() {
-		return answer{end: t.end()}, 0, errConflict
+	if r.expectedEnd != nil && *r.expectedEnd != t.end() {
+		return appendReply{end: t.end()}, 0, errConflict
 	}
 	if r.producer != "" {
-		if again, expected, err := t.admit(r); err != nil || again != nil {
-			if again != nil {
-				return *again, 0, nil
+		if earlier, expected, err := t.checkProducer(r); err != nil || earlier != nil {
+			if earlier != nil {
+				return *earlier, 0, nil
 			}
-			return answer{}, expected, err
+			return appendReply{}, expected, err
 		}
 	}
-	a.offset = t.end()
+	reply.offset = t.end()
 	for _, rec := range r.records {
 		t.add(rec)
 	}
-	a.end = t.end()
+	reply.end = t.end()
 	if r.producer != "" {
-		t.producers[r.producer].remember(r.sequence, a)
+		t.producers[r.producer].retainReply(r.sequence, reply)
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
-	return a, 0, nil
+	return reply, 0, nil
 }
 
-// admit checks the producer of an append; a repeated one gets its first answer.
-func (t *topic) admit(r request) (again *answer, expected uint64, err error) {
+// checkProducer checks the epoch and the sequence number of an append. For a
+// repeated append it returns the reply to the first one.
+func (t *topic) checkProducer(r appendRequest) (earlier *appendReply, expected uint64, err error) {
 	p := t.producers[r.producer]
 	switch {
 	case p == nil || r.epoch > p.epoch:
-		t.producers[r.producer] = &producer{epoch: r.epoch, next: r.sequence, answered: make(map[uint64]answer)}
+		t.producers[r.producer] = &producer{epoch: r.epoch, nextSequence: r.sequence, replies: make(map[uint64]appendReply)}
 	case r.epoch < p.epoch:
 		return nil, 0, errFenced
 	default:
-		if a, ok := p.answered[r.sequence]; ok {
+		if a, ok := p.replies[r.sequence]; ok {
 			return &a, 0, nil
 		}
-		if r.sequence != p.next {
-			return nil, p.next, errSequence
+		if r.sequence != p.nextSequence {
+			return nil, p.nextSequence, errOutOfOrder
 		}
 	}
 	return nil, 0, nil
 }
 
-func (p *producer) remember(sequence uint64, a answer) {
-	p.next = sequence + 1
-	p.answered[sequence] = a
-	if sequence >= remembered {
-		delete(p.answered, sequence-remembered)
+func (p *producer) retainReply(sequence uint64, a appendReply) {
+	p.nextSequence = sequence + 1
+	p.replies[sequence] = a
+	if sequence >= retainedReplies {
+		delete(p.replies, sequence-retainedReplies)
 	}
 }
 
+// add appends a record and updates the newest record of its key.
 func (t *topic) add(r record) {
 	if r.key != "" {
 		if r.value == nil {
-			delete(t.newest, r.key)
-			delete(t.values, r.key)
+			delete(t.newestOffsets, r.key)
+			delete(t.newestValues, r.key)
 		} else {
-			t.newest[r.key], t.values[r.key] = t.end(), r.value
+			t.newestOffsets[r.key], t.newestValues[r.key] = t.end(), r.value
 		}
 	}
 	t.records = append(t.records, r)
 }
 
-// read waits for a record at or after from until ctx ends.
+// read returns the records from offset from on. If there are none, it waits for
+// one until ctx ends.
 func (l *Log) read(ctx context.Context, name string, from uint64) (records []record, first, end uint64, err error) {
 	for {
 		l.mu.Lock()
@@ -178,31 +186,33 @@
 	offset uint64
 }
 
-// items returns the newest records after a key, in the order of the keys.
-func (l *Log) items(name, after string, most int) (page []item, more bool, end uint64) {
+// newestItems returns a page of the newest records of the keys greater than after,
+// in the order of the keys, and whether there are more.
+func (l *Log) newestItems(name, after string, limit int) (page []item, more bool, end uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.topic(name)
 	var keys []string
-	for key := range t.newest {
+	for key := range t.newestOffsets {
 		if key > after {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
-	more = len(keys) > most
-	for _, key := range keys[:min(most, len(keys))] {
-		page = append(page, item{key, t.values[key], t.newest[key]})
+	more = len(keys) > limit
+	for _, key := range keys[:min(limit, len(keys))] {
+		page = append(page, item{key, t.newestValues[key], t.newestOffsets[key]})
 	}
 	return page, more, t.end()
 }
 
-// Put writes a record of the operator or of a test.
+// Put appends a record unconditionally, as the operator does.
 func (l *Log) Put(topic, key string, value []byte) {
-	_, _, _ = l.append(request{topic: topic, records: []record{{key, value}}}) // unconditional: never refused
+	_, _, _ = l.append(appendRequest{topic: topic, records: []record{{key, value}}}) // an unconditional append is never rejected
 }
 
-// Forget deletes the history of every topic; the newest record of each key stays.
+// DeleteHistory deletes the records of all topics, except the newest record of
+// each key.
 func (l *Log) DeleteHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +221,8 @@
 	}
 }
 
-// Last returns the newest record of a topic, or nil.
+// LastValue returns the value of the last record of a topic, or nil if there is
+// none.
 func (l *Log) LastValue(topic string) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -17,23 +17,24 @@
 	"time"
 )
 
-// Fault is how the store treats the callers of one door. The zero value is a
-// store that works.
+// Fault is how a Server deviates from a working store. The zero value is no fault.
+// If several fields are set, the first of NoReply, Reset, Status and DropReply
+// applies.
 type Fault struct {
-	Status     int           // refuse with this status; nothing is done
-	NoReply    bool          // do nothing and answer nothing
-	Reset      bool          // do nothing and reset the connection
-	DropReply  bool          // do it and answer nothing
-	ApplyDelay time.Duration // with Lose: do it after this time
-	ReplyDelay time.Duration // before every answer
-	// Only appends are affected when Appends is set.
+	Status     int           // reject the call with this HTTP status without executing it
+	NoReply    bool          // neither execute the call nor reply
+	Reset      bool          // reset the connection without executing the call
+	DropReply  bool          // execute the call but do not reply
+	ApplyDelay time.Duration // with DropReply: execute the call after this time
+	CallDelay  time.Duration // before every call
+	// OnlyAppends limits the fault to appends; other calls are served normally.
 	OnlyAppends bool
 }
 
-// Door is one address of the store, so that a test can treat one process
-// differently from the others.
+// Server serves a Log at an address of its own, so that a test can inject faults
+// into the calls of one process only.
 type Server struct {
-	Address string
+	Address string // IP:port
 	log     *Log
 	server  *httptest.Server
 
@@ -42,51 +43,55 @@
 	calls int
 }
 
-// Open returns a new door to the log. Close ends it.
+// NewServer starts another server of the log. It runs until Close is called.
 func (l *Log) NewServer() *Server {
-	d := &Server{log: l}
+	s := &Server{log: l}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/log-append", d.withFault(d.appendRecords))
-	mux.HandleFunc("GET /api/log-read", d.withFault(d.readRecords))
-	mux.HandleFunc("GET /api/log-newest", d.withFault(d.newestRecords))
-	d.server = httptest.NewServer(mux)
-	d.Address = strings.TrimPrefix(d.server.URL, "http://")
-	return d
+	mux.HandleFunc("POST /api/log-append", s.withFault(s.serveAppend))
+	mux.HandleFunc("GET /api/log-read", s.withFault(s.serveRead))
+	mux.HandleFunc("GET /api/log-newest", s.withFault(s.serveNewest))
+	s.server = httptest.NewServer(mux)
+	s.Address = strings.TrimPrefix(s.server.URL, "http://")
+	return s
 }
 
-// Close ends the door.
-func (d *Server) Close() {
-	d.server.CloseClientConnections()
-	d.server.Close()
+// Close closes all connections and stops the server.
+func (s *Server) Close() {
+	s.server.CloseClientConnections()
+	s.server.Close()
 }
 
-// Set replaces the fault of the door.
-func (d *Server) Set(f Fault) {
-	d.mu.Lock()
-	d.fault = f
-	d.mu.Unlock()
+// Set replaces the fault that the server applies.
+func (s *Server) Set(f Fault) {
+	s.mu.Lock()
+	s.fault = f
+	s.mu.Unlock()
 	if f.NoReply || f.Reset {
-		d.server.CloseClientConnections() // a wait that is under way gets no answer either
+		s.server.CloseClientConnections() // a long poll in progress gets no reply either
 	}
 }
 
-// Calls returns how many calls the door has received.
-func (d *Server) CallCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.calls
+// CallCount returns the number of calls received.
+func (s *Server) CallCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
 }
 
-// silence is longer than any caller of a test waits.
-const silence = 10 * time.Second
+// noReplyTimeout is when a call without a reply is reset. It is longer than any
+// caller in a test waits.
+const noReplyTimeout = 10 * time.Second
 
-func (d *Server) withFault(serve http.HandlerFunc) http.HandlerFunc {
+// withFault returns a handler that applies the server's fault to each call, and
+// calls handler if the call is to be executed.
+func (s *Server) withFault(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		d.mu.Lock()
-		d.calls++
-		f := d.fault
-		d.mu.Unlock()
-		// With its body read, a request notices that its caller has left.
+		s.mu.Lock()
+		s.calls++
+		f := s.fault
+		s.mu.Unlock()
+		// The context of a request ends when the caller disconnects, but only if the
+		// body has been read.
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -95,42 +100,44 @@
 		if f.OnlyAppends && r.Method != http.MethodPost {
 			f = Fault{}
 		}
-		if f.ReplyDelay > 0 {
-			wait(r.Context(), f.ReplyDelay)
+		if f.CallDelay > 0 {
+			wait(r.Context(), f.CallDelay)
 		}
 		switch {
 		case f.NoReply:
-			wait(r.Context(), silence)
+			wait(r.Context(), noReplyTimeout)
 			abort(w)
 		case f.Reset:
 			abort(w)
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
 		case f.DropReply:
-			d.serveWithoutReply(r, f.ApplyDelay, serve)
-			wait(r.Context(), silence)
+			s.serveWithoutReply(r, f.ApplyDelay, handler)
+			wait(r.Context(), noReplyTimeout)
 			abort(w)
 		default:
-			serve(w, r)
+			handler(w, r)
 		}
 	}
 }
 
-// lose carries the call out, late if asked for, without an answer.
-func (d *Server) serveWithoutReply(r *http.Request, late time.Duration, serve http.HandlerFunc) {
+// serveWithoutReply executes the call, after delay if that is not 0, and discards
+// the reply.
+func (s *Server) serveWithoutReply(r *http.Request, delay time.Duration, handler http.HandlerFunc) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	again := r.Clone(context.Background())
-	again.Body = io.NopCloser(bytes.NewReader(body))
-	if late == 0 {
-		serve(httptest.NewRecorder(), again)
+	repeated := r.Clone(context.Background())
+	repeated.Body = io.NopCloser(bytes.NewReader(body))
+	if delay == 0 {
+		handler(httptest.NewRecorder(), repeated)
 		return
 	}
-	time.AfterFunc(late, func() { serve(httptest.NewRecorder(), again) })
+	time.AfterFunc(delay, func() { handler(httptest.NewRecorder(), repeated) })
 }
 
+// wait returns after d or when ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -138,7 +145,7 @@
 	}
 }
 
-// abort resets the connection without an answer.
+// abort resets the connection without a reply.
 func abort(w http.ResponseWriter) {
 	if hijacker, ok := w.(http.Hijacker); ok {
 		if conn, _, err := hijacker.Hijack(); err == nil {
@@ -152,69 +159,71 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (d *Server) appendRecords(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveAppend(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	in := request{topic: q.Get("topic"), producer: q.Get("producer"), epoch: number(q, "epoch"), sequence: number(q, "seq")}
+	in := appendRequest{topic: q.Get("topic"), producer: q.Get("producer"), epoch: parseNumber(q, "epoch"), sequence: parseNumber(q, "seq")}
 	if q.Has("at") {
-		at := number(q, "at")
-		in.at = &at
+		at := parseNumber(q, "at")
+		in.expectedEnd = &at
 	}
-	if in.records, err = split(body, keyed(in.topic)); err != nil {
+	if in.records, err = decodeRecords(body, isKeyed(in.topic)); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a, expected, err := d.log.append(in)
+	reply, expected, err := s.log.append(in)
 	switch {
 	case errors.Is(err, errConflict):
-		answerJSON(w, http.StatusPreconditionFailed, map[string]any{"end": a.end})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"end": reply.end})
 	case errors.Is(err, errFenced):
-		answerJSON(w, http.StatusConflict, map[string]any{"reason": "fenced"})
-	case errors.Is(err, errSequence):
-		answerJSON(w, http.StatusConflict, map[string]any{"reason": "seq", "seq": expected})
+		writeJSON(w, http.StatusConflict, map[string]any{"reason": "fenced"})
+	case errors.Is(err, errOutOfOrder):
+		writeJSON(w, http.StatusConflict, map[string]any{"reason": "seq", "seq": expected})
 	default:
-		answerJSON(w, http.StatusOK, map[string]any{"offset": a.offset, "end": a.end})
+		writeJSON(w, http.StatusOK, map[string]any{"offset": reply.offset, "end": reply.end})
 	}
 }
 
-func keyed(topic string) bool { return strings.HasPrefix(topic, "keyed.") }
+func isKeyed(topic string) bool { return strings.HasPrefix(topic, "keyed.") }
 
-func (d *Server) readRecords(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRead(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(number(q, "waitMs"))*time.Millisecond)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(parseNumber(q, "waitMs"))*time.Millisecond)
 	defer cancel()
 	topic := q.Get("topic")
-	records, first, end, err := d.log.read(ctx, topic, number(q, "from"))
+	records, first, end, err := s.log.read(ctx, topic, parseNumber(q, "from"))
 	if err != nil {
-		answerJSON(w, http.StatusGone, map[string]any{"first": first})
+		writeJSON(w, http.StatusGone, map[string]any{"first": first})
 		return
 	}
 	out := binary.BigEndian.AppendUint64(nil, end)
 	out = binary.BigEndian.AppendUint64(out, first)
 	for _, rec := range records {
-		out = frame(out, rec, keyed(topic))
+		out = appendFrame(out, rec, isKeyed(topic))
 	}
 	_, _ = w.Write(out)
 }
 
-// pageSize is the most items of one answer.
+// pageSize is the maximum number of items in a reply.
 const pageSize = 500
 
-func (d *Server) newestRecords(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveNewest(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	page, more, end := d.log.items(q.Get("topic"), q.Get("after"), pageSize)
+	page, more, end := s.log.newestItems(q.Get("topic"), q.Get("after"), pageSize)
 	items := make([]map[string]any, len(page))
 	for i, it := range page {
 		items[i] = map[string]any{"key": it.key, "value": it.value, "offset": it.offset}
 	}
-	answerJSON(w, http.StatusOK, map[string]any{"items": items, "hasMore": more, "end": end})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "hasMore": more, "end": end})
 }
 
-func number(q url.Values, name string) uint64 {
+// parseNumber returns the value of a query parameter, or 0 if it is missing or
+// invalid.
+func parseNumber(q url.Values, name string) uint64 {
 	n, err := strconv.ParseUint(q.Get(name), 10, 64)
 	if err != nil {
 		return 0
@@ -222,13 +231,15 @@
 	return n
 }
 
-func answerJSON(w http.ResponseWriter, status int, body map[string]any) {
+func writeJSON(w http.ResponseWriter, status int, body map[string]any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has left gets no answer
+	_ = json.NewEncoder(w).Encode(body) // a write error means that the caller has disconnected
 }
 
-func frame(out []byte, r record, keyed bool) []byte {
+// appendFrame appends a record in the format that decodeRecords reads: its length;
+// in a keyed topic, the length of the key and the key; then the value.
+func appendFrame(out []byte, r record, keyed bool) []byte {
 	size := len(r.value)
 	if keyed {
 		size += 1 + len(r.key)
@@ -242,7 +253,9 @@
 
 var errMalformed = errors.New("malformed records")
 
-func split(body []byte, keyed bool) ([]record, error) {
+// decodeRecords decodes the records in the body of an append. In a keyed topic a
+// record without a value is a tombstone.
+func decodeRecords(body []byte, keyed bool) ([]record, error) {
 	var records []record
 	for len(body) > 0 {
 		if len(body) < 4 {
--- a/internal/standin/taskrunner/recorder.go
+++ b/internal/standin/taskrunner/recorder.go
@@ -26,7 +26,7 @@
 }
 
 // attemptOn names a run on a runner.
-type attemptOn struct {
+type runKey struct {
 	task    string
 	attempt int64
 	runner  string
@@ -36,7 +36,7 @@
 type Recorder struct {
 	mu             sync.Mutex
 	runs           []*Run
-	newestRun      map[attemptOn]*Run // the newest run of each
+	newestRun      map[runKey]*Run // the newest run of each
 	running        map[string]*Run
 	completed      map[string]*Run      // the newest end of that kind
 	repeatedStarts map[*Run][]Violation // starts after an end that nobody has acknowledged yet
@@ -45,7 +45,7 @@
 
 // NewWitness returns a witness that has seen nothing.
 func NewRecorder() *Recorder {
-	return &Recorder{newestRun: make(map[attemptOn]*Run), running: make(map[string]*Run), completed: make(map[string]*Run), repeatedStarts: make(map[*Run][]Violation)}
+	return &Recorder{newestRun: make(map[runKey]*Run), running: make(map[string]*Run), completed: make(map[string]*Run), repeatedStarts: make(map[*Run][]Violation)}
 }
 
 func (w *Recorder) recordStart(task string, attempt int64, r *Runner) {
@@ -53,9 +53,9 @@
 	defer w.mu.Unlock()
 	x := &Run{Task: task, Attempt: attempt, Runner: r.ID, Domain: r.Domain, StartTime: time.Now()}
 	w.runs = append(w.runs, x)
-	w.newestRun[attemptOn{task, attempt, r.ID}] = x
-	if other := w.running[task]; other != nil {
-		w.addViolation(x, "%s attempt %d started on %s while it runs on %s", task, attempt, r.ID, other.Runner)
+	w.newestRun[runKey{task, attempt, r.ID}] = x
+	if previous := w.running[task]; previous != nil {
+		w.addViolation(x, "%s attempt %d started on %s while it runs on %s", task, attempt, r.ID, previous.Runner)
 	}
 	if first := w.completed[task]; first != nil {
 		v := Violation{x.StartTime, task, fmt.Sprintf("%s attempt %d started on %s after it was done on %s", task, attempt, r.ID, first.Runner)}
@@ -73,18 +73,18 @@
 	w.violations = append(w.violations, Violation{x.StartTime, x.Task, fmt.Sprintf(format, args...)})
 }
 
-func (w *Recorder) recordEnd(task string, attempt int64, runner, how string) {
+func (w *Recorder) recordEnd(task string, attempt int64, runner, end string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := w.newestRun[attemptOn{task, attempt, runner}]
+	x := w.newestRun[runKey{task, attempt, runner}]
 	if x == nil {
 		return
 	}
-	x.EndTime, x.End = time.Now(), how
+	x.EndTime, x.End = time.Now(), end
 	if w.running[task] == x {
 		delete(w.running, task)
 	}
-	if first := w.completed[task]; how == "done" && (first == nil || !first.Acknowledged) {
+	if first := w.completed[task]; end == "done" && (first == nil || !first.Acknowledged) {
 		w.completed[task] = x
 	}
 }
@@ -93,7 +93,7 @@
 func (w *Recorder) recordAcknowledgement(task string, attempt int64, runner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := w.newestRun[attemptOn{task, attempt, runner}]
+	x := w.newestRun[runKey{task, attempt, runner}]
 	if x == nil {
 		return
 	}
@@ -133,20 +133,20 @@
 func (w *Recorder) CompletedTasks(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return count(w.completed, job)
+	return countTasks(w.completed, job)
 }
 
 // Live returns how many tasks of the job run.
 func (w *Recorder) RunningTasks(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return count(w.running, job)
+	return countTasks(w.running, job)
 }
 
-func count(tasks map[string]*Run, job string) int {
+func countTasks(tasks map[string]*Run, job string) int {
 	n := 0
 	for task := range tasks {
-		if taskJob(task) == job {
+		if jobOf(task) == job {
 			n++
 		}
 	}
@@ -159,7 +159,7 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, x := range w.runs {
-		if taskJob(x.Task) == job {
+		if jobOf(x.Task) == job {
 			n++
 		}
 	}
--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -37,19 +37,19 @@
 
 // run is a run under way.
 type run struct {
-	attempt int64
-	began   time.Time
-	timer   *time.Timer
-	pace    int
+	attempt   int64
+	startTime time.Time
+	timer     *time.Timer
+	pace      int
 }
 
 // ended is a row of the list of ends.
-type ended struct {
-	number  uint64
-	task    string
-	attempt int64
-	how     string
-	lapsed  bool // the lease lapsed after the end, so that it can't be acknowledged any more
+type endedRun struct {
+	number       uint64
+	task         string
+	attempt      int64
+	end          string
+	leaseExpired bool // the lease lapsed after the end, so that it can't be acknowledged any more
 }
 
 // Fault is how a runner treats its agent.
@@ -65,21 +65,21 @@
 type Runner struct {
 	Settings
 
-	mu       sync.Mutex
-	born     time.Time
-	token    uint64
-	until    time.Time
-	runs     map[string]*run
-	begun    int              // runs in all lives
-	highest  map[string]int64 // attempts that were started, stopped or ended here
-	ends     []ended
-	number   uint64
-	seq      int64
-	draining bool
-	drained  time.Time // when an agent first acknowledged that the runner drains
-	down     bool
-	fault    Fault
-	changed  chan struct{}
+	mu                  sync.Mutex
+	startTime           time.Time
+	token               uint64
+	leaseEnd            time.Time
+	runs                map[string]*run
+	startCount          int              // runs in all lives
+	highestAttempt      map[string]int64 // attempts that were started, stopped or ended here
+	endedRuns           []endedRun
+	lastEndNumber       uint64
+	sequence            int64
+	draining            bool
+	drainAcknowledgedAt time.Time // when an agent first acknowledged that the runner drains
+	crashed             bool
+	fault               Fault
+	changed             chan struct{}
 }
 
 // New returns a runner that has just started.
@@ -95,9 +95,9 @@
 		x.timer.Stop()
 		r.Recorder.recordEnd(task, x.attempt, r.ID, "gone")
 	}
-	r.born, r.token, r.until = time.Now(), 0, time.Time{}
-	r.runs, r.highest = make(map[string]*run), make(map[string]int64)
-	r.ends, r.number, r.seq, r.draining, r.drained = nil, 0, 0, false, time.Time{}
+	r.startTime, r.token, r.leaseEnd = time.Now(), 0, time.Time{}
+	r.runs, r.highestAttempt = make(map[string]*run), make(map[string]int64)
+	r.endedRuns, r.lastEndNumber, r.sequence, r.draining, r.drainAcknowledgedAt = nil, 0, 0, false, time.Time{}
 	if r.changed != nil {
 		close(r.changed)
 	}
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	time.Sleep(2 * time.Millisecond) // two lives differ in the millisecond of their start
-	r.down = false
+	r.crashed = false
 	r.reset()
 }
 
@@ -118,7 +118,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
-	r.down = true
+	r.crashed = true
 }
 
 // Drain announces that the runner will leave.
@@ -133,7 +133,7 @@
 func (r *Runner) DrainAcknowledgedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.drained
+	return r.drainAcknowledgedAt
 }
 
 // Set replaces the runner's fault.
@@ -154,20 +154,20 @@
 func (r *Runner) StartCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.begun
+	return r.startCount
 }
 
 // clock is the runner's own clock in milliseconds.
-func (r *Runner) clock() int64 {
-	return int64(float64(time.Since(r.born))*r.rate()/float64(time.Millisecond)) + 1
+func (r *Runner) clockMs() int64 {
+	return int64(float64(time.Since(r.startTime))*r.clockRate()/float64(time.Millisecond)) + 1
 }
 
 // at is when the runner's clock shows untilMs.
-func (r *Runner) at(untilMs int64) time.Time {
-	return r.born.Add(time.Duration(float64(untilMs) * float64(time.Millisecond) / r.rate()))
+func (r *Runner) timeOfClock(untilMs int64) time.Time {
+	return r.startTime.Add(time.Duration(float64(untilMs) * float64(time.Millisecond) / r.clockRate()))
 }
 
-func (r *Runner) rate() float64 {
+func (r *Runner) clockRate() float64 {
 	if r.ClockRate == 0 {
 		return 1
 	}
@@ -175,24 +175,24 @@
 }
 
 // extend takes over a lease. r.mu is held.
-func (r *Runner) extend(untilMs int64) {
-	r.noteLapse()
-	until := r.at(untilMs)
+func (r *Runner) extendLease(untilMs int64) {
+	r.markUnacknowledgeable()
+	until := r.timeOfClock(untilMs)
 	if limit := time.Now().Add(r.MaxLease); until.After(limit) {
 		until = limit
 	}
-	if until.After(r.until) {
-		r.until = until
+	if until.After(r.leaseEnd) {
+		r.leaseEnd = until
 	}
 }
 
 // noteLapse marks the ends that were listed when the lease lapsed. r.mu is held.
-func (r *Runner) noteLapse() {
-	if r.until.IsZero() || !time.Now().After(r.until) {
+func (r *Runner) markUnacknowledgeable() {
+	if r.leaseEnd.IsZero() || !time.Now().After(r.leaseEnd) {
 		return
 	}
-	for i := range r.ends {
-		r.ends[i].lapsed = true
+	for i := range r.endedRuns {
+		r.endedRuns[i].leaseExpired = true
 	}
 }
 
@@ -204,31 +204,31 @@
 		return "fence"
 	}
 	r.token = token
-	r.extend(untilMs)
+	r.extendLease(untilMs)
 	if x := r.runs[task]; x != nil && x.attempt == attempt {
 		return ""
 	}
-	if attempt <= r.highest[task] {
+	if attempt <= r.highestAttempt[task] {
 		return "old"
 	}
-	if time.Now().After(r.at(untilMs)) {
+	if time.Now().After(r.timeOfClock(untilMs)) {
 		return "late"
 	}
 	if len(r.runs) >= r.Cores && !r.IgnoreCapacity {
 		return "room"
 	}
-	r.begin(task, spec, attempt)
+	r.startRun(task, spec, attempt)
 	return ""
 }
 
 // begin starts a run. Every run of the stand-in takes one core.
-func (r *Runner) begin(task, spec string, attempt int64) {
-	r.highest[task] = attempt
-	r.begun++
+func (r *Runner) startRun(task, spec string, attempt int64) {
+	r.highestAttempt[task] = attempt
+	r.startCount++
 	work := r.Work(task, spec)
-	how := "done"
+	end := "done"
 	if work.Fails || r.fault.FailRuns {
-		how = "failed"
+		end = "failed"
 	}
 	after := work.Duration
 	if r.fault.FailRuns {
@@ -237,44 +237,44 @@
 	if after == 0 {
 		after = time.Hour
 	}
-	born := r.born
-	x := &run{attempt: attempt, began: time.Now(), pace: 100}
-	x.timer = time.AfterFunc(after, func() { r.end(born, task, attempt, how) })
+	incarnation := r.startTime
+	x := &run{attempt: attempt, startTime: time.Now(), pace: 100}
+	x.timer = time.AfterFunc(after, func() { r.endRun(incarnation, task, attempt, end) })
 	r.runs[task] = x
 	r.Recorder.recordStart(task, attempt, r)
-	r.watchLease(born, task, attempt)
+	r.watchLease(incarnation, task, attempt)
 }
 
 // watchLease ends a run when its lease expires.
-func (r *Runner) watchLease(born time.Time, task string, attempt int64) {
-	time.AfterFunc(time.Until(r.until)+time.Millisecond, func() {
+func (r *Runner) watchLease(incarnation time.Time, task string, attempt int64) {
+	time.AfterFunc(time.Until(r.leaseEnd)+time.Millisecond, func() {
 		r.mu.Lock()
 		x := r.runs[task]
-		live := r.born == born && x != nil && x.attempt == attempt
-		if live && time.Now().Before(r.until) {
-			r.watchLease(born, task, attempt)
-			live = false
+		running := r.startTime == incarnation && x != nil && x.attempt == attempt
+		if running && time.Now().Before(r.leaseEnd) {
+			r.watchLease(incarnation, task, attempt)
+			running = false
 		}
 		r.mu.Unlock()
-		if live {
-			r.end(born, task, attempt, "lapsed")
+		if running {
+			r.endRun(incarnation, task, attempt, "lapsed")
 		}
 	})
 }
 
 // end ends a run of the given life, unless it has ended.
-func (r *Runner) end(born time.Time, task string, attempt int64, how string) {
+func (r *Runner) endRun(incarnation time.Time, task string, attempt int64, end string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.runs[task]
-	if r.born != born || x == nil || x.attempt != attempt {
+	if r.startTime != incarnation || x == nil || x.attempt != attempt {
 		return
 	}
 	x.timer.Stop()
 	delete(r.runs, task)
-	r.number++
-	r.ends = append(r.ends, ended{number: r.number, task: task, attempt: attempt, how: how})
-	r.Recorder.recordEnd(task, attempt, r.ID, how)
+	r.lastEndNumber++
+	r.endedRuns = append(r.endedRuns, endedRun{number: r.lastEndNumber, task: task, attempt: attempt, end: end})
+	r.Recorder.recordEnd(task, attempt, r.ID, end)
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -286,14 +286,14 @@
 		return "fence"
 	}
 	r.token = token
-	r.highest[task] = max(r.highest[task], attempt)
-	x, born := r.runs[task], r.born
+	r.highestAttempt[task] = max(r.highestAttempt[task], attempt)
+	x, incarnation := r.runs[task], r.startTime
 	r.mu.Unlock()
 	if x != nil && x.attempt <= attempt {
-		time.AfterFunc(r.StopDelay, func() { r.end(born, task, x.attempt, "stopped") })
+		time.AfterFunc(r.StopDelay, func() { r.endRun(incarnation, task, x.attempt, "stopped") })
 	}
 	return ""
 }
 
 // taskJob returns the job of a task's name.
-func taskJob(task string) string { return task[:strings.IndexByte(task, '.')] }
+func jobOf(task string) string { return task[:strings.IndexByte(task, '.')] }
--- a/internal/standin/taskrunner/serve.go
+++ b/internal/standin/taskrunner/serve.go
@@ -13,35 +13,35 @@
 // to the agent's address until ctx ends.
 func (r *Runner) Serve(ctx context.Context, listener net.Listener, agent string) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/run-start", r.guard(r.serveStart))
-	mux.HandleFunc("POST /api/run-stop", r.guard(r.serveStop))
-	mux.HandleFunc("POST /api/hold", r.guard(r.serveHold))
-	mux.HandleFunc("POST /api/pace", r.guard(r.servePace))
+	mux.HandleFunc("POST /api/run-start", r.withFault(r.serveStart))
+	mux.HandleFunc("POST /api/run-stop", r.withFault(r.serveStop))
+	mux.HandleFunc("POST /api/hold", r.withFault(r.serveHold))
+	mux.HandleFunc("POST /api/pace", r.withFault(r.servePace))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	go r.announce(ctx, listener.Addr().String(), agent)
+	go r.sendHeartbeats(ctx, listener.Addr().String(), agent)
 	_ = server.Serve(listener) // ends with ctx
 }
 
 // announceEvery is the interval of announcements.
-const announceEvery = 100 * time.Millisecond
+const heartbeatInterval = 100 * time.Millisecond
 
-func (r *Runner) announce(ctx context.Context, address, agent string) {
+func (r *Runner) sendHeartbeats(ctx context.Context, address, agent string) {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		if url, body, ok := r.announcement(address, agent); ok {
-			r.send(client, url, body)
+		if url, body, ok := r.nextHeartbeat(address, agent); ok {
+			r.sendHeartbeat(client, url, body)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(announceEvery):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-func (r *Runner) send(client *http.Client, url string, body []byte) {
+func (r *Runner) sendHeartbeat(client *http.Client, url string, body []byte) {
 	r.mu.Lock()
 	draining := r.draining
 	r.mu.Unlock()
@@ -52,18 +52,18 @@
 	response.Body.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if draining && r.draining && r.drained.IsZero() && response.StatusCode/100 == 2 {
-		r.drained = time.Now()
+	if draining && r.draining && r.drainAcknowledgedAt.IsZero() && response.StatusCode/100 == 2 {
+		r.drainAcknowledgedAt = time.Now()
 	}
 }
 
-func (r *Runner) announcement(address, agent string) (url string, body []byte, ok bool) {
+func (r *Runner) nextHeartbeat(address, agent string) (url string, body []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down || r.fault.NoHeartbeats {
+	if r.crashed || r.fault.NoHeartbeats {
 		return "", nil, false
 	}
-	r.seq++
+	r.sequence++
 	state := "ready"
 	if r.draining {
 		state = "draining"
@@ -71,13 +71,13 @@
 	body, err := json.Marshal(map[string]any{
 		"service": r.Service, "address": address, "zone": r.Domain, "version": "v1", "slots": 8, "state": state, "coldMs": 0,
 		"capacity": map[string]any{"cpu": r.Cores * 1000, "memMb": r.MemoryMb, "gpu": 0}, "labels": r.Labels,
-		"clockMs": r.clock(), "seq": r.seq, "born": r.born.UnixMilli(),
+		"clockMs": r.clockMs(), "seq": r.sequence, "born": r.startTime.UnixMilli(),
 	})
 	return "http://" + agent + "/api/instances/" + r.ID + "/heartbeat", body, err == nil
 }
 
 // order has the fields of every call.
-type order struct {
+type callBody struct {
 	Task         string `json:"task"`
 	Attempt      int64  `json:"attempt"`
 	Spec         string `json:"spec"`
@@ -89,17 +89,17 @@
 }
 
 // guard applies the runner's fault before a call.
-func (r *Runner) guard(serve func(http.ResponseWriter, *http.Request, order)) http.HandlerFunc {
+func (r *Runner) withFault(serve func(http.ResponseWriter, *http.Request, callBody)) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		var in order
-		if err := json.NewDecoder(q.Body).Decode(&in); err != nil {
+		var body callBody
+		if err := json.NewDecoder(q.Body).Decode(&body); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		r.mu.Lock()
-		f, down, expected := r.fault, r.down, r.ID
+		f, down, expected := r.fault, r.crashed, r.ID
 		r.mu.Unlock()
-		isOrder := q.URL.Path != "/api/hold"
+		changesRuns := q.URL.Path != "/api/hold"
 		switch {
 		case down:
 			panic(http.ErrAbortHandler)
@@ -107,49 +107,49 @@
 			<-q.Context().Done()
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
-		case f.OrderDelay > 0 && isOrder:
-			time.AfterFunc(f.OrderDelay, func() { serve(&discard{}, q, in) })
+		case f.OrderDelay > 0 && changesRuns:
+			time.AfterFunc(f.OrderDelay, func() { serve(&discardWriter{}, q, body) })
 			<-q.Context().Done()
 		case q.Header.Get("X-Expected-Instance") != expected:
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		default:
-			serve(w, q, in)
+			serve(w, q, body)
 		}
 	}
 }
 
 // discard is the answer of a call that gets none.
-type discard struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header {
+func (d *discardWriter) Header() http.Header {
 	if d.header == nil {
 		d.header = make(http.Header)
 	}
 	return d.header
 }
-func (*discard) Write(b []byte) (int, error) { return len(b), nil }
-func (*discard) WriteHeader(int)             {}
+func (*discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (*discardWriter) WriteHeader(int)             {}
 
-func (r *Runner) serveStart(w http.ResponseWriter, _ *http.Request, in order) {
-	r.reply(w, r.start(in.Task, in.Spec, in.Attempt, in.UntilMs, in.FencingToken))
+func (r *Runner) serveStart(w http.ResponseWriter, _ *http.Request, in callBody) {
+	r.writeReply(w, r.start(in.Task, in.Spec, in.Attempt, in.UntilMs, in.FencingToken))
 }
 
-func (r *Runner) serveStop(w http.ResponseWriter, _ *http.Request, in order) {
-	r.reply(w, r.stop(in.Task, in.Attempt, in.FencingToken))
+func (r *Runner) serveStop(w http.ResponseWriter, _ *http.Request, in callBody) {
+	r.writeReply(w, r.stop(in.Task, in.Attempt, in.FencingToken))
 }
 
-func (r *Runner) servePace(w http.ResponseWriter, _ *http.Request, in order) {
+func (r *Runner) servePace(w http.ResponseWriter, _ *http.Request, in callBody) {
 	r.mu.Lock()
 	if x := r.runs[in.Task]; x != nil && x.attempt == in.Attempt {
 		x.pace = in.Percent
 	}
 	r.mu.Unlock()
-	r.reply(w, "")
+	r.writeReply(w, "")
 }
 
-func (r *Runner) reply(w http.ResponseWriter, reason string) {
+func (r *Runner) writeReply(w http.ResponseWriter, reason string) {
 	r.mu.Lock()
-	body := map[string]any{"clockMs": r.clock(), "born": r.born.UnixMilli()}
+	body := map[string]any{"clockMs": r.clockMs(), "born": r.startTime.UnixMilli()}
 	r.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	if reason != "" {
@@ -159,46 +159,46 @@
 	_ = json.NewEncoder(w).Encode(body) // a caller that has left gets no answer
 }
 
-func (r *Runner) serveHold(w http.ResponseWriter, q *http.Request, in order) {
+func (r *Runner) serveHold(w http.ResponseWriter, q *http.Request, in callBody) {
 	r.mu.Lock()
 	if in.FencingToken < r.token {
 		r.mu.Unlock()
-		r.reply(w, "fence")
+		r.writeReply(w, "fence")
 		return
 	}
 	r.token = in.FencingToken
-	r.noteLapse()
+	r.markUnacknowledgeable()
 	if in.UntilMs > 0 {
-		r.extend(in.UntilMs)
+		r.extendLease(in.UntilMs)
 	}
-	for len(r.ends) > 0 && r.ends[0].number <= in.LastSeen {
-		if e := r.ends[0]; !e.lapsed {
+	for len(r.endedRuns) > 0 && r.endedRuns[0].number <= in.LastSeen {
+		if e := r.endedRuns[0]; !e.leaseExpired {
 			r.Recorder.recordAcknowledgement(e.task, e.attempt, r.ID)
 		}
-		r.ends = r.ends[1:]
+		r.endedRuns = r.endedRuns[1:]
 	}
-	changed, quiet := r.changed, len(r.ends) == 0
+	changed, nothingEnded := r.changed, len(r.endedRuns) == 0
 	r.mu.Unlock()
-	if quiet && in.WaitMs > 0 {
+	if nothingEnded && in.WaitMs > 0 {
 		select {
 		case <-changed:
 		case <-q.Context().Done():
 		case <-time.After(time.Duration(in.WaitMs) * time.Millisecond):
 		}
 	}
-	r.list(w)
+	r.writeListing(w)
 }
 
-func (r *Runner) list(w http.ResponseWriter) {
+func (r *Runner) writeListing(w http.ResponseWriter) {
 	r.mu.Lock()
-	running, ends := make([][]any, 0), make([][]any, 0)
+	running, ended := make([][]any, 0), make([][]any, 0)
 	for task, x := range r.runs {
 		running = append(running, []any{task, x.attempt, "", x.pace, 0})
 	}
-	for _, e := range r.ends {
-		ends = append(ends, []any{e.number, e.task, e.attempt, e.how, ""})
+	for _, e := range r.endedRuns {
+		ended = append(ended, []any{e.number, e.task, e.attempt, e.end, ""})
 	}
-	body := map[string]any{"clockMs": r.clock(), "born": r.born.UnixMilli(), "running": running, "ended": ends}
+	body := map[string]any{"clockMs": r.clockMs(), "born": r.startTime.UnixMilli(), "running": running, "ended": ended}
 	r.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
