--- a/internal/standin/entries/network.go
+++ b/internal/standin/entries/network.go
@@ -63,7 +63,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.handlers[address] == nil {
-		return nil, fault.Wrap("dial", link.NotSent, errLost)
+		return nil, fault.Wrap("dial", link.NotSent, errReplyLost)
 	}
 	return n.Connect(from, to, n.handlers[address]), nil
 }
@@ -81,7 +81,7 @@
 	return n.cut[[2]string{from, to}], hit(), hit(), time.Duration(n.random.IntN(10)) * time.Millisecond, time.Duration(n.random.IntN(12000)) * time.Millisecond
 }
 
-var errLost = errors.New("lost")
+var errReplyLost = errors.New("lost")
 
 func (n *Network) call(ctx context.Context, from, to string, handler http.Handler, path string, message, reply proto.Message) error {
 	cut, lost, repeated, delay, late := n.drawFaults(from, to)
@@ -107,7 +107,7 @@
 	time.Sleep(delay)
 	switch {
 	case lost:
-		return fault.Wrap("call", link.Unknown, errLost)
+		return fault.Wrap("call", link.Unknown, errReplyLost)
 	case recorder.Code != http.StatusOK:
 		return fault.New("call", link.Rejected, "status %d: %s", recorder.Code, recorder.Body)
 	}
--- a/internal/standin/entries/platform.go
+++ b/internal/standin/entries/platform.go
@@ -24,17 +24,17 @@
 type Platform struct {
 	mu                   sync.Mutex
 	random               *rand.Rand
-	workers              map[string]*registration
-	tasks                map[units.Task]*record
+	registrations        map[string]*registration
+	tasks                map[units.Task]*taskState
 	order                []units.Task
-	document             []byte
-	offset               uint64
+	encodedDocument      []byte
+	documentOffset       uint64
 	logUnreachable       bool
 	lastLogRead          time.Time // last read at the tail
-	handlers             map[string]http.Handler
+	agentHandlers        map[string]http.Handler
 	network              *Network
 	problems             []string
-	refused              map[attempt]bool
+	rejected             map[taskAttempt]bool
 	outages              []outage
 	guardsEnabled        bool
 	configurationFrozen  bool                 // the entries have lost the stream of configurations
@@ -48,7 +48,7 @@
 	from, to time.Time // to is zero while it lasts
 }
 
-type attempt struct {
+type taskAttempt struct {
 	task   units.Task
 	number units.Attempt
 }
@@ -59,7 +59,7 @@
 	expired                  bool
 }
 
-type record struct {
+type taskState struct {
 	spec           *wire.TaskSpec
 	attempt        uint32
 	worker         string // "" while pending
@@ -69,8 +69,8 @@
 
 func NewPlatform(seed uint64, n *Network) *Platform {
 	p := &Platform{
-		random: rand.New(rand.NewPCG(seed, 1)), workers: map[string]*registration{}, tasks: map[units.Task]*record{},
-		handlers: map[string]http.Handler{}, network: n, refused: map[attempt]bool{}, lastHeartbeat: map[string]time.Time{}, lastLogRead: time.Now(),
+		random: rand.New(rand.NewPCG(seed, 1)), registrations: map[string]*registration{}, tasks: map[units.Task]*taskState{},
+		agentHandlers: map[string]http.Handler{}, network: n, rejected: map[taskAttempt]bool{}, lastHeartbeat: map[string]time.Time{}, lastLogRead: time.Now(),
 	}
 	p.Publish(nil, nil)
 	return p
@@ -96,7 +96,7 @@
 		document.FailureDomains = append(document.FailureDomains, environment.FailureDomain{Name: units.DomainName(name), Region: "r", State: state})
 	}
 	if !p.configurationFrozen {
-		p.document, p.offset = environment.Encode(document), p.offset+1
+		p.encodedDocument, p.documentOffset = environment.Encode(document), p.documentOffset+1
 	}
 }
 
@@ -119,7 +119,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := units.Task{Job: "job", Index: index}
-	p.tasks[name] = &record{spec: spec}
+	p.tasks[name] = &taskState{spec: spec}
 	p.order = append(p.order, name)
 }
 
@@ -136,7 +136,7 @@
 	mux.HandleFunc("POST /link/heartbeat", link.Handle(func(_ context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.handlers[h.Worker] = back
+		p.agentHandlers[h.Worker] = back
 		return p.heartbeat(h), nil
 	}))
 	return mux
@@ -147,10 +147,10 @@
 	if !p.logUnreachable && !p.configurationFrozen {
 		p.lastLogRead = time.Now()
 	}
-	reply := &wire.HeartbeatReply{Entry: "entry", ConfigOffset: p.offset, LogReachable: !p.logUnreachable,
+	reply := &wire.HeartbeatReply{Entry: "entry", ConfigOffset: p.documentOffset, LogReachable: !p.logUnreachable,
 		ConfigStalenessMilliseconds: time.Since(p.lastLogRead).Milliseconds()}
-	if h.ConfigOffset < p.offset {
-		reply.ConfigDocument = p.document
+	if h.ConfigOffset < p.documentOffset {
+		reply.ConfigDocument = p.encodedDocument
 	}
 	if !h.Committed.Units().Fits(h.Capacity.Units()) {
 		p.AddProblem("worker %s committed %s of %s", h.Worker, h.Committed.Units(), h.Capacity.Units())
@@ -158,12 +158,12 @@
 	if h.Epoch != 0 && !p.logUnreachable {
 		p.applyHeartbeat(h, reply)
 	}
-	if w := p.workers[h.Worker]; w != nil {
+	if w := p.registrations[h.Worker]; w != nil {
 		reply.RegisteredEpoch, reply.LeaseTerm, reply.Expired = w.epoch, w.term, w.expired
 		reply.Lessor, reply.LessorEpoch = w.lessor, w.lessorEpoch
 		reply.LessorAddress = "link/" + w.lessor
 	}
-	for name, w := range p.workers {
+	for name, w := range p.registrations {
 		if w.lessor == h.Worker && w.lessorEpoch == h.Epoch && !w.expired {
 			reply.Lessees = append(reply.Lessees, &wire.Lessee{Worker: name, Epoch: w.epoch, Term: w.term})
 			reply.Standbys = append(reply.Standbys, p.standbysOf(name, w)...)
@@ -185,10 +185,10 @@
 
 // fold applies what a heartbeat asks to be recorded, by the rules of the log.
 func (p *Platform) applyHeartbeat(h *wire.Heartbeat, reply *wire.HeartbeatReply) {
-	w := p.workers[h.Worker]
+	w := p.registrations[h.Worker]
 	if w == nil || h.Epoch > w.epoch {
 		w = &registration{epoch: h.Epoch, term: 1}
-		p.workers[h.Worker] = w
+		p.registrations[h.Worker] = w
 		p.chooseLessor(h.Worker, w, "")
 	}
 	if h.Epoch != w.epoch || w.expired {
@@ -206,10 +206,10 @@
 		reply.ReportsAcknowledged = append(reply.ReportsAcknowledged, r.Task)
 	}
 	for _, e := range h.Expiries {
-		l := p.workers[e.Worker]
+		l := p.registrations[e.Worker]
 		if l.epoch == e.Epoch && l.term == e.Term && l.lessor == h.Worker && l.lessorEpoch == h.Epoch && !l.expired {
 			l.expired = true
-			p.release(e.Worker, func(name units.Task, r *record) bool { return r.epoch <= e.Epoch })
+			p.release(e.Worker, func(name units.Task, r *taskState) bool { return r.epoch <= e.Epoch })
 		}
 		reply.ExpiriesAcknowledged = append(reply.ExpiriesAcknowledged, e)
 	}
@@ -219,8 +219,8 @@
 // worker: two workers that depend on each other lose their leases together.
 func (p *Platform) chooseLessor(name string, w *registration, not string) {
 	best, lowest := "", 0
-	for _, other := range slices.Sorted(maps.Keys(p.workers)) {
-		o := p.workers[other]
+	for _, other := range slices.Sorted(maps.Keys(p.registrations)) {
+		o := p.registrations[other]
 		if other == name || o.expired {
 			continue
 		}
@@ -237,24 +237,24 @@
 	}
 	w.lessor = best
 	if best != "" {
-		w.lessorEpoch = p.workers[best].epoch
+		w.lessorEpoch = p.registrations[best].epoch
 	}
 }
 
 // reconcile releases what a new epoch neither runs nor reports.
 func (p *Platform) reconcile(h *wire.Heartbeat, w *registration) {
-	kept := map[attempt]bool{}
+	kept := map[taskAttempt]bool{}
 	for _, ref := range h.Running {
-		kept[attempt{ref.Task(), units.Attempt(ref.Attempt)}] = true
+		kept[taskAttempt{ref.Task(), units.Attempt(ref.Attempt)}] = true
 	}
 	for _, r := range h.Reports {
-		kept[attempt{r.Task.Task(), units.Attempt(r.Task.Attempt)}] = true
+		kept[taskAttempt{r.Task.Task(), units.Attempt(r.Task.Attempt)}] = true
 	}
-	p.release(h.Worker, func(name units.Task, r *record) bool {
+	p.release(h.Worker, func(name units.Task, r *taskState) bool {
 		if r.epoch == w.epoch {
 			return false
 		}
-		if kept[attempt{name, units.Attempt(r.attempt)}] {
+		if kept[taskAttempt{name, units.Attempt(r.attempt)}] {
 			r.epoch = w.epoch
 			return false
 		}
@@ -262,7 +262,7 @@
 	})
 }
 
-func (p *Platform) release(worker string, which func(units.Task, *record) bool) {
+func (p *Platform) release(worker string, which func(units.Task, *taskState) bool) {
 	for _, name := range p.order {
 		if r := p.tasks[name]; r.worker == worker && !r.ended && which(name, r) {
 			r.worker, r.started = "", false
@@ -306,12 +306,12 @@
 		p.mu.Lock()
 		for name, at := range p.lastHeartbeat {
 			if p.ReleaseSilentWorkers && time.Since(at) > 5*time.Second {
-				p.release(name, func(units.Task, *record) bool { return true })
+				p.release(name, func(units.Task, *taskState) bool { return true })
 			}
 		}
 		var names []string
 		for _, name := range []string{"w1", "w2", "w3"} {
-			if w := p.workers[name]; w != nil && !w.expired && (!p.ReleaseSilentWorkers || time.Since(p.lastHeartbeat[name]) < 5*time.Second) {
+			if w := p.registrations[name]; w != nil && !w.expired && (!p.ReleaseSilentWorkers || time.Since(p.lastHeartbeat[name]) < 5*time.Second) {
 				names = append(names, name)
 			}
 		}
@@ -320,7 +320,7 @@
 			r := p.tasks[name]
 			if r.worker == "" && !r.ended && len(names) > 0 && !p.logUnreachable {
 				r.worker = names[p.random.IntN(len(names))]
-				r.epoch, r.attempt = p.workers[r.worker].epoch, r.attempt+1
+				r.epoch, r.attempt = p.registrations[r.worker].epoch, r.attempt+1
 			}
 			if r.worker != "" && !r.started && !r.ended {
 				l := launches[r.worker]
@@ -335,7 +335,7 @@
 		}
 		handlers := map[string]http.Handler{}
 		for name := range launches {
-			handlers[name] = p.handlers[name]
+			handlers[name] = p.agentHandlers[name]
 		}
 		p.mu.Unlock()
 		for name, l := range launches {
@@ -357,7 +357,7 @@
 	for _, result := range reply.Results {
 		r := p.tasks[result.Task.Task()]
 		if result.Outcome == wire.Outcome_OUTCOME_REFUSED {
-			p.refused[attempt{result.Task.Task(), units.Attempt(result.Task.Attempt)}] = true
+			p.rejected[taskAttempt{result.Task.Task(), units.Attempt(result.Task.Attempt)}] = true
 		}
 		if r.attempt != result.Task.Attempt || r.worker != worker || r.ended || p.logUnreachable {
 			continue
@@ -399,14 +399,14 @@
 func (p *Platform) Document() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.document
+	return p.encodedDocument
 }
 
 // Handler returns what the worker's agent serves on its newest session.
 func (p *Platform) AgentHandler(worker string) http.Handler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.handlers[worker]
+	return p.agentHandlers[worker]
 }
 
 // Attempt returns the current attempt of a task and the worker it is assigned
@@ -425,7 +425,7 @@
 	problems := append(worker.Overlaps(runs), p.problems...)
 	for _, r := range runs {
 		name, err := units.ParseTask(r.Task)
-		if err != nil || p.refused[attempt{name, r.Attempt}] {
+		if err != nil || p.rejected[taskAttempt{name, r.Attempt}] {
 			problems = append(problems, fmt.Sprintf("task %s: attempt %d was refused but ran on %s", r.Task, r.Attempt, r.Worker))
 		}
 		domain := string(domains[string(r.Worker)])
--- a/internal/standin/taskrunner/recorder.go
+++ b/internal/standin/taskrunner/recorder.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run is what the witness saw of one run.
+// Run is the record of one run.
 type Run struct {
 	Task         string
 	Attempt      int64
@@ -14,36 +14,36 @@
 	Domain       string
 	StartTime    time.Time
 	EndTime      time.Time // zero while it runs
-	End          string    // it ended; "gone" with its runner
+	End          string    // how it ended; "gone" if its runner restarted or crashed
 	Acknowledged bool      // the agent has acknowledged the end
 }
 
-// Violation is a broken promise.
+// Violation is a start of a task that was already running or completed.
 type Violation struct {
 	At   time.Time
 	Task string
 	Text string
 }
 
-// attemptOn names a run on a runner.
+// runKey identifies a run on a runner.
 type runKey struct {
 	task    string
 	attempt int64
 	runner  string
 }
 
-// Witness sees every run of every runner.
+// Recorder records the runs of all runners. It is safe for concurrent use.
 type Recorder struct {
 	mu             sync.Mutex
 	runs           []*Run
-	newestRun      map[runKey]*Run // the newest run of each
+	newestRun      map[runKey]*Run // the newest run of each key
 	running        map[string]*Run
-	completed      map[string]*Run      // the newest end of that kind
-	repeatedStarts map[*Run][]Violation // starts after an end that nobody has acknowledged yet
+	completed      map[string]*Run      // by task: its newest completed run, or the first acknowledged one
+	repeatedStarts map[*Run][]Violation // starts after a completion that is not acknowledged yet
 	violations     []Violation
 }
 
-// NewWitness returns a witness that has seen nothing.
+// NewRecorder returns a recorder without runs.
 func NewRecorder() *Recorder {
 	return &Recorder{newestRun: make(map[runKey]*Run), running: make(map[string]*Run), completed: make(map[string]*Run), repeatedStarts: make(map[*Run][]Violation)}
 }
@@ -59,7 +59,8 @@
 	}
 	if first := w.completed[task]; first != nil {
 		v := Violation{x.StartTime, task, fmt.Sprintf("%s attempt %d started on %s after it was done on %s", task, attempt, r.ID, first.Runner)}
-		// Repeating what nobody has learned of is allowed, until somebody does.
+		// A start after a completion is allowed as long as the agent has not
+		// acknowledged the completion.
 		if first.Acknowledged {
 			w.violations = append(w.violations, v)
 		} else {
@@ -89,7 +90,8 @@
 	}
 }
 
-// noted records that the agent has acknowledged an end.
+// recordAcknowledgement records that the agent has acknowledged the end of a run.
+// Starts of the task after that end become violations.
 func (w *Recorder) recordAcknowledgement(task string, attempt int64, runner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,14 +115,14 @@
 	return all
 }
 
-// Violations returns the promises that were broken.
+// Violations returns the violations found so far.
 func (w *Recorder) Violations() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Violation(nil), w.violations...)
 }
 
-// Broken returns the texts of the violations.
+// ViolationTexts returns the texts of the violations.
 func (w *Recorder) ViolationTexts() []string {
 	var texts []string
 	for _, v := range w.Violations() {
@@ -129,14 +131,14 @@
 	return texts
 }
 
-// Done returns how many tasks of the job have ended well.
+// CompletedTasks returns the number of the job's tasks that have completed.
 func (w *Recorder) CompletedTasks(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return countTasks(w.completed, job)
 }
 
-// Live returns how many tasks of the job run.
+// RunningTasks returns the number of the job's tasks that are running.
 func (w *Recorder) RunningTasks(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +155,7 @@
 	return n
 }
 
-// Starts returns how often runs of the job were started.
+// StartCount returns the number of runs of the job that were started.
 func (w *Recorder) StartCount(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -1,7 +1,8 @@
-// Package taskrunner stands in for the platform's runners in tests. A Runner
-// starts, holds and ends runs under a lease and a fencing token, announces
-// itself to its agent, and shows the faults that runners have. A Witness sees
-// the runs of all runners and tells which promise was broken.
+// Package taskrunner is a stand-in for the platform's runners in tests. A Runner
+// starts and stops runs, checks the fencing token of each call, ends the runs when
+// their lease expires, sends heartbeats to its agent, and can inject the faults
+// that runners have. A Recorder records the runs of all runners and detects tasks
+// that run twice at a time or again after their recorded completion.
 package taskrunner
 
 import (
@@ -12,30 +13,30 @@
 
 // Work is what a run does.
 type Work struct {
-	Duration time.Duration // until it ends by itself; 0 for a run that never does
+	Duration time.Duration // time until the run ends by itself; 0 if it does not
 	Fails    bool
 }
 
-// Settings describe a runner. They do not change.
+// Settings describes a runner. It must not change after New.
 type Settings struct {
 	ID       string
 	Service  string
 	Domain   string
 	Labels   []string
-	Cores    int // capacity
+	Cores    int // each run takes one
 	MemoryMb int
 	Work     func(task, spec string) Work
 	Recorder *Recorder
-	// LeaseLimit bounds a lease; StopTime is how long a stop takes.
+	// MaxLease is the longest lease; StopDelay is how long a run takes to stop.
 	MaxLease  time.Duration
 	StopDelay time.Duration
-	// AcceptsAll starts whatever the agent asks for, room or not.
+	// IgnoreCapacity starts every requested run, even without a free core.
 	IgnoreCapacity bool
-	// ClockRate is the speed of the runner's clock; 1 when zero.
+	// ClockRate is the speed of the runner's clock relative to real time; 0 means 1.
 	ClockRate float64
 }
 
-// run is a run under way.
+// run is a run that has not ended.
 type run struct {
 	attempt   int64
 	startTime time.Time
@@ -43,22 +44,22 @@
 	pace      int
 }
 
-// ended is a row of the list of ends.
+// endedRun is an entry of the list of ended runs.
 type endedRun struct {
 	number       uint64
 	task         string
 	attempt      int64
 	end          string
-	leaseExpired bool // the lease lapsed after the end, so that it can't be acknowledged any more
+	leaseExpired bool // the lease expired after the end, so that an acknowledgement no longer counts
 }
 
-// Fault is how a runner treats its agent.
+// Fault is how a runner deviates from a working one. The zero value is no fault.
 type Fault struct {
-	NoReply      bool          // answer nothing
-	Status       int           // refuse every call with this status
-	OrderDelay   time.Duration // carry orders out this late, without an answer
-	FailRuns     bool          // every run fails at once
-	NoHeartbeats bool          // send no announcements
+	NoReply      bool          // do not reply
+	Status       int           // reject every call with this HTTP status
+	OrderDelay   time.Duration // execute starts, stops and pace changes after this time, without a reply
+	FailRuns     bool          // new runs fail after a millisecond
+	NoHeartbeats bool          // send no heartbeats
 }
 
 // Runner is one runner. Its methods are safe for concurrent use.
@@ -66,20 +67,20 @@
 	Settings
 
 	mu                  sync.Mutex
-	startTime           time.Time
-	token               uint64
+	startTime           time.Time // of the incarnation; it identifies it
+	token               uint64    // newest fencing token of a call
 	leaseEnd            time.Time
 	runs                map[string]*run
-	startCount          int              // runs in all lives
-	highestAttempt      map[string]int64 // attempts that were started, stopped or ended here
+	startCount          int              // of runs in all incarnations
+	highestAttempt      map[string]int64 // of each task that was started or stopped in this incarnation
 	endedRuns           []endedRun
 	lastEndNumber       uint64
 	sequence            int64
 	draining            bool
-	drainAcknowledgedAt time.Time // when an agent first acknowledged that the runner drains
+	drainAcknowledgedAt time.Time // when an agent first acknowledged the draining state
 	crashed             bool
 	fault               Fault
-	changed             chan struct{}
+	changed             chan struct{} // closed and replaced when a run ends or an incarnation begins
 }
 
 // New returns a runner that has just started.
@@ -89,7 +90,8 @@
 	return r
 }
 
-// reset begins a new incarnation. r.mu is held, or nobody else knows r.
+// reset ends all runs and begins a new incarnation. r.mu must be held, unless r is
+// not shared yet.
 func (r *Runner) reset() {
 	for task, x := range r.runs {
 		x.timer.Stop()
@@ -104,16 +106,17 @@
 	r.changed = make(chan struct{})
 }
 
-// Restart ends everything and begins a new life under the same id.
+// Restart ends all runs and begins a new incarnation under the same ID.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	time.Sleep(2 * time.Millisecond) // two lives differ in the millisecond of their start
+	time.Sleep(2 * time.Millisecond) // incarnations are distinguished by the millisecond of their start
 	r.crashed = false
 	r.reset()
 }
 
-// Crash ends everything without a word.
+// Crash ends all runs. Until Restart the runner sends no heartbeats and resets the
+// connections of its callers.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,49 +124,50 @@
 	r.crashed = true
 }
 
-// Drain announces that the runner will leave.
+// Drain makes the runner report in its heartbeats that it is draining.
 func (r *Runner) Drain() {
 	r.mu.Lock()
 	r.draining = true
 	r.mu.Unlock()
 }
 
-// Drained returns when an agent first acknowledged that the runner drains; zero
-// for not yet.
+// DrainAcknowledgedAt returns when an agent first acknowledged a heartbeat with the
+// draining state, or the zero time if none has.
 func (r *Runner) DrainAcknowledgedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.drainAcknowledgedAt
 }
 
-// Set replaces the runner's fault.
+// Set replaces the fault that the runner applies.
 func (r *Runner) Set(f Fault) {
 	r.mu.Lock()
 	r.fault = f
 	r.mu.Unlock()
 }
 
-// Running returns the number of runs under way.
+// RunningTasks returns the number of runs that have not ended.
 func (r *Runner) RunningTasks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs)
 }
 
-// Started returns the number of runs that were ever started here.
+// StartCount returns the number of runs started in all incarnations.
 func (r *Runner) StartCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.startCount
 }
 
-// clock is the runner's own clock in milliseconds.
+// clockMs returns the reading of the runner's clock in milliseconds. The clock
+// starts with the incarnation. r.mu must be held.
 func (r *Runner) clockMs() int64 {
 	return int64(float64(time.Since(r.startTime))*r.clockRate()/float64(time.Millisecond)) + 1
 }
 
-// at is when the runner's clock shows untilMs.
-func (r *Runner) timeOfClock(untilMs int64) time.Time {
+// timeAtClock returns the time at which the runner's clock reads untilMs.
+func (r *Runner) timeAtClock(untilMs int64) time.Time {
 	return r.startTime.Add(time.Duration(float64(untilMs) * float64(time.Millisecond) / r.clockRate()))
 }
 
@@ -174,10 +178,11 @@
 	return r.ClockRate
 }
 
-// extend takes over a lease. r.mu is held.
+// extendLease extends the lease of all runs, but not beyond MaxLease. r.mu must be
+// held.
 func (r *Runner) extendLease(untilMs int64) {
-	r.markUnacknowledgeable()
-	until := r.timeOfClock(untilMs)
+	r.markLeaseExpired()
+	until := r.timeAtClock(untilMs)
 	if limit := time.Now().Add(r.MaxLease); until.After(limit) {
 		until = limit
 	}
@@ -186,8 +191,9 @@
 	}
 }
 
-// noteLapse marks the ends that were listed when the lease lapsed. r.mu is held.
-func (r *Runner) markUnacknowledgeable() {
+// markLeaseExpired marks the listed ended runs if the lease has expired. r.mu must
+// be held.
+func (r *Runner) markLeaseExpired() {
 	if r.leaseEnd.IsZero() || !time.Now().After(r.leaseEnd) {
 		return
 	}
@@ -196,7 +202,8 @@
 	}
 }
 
-// start returns the reason of a refusal, empty when the run is there.
+// start starts a run. It returns the reason of a rejection, or "" if the run was
+// started or is already running.
 func (r *Runner) start(task, spec string, attempt int64, untilMs int64, token uint64) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +218,7 @@
 	if attempt <= r.highestAttempt[task] {
 		return "old"
 	}
-	if time.Now().After(r.timeOfClock(untilMs)) {
+	if time.Now().After(r.timeAtClock(untilMs)) {
 		return "late"
 	}
 	if len(r.runs) >= r.Cores && !r.IgnoreCapacity {
@@ -221,7 +228,7 @@
 	return ""
 }
 
-// begin starts a run. Every run of the stand-in takes one core.
+// startRun starts a run, which takes one core. r.mu must be held.
 func (r *Runner) startRun(task, spec string, attempt int64) {
 	r.highestAttempt[task] = attempt
 	r.startCount++
@@ -245,7 +252,7 @@
 	r.watchLease(incarnation, task, attempt)
 }
 
-// watchLease ends a run when its lease expires.
+// watchLease ends a run when the lease expires.
 func (r *Runner) watchLease(incarnation time.Time, task string, attempt int64) {
 	time.AfterFunc(time.Until(r.leaseEnd)+time.Millisecond, func() {
 		r.mu.Lock()
@@ -262,7 +269,7 @@
 	})
 }
 
-// end ends a run of the given life, unless it has ended.
+// endRun ends a run of the given incarnation, unless it has already ended.
 func (r *Runner) endRun(incarnation time.Time, task string, attempt int64, end string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,6 +286,8 @@
 	r.changed = make(chan struct{})
 }
 
+// stop stops the run of a task up to the given attempt, and prevents later starts
+// of these attempts. It returns the reason of a rejection, or "".
 func (r *Runner) stop(task string, attempt int64, token uint64) string {
 	r.mu.Lock()
 	if token < r.token {
@@ -295,5 +304,5 @@
 	return ""
 }
 
-// taskJob returns the job of a task's name.
+// jobOf returns the job part of a task's name.
 func jobOf(task string) string { return task[:strings.IndexByte(task, '.')] }
--- a/internal/standin/taskrunner/serve.go
+++ b/internal/standin/taskrunner/serve.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Serve answers the agent at the address of listener and announces the runner
-// to the agent's address until ctx ends.
+// Serve serves the agent's calls on listener and sends heartbeats to the address
+// agent, until ctx ends.
 func (r *Runner) Serve(ctx context.Context, listener net.Listener, agent string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/run-start", r.withFault(r.serveStart))
@@ -24,7 +24,7 @@
 	_ = server.Serve(listener) // ends with ctx
 }
 
-// announceEvery is the interval of announcements.
+// heartbeatInterval is the interval of heartbeats.
 const heartbeatInterval = 100 * time.Millisecond
 
 func (r *Runner) sendHeartbeats(ctx context.Context, address, agent string) {
@@ -47,7 +47,7 @@
 	r.mu.Unlock()
 	response, err := client.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
-		return // the next announcement follows
+		return // the next heartbeat follows
 	}
 	response.Body.Close()
 	r.mu.Lock()
@@ -57,6 +57,8 @@
 	}
 }
 
+// nextHeartbeat returns the URL and the body of the next heartbeat; ok is false if
+// none is to be sent.
 func (r *Runner) nextHeartbeat(address, agent string) (url string, body []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +78,7 @@
 	return "http://" + agent + "/api/instances/" + r.ID + "/heartbeat", body, err == nil
 }
 
-// order has the fields of every call.
+// callBody has the fields of all calls.
 type callBody struct {
 	Task         string `json:"task"`
 	Attempt      int64  `json:"attempt"`
@@ -88,7 +90,8 @@
 	Percent      int    `json:"percent"`
 }
 
-// guard applies the runner's fault before a call.
+// withFault returns a handler that decodes each call and applies the runner's
+// fault, and calls serve if the call is to be executed.
 func (r *Runner) withFault(serve func(http.ResponseWriter, *http.Request, callBody)) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		var body callBody
@@ -118,7 +121,7 @@
 	}
 }
 
-// discard is the answer of a call that gets none.
+// discardWriter discards the reply to a call.
 type discardWriter struct{ header http.Header }
 
 func (d *discardWriter) Header() http.Header {
@@ -147,6 +150,7 @@
 	r.writeReply(w, "")
 }
 
+// writeReply replies to a call; a reason that is not empty rejects it.
 func (r *Runner) writeReply(w http.ResponseWriter, reason string) {
 	r.mu.Lock()
 	body := map[string]any{"clockMs": r.clockMs(), "born": r.startTime.UnixMilli()}
@@ -156,9 +160,12 @@
 		body["reason"] = reason
 		w.WriteHeader(http.StatusConflict)
 	}
-	_ = json.NewEncoder(w).Encode(body) // a caller that has left gets no answer
+	_ = json.NewEncoder(w).Encode(body) // a write error means that the caller has disconnected
 }
 
+// serveHold extends the lease, deletes the acknowledged ended runs and replies with
+// the running and the ended runs. If no run has ended, it waits for one as long as
+// the caller requests.
 func (r *Runner) serveHold(w http.ResponseWriter, q *http.Request, in callBody) {
 	r.mu.Lock()
 	if in.FencingToken < r.token {
@@ -167,7 +174,7 @@
 		return
 	}
 	r.token = in.FencingToken
-	r.markUnacknowledgeable()
+	r.markLeaseExpired()
 	if in.UntilMs > 0 {
 		r.extendLease(in.UntilMs)
 	}
@@ -189,6 +196,7 @@
 	r.writeListing(w)
 }
 
+// writeListing replies with the running and the ended runs.
 func (r *Runner) writeListing(w http.ResponseWriter) {
 	r.mu.Lock()
 	running, ended := make([][]any, 0), make([][]any, 0)
