--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -158,7 +158,7 @@
 	for _, c := range sim.cores {
 		runs = append(runs, c.Runs()...)
 	}
-	return sim.platform.Problems(runs, domains)
+	return sim.platform.Violations(runs, domains)
 }
 
 // waitForBatchTasks waits until every batch task has ended, at most for limit.
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -54,18 +54,18 @@
 	// double starts a second agent while the first one still runs.
 	"double": func(sim *simulation, e event) { sim.start(e.worker) },
 	"cutFromEntries": func(sim *simulation, e event) {
-		sim.network.SetCut(e.worker, "entry", true)
+		sim.network.SetPartition(e.worker, "entry", true)
 		time.Sleep(e.lasts)
-		sim.network.SetCut(e.worker, "entry", false)
+		sim.network.SetPartition(e.worker, "entry", false)
 	},
 	"isolate": func(sim *simulation, e event) {
 		others := []string{"w1", "w2", "w3", "entry"}
 		for _, o := range others {
-			sim.network.SetCut(e.worker, o, true)
+			sim.network.SetPartition(e.worker, o, true)
 		}
 		time.Sleep(e.lasts)
 		for _, o := range others {
-			sim.network.SetCut(e.worker, o, false)
+			sim.network.SetPartition(e.worker, o, false)
 		}
 	},
 	"logDown": func(sim *simulation, e event) {
@@ -163,7 +163,7 @@
 		problems := runHistory(t, history, seed, 0.1, func(*simulation) func(*simulation) {
 			return func(sim *simulation) {
 				if !sim.waitForBatchTasks(2 * time.Minute) {
-					sim.platform.AddProblem("tasks have not ended two minutes after the last fault")
+					sim.platform.AddViolation("tasks have not ended two minutes after the last fault")
 				}
 			}
 		})
--- a/internal/standin/entries/network.go
+++ b/internal/standin/entries/network.go
@@ -1,7 +1,7 @@
-// Package entries is a stand-in for entry processes and the log behind them, in
-// memory: tests of agents run against it in real or fake time. Network carries
-// messages and their faults; Platform folds what agents report by the rules of
-// the log and dispatches tasks to them.
+// Package entries is an in-memory stand-in for the entry processes and their log.
+// Tests of agents run against it in real or fake time. Network delivers messages
+// and injects faults; Platform applies the agents' heartbeats by the rules of the
+// log and dispatches tasks to the agents.
 package entries
 
 import (
@@ -20,45 +20,45 @@
 	"wasabihill.example/wasabihill/internal/link"
 )
 
-// Network carries messages between processes in memory. It loses replies,
-// delays and repeats messages, and cuts pairs of processes apart.
+// Network delivers messages between processes in memory. It delays messages, drops
+// replies, delivers messages again much later, and partitions pairs of processes.
 type Network struct {
-	mu        sync.Mutex
-	random    *rand.Rand
-	faultRate float64
-	cut       map[[2]string]bool
-	handlers  map[string]http.Handler
-	ctx       context.Context // ends late deliveries
+	mu         sync.Mutex
+	random     *rand.Rand
+	faultRate  float64
+	partitions map[[2]string]bool
+	handlers   map[string]http.Handler
+	ctx        context.Context // cancels late deliveries
 }
 
-// NewNetwork returns a network on which each fault strikes a message with
-// probability noise. Late deliveries end with ctx.
-func NewNetwork(ctx context.Context, seed uint64, noise float64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 2)), faultRate: noise, cut: map[[2]string]bool{}, handlers: map[string]http.Handler{}, ctx: ctx}
+// NewNetwork returns a network that injects each kind of fault into a message with
+// the probability faultRate. Late deliveries are cancelled when ctx ends.
+func NewNetwork(ctx context.Context, seed uint64, faultRate float64) *Network {
+	return &Network{random: rand.New(rand.NewPCG(seed, 2)), faultRate: faultRate, partitions: map[[2]string]bool{}, handlers: map[string]http.Handler{}, ctx: ctx}
 }
 
-// SetCut cuts two processes apart or joins them again.
-func (n *Network) SetCut(a, b string, cut bool) {
+// SetPartition starts or ends a partition between two processes.
+func (n *Network) SetPartition(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+	n.partitions[[2]string{a, b}], n.partitions[[2]string{b, a}] = partitioned, partitioned
 }
 
-// SetNoise changes the probability of each fault.
-func (n *Network) SetFaultRate(noise float64) {
+// SetFaultRate sets the probability of each kind of fault.
+func (n *Network) SetFaultRate(faultRate float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.faultRate = noise
+	n.faultRate = faultRate
 }
 
-// Serve lets others dial the address.
+// Serve sets the handler that answers calls to the address.
 func (n *Network) Serve(address string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[address] = handler
 }
 
-// Dial connects process from to the process to at a served address.
+// Dial connects the process from to the process to, which serves address.
 func (n *Network) Dial(from, to, address string) (*Session, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,24 +68,26 @@
 	return n.Connect(from, to, n.handlers[address]), nil
 }
 
-// Connect returns a session whose calls the handler answers.
+// Connect returns a session whose calls are served by handler.
 func (n *Network) Connect(from, to string, handler http.Handler) *Session {
 	return &Session{network: n, from: from, to: to, handler: handler, done: make(chan struct{})}
 }
 
-// chance draws what happens to one message.
-func (n *Network) drawFaults(from, to string) (cut, lost, repeated bool, delay, late time.Duration) {
+// drawFaults draws the faults of one message: whether the processes are
+// partitioned, its reply is lost and it is delivered again; the delay of each
+// direction; and the delay of the repeated delivery.
+func (n *Network) drawFaults(from, to string) (partitioned, replyLost, repeated bool, delay, repeatDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	hit := func() bool { return n.random.Float64() < n.faultRate }
-	return n.cut[[2]string{from, to}], hit(), hit(), time.Duration(n.random.IntN(10)) * time.Millisecond, time.Duration(n.random.IntN(12000)) * time.Millisecond
+	draw := func() bool { return n.random.Float64() < n.faultRate }
+	return n.partitions[[2]string{from, to}], draw(), draw(), time.Duration(n.random.IntN(10)) * time.Millisecond, time.Duration(n.random.IntN(12000)) * time.Millisecond
 }
 
-var errReplyLost = errors.New("lost")
+var errReplyLost = errors.New("reply is lost")
 
 func (n *Network) call(ctx context.Context, from, to string, handler http.Handler, path string, message, reply proto.Message) error {
-	cut, lost, repeated, delay, late := n.drawFaults(from, to)
-	if cut || handler == nil {
+	partitioned, replyLost, repeated, delay, repeatDelay := n.drawFaults(from, to)
+	if partitioned || handler == nil {
 		<-ctx.Done()
 		return fault.Wrap("call", link.Unknown, ctx.Err())
 	}
@@ -94,9 +96,9 @@
 		return err
 	}
 	if repeated {
-		go func() { // the same message again, much later
+		go func() { // deliver the same message again, much later
 			select {
-			case <-time.After(late):
+			case <-time.After(repeatDelay):
 				post(n.ctx, handler, path, body)
 			case <-n.ctx.Done():
 			}
@@ -106,7 +108,7 @@
 	recorder := post(ctx, handler, path, body)
 	time.Sleep(delay)
 	switch {
-	case lost:
+	case replyLost:
 		return fault.Wrap("call", link.Unknown, errReplyLost)
 	case recorder.Code != http.StatusOK:
 		return fault.New("call", link.Rejected, "status %d: %s", recorder.Code, recorder.Body)
--- a/internal/standin/entries/platform.go
+++ b/internal/standin/entries/platform.go
@@ -19,46 +19,52 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Platform is one folded state that every entry shows. It records what the
-// agents do wrong.
+// Platform is the state that all entry processes share. It records the rules
+// that the agents violate.
 type Platform struct {
-	mu                   sync.Mutex
-	random               *rand.Rand
-	registrations        map[string]*registration
-	tasks                map[units.Task]*taskState
-	order                []units.Task
-	encodedDocument      []byte
-	documentOffset       uint64
-	logUnreachable       bool
-	lastLogRead          time.Time // last read at the tail
-	agentHandlers        map[string]http.Handler
-	network              *Network
-	problems             []string
-	rejected             map[taskAttempt]bool
-	outages              []outage
-	guardsEnabled        bool
-	configurationFrozen  bool                 // the entries have lost the stream of configurations
-	ReleaseSilentWorkers bool                 // release tasks of workers that are silent for 5 s
-	lastHeartbeat        map[string]time.Time // worker
+	mu                  sync.Mutex
+	random              *rand.Rand
+	registrations       map[string]*registration
+	tasks               map[units.Task]*taskState
+	order               []units.Task
+	encodedDocument     []byte
+	documentOffset      uint64
+	logUnreachable      bool
+	lastLogRead         time.Time // last time that the entries had read the log to its end
+	agentHandlers       map[string]http.Handler
+	network             *Network
+	violations          []string
+	rejected            map[taskAttempt]bool
+	outages             []outage
+	guardsEnabled       bool
+	configurationFrozen bool // the entries do not receive new configurations
+	// ReleaseSilentWorkers makes Dispatch release the tasks of workers without a
+	// heartbeat for 5 s, although their leases have not expired.
+	ReleaseSilentWorkers bool
+	lastHeartbeat        map[string]time.Time // by worker
 }
 
-// outage is a time during which a domain was out of service.
+// outage is a period in which a failure domain was out of service.
 type outage struct {
 	domain   string
 	from, to time.Time // to is zero while it lasts
 }
 
+// taskAttempt identifies an attempt of a task.
 type taskAttempt struct {
 	task   units.Task
 	number units.Attempt
 }
 
+// registration is the recorded registration of a worker, with its lease term and
+// its lessor.
 type registration struct {
 	epoch, term, lessorEpoch uint64
 	lessor                   string
 	expired                  bool
 }
 
+// taskState is the recorded state of a task.
 type taskState struct {
 	spec           *wire.TaskSpec
 	attempt        uint32
@@ -67,6 +73,8 @@
 	started, ended bool
 }
 
+// NewPlatform returns a platform without workers and tasks. It launches tasks over
+// n; seed determines the choice of workers.
 func NewPlatform(seed uint64, n *Network) *Platform {
 	p := &Platform{
 		random: rand.New(rand.NewPCG(seed, 1)), registrations: map[string]*registration{}, tasks: map[units.Task]*taskState{},
@@ -76,8 +84,9 @@
 	return p
 }
 
-// Publish replaces the document: domains a, b and c, those in out out of service.
-func (p *Platform) Publish(out []string, drained []units.WorkerID) {
+// Publish publishes a new configuration document with the failure domains a, b
+// and c, of which the listed ones are out of service, and the drained workers.
+func (p *Platform) Publish(outOfService []string, drained []units.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	document := &environment.Document{
@@ -89,7 +98,7 @@
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		state := environment.DomainIn
-		if slices.Contains(out, name) {
+		if slices.Contains(outOfService, name) {
 			state = environment.DomainOut
 		}
 		p.recordOutage(name, state == environment.DomainOut)
@@ -100,6 +109,7 @@
 	}
 }
 
+// recordOutage records the start or the end of an outage of a domain.
 func (p *Platform) recordOutage(domain string, out bool) {
 	for i := range p.outages {
 		if o := &p.outages[i]; o.domain == domain && o.to.IsZero() {
@@ -123,20 +133,21 @@
 	p.order = append(p.order, name)
 }
 
-// Problem records a violated rule.
-func (p *Platform) AddProblem(format string, args ...any) {
-	if len(p.problems) < 20 {
-		p.problems = append(p.problems, fmt.Sprintf(format, args...))
+// AddViolation records the violation of a rule. It keeps the first 20.
+func (p *Platform) AddViolation(format string, args ...any) {
+	if len(p.violations) < 20 {
+		p.violations = append(p.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Accept serves one session dialled by an agent.
-func (p *Platform) SessionHandler(back http.Handler) http.Handler {
+// SessionHandler returns a handler for the calls on one session that an agent has
+// dialled. agentHandler handles the calls to the agent on that session.
+func (p *Platform) SessionHandler(agentHandler http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /link/heartbeat", link.Handle(func(_ context.Context, h *wire.Heartbeat) (*wire.HeartbeatReply, error) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.agentHandlers[h.Worker] = back
+		p.agentHandlers[h.Worker] = agentHandler
 		return p.heartbeat(h), nil
 	}))
 	return mux
@@ -153,7 +164,7 @@
 		reply.ConfigDocument = p.encodedDocument
 	}
 	if !h.Committed.Units().Fits(h.Capacity.Units()) {
-		p.AddProblem("worker %s committed %s of %s", h.Worker, h.Committed.Units(), h.Capacity.Units())
+		p.AddViolation("worker %s committed %s of %s", h.Worker, h.Committed.Units(), h.Capacity.Units())
 	}
 	if h.Epoch != 0 && !p.logUnreachable {
 		p.applyHeartbeat(h, reply)
@@ -172,6 +183,7 @@
 	return reply
 }
 
+// standbysOf returns the standbys for the started watchers of a worker.
 func (p *Platform) standbysOf(holder string, w *registration) []*wire.Standby {
 	var out []*wire.Standby
 	for _, name := range p.order {
@@ -183,7 +195,8 @@
 	return out
 }
 
-// fold applies what a heartbeat asks to be recorded, by the rules of the log.
+// applyHeartbeat applies the changes that a heartbeat requests, by the rules of the
+// log, and adds the acknowledgements to the reply.
 func (p *Platform) applyHeartbeat(h *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	w := p.registrations[h.Worker]
 	if w == nil || h.Epoch > w.epoch {
@@ -215,9 +228,10 @@
 	}
 }
 
-// chooseLessor prefers another lessor than not, and one that is no lessee of the
-// worker: two workers that depend on each other lose their leases together.
-func (p *Platform) chooseLessor(name string, w *registration, not string) {
+// chooseLessor chooses a lessor for a worker. It avoids the previous lessor and,
+// with lower priority, lessees of the worker, because two workers that are each
+// other's lessors lose their leases together.
+func (p *Platform) chooseLessor(name string, w *registration, previous string) {
 	best, lowest := "", 0
 	for _, other := range slices.Sorted(maps.Keys(p.registrations)) {
 		o := p.registrations[other]
@@ -228,7 +242,7 @@
 		if o.lessor == name {
 			cost++
 		}
-		if other == not {
+		if other == previous {
 			cost += 2
 		}
 		if best == "" || cost < lowest {
@@ -241,20 +255,21 @@
 	}
 }
 
-// reconcile releases what a new epoch neither runs nor reports.
+// reconcile assigns the tasks of a worker's earlier epochs to its new epoch if the
+// heartbeat lists them as running or reports them, and releases the others.
 func (p *Platform) reconcile(h *wire.Heartbeat, w *registration) {
-	kept := map[taskAttempt]bool{}
+	listed := map[taskAttempt]bool{}
 	for _, ref := range h.Running {
-		kept[taskAttempt{ref.Task(), units.Attempt(ref.Attempt)}] = true
+		listed[taskAttempt{ref.Task(), units.Attempt(ref.Attempt)}] = true
 	}
 	for _, r := range h.Reports {
-		kept[taskAttempt{r.Task.Task(), units.Attempt(r.Task.Attempt)}] = true
+		listed[taskAttempt{r.Task.Task(), units.Attempt(r.Task.Attempt)}] = true
 	}
 	p.release(h.Worker, func(name units.Task, r *taskState) bool {
 		if r.epoch == w.epoch {
 			return false
 		}
-		if kept[taskAttempt{name, units.Attempt(r.attempt)}] {
+		if listed[taskAttempt{name, units.Attempt(r.attempt)}] {
 			r.epoch = w.epoch
 			return false
 		}
@@ -262,20 +277,21 @@
 	})
 }
 
-func (p *Platform) release(worker string, which func(units.Task, *taskState) bool) {
+// release makes the tasks of a worker pending for which the predicate is true.
+func (p *Platform) release(worker string, matches func(units.Task, *taskState) bool) {
 	for _, name := range p.order {
-		if r := p.tasks[name]; r.worker == worker && !r.ended && which(name, r) {
+		if r := p.tasks[name]; r.worker == worker && !r.ended && matches(name, r) {
 			r.worker, r.started = "", false
 		}
 	}
 }
 
-// report records a report about the current attempt, or the activation of a
-// standby as the next one.
+// applyReport applies a report about the current attempt of a task, or about the
+// activation of a standby as its next attempt. Other reports are ignored.
 func (p *Platform) applyReport(worker string, epoch uint64, report *wire.TaskReport) {
 	r := p.tasks[report.Task.Task()]
 	if r == nil {
-		return // launched by a test itself
+		return // launched by the test, not by this platform
 	}
 	isWatcher := r.spec.Kind == wire.TaskKind_TASK_KIND_WATCHER
 	if isWatcher && report.Outcome == wire.Outcome_OUTCOME_STARTED && report.Task.Attempt == r.attempt+1 {
@@ -292,15 +308,15 @@
 		r.ended = true
 	default:
 		if report.Checkpoint != "" {
-			r.spec = proto.Clone(r.spec).(*wire.TaskSpec) // messages on their way share the old one
+			r.spec = proto.Clone(r.spec).(*wire.TaskSpec) // messages in transit share the old spec
 			r.spec.Checkpoint = report.Checkpoint
 		}
 		r.worker, r.started = "", false
 	}
 }
 
-// Dispatch assigns pending tasks to random workers and launches them until
-// every task has ended or ctx ends.
+// Dispatch assigns pending tasks to random workers and launches them, until ctx
+// ends.
 func (p *Platform) Dispatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
@@ -345,6 +361,8 @@
 	}
 }
 
+// launch sends a launch to a worker and applies the results. Tasks that were
+// rejected become pending.
 func (p *Platform) launch(ctx context.Context, worker string, handler http.Handler, l *wire.Launch) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -380,49 +398,51 @@
 	return true
 }
 
-// SetLog makes the log reachable or not.
+// SetLogReachable sets whether the entries can reach the log.
 func (p *Platform) SetLogReachable(reachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.logUnreachable = !reachable
 }
 
-// Freeze cuts the entries off from the stream of configurations or joins them
-// to it again.
+// SetConfigurationFrozen sets whether the entries have lost the stream of
+// configurations.
 func (p *Platform) SetConfigurationFrozen(frozen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.configurationFrozen = frozen
 }
 
-// Document returns the newest document as entries send it.
+// Document returns the newest configuration document in its encoded form.
 func (p *Platform) Document() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.encodedDocument
 }
 
-// Handler returns what the worker's agent serves on its newest session.
+// AgentHandler returns the handler of calls to a worker's agent on its newest
+// session.
 func (p *Platform) AgentHandler(worker string) http.Handler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.agentHandlers[worker]
 }
 
-// Attempt returns the current attempt of a task and the worker it is assigned
-// to, "" for none.
+// Attempt returns the current attempt of a task and the worker to which it is
+// assigned, or "" if the task is pending.
 func (p *Platform) Attempt(t units.Task) (units.Attempt, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return units.Attempt(p.tasks[t].attempt), p.tasks[t].worker
 }
 
-// Check returns the recorded problems and those of the runs: a refused attempt
-// that ran, and a start in a domain that was out for more than 3 s.
-func (p *Platform) Problems(runs []worker.Run, domains map[string]units.DomainName) []string {
+// Violations returns the recorded violations and those found in the runs: overlapping
+// runs of a task, a rejected attempt that ran, and a start in a domain that had
+// been out of service for more than 3 s.
+func (p *Platform) Violations(runs []worker.Run, domains map[string]units.DomainName) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	problems := append(worker.Overlaps(runs), p.problems...)
+	problems := append(worker.Overlaps(runs), p.violations...)
 	for _, r := range runs {
 		name, err := units.ParseTask(r.Task)
 		if err != nil || p.rejected[taskAttempt{name, r.Attempt}] {
@@ -438,7 +458,7 @@
 	return problems
 }
 
-// EnableGuards publishes a document with the guards switched on.
+// EnableGuards publishes a document with the guards enabled.
 func (p *Platform) EnableGuards() {
 	p.mu.Lock()
 	p.guardsEnabled = true
