--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -1,7 +1,8 @@
-// Package taskrunner stands in for the platform's runners in tests. A Runner
-// starts, holds and ends runs under a lease and a fencing token, announces
-// itself to its agent, and shows the faults that runners have. A Witness sees
-// the runs of all runners and tells which promise was broken.
+// Package taskrunner is a stand-in for the platform's runners in tests. A Runner
+// starts and stops runs, checks the fencing token of each call, ends the runs when
+// their lease expires, sends heartbeats to its agent, and can inject the faults
+// that runners have. A Recorder records the runs of all runners and detects tasks
+// that run twice at a time or again after their recorded completion.
 package taskrunner
 
 import (
@@ -12,74 +13,74 @@
 
 // Work is what a run does.
 type Work struct {
-	Time  time.Duration // until it ends by itself; 0 for a run that never does
-	Fails bool
+	Duration time.Duration // time until the run ends by itself; 0 if it does not
+	Fails    bool
 }
 
-// Settings describe a runner. They do not change.
+// Settings describes a runner. It must not change after New.
 type Settings struct {
 	ID       string
 	Service  string
 	Domain   string
 	Labels   []string
-	Cores    int // capacity
+	Cores    int // each run takes one
 	MemoryMb int
 	Work     func(task, spec string) Work
-	Witness  *Witness
-	// LeaseLimit bounds a lease; StopTime is how long a stop takes.
-	LeaseLimit time.Duration
-	StopTime   time.Duration
-	// AcceptsAll starts whatever the agent asks for, room or not.
-	AcceptsAll bool
-	// ClockRate is the speed of the runner's clock; 1 when zero.
+	Recorder *Recorder
+	// MaxLease is the longest lease; StopDelay is how long a run takes to stop.
+	MaxLease  time.Duration
+	StopDelay time.Duration
+	// IgnoreCapacity starts every requested run, even without a free core.
+	IgnoreCapacity bool
+	// ClockRate is the speed of the runner's clock relative to real time; 0 means 1.
 	ClockRate float64
 }
 
-// run is a run under way.
+// run is a run that has not ended.
 type run struct {
-	attempt int64
-	began   time.Time
-	timer   *time.Timer
-	pace    int
+	attempt   int64
+	startTime time.Time
+	timer     *time.Timer
+	pace      int
 }
 
-// ended is a row of the list of ends.
-type ended struct {
-	number  uint64
-	task    string
-	attempt int64
-	how     string
-	lapsed  bool // the lease lapsed after the end, so that it can't be acknowledged any more
+// endedRun is an entry of the list of ended runs.
+type endedRun struct {
+	number       uint64
+	task         string
+	attempt      int64
+	end          string
+	leaseExpired bool // the lease expired after the end, so that an acknowledgement no longer counts
 }
 
-// Fault is how a runner treats its agent.
+// Fault is how a runner deviates from a working one. The zero value is no fault.
 type Fault struct {
-	Silent   bool          // answer nothing
-	Status   int           // refuse every call with this status
-	LateBy   time.Duration // carry orders out this late, without an answer
-	FailAll  bool          // every run fails at once
-	HeldBack bool          // send no announcements
+	NoReply      bool          // do not reply
+	Status       int           // reject every call with this HTTP status
+	OrderDelay   time.Duration // execute starts, stops and pace changes after this time, without a reply
+	FailRuns     bool          // new runs fail after a millisecond
+	NoHeartbeats bool          // send no heartbeats
 }
 
 // Runner is one runner. Its methods are safe for concurrent use.
 type Runner struct {
 	Settings
 
-	mu       sync.Mutex
-	born     time.Time
-	token    uint64
-	until    time.Time
-	runs     map[string]*run
-	begun    int              // runs in all lives
-	highest  map[string]int64 // attempts that were started, stopped or ended here
-	ends     []ended
-	number   uint64
-	seq      int64
-	draining bool
-	drained  time.Time // when an agent first acknowledged that the runner drains
-	down     bool
-	fault    Fault
-	changed  chan struct{}
+	mu                  sync.Mutex
+	startTime           time.Time // of the incarnation; it identifies it
+	token               uint64    // newest fencing token of a call
+	leaseEnd            time.Time
+	runs                map[string]*run
+	startCount          int              // of runs in all incarnations
+	highestAttempt      map[string]int64 // of each task that was started or stopped in this incarnation
+	endedRuns           []endedRun
+	lastEndNumber       uint64
+	sequence            int64
+	draining            bool
+	drainAcknowledgedAt time.Time // when an agent first acknowledged the draining state
+	crashed             bool
+	fault               Fault
+	changed             chan struct{} // closed and replaced when a run ends or an incarnation begins
 }
 
 // New returns a runner that has just started.
@@ -89,114 +90,120 @@
 	return r
 }
 
-// reset begins a new incarnation. r.mu is held, or nobody else knows r.
+// reset ends all runs and begins a new incarnation. r.mu must be held, unless r is
+// not shared yet.
 func (r *Runner) reset() {
 	for task, x := range r.runs {
 		x.timer.Stop()
-		r.Witness.ended(task, x.attempt, r.ID, "gone")
+		r.Recorder.recordEnd(task, x.attempt, r.ID, "gone")
 	}
-	r.born, r.token, r.until = time.Now(), 0, time.Time{}
-	r.runs, r.highest = make(map[string]*run), make(map[string]int64)
-	r.ends, r.number, r.seq, r.draining, r.drained = nil, 0, 0, false, time.Time{}
+	r.startTime, r.token, r.leaseEnd = time.Now(), 0, time.Time{}
+	r.runs, r.highestAttempt = make(map[string]*run), make(map[string]int64)
+	r.endedRuns, r.lastEndNumber, r.sequence, r.draining, r.drainAcknowledgedAt = nil, 0, 0, false, time.Time{}
 	if r.changed != nil {
 		close(r.changed)
 	}
 	r.changed = make(chan struct{})
 }
 
-// Restart ends everything and begins a new life under the same id.
+// Restart ends all runs and begins a new incarnation under the same ID.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	time.Sleep(2 * time.Millisecond) // two lives differ in the millisecond of their start
-	r.down = false
+	time.Sleep(2 * time.Millisecond) // incarnations are distinguished by the millisecond of their start
+	r.crashed = false
 	r.reset()
 }
 
-// Crash ends everything without a word.
+// Crash ends all runs. Until Restart the runner sends no heartbeats and resets the
+// connections of its callers.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
-	r.down = true
+	r.crashed = true
 }
 
-// Drain announces that the runner will leave.
+// Drain makes the runner report in its heartbeats that it is draining.
 func (r *Runner) Drain() {
 	r.mu.Lock()
 	r.draining = true
 	r.mu.Unlock()
 }
 
-// Drained returns when an agent first acknowledged that the runner drains; zero
-// for not yet.
-func (r *Runner) Drained() time.Time {
+// DrainAcknowledgedAt returns when an agent first acknowledged a heartbeat with the
+// draining state, or the zero time if none has.
+func (r *Runner) DrainAcknowledgedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.drained
+	return r.drainAcknowledgedAt
 }
 
-// Set replaces the runner's fault.
+// Set replaces the fault that the runner applies.
 func (r *Runner) Set(f Fault) {
 	r.mu.Lock()
 	r.fault = f
 	r.mu.Unlock()
 }
 
-// Running returns the number of runs under way.
-func (r *Runner) Running() int {
+// RunningTasks returns the number of runs that have not ended.
+func (r *Runner) RunningTasks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs)
 }
 
-// Started returns the number of runs that were ever started here.
-func (r *Runner) Started() int {
+// StartCount returns the number of runs started in all incarnations.
+func (r *Runner) StartCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.begun
+	return r.startCount
 }
 
-// clock is the runner's own clock in milliseconds.
-func (r *Runner) clock() int64 {
-	return int64(float64(time.Since(r.born))*r.rate()/float64(time.Millisecond)) + 1
+// clockMs returns the reading of the runner's clock in milliseconds. The clock
+// starts with the incarnation. r.mu must be held.
+func (r *Runner) clockMs() int64 {
+	return int64(float64(time.Since(r.startTime))*r.clockRate()/float64(time.Millisecond)) + 1
 }
 
-// at is when the runner's clock shows untilMs.
-func (r *Runner) at(untilMs int64) time.Time {
-	return r.born.Add(time.Duration(float64(untilMs) * float64(time.Millisecond) / r.rate()))
+// timeAtClock returns the time at which the runner's clock reads untilMs.
+func (r *Runner) timeAtClock(untilMs int64) time.Time {
+	return r.startTime.Add(time.Duration(float64(untilMs) * float64(time.Millisecond) / r.clockRate()))
 }
 
-func (r *Runner) rate() float64 {
+func (r *Runner) clockRate() float64 {
 	if r.ClockRate == 0 {
 		return 1
 	}
 	return r.ClockRate
 }
 
-// extend takes over a lease. r.mu is held.
-func (r *Runner) extend(untilMs int64) {
-	r.noteLapse()
-	until := r.at(untilMs)
-	if limit := time.Now().Add(r.LeaseLimit); until.After(limit) {
+// extendLease extends the lease of all runs, but not beyond MaxLease. r.mu must be
+// held.
+func (r *Runner) extendLease(untilMs int64) {
+	r.markLeaseExpired()
+	until := r.timeAtClock(untilMs)
+	if limit := time.Now().Add(r.MaxLease); until.After(limit) {
 		until = limit
 	}
-	if until.After(r.until) {
-		r.until = until
+	if until.After(r.leaseEnd) {
+		r.leaseEnd = until
 	}
 }
 
-// noteLapse marks the ends that were listed when the lease lapsed. r.mu is held.
-func (r *Runner) noteLapse() {
-	if r.until.IsZero() || !time.Now().After(r.until) {
+// markLeaseExpired marks the listed ended runs if the lease has expired. r.mu must
+// be held.
+func (r *Runner) markLeaseExpired() {
+	if r.leaseEnd.IsZero() || !time.Now().After(r.leaseEnd) {
 		return
 	}
-	for i := range r.ends {
-		r.ends[i].lapsed = true
+	for i := range r.endedRuns {
+		r.endedRuns[i].leaseExpired = true
 	}
 }
 
-// start returns the reason of a refusal, empty when the run is there.
+// start starts a run. It returns the reason of a rejection, or "" if the run was
+// started or is already running.
 func (r *Runner) start(task, spec string, attempt int64, untilMs int64, token uint64) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,81 +211,83 @@
 		return "fence"
 	}
 	r.token = token
-	r.extend(untilMs)
+	r.extendLease(untilMs)
 	if x := r.runs[task]; x != nil && x.attempt == attempt {
 		return ""
 	}
-	if attempt <= r.highest[task] {
+	if attempt <= r.highestAttempt[task] {
 		return "old"
 	}
-	if time.Now().After(r.at(untilMs)) {
+	if time.Now().After(r.timeAtClock(untilMs)) {
 		return "late"
 	}
-	if len(r.runs) >= r.Cores && !r.AcceptsAll {
+	if len(r.runs) >= r.Cores && !r.IgnoreCapacity {
 		return "room"
 	}
-	r.begin(task, spec, attempt)
+	r.startRun(task, spec, attempt)
 	return ""
 }
 
-// begin starts a run. Every run of the stand-in takes one core.
-func (r *Runner) begin(task, spec string, attempt int64) {
-	r.highest[task] = attempt
-	r.begun++
+// startRun starts a run, which takes one core. r.mu must be held.
+func (r *Runner) startRun(task, spec string, attempt int64) {
+	r.highestAttempt[task] = attempt
+	r.startCount++
 	work := r.Work(task, spec)
-	how := "done"
-	if work.Fails || r.fault.FailAll {
-		how = "failed"
+	end := "done"
+	if work.Fails || r.fault.FailRuns {
+		end = "failed"
 	}
-	after := work.Time
-	if r.fault.FailAll {
+	after := work.Duration
+	if r.fault.FailRuns {
 		after = time.Millisecond
 	}
 	if after == 0 {
 		after = time.Hour
 	}
-	born := r.born
-	x := &run{attempt: attempt, began: time.Now(), pace: 100}
-	x.timer = time.AfterFunc(after, func() { r.end(born, task, attempt, how) })
+	incarnation := r.startTime
+	x := &run{attempt: attempt, startTime: time.Now(), pace: 100}
+	x.timer = time.AfterFunc(after, func() { r.endRun(incarnation, task, attempt, end) })
 	r.runs[task] = x
-	r.Witness.started(task, attempt, r)
-	r.watchLease(born, task, attempt)
+	r.Recorder.recordStart(task, attempt, r)
+	r.watchLease(incarnation, task, attempt)
 }
 
-// watchLease ends a run when its lease expires.
-func (r *Runner) watchLease(born time.Time, task string, attempt int64) {
-	time.AfterFunc(time.Until(r.until)+time.Millisecond, func() {
+// watchLease ends a run when the lease expires.
+func (r *Runner) watchLease(incarnation time.Time, task string, attempt int64) {
+	time.AfterFunc(time.Until(r.leaseEnd)+time.Millisecond, func() {
 		r.mu.Lock()
 		x := r.runs[task]
-		live := r.born == born && x != nil && x.attempt == attempt
-		if live && time.Now().Before(r.until) {
-			r.watchLease(born, task, attempt)
-			live = false
+		running := r.startTime == incarnation && x != nil && x.attempt == attempt
+		if running && time.Now().Before(r.leaseEnd) {
+			r.watchLease(incarnation, task, attempt)
+			running = false
 		}
 		r.mu.Unlock()
-		if live {
-			r.end(born, task, attempt, "lapsed")
+		if running {
+			r.endRun(incarnation, task, attempt, "lapsed")
 		}
 	})
 }
 
-// end ends a run of the given life, unless it has ended.
-func (r *Runner) end(born time.Time, task string, attempt int64, how string) {
+// endRun ends a run of the given incarnation, unless it has already ended.
+func (r *Runner) endRun(incarnation time.Time, task string, attempt int64, end string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.runs[task]
-	if r.born != born || x == nil || x.attempt != attempt {
+	if r.startTime != incarnation || x == nil || x.attempt != attempt {
 		return
 	}
 	x.timer.Stop()
 	delete(r.runs, task)
-	r.number++
-	r.ends = append(r.ends, ended{number: r.number, task: task, attempt: attempt, how: how})
-	r.Witness.ended(task, attempt, r.ID, how)
+	r.lastEndNumber++
+	r.endedRuns = append(r.endedRuns, endedRun{number: r.lastEndNumber, task: task, attempt: attempt, end: end})
+	r.Recorder.recordEnd(task, attempt, r.ID, end)
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
+// stop stops the run of a task up to the given attempt, and prevents later starts
+// of these attempts. It returns the reason of a rejection, or "".
 func (r *Runner) stop(task string, attempt int64, token uint64) string {
 	r.mu.Lock()
 	if token < r.token {
@@ -286,14 +295,14 @@
 		return "fence"
 	}
 	r.token = token
-	r.highest[task] = max(r.highest[task], attempt)
-	x, born := r.runs[task], r.born
+	r.highestAttempt[task] = max(r.highestAttempt[task], attempt)
+	x, incarnation := r.runs[task], r.startTime
 	r.mu.Unlock()
 	if x != nil && x.attempt <= attempt {
-		time.AfterFunc(r.StopTime, func() { r.end(born, task, x.attempt, "stopped") })
+		time.AfterFunc(r.StopDelay, func() { r.endRun(incarnation, task, x.attempt, "stopped") })
 	}
 	return ""
 }
 
-// taskJob returns the job of a task's name.
-func taskJob(task string) string { return task[:strings.IndexByte(task, '.')] }
+// jobOf returns the job part of a task's name.
+func jobOf(task string) string { return task[:strings.IndexByte(task, '.')] }
