--- a/internal/acceptance/checks_test.go
+++ b/internal/acceptance/checks_test.go
@@ -7,7 +7,7 @@
 
 // Guards against a check of planned stops that blames them for a process that was
 // killed from outside, and against one that excuses what the planned stop cut.
-func TestPlannedStopIsToldFromKill(t *testing.T) {
+func TestPlannedStopIsDistinguishedFromKill(t *testing.T) {
 	firm := Firms()[0]
 	entries := firm.Entries()
 	killed, stopped := entries[0], entries[2]
@@ -24,11 +24,11 @@
 		{"cut by a process that lives on", killed, 0, 1},
 		{"long before the process was gone", killed, at + 5*time.Second, 1},
 	} {
-		d := newDay(&Run{}, firm)
-		d.evidence.start = start
-		d.evidence.answers["order-1"] = answer{target: c.target.callers(), outcome: "unknown", at: at}
+		d := newFirmRun(&Run{}, firm)
+		d.observed.start = start
+		d.observed.results["order-1"] = requestResult{target: c.target.callerURL(), outcome: "unknown", plannedAt: at}
 		if c.gone > 0 {
-			d.evidence.gone(c.target, start.Add(c.gone))
+			d.observed.recordConnectionRefused(c.target, start.Add(c.gone))
 		}
 		if broken, _ := d.checkPlannedStop(); len(broken) != c.broken {
 			t.Errorf("%s: got %v, want %d broken", c.name, broken, c.broken)
--- a/internal/acceptance/files.go
+++ b/internal/acceptance/files.go
@@ -34,7 +34,7 @@
 func (f Firm) files() map[string][]byte {
 	files := map[string][]byte{"trial.json": f.Document(trialName)}
 	for _, e := range f.Entries() {
-		files[string(e.ID)+".json"] = indent(struct {
+		files[string(e.ID)+".json"] = encodeIndented(struct {
 			ID            units.EntryID             `json:"id"`
 			Environment   string                    `json:"environment"`
 			FailureDomain units.DomainName          `json:"failureDomain"`
@@ -45,7 +45,7 @@
 			LogAddress    string                    `json:"logAddress"`
 			OperatorToken string                    `json:"operatorToken"`
 			TeamTokens    map[units.TeamName]string `json:"teamTokens"`
-		}{e.ID, productionName, e.Domain, f.Region, e.Caller, e.Admin, e.Link, f.Log(), operatorToken,
+		}{e.ID, productionName, e.Domain, f.Region, e.Caller, e.Admin, e.Link, f.LogAddress(), operatorToken,
 			map[units.TeamName]string{f.BatchTeam: teamToken}})
 	}
 	var entries []string
@@ -53,7 +53,7 @@
 		entries = append(entries, e.Link)
 	}
 	for _, w := range f.Workers() {
-		files[string(w.ID)+".json"] = indent(struct {
+		files[string(w.ID)+".json"] = encodeIndented(struct {
 			Worker          units.WorkerID   `json:"worker"`
 			Environment     string           `json:"environment"`
 			FailureDomain   units.DomainName `json:"failureDomain"`
@@ -121,8 +121,8 @@
 	}{
 		Environment: environment,
 		Teams:       []team{{f.BatchTeam, quota, true}, {f.ServiceTeam, quota, false}},
-		Services: []service{{f.Service, f.ServiceTeam, "urgent", f.Target.String(),
-			resources{Processors: f.PerEndpoint, Memory: "8GB"}, endpointSlots, endpointConns}},
+		Services: []service{{f.Service, f.ServiceTeam, "urgent", f.LatencyTarget.String(),
+			resources{Processors: f.PerEndpoint, Memory: "8GB"}, endpointSlots, endpointConnections}},
 		Guards:         guards{true, 1.2},
 		DrainedWorkers: []string{},
 		LargestWorker:  resources{f.Processors, f.Memory, &zero},
@@ -133,10 +133,10 @@
 	for _, name := range f.Watchers {
 		d.Watchers = append(d.Watchers, watcher{name, f.ServiceTeam, "high", resources{Processors: "250m", Memory: "256MiB"}})
 	}
-	return append([]byte("// The one document of "+f.Name+", promoted from trial to production.\n"), indent(d)...)
+	return append([]byte("// The one document of "+f.Name+", promoted from trial to production.\n"), encodeIndented(d)...)
 }
 
-func indent(v any) []byte {
+func encodeIndented(v any) []byte {
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		panic(err) // only strings, numbers and structs of this file
@@ -148,7 +148,7 @@
 func (f Firm) processes(binaries, dir string) []string {
 	standin, product := filepath.Join(binaries, "wasabihill-standin"), filepath.Join(binaries, "wasabihill")
 	line := func(name, format string, args ...any) string { return name + "\t" + fmt.Sprintf(format, args...) }
-	lines := []string{line(f.Name+"-log", "%s log --listen %s --rate 400", standin, f.Log())}
+	lines := []string{line(f.Name+"-log", "%s log --listen %s --rate 400", standin, f.LogAddress())}
 	for _, w := range f.Workers() {
 		lines = append(lines, line(string(w.ID), "%s worker --name %s --address %s --processors %s --memory %s --usage-lag 2s",
 			standin, w.ID, w.Worker, f.Processors, f.Memory))
@@ -161,7 +161,7 @@
 	}
 	for _, w := range f.Workers() {
 		lines = append(lines, line(endpointName(w), "%s endpoint --service %s --address %s --agent http://%s --slots %d --connections %d",
-			standin, f.Service, w.Endpoint, w.Announce, endpointSlots, endpointConns))
+			standin, f.Service, w.Endpoint, w.Announce, endpointSlots, endpointConnections))
 	}
 	return lines
 }
--- a/internal/acceptance/layout.go
+++ b/internal/acceptance/layout.go
@@ -13,35 +13,35 @@
 
 // Firm is one user of wasabihill at the size of today.
 type Firm struct {
-	Name        string
-	Region      units.RegionName
-	Domains     []units.DomainName
-	Service     units.ServiceName
-	Target      time.Duration // latency target of the service
-	Processors  string        // of one worker
-	Memory      string        // of one worker
-	Capacity    units.Resources
-	PerEndpoint string // processors reserved for one endpoint
-	Quick       string // path of the latency-critical request
-	Order       string // path of the non-idempotent request
-	Watchers    []string
-	BatchTeam   units.TeamName
-	ServiceTeam units.TeamName
-	BasePort    int
+	Name          string
+	Region        units.RegionName
+	Domains       []units.DomainName
+	Service       units.ServiceName
+	LatencyTarget time.Duration // latency target of the service
+	Processors    string        // of one worker
+	Memory        string        // of one worker
+	Capacity      units.Resources
+	PerEndpoint   string // processors reserved for one endpoint
+	QuickPath     string // path of the latency-critical request
+	OrderPath     string // path of the non-idempotent request
+	Watchers      []string
+	BatchTeam     units.TeamName
+	ServiceTeam   units.TeamName
+	BasePort      int
 }
 
 // Sizes that both firms share.
 const (
-	workersPerFirm  = 11
-	entriesPerFirm  = 3
-	workersPerRack  = 3
-	endpointSlots   = 8
-	endpointConns   = 64
-	operatorToken   = "operator-token-for-the-acceptance-run"
-	teamToken       = "team-token-for-the-acceptance-run"
-	trialName       = "trial"
-	productionName  = "production"
-	portsPerProcess = 4
+	workersPerFirm      = 11
+	entriesPerFirm      = 3
+	workersPerRack      = 3
+	endpointSlots       = 8
+	endpointConnections = 64
+	operatorToken       = "operator-token-for-the-acceptance-run"
+	teamToken           = "team-token-for-the-acceptance-run"
+	trialName           = "trial"
+	productionName      = "production"
+	portsPerProcess     = 4
 )
 
 // Firms returns the two firms whose workloads the run covers.
@@ -50,20 +50,20 @@
 		{
 			Name: "barafu", Region: "pwani",
 			Domains: []units.DomainName{"pwani-a", "pwani-b", "pwani-c"},
-			Service: "mouldDesk", Target: 50 * time.Millisecond,
+			Service: "mouldDesk", LatencyTarget: 50 * time.Millisecond,
 			Processors: "32", Memory: "125GB",
 			Capacity:    units.Resources{Processors: 32000, Memory: 125e9},
-			PerEndpoint: "8", Quick: "/fit-check", Order: "/order",
+			PerEndpoint: "8", QuickPath: "/fit-check", OrderPath: "/order",
 			Watchers:  []string{"freezeMonitor1", "freezeMonitor2", "freezeMonitor3"},
 			BatchTeam: "moulds", ServiceTeam: "desk", BasePort: 21000,
 		},
 		{
 			Name: "saumwerk", Region: "bayern",
 			Domains: []units.DomainName{"bayern-a", "bayern-b", "bayern-c"},
-			Service: "orderDesk", Target: 50 * time.Millisecond,
+			Service: "orderDesk", LatencyTarget: 50 * time.Millisecond,
 			Processors: "16", Memory: "60GB",
 			Capacity:    units.Resources{Processors: 16000, Memory: 60e9},
-			PerEndpoint: "4", Quick: "/quote", Order: "/order",
+			PerEndpoint: "4", QuickPath: "/quote", OrderPath: "/order",
 			Watchers:  []string{"stockWatcher1", "stockWatcher2", "stockWatcher3"},
 			BatchTeam: "plans", ServiceTeam: "desk", BasePort: 22000,
 		},
@@ -91,10 +91,10 @@
 }
 
 // callers is the base URL that callers use.
-func (e Entry) callers() string { return "http://" + e.Caller }
+func (e Entry) callerURL() string { return "http://" + e.Caller }
 
 // Log returns the address of the firm's log service.
-func (f Firm) Log() string { return address(f.BasePort) }
+func (f Firm) LogAddress() string { return address(f.BasePort) }
 
 // Workers returns the firm's workers, three to a rack, racks in turn over the
 // failure domains.
--- a/internal/acceptance/summary.go
+++ b/internal/acceptance/summary.go
@@ -17,13 +17,13 @@
 )
 
 // maxShown bounds the violations printed for one guarantee.
-const maxShown = 3
+const maxViolationsShown = 3
 
 // summarise prints the verdict of every guarantee and the four measures.
-func (d *day) summarise() (broken int) {
+func (d *firmRun) printSummary() (broken int) {
 	fmt.Fprintf(d.Progress, "\n%s\n", d.firm.Name)
 	for i, c := range checks {
-		found, observed := c.judge(d)
+		found, observed := c.findViolations(d)
 		verdict := "kept"
 		if len(found) > 0 || observed == 0 {
 			verdict = "BROKEN"
@@ -31,25 +31,25 @@
 		}
 		fmt.Fprintf(d.Progress, "  %2d %-62s %-6s (%d observations)\n", i+1, c.guarantee, verdict, observed)
 		sort.Strings(found)
-		for _, text := range found[:min(len(found), maxShown)] {
+		for _, text := range found[:min(len(found), maxViolationsShown)] {
 			fmt.Fprintf(d.Progress, "       %s\n", text)
 		}
-		if len(found) > maxShown {
-			fmt.Fprintf(d.Progress, "       and %d more\n", len(found)-maxShown)
+		if len(found) > maxViolationsShown {
+			fmt.Fprintf(d.Progress, "       and %d more\n", len(found)-maxViolationsShown)
 		}
 	}
-	d.measures()
+	d.printMeasurements()
 	d.printTimeline()
 	return broken
 }
 
 // measures prints the four things that the users measure.
-func (d *day) measures() {
-	e := &d.evidence
+func (d *firmRun) printMeasurements() {
+	e := &d.observed
 	q := e.quick.Done
-	fmt.Fprintf(d.Progress, "  latency of %s: p50 %s, p99 %s, p99.9 %s; %d of %d answered\n", d.firm.Quick,
+	fmt.Fprintf(d.Progress, "  latency of %s: p50 %s, p99 %s, p99.9 %s; %d of %d answered\n", d.firm.QuickPath,
 		q.Median.Round(time.Microsecond), q.P99.Round(time.Microsecond), q.P999.Round(time.Microsecond), q.Count, e.quick.Planned)
-	fmt.Fprintf(d.Progress, "  outcomes: %s; non-idempotent: %s\n", counts(e.quick.Outcomes), counts(e.order.Outcomes))
+	fmt.Fprintf(d.Progress, "  outcomes: %s; non-idempotent: %s\n", formatCounts(e.quick.Outcomes), formatCounts(e.order.Outcomes))
 	completed, evicted, during := 0, 0, 0
 	for _, r := range e.runs {
 		if r.State == "completed" {
@@ -64,7 +64,7 @@
 	}
 	fmt.Fprintf(d.Progress, "  batch: %d tasks completed, %d evictions, %d tasks completed while a failure domain was out\n", completed, evicted, during)
 	fmt.Fprintf(d.Progress, "  urgent job: %d of %d tasks started, the last %s after its acceptance (target 1.4s)\n",
-		len(d.urgentStarts()), urgentTasks, longest(d.urgentStarts()).Round(time.Millisecond))
+		len(d.urgentStarts()), urgentTasks, longestDuration(d.urgentStarts()).Round(time.Millisecond))
 	for i, name := range d.firm.Watchers {
 		note := ""
 		if i == 0 {
@@ -76,16 +76,16 @@
 
 // urgentStarts returns how long after the acceptance of the urgent job each of
 // its tasks started.
-func (d *day) urgentStarts() (after []time.Duration) {
-	for _, r := range d.evidence.runs {
-		if r.Attempt == 1 && strings.HasPrefix(r.Task, string(d.evidence.urgent)+"/") {
-			after = append(after, r.Start.Sub(d.evidence.urgentAt))
+func (d *firmRun) urgentStarts() (after []time.Duration) {
+	for _, r := range d.observed.runs {
+		if r.Attempt == 1 && strings.HasPrefix(r.Task, string(d.observed.urgent)+"/") {
+			after = append(after, r.Start.Sub(d.observed.urgentAt))
 		}
 	}
 	return after
 }
 
-func longest(list []time.Duration) (most time.Duration) {
+func longestDuration(list []time.Duration) (most time.Duration) {
 	for _, v := range list {
 		most = max(most, v)
 	}
@@ -107,7 +107,7 @@
 	return gap
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
@@ -120,16 +120,16 @@
 }
 
 // shownKinds are the events printed with the summary; the rest is in the files.
-var shownKinds = map[string]bool{
+var shownEventKinds = map[string]bool{
 	"accepted": true, "draining": true, "leaseExpired": true, "logReachable": true, "logUnreachable": true,
 	"members": true, "silent": true, "standbyActivated": true, "epochExpired": true,
 }
 
 // maxTimeline bounds the printed events of a firm.
-const maxTimeline = 40
+const maxEventsShown = 40
 
 // saveTimeline writes the time line of the firm as text and as a page.
-func (d *day) saveTimeline(ctx context.Context) error {
+func (d *firmRun) saveTimeline(ctx context.Context) error {
 	for _, format := range []string{"text", "html", "json"} {
 		body, err := d.timeline(ctx, format)
 		if err != nil {
@@ -140,17 +140,17 @@
 			return err
 		}
 		if format == "json" {
-			if err := json.Unmarshal(body, &d.evidence.events); err != nil {
+			if err := json.Unmarshal(body, &d.observed.events); err != nil {
 				return err
 			}
 		}
 	}
-	d.say("%s: the event timeline is in %s", d.firm.Name, filepath.Join(d.Dir, d.firm.Name, "timeline.html"))
+	d.printProgress("%s: the event timeline is in %s", d.firm.Name, filepath.Join(d.Dir, d.firm.Name, "timeline.html"))
 	return nil
 }
 
 // timeline asks the entry processes in turn: one of them may be gone.
-func (d *day) timeline(ctx context.Context, format string) (body []byte, err error) {
+func (d *firmRun) timeline(ctx context.Context, format string) (body []byte, err error) {
 	for _, e := range d.firm.Entries() {
 		if body, err = d.timelineOf(ctx, e, format); err == nil {
 			return body, nil
@@ -159,7 +159,7 @@
 	return nil, err
 }
 
-func (d *day) timelineOf(ctx context.Context, e Entry, format string) ([]byte, error) {
+func (d *firmRun) timelineOf(ctx context.Context, e Entry, format string) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Admin+"/v1/timeline?limit=10000&format="+format, nil)
 	if err != nil {
 		return nil, err
@@ -177,18 +177,18 @@
 }
 
 // printTimeline prints the events that explain the run.
-func (d *day) printTimeline() {
+func (d *firmRun) printTimeline() {
 	var shown []timeline.Event
-	for _, e := range d.evidence.events {
-		if shownKinds[e.Kind] && e.Clock.Time().After(d.evidence.start) {
+	for _, e := range d.observed.events {
+		if shownEventKinds[e.Kind] && e.Clock.Time().After(d.observed.start) {
 			shown = append(shown, e)
 		}
 	}
-	if len(shown) > maxTimeline {
-		shown = shown[:maxTimeline]
+	if len(shown) > maxEventsShown {
+		shown = shown[:maxEventsShown]
 	}
-	fmt.Fprintf(d.Progress, "  event timeline (%d of %d events):\n", len(shown), len(d.evidence.events))
+	fmt.Fprintf(d.Progress, "  event timeline (%d of %d events):\n", len(shown), len(d.observed.events))
 	for _, e := range shown {
-		fmt.Fprintf(d.Progress, "    %6.1fs  %-7s %-17s %-22s %s\n", e.Clock.Time().Sub(d.evidence.start).Seconds(), e.Lane, e.Kind, e.Subject, e.Text)
+		fmt.Fprintf(d.Progress, "    %6.1fs  %-7s %-17s %-22s %s\n", e.Clock.Time().Sub(d.observed.start).Seconds(), e.Lane, e.Kind, e.Subject, e.Text)
 	}
 }
--- a/internal/acceptance/work.go
+++ b/internal/acceptance/work.go
@@ -28,11 +28,13 @@
 )
 
 // submitJobs submits the firm's batch work.
-func (d *day) submitJobs(ctx context.Context) error { return d.submitBatch(ctx, "batch", batchJobs) }
+func (d *firmRun) submitJobs(ctx context.Context) error {
+	return d.submitBatch(ctx, "batch", batchJobs)
+}
 
 // submitBatch submits jobs at once. A submission whose outcome is not known is
 // repeated under its key.
-func (d *day) submitBatch(ctx context.Context, prefix string, n int) error {
+func (d *firmRun) submitBatch(ctx context.Context, prefix string, n int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(submitters)
 	ids := make([]units.JobID, n)
@@ -44,11 +46,11 @@
 		})
 	}
 	err := group.Wait()
-	d.evidence.jobs = append(d.evidence.jobs, ids...)
+	d.observed.jobs = append(d.observed.jobs, ids...)
 	return err
 }
 
-func (d *day) batchJob(name string, runTime time.Duration) administration.Submission {
+func (d *firmRun) batchJob(name string, runTime time.Duration) administration.Submission {
 	return administration.Submission{
 		Key: name, Team: d.firm.BatchTeam, Name: name, Kind: "plan", Priority: units.PriorityNormal, Tasks: tasksPerJob,
 		Size: units.Resources{Processors: 1500, Memory: 2 * units.GiB}, RunTime: runTime,
@@ -56,19 +58,19 @@
 }
 
 // submitUrgent submits a job that has to start within 1.4 s of its acceptance.
-func (d *day) submitUrgent(ctx context.Context) error {
+func (d *firmRun) submitUrgent(ctx context.Context) error {
 	job := d.batchJob("urgent", taskRunTime)
 	job.Team, job.Priority, job.Tasks, job.Kind = d.firm.ServiceTeam, units.PriorityUrgent, urgentTasks, "rush"
 	id, err := d.submit(ctx, job)
-	d.evidence.urgent, d.evidence.urgentAt = id, time.Now()
+	d.observed.urgent, d.observed.urgentAt = id, time.Now()
 	return err
 }
 
-func (d *day) submit(ctx context.Context, s administration.Submission) (units.JobID, error) {
+func (d *firmRun) submit(ctx context.Context, s administration.Submission) (units.JobID, error) {
 	body := administration.EncodeSubmission(s)
 	var id units.JobID
 	var refused error
-	err := d.until(ctx, "a job is accepted", func() (bool, error) {
+	err := d.waitUntil(ctx, "a job is accepted", func() (bool, error) {
 		job, err := d.client.Submit(ctx, s.Name+".json", body, s.Key)
 		id = job.ID
 		if administration.KindOf(err) == administration.KindInvalid {
@@ -81,7 +83,7 @@
 }
 
 // cancelBurst submits long jobs and cancels them at once, while they start.
-func (d *day) cancelBurst(ctx context.Context) error {
+func (d *firmRun) cancelBurst(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(submitters)
 	ids := make([]units.JobID, cancelledJobs)
@@ -90,30 +92,30 @@
 			if ids[i], err = d.submit(ctx, d.batchJob(fmt.Sprintf("cancelled-%d", i), time.Hour)); err != nil {
 				return err
 			}
-			return d.until(ctx, "a cancellation is accepted", func() (bool, error) {
+			return d.waitUntil(ctx, "a cancellation is accepted", func() (bool, error) {
 				_, err := d.client.Cancel(ctx, ids[i], "cancelled by the acceptance run", administration.NewKey())
 				return err == nil, err
 			})
 		})
 	}
 	err := group.Wait()
-	d.evidence.cancelled = append(d.evidence.cancelled, ids...)
+	d.observed.cancelled = append(d.observed.cancelled, ids...)
 	return err
 }
 
 // answer is what a caller learned about one request.
-type answer struct {
+type requestResult struct {
 	idempotent bool
 	target     string // base URL of the entry process
 	outcome    string
-	at         time.Duration // planned time since the start
+	plannedAt  time.Duration // planned time since the start
 	latency    time.Duration
 }
 
 // traffic sends the callers' requests to the entry processes that the
 // platform's balancer would choose: those whose readiness check passes.
-func (d *day) traffic(ctx context.Context) error {
-	targets := d.balance(ctx)
+func (d *firmRun) sendRequests(ctx context.Context) error {
+	targets := d.startBalancer(ctx)
 	group, ctx := errgroup.WithContext(ctx)
 	for _, class := range []struct {
 		name          string
@@ -121,14 +123,14 @@
 		nonIdempotent float64
 		into          **load.Report
 	}{
-		{"quick", quickRate, 0, &d.evidence.quick},
-		{"order", orderRate, 1, &d.evidence.order},
+		{"quick", quickRate, 0, &d.observed.quick},
+		{"order", orderRate, 1, &d.observed.order},
 	} {
 		group.Go(func() error {
 			report, err := load.Run(ctx, load.Options{
-				Target: targets, Service: string(d.firm.Service), Rate: class.rate, Time: trafficTime, InFlight: 256,
-				BodyBytes: 200, Deadline: requestLimit, NonIdempotent: class.nonIdempotent, Poisson: true, Seed: 1,
-				Prefix: class.name + "-", Observe: d.observe,
+				Target: targets, Service: string(d.firm.Service), Rate: class.rate, Duration: trafficTime, MaxInFlight: 256,
+				BodyBytes: 200, Deadline: requestLimit, NonIdempotentShare: class.nonIdempotent, Poisson: true, Seed: 1,
+				Prefix: class.name + "-", Observe: d.recordSample,
 			})
 			*class.into = report
 			return err
@@ -137,15 +139,15 @@
 	return group.Wait()
 }
 
-func (d *day) observe(s load.Sample) {
-	d.evidence.mu.Lock()
-	defer d.evidence.mu.Unlock()
-	d.evidence.answers[s.ID] = answer{s.Idempotent, s.Target, s.Outcome, s.Planned.Sub(d.evidence.start), s.Latency}
+func (d *firmRun) recordSample(s load.Sample) {
+	d.observed.mu.Lock()
+	defer d.observed.mu.Unlock()
+	d.observed.results[s.ID] = requestResult{s.Idempotent, s.Target, s.Outcome, s.Planned.Sub(d.observed.start), s.Latency}
 }
 
 // balance follows the readiness of the entry processes like the platform's
 // balancer and returns the choice of the next target.
-func (d *day) balance(ctx context.Context) func(int) string {
+func (d *firmRun) startBalancer(ctx context.Context) func(int) string {
 	entries := d.firm.Entries()
 	ready := make([]bool, len(entries))
 	for i, e := range entries {
@@ -160,32 +162,32 @@
 				case <-ticker.C:
 				}
 				ok := d.entryReady(ctx, e)
-				d.evidence.mu.Lock()
+				d.observed.mu.Lock()
 				ready[i] = ok
-				d.evidence.mu.Unlock()
+				d.observed.mu.Unlock()
 			}
 		}()
 	}
 	return func(n int) string {
-		d.evidence.mu.Lock()
-		defer d.evidence.mu.Unlock()
+		d.observed.mu.Lock()
+		defer d.observed.mu.Unlock()
 		for k := range entries {
 			if i := (n + k) % len(entries); ready[i] {
-				return entries[i].callers()
+				return entries[i].callerURL()
 			}
 		}
-		return entries[n%len(entries)].callers()
+		return entries[n%len(entries)].callerURL()
 	}
 }
 
-func (d *day) entryReady(ctx context.Context, e Entry) bool {
+func (d *firmRun) entryReady(ctx context.Context, e Entry) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Admin+"/readyz", nil)
 	if err != nil {
 		return false
 	}
 	response, err := d.http.Do(r)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		d.evidence.gone(e, time.Now())
+		d.observed.recordConnectionRefused(e, time.Now())
 	}
 	if err != nil {
 		return false
@@ -195,10 +197,10 @@
 }
 
 // settle waits until every job has ended.
-func (d *day) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+func (d *firmRun) waitForJobs(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, jobsTimeout)
 	defer cancel()
-	err := d.until(ctx, "every job ends", func() (bool, error) {
+	err := d.waitUntil(ctx, "every job ends", func() (bool, error) {
 		open, err := d.openJobs(ctx)
 		if err == nil && open > 0 {
 			err = fmt.Errorf("%d jobs are open", open)
@@ -206,15 +208,15 @@
 		return err == nil, err
 	})
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		d.say("%s: %v", d.firm.Name, err)
+		d.printProgress("%s: %v", d.firm.Name, err)
 		return nil // the check of completed jobs reports it
 	}
 	return err
 }
 
-func (d *day) openJobs(ctx context.Context) (int, error) {
+func (d *firmRun) openJobs(ctx context.Context) (int, error) {
 	open := 0
-	for _, id := range append(append([]units.JobID(nil), d.evidence.jobs...), d.evidence.cancelled...) {
+	for _, id := range append(append([]units.JobID(nil), d.observed.jobs...), d.observed.cancelled...) {
 		job, err := d.client.Job(ctx, id)
 		if err != nil {
 			return 0, err
@@ -226,7 +228,7 @@
 	return open, nil
 }
 
-func (d *day) post(ctx context.Context, url, body string) error {
+func (d *firmRun) postFault(ctx context.Context, url, body string) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/faulttest/domain_test.go
+++ b/internal/faulttest/domain_test.go
@@ -13,7 +13,7 @@
 
 // obeyWithin is how long a process may take to obey that a domain is out or an
 // endpoint is leaving.
-const obeyWithin = 3 * time.Second
+const maxReactionTime = 3 * time.Second
 
 // TestDomainOut guards against an agent that starts tasks in a failure domain
 // that operators have taken out because the news has not reached it, or because
@@ -26,26 +26,26 @@
 		{"heartbeatsVanish", func(s *System) { silenceEntries(s, true, false) }},
 		{"agentPaused", func(s *System) {
 			s.Victim.Agent.Signal(syscall.SIGSTOP)
-			time.AfterFunc(obeyWithin+time.Second, func() { s.Victim.Agent.Signal(syscall.SIGCONT) })
+			time.AfterFunc(maxReactionTime+time.Second, func() { s.Victim.Agent.Signal(syscall.SIGCONT) })
 		}},
 		{"startsLate", func(s *System) { s.Victim.ToWorker.Delay(800 * time.Millisecond) }},
-		{"workerAnswersLate", func(s *System) { s.Fault(s.Victim.WorkerAt, `{"delay":700000000}`) }},
+		{"workerAnswersLate", func(s *System) { s.SetFault(s.Victim.WorkerAddress, `{"delay":700000000}`) }},
 		{"agentKilled", func(s *System) { s.Victim.Agent.Kill(); s.Victim.Agent.Start(s.t) }},
-		{"slowLog", func(s *System) { s.Fault(s.LogAt, `{"delay":"500ms"}`) }},
+		{"slowLog", func(s *System) { s.SetFault(s.LogAddress, `{"delay":"500ms"}`) }},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
-			w := s.Watch(traffic)
+			s := startSystem(t)
+			w := s.StartRecording(trafficDuration)
 			jobs := []units.JobID{s.Submit("first", 60, time.Second), s.Submit("second", 60, time.Second)}
 			time.Sleep(1500 * time.Millisecond)
 			f.inject(s)
 			out := s.setDomain(environment.DomainOut)
-			time.Sleep(obeyWithin + 2500*time.Millisecond)
-			s.endFaults()
+			time.Sleep(maxReactionTime + 2500*time.Millisecond)
+			s.clearFaults()
 			time.Sleep(time.Second)
 			in := time.Now()
 			s.setDomain(environment.DomainIn)
-			s.Settle(settleWithin, "completed", jobs...)
+			s.WaitForJobs(jobsTimeout, "completed", jobs...)
 			s.checkDomainOut(out, in)
 			w.Check()
 		})
@@ -58,10 +58,10 @@
 	}
 }
 
-func (s *System) endFaults() {
-	restore(s.relays...)
-	s.Fault(s.Victim.WorkerAt, `{}`)
-	s.Fault(s.LogAt, `{}`)
+func (s *System) clearFaults() {
+	restoreRelays(s.relays...)
+	s.SetFault(s.Victim.WorkerAddress, `{}`)
+	s.SetFault(s.LogAddress, `{}`)
 }
 
 // setDomain takes the victim's domain out or in, and returns when the
@@ -69,7 +69,7 @@
 func (s *System) setDomain(state environment.DomainState) time.Time {
 	s.t.Helper()
 	key := administration.NewKey()
-	s.Until(20*time.Second, "the domain is "+string(state), func(ctx context.Context) error {
+	s.WaitUntil(20*time.Second, "the domain is "+string(state), func(ctx context.Context) error {
 		_, err := s.Client.SetDomainState(ctx, environmentName, s.Victim.Domain, state, "faulttest", key)
 		return err
 	})
@@ -82,7 +82,7 @@
 	for _, r := range s.Runs() {
 		inDomain := r.Worker == s.Victim.ID
 		switch {
-		case inDomain && r.Start.After(out.Add(obeyWithin)) && r.Start.Before(in):
+		case inDomain && r.Start.After(out.Add(maxReactionTime)) && r.Start.Before(in):
 			s.t.Errorf("guarantee 4: %s attempt %d started on %s %v after the domain was taken out", r.Task, r.Attempt, r.Worker, r.Start.Sub(out))
 		case inDomain && r.Start.Before(out):
 			before++
@@ -102,20 +102,20 @@
 	t.Parallel()
 	for _, f := range []fault{
 		{"entryHearsNothing", func(s *System) { s.Victim.ToEntry[0].Silence(true, false) }},
-		{"entryPaused", func(s *System) { paused(2*time.Second, s.Entries[0].Process) }},
+		{"entryPaused", func(s *System) { pauseProcess(2*time.Second, s.Entries[0].Process) }},
 		{"agentReplaced", func(s *System) { s.Victim.Agent.Kill(); s.Victim.Agent.Start(s.t) }},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
-			w := s.Watch(traffic)
+			s := startSystem(t)
+			w := s.StartRecording(trafficDuration)
 			time.Sleep(time.Second)
-			s.Victim.Leave()
+			s.Victim.AnnounceLeaving()
 			left := time.Now()
 			f.inject(s)
-			time.Sleep(time.Until(left.Add(obeyWithin + time.Second))) // announcements come every second
-			before := s.executedAt(s.Victim)
+			time.Sleep(time.Until(left.Add(maxReactionTime + time.Second))) // announcements come every second
+			before := s.executedRequests(s.Victim)
 			time.Sleep(3 * time.Second)
-			if after := s.executedAt(s.Victim); before == 0 || after != before {
+			if after := s.executedRequests(s.Victim); before == 0 || after != before {
 				t.Errorf("guarantee 8: executed %d requests until 4 s after it announced that it is leaving, and %d by 7 s", before, after)
 			}
 			w.Check()
@@ -123,10 +123,10 @@
 	}
 }
 
-func (s *System) executedAt(n *Node) int {
+func (s *System) executedRequests(n *Node) int {
 	s.t.Helper()
 	var reply struct{ Executed map[string]int }
-	if err := s.get("http://"+n.EndpointAt+"/v1/executed", &reply); err != nil {
+	if err := s.getJSON("http://"+n.EndpointAddress+"/v1/executed", &reply); err != nil {
 		s.t.Fatal(err)
 	}
 	return len(reply.Executed)
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -21,10 +21,10 @@
 var binaries string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "faulttest")
 	if err != nil {
 		log.Print(err)
@@ -41,29 +41,29 @@
 
 // systems bounds the number of systems at a time: each has 15 processes, and
 // the machine is shared.
-var systems = make(chan struct{}, 4)
+var systemSlots = make(chan struct{}, 4)
 
 // start starts a system when fewer than the bound are running.
-func start(t *testing.T) *System {
+func startSystem(t *testing.T) *System {
 	t.Helper()
 	t.Parallel()
-	systems <- struct{}{}
-	t.Cleanup(func() { <-systems })
+	systemSlots <- struct{}{}
+	t.Cleanup(func() { <-systemSlots })
 	return Start(t, binaries)
 }
 
 const (
 	// settleWithin bounds how long work may take to end after the faults: an
 	// entry process counts as dead after 15 s and a lease ends after 9 s.
-	settleWithin = 60 * time.Second
+	jobsTimeout = 60 * time.Second
 	// pause is longer than a lease of 8 s, after which the lessor waits for 1 s.
-	pause = 12 * time.Second
+	agentPause = 12 * time.Second
 	// lapse is longer than a lease of 8 s and its margin of 1 s.
-	lapse = 10 * time.Second
+	leaseLapse = 10 * time.Second
 	// silence is longer than the 2-3 s in which a silent connection is noticed.
-	silence = 5 * time.Second
+	silenceDuration = 5 * time.Second
 	// traffic is how long callers send requests, at most.
-	traffic = 15 * time.Second
+	trafficDuration = 15 * time.Second
 )
 
 // fault is one case: something that goes wrong and is over when inject returns.
@@ -75,9 +75,9 @@
 // leaseFaults last so long that the leases of the victim's tasks end.
 var leaseFaults = []fault{
 	{"agentKilled", agentKilled},
-	{"agentPaused", func(s *System) { paused(pause, s.Victim.Agent) }},
-	{"workerPaused", func(s *System) { paused(lapse, s.Victim.Worker) }},
-	{"silentAgentWorker", func(s *System) { silentFor(lapse, true, true, s.Victim.ToWorker) }},
+	{"agentPaused", func(s *System) { pauseProcess(agentPause, s.Victim.Agent) }},
+	{"workerPaused", func(s *System) { pauseProcess(leaseLapse, s.Victim.Worker) }},
+	{"silentAgentWorker", func(s *System) { silenceRelaysFor(leaseLapse, true, true, s.Victim.ToWorker) }},
 	{"agentPausedInLogOutage", agentPausedInLogOutage},
 	{"agentPausedWhileEntryIsKilled", agentPausedWhileEntryIsKilled},
 	{"agentPartitionedInLogOutage", agentPartitionedInLogOutage},
@@ -89,7 +89,7 @@
 	t.Parallel()
 	for _, f := range leaseFaults {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
+			s := startSystem(t)
 			runFault(s, f, 11*time.Second) // still running when the lease ends
 			expired := 0
 			for _, r := range s.Runs() {
@@ -107,20 +107,20 @@
 // faults are shorter than a lease, or leave the leases alone.
 var faults = []fault{
 	{"agentKilledAtRandom", agentKilledAtRandom},
-	{"entryPaused", func(s *System) { paused(silence, s.Entries[0].Process) }},
+	{"entryPaused", func(s *System) { pauseProcess(silenceDuration, s.Entries[0].Process) }},
 	{"entryKilled", entryKilled},
-	{"silentEntryAgent", func(s *System) { silent(true, true, s.Victim.ToEntry[0]) }},
-	{"silentBothEntriesAgent", func(s *System) { silent(true, true, s.Victim.ToEntry[:]...) }},
-	{"oneWayAgentToEntry", func(s *System) { silent(true, false, s.Victim.ToEntry[:]...) }},
-	{"oneWayEntryToAgent", func(s *System) { silent(false, true, s.Victim.ToEntry[:]...) }},
-	{"silentAgentEndpoint", func(s *System) { silent(true, true, s.Victim.ToEndpoint) }},
-	{"silentLease", func(s *System) { silentFor(lapse, true, true, s.leases()...) }},
-	{"silentEntryLog", func(s *System) { silent(true, true, s.Entries[0].ToLog) }},
+	{"silentEntryAgent", func(s *System) { silenceRelays(true, true, s.Victim.ToEntry[0]) }},
+	{"silentBothEntriesAgent", func(s *System) { silenceRelays(true, true, s.Victim.ToEntry[:]...) }},
+	{"oneWayAgentToEntry", func(s *System) { silenceRelays(true, false, s.Victim.ToEntry[:]...) }},
+	{"oneWayEntryToAgent", func(s *System) { silenceRelays(false, true, s.Victim.ToEntry[:]...) }},
+	{"silentAgentEndpoint", func(s *System) { silenceRelays(true, true, s.Victim.ToEndpoint) }},
+	{"silentLease", func(s *System) { silenceRelaysFor(leaseLapse, true, true, s.leaseRelays()...) }},
+	{"silentEntryLog", func(s *System) { silenceRelays(true, true, s.Entries[0].ToLog) }},
 	{"refusedAndCut", refusedAndCut},
-	{"logOutage", func(s *System) { logFault(s, `{"outage":true}`, silence) }},
-	{"logSlow", func(s *System) { logFault(s, `{"delay":"500ms"}`, silence) }},
-	{"logRepliesLost", func(s *System) { logFault(s, `{"loseReplies":0.3,"seed":7}`, silence) }},
-	{"logAppendsLate", func(s *System) { logFault(s, `{"late":0.2,"seed":7}`, silence) }},
+	{"logOutage", func(s *System) { injectLogFault(s, `{"outage":true}`, silenceDuration) }},
+	{"logSlow", func(s *System) { injectLogFault(s, `{"delay":"500ms"}`, silenceDuration) }},
+	{"logRepliesLost", func(s *System) { injectLogFault(s, `{"loseReplies":0.3,"seed":7}`, silenceDuration) }},
+	{"logAppendsLate", func(s *System) { injectLogFault(s, `{"late":0.2,"seed":7}`, silenceDuration) }},
 	{"everythingReplaced", everythingReplaced},
 	{"everythingReplacedWhileRepliesAreLost", everythingReplacedWhileRepliesAreLost},
 	{"workerFailsEverything", workerFailsEverything},
@@ -134,7 +134,7 @@
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	for _, f := range faults {
-		t.Run(f.name, func(t *testing.T) { runFault(start(t), f, 5*time.Second) })
+		t.Run(f.name, func(t *testing.T) { runFault(startSystem(t), f, 5*time.Second) })
 	}
 }
 
@@ -142,25 +142,25 @@
 // victim is the node of a task that runs for the given time.
 func runFault(s *System, f fault, long time.Duration) {
 	s.t.Helper()
-	w := s.Watch(traffic)
+	w := s.StartRecording(trafficDuration)
 	jobs := s.submitWork(long)
 	s.Victim = s.nodeOf(jobs[0])
 	time.Sleep(500 * time.Millisecond) // more tasks start
 	f.inject(s)
-	for _, job := range s.Settle(settleWithin, "completed", jobs...) {
+	for _, job := range s.WaitForJobs(jobsTimeout, "completed", jobs...) {
 		if job.Tasks.Completed != job.Tasks.Total {
 			s.t.Errorf("guarantee 3: job %s completed with %+v", job.Name, job.Tasks)
 		}
 	}
-	s.Until(settleWithin, "every worker and endpoint is ready again", s.ready)
-	s.Until(settleWithin, "the watcher runs", s.watcherRuns)
+	s.WaitUntil(jobsTimeout, "every worker and endpoint is ready again", s.checkReady)
+	s.WaitUntil(jobsTimeout, "the watcher runs", s.checkWatcherRuns)
 	w.Check()
 }
 
 // nodeOf returns the node on which the first task of the job runs.
 func (s *System) nodeOf(id units.JobID) (node *Node) {
 	s.t.Helper()
-	s.Until(10*time.Second, "the long task runs", func(context.Context) error {
+	s.WaitUntil(10*time.Second, "the long task runs", func(context.Context) error {
 		runs := s.runsOf(id)
 		if len(runs) == 0 {
 			return errors.New("no run")
@@ -176,10 +176,10 @@
 }
 
 // watcherRuns checks that the watcher of the document runs in one place.
-func (s *System) watcherRuns(context.Context) error {
+func (s *System) checkWatcherRuns(context.Context) error {
 	open := 0
 	for _, r := range s.runsOf(watcherJob) {
-		if r.open {
+		if r.running {
 			open++
 		}
 	}
@@ -199,40 +199,40 @@
 	return ids
 }
 
-func (s *System) leases() []*relay.Relay {
+func (s *System) leaseRelays() []*relay.Relay {
 	var relays []*relay.Relay
 	for _, n := range s.Nodes {
-		relays = append(relays, n.Lease)
+		relays = append(relays, n.ToLink)
 	}
 	return relays
 }
 
-func restore(relays ...*relay.Relay) {
+func restoreRelays(relays ...*relay.Relay) {
 	for _, r := range relays {
 		r.Restore()
 	}
 }
 
-func silent(forward, backward bool, relays ...*relay.Relay) {
-	silentFor(silence, forward, backward, relays...)
+func silenceRelays(forward, backward bool, relays ...*relay.Relay) {
+	silenceRelaysFor(silenceDuration, forward, backward, relays...)
 }
 
-func silentFor(d time.Duration, forward, backward bool, relays ...*relay.Relay) {
+func silenceRelaysFor(d time.Duration, forward, backward bool, relays ...*relay.Relay) {
 	for _, r := range relays {
 		r.Silence(forward, backward)
 	}
 	time.Sleep(d)
-	restore(relays...)
+	restoreRelays(relays...)
 }
 
-func paused(d time.Duration, p *Process) {
+func pauseProcess(d time.Duration, p *Process) {
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.Signal(syscall.SIGCONT)
 }
 
-func logFault(s *System, body string, d time.Duration) {
-	s.Fault(s.LogAt, body)
+func injectLogFault(s *System, body string, d time.Duration) {
+	s.SetFault(s.LogAddress, body)
 	time.Sleep(d)
-	s.Fault(s.LogAt, `{}`)
+	s.SetFault(s.LogAddress, `{}`)
 }
--- a/internal/faulttest/hops_test.go
+++ b/internal/faulttest/hops_test.go
@@ -14,12 +14,12 @@
 // a process that dials around its relay, as agents did when they advertised
 // their own link address instead of the configured one.
 func TestHopsAreRelayed(t *testing.T) {
-	s := start(t)
-	s.Watch(10 * time.Second)
-	s.Until(10*time.Second, "every hop is relayed", func(context.Context) error {
+	s := startSystem(t)
+	s.StartRecording(10 * time.Second)
+	s.WaitUntil(10*time.Second, "every hop is relayed", func(context.Context) error {
 		lease := int64(0)
 		for _, n := range s.Nodes {
-			lease += n.Lease.Carried()
+			lease += n.ToLink.Carried()
 			for _, r := range append([]*relay.Relay{n.ToEndpoint, n.ToWorker}, n.ToEntry[:]...) {
 				if r.Carried() == 0 {
 					return fmt.Errorf("nothing went from %s to %s", n.ID, r.Target())
--- a/internal/faulttest/inject_test.go
+++ b/internal/faulttest/inject_test.go
@@ -16,11 +16,11 @@
 // their way to its worker.
 func agentKilled(s *System) {
 	n := s.Victim
-	s.Fault(n.WorkerAt, slowStart)
+	s.SetFault(n.WorkerAddress, slowStart)
 	time.Sleep(500 * time.Millisecond)
 	n.Agent.Kill()
-	s.Fault(n.WorkerAt, `{}`)
-	time.Sleep(lapse)
+	s.SetFault(n.WorkerAddress, `{}`)
+	time.Sleep(leaseLapse)
 	n.Agent.Start(s.t)
 }
 
@@ -28,18 +28,18 @@
 // with starts that reach its worker late.
 func agentKilledAtRandom(s *System) {
 	random := rand.New(rand.NewPCG(7, 1))
-	s.Fault(s.Victim.WorkerAt, slowStart)
+	s.SetFault(s.Victim.WorkerAddress, slowStart)
 	for range 6 {
 		time.Sleep(300*time.Millisecond + time.Duration(random.Int64N(int64(1500*time.Millisecond))))
 		s.Victim.Agent.Kill()
 		s.Victim.Agent.Start(s.t)
 	}
-	s.Fault(s.Victim.WorkerAt, `{}`)
+	s.SetFault(s.Victim.WorkerAddress, `{}`)
 }
 
 func entryKilled(s *System) {
 	s.Entries[0].Kill()
-	time.Sleep(silence)
+	time.Sleep(silenceDuration)
 	s.Entries[0].Start(s.t)
 }
 
@@ -62,7 +62,7 @@
 // time, and refuses new ones for a while; the others are slow.
 func refusedAndCut(s *System) {
 	n := s.Victim
-	all := append([]*relay.Relay{n.ToEndpoint, n.Lease, n.ToWorker}, n.ToEntry[:]...)
+	all := append([]*relay.Relay{n.ToEndpoint, n.ToLink, n.ToWorker}, n.ToEntry[:]...)
 	for _, r := range all {
 		for _, other := range all {
 			other.Delay(50 * time.Millisecond)
@@ -70,16 +70,16 @@
 		r.Refuse(true)
 		r.Cut()
 		time.Sleep(1500 * time.Millisecond)
-		restore(all...)
+		restoreRelays(all...)
 	}
 }
 
 // agentPausedInLogOutage leaves no one who could record the end of the lease
 // while the worker's tasks stop.
 func agentPausedInLogOutage(s *System) {
-	s.Fault(s.LogAt, `{"outage":true}`)
-	paused(lapse, s.Victim.Agent)
-	s.Fault(s.LogAt, `{}`)
+	s.SetFault(s.LogAddress, `{"outage":true}`)
+	pauseProcess(leaseLapse, s.Victim.Agent)
+	s.SetFault(s.LogAddress, `{}`)
 }
 
 // agentPausedWhileEntryIsKilled has the other entry process take over the jobs
@@ -87,47 +87,47 @@
 func agentPausedWhileEntryIsKilled(s *System) {
 	s.Victim.Agent.Signal(syscall.SIGSTOP)
 	entryKilled(s)
-	time.Sleep(lapse - silence)
+	time.Sleep(leaseLapse - silenceDuration)
 	s.Victim.Agent.Signal(syscall.SIGCONT)
 }
 
 // agentPartitionedInLogOutage cuts an agent off from everything but its worker
 // and endpoint while the log is down.
 func agentPartitionedInLogOutage(s *System) {
-	s.Fault(s.LogAt, `{"outage":true}`)
-	silentFor(lapse, true, true, append(s.leases(), s.Victim.ToEntry[:]...)...)
-	s.Fault(s.LogAt, `{}`)
+	s.SetFault(s.LogAddress, `{"outage":true}`)
+	silenceRelaysFor(leaseLapse, true, true, append(s.leaseRelays(), s.Victim.ToEntry[:]...)...)
+	s.SetFault(s.LogAddress, `{}`)
 }
 
 func everythingReplacedWhileRepliesAreLost(s *System) {
-	s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":11}`)
+	s.SetFault(s.LogAddress, `{"loseReplies":0.3,"late":0.1,"seed":11}`)
 	everythingReplaced(s)
-	time.Sleep(silence)
-	s.Fault(s.LogAt, `{}`)
+	time.Sleep(silenceDuration)
+	s.SetFault(s.LogAddress, `{}`)
 }
 
 func workerFailsEverything(s *System) {
-	s.Fault(s.Victim.WorkerAt, `{"failTasks":true}`)
-	time.Sleep(silence)
-	s.Fault(s.Victim.WorkerAt, `{}`)
+	s.SetFault(s.Victim.WorkerAddress, `{"failTasks":true}`)
+	time.Sleep(silenceDuration)
+	s.SetFault(s.Victim.WorkerAddress, `{}`)
 }
 
 func agentKilledWhileRepliesAreLost(s *System) {
-	s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":9}`)
+	s.SetFault(s.LogAddress, `{"loseReplies":0.3,"late":0.1,"seed":9}`)
 	agentKilledAtRandom(s)
-	s.Fault(s.LogAt, `{}`)
+	s.SetFault(s.LogAddress, `{}`)
 }
 
 func entryPausedWhileLeaseIsSilent(s *System) {
-	for _, r := range s.leases() {
+	for _, r := range s.leaseRelays() {
 		r.Silence(true, true)
 	}
-	paused(lapse, s.Entries[0].Process)
-	restore(s.leases()...)
+	pauseProcess(leaseLapse, s.Entries[0].Process)
+	restoreRelays(s.leaseRelays()...)
 }
 
 func entryKilledInPartition(s *System) {
 	s.Victim.ToEntry[1].Silence(true, true)
 	entryKilled(s)
-	restore(s.Victim.ToEntry[1])
+	restoreRelays(s.Victim.ToEntry[1])
 }
--- a/internal/faulttest/jobs_test.go
+++ b/internal/faulttest/jobs_test.go
@@ -21,12 +21,12 @@
 // TestJobAlwaysFails guards against a job that is tried forever, or that fails
 // without a reason that its team can see.
 func TestJobAlwaysFails(t *testing.T) {
-	s := start(t)
-	w := s.Watch(traffic)
+	s := startSystem(t)
+	w := s.StartRecording(trafficDuration)
 	for _, n := range s.Nodes {
-		s.Fault(n.WorkerAt, `{"failTasks":true}`)
+		s.SetFault(n.WorkerAddress, `{"failTasks":true}`)
 	}
-	job := s.Settle(settleWithin, "failed", s.Submit("failing", 3, time.Second))[0]
+	job := s.WaitForJobs(jobsTimeout, "failed", s.Submit("failing", 3, time.Second))[0]
 	if job.Reason == "" {
 		t.Error("the job failed without a reason")
 	}
@@ -60,10 +60,10 @@
 
 // taskRun is one run of a task.
 type taskRun struct {
-	task   string
-	worker units.WorkerID
-	open   bool
-	start  time.Time
+	task    string
+	worker  units.WorkerID
+	running bool
+	start   time.Time
 }
 
 func (s *System) runsOf(ids ...units.JobID) []taskRun {
@@ -87,30 +87,30 @@
 		{"healthy", func(*System) {}},
 		{"agentKilled", agentKilledAtRandom},
 		{"startsLate", func(s *System) {
-			s.Fault(s.Victim.WorkerAt, slowStart)
+			s.SetFault(s.Victim.WorkerAddress, slowStart)
 			s.Nodes[2].ToWorker.Delay(150 * time.Millisecond)
 		}},
-		{"logRepliesLost", func(s *System) { s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":3}`) }},
+		{"logRepliesLost", func(s *System) { s.SetFault(s.LogAddress, `{"loseReplies":0.3,"late":0.1,"seed":3}`) }},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
-			w := s.Watch(traffic)
+			s := startSystem(t)
+			w := s.StartRecording(trafficDuration)
 			var injecting sync.WaitGroup
 			injecting.Go(func() { f.inject(s) })
-			ids := s.cancelBurst(200)
+			ids := s.submitAndCancelJobs(200)
 			injecting.Wait()
-			s.endFaults()
-			s.Settle(settleWithin, "cancelled", ids...)
-			s.Until(settleWithin, "every cancelled run has ended", func(context.Context) error {
+			s.clearFaults()
+			s.WaitForJobs(jobsTimeout, "cancelled", ids...)
+			s.WaitUntil(jobsTimeout, "every cancelled run has ended", func(context.Context) error {
 				for _, r := range s.runsOf(ids...) {
-					if r.open {
+					if r.running {
 						return fmt.Errorf("%s runs on %s", r.task, r.worker)
 					}
 				}
 				return nil
 			})
 			quiet := len(s.runsOf(ids...))
-			s.Settle(settleWithin, "completed", s.Submit("afterwards", 40, time.Second)) // needs the room of the whole system
+			s.WaitForJobs(jobsTimeout, "completed", s.Submit("afterwards", 40, time.Second)) // needs the room of the whole system
 			if n := len(s.runsOf(ids...)); n != quiet {
 				t.Errorf("%d runs of cancelled jobs started after all of them had ended", n-quiet)
 			}
@@ -122,7 +122,7 @@
 
 // cancelBurst submits jobs that would run for an hour and cancels each as soon
 // as it is accepted or a moment later, so that cancellations cross starts.
-func (s *System) cancelBurst(count int) []units.JobID {
+func (s *System) submitAndCancelJobs(count int) []units.JobID {
 	ids := make([]units.JobID, count)
 	errs := make([]error, count)
 	var group errgroup.Group
@@ -148,18 +148,18 @@
 	name := fmt.Sprintf("cancelled-%d", i)
 	body := administration.EncodeSubmission(administration.Submission{Team: teamName, Name: name, Kind: "plan", Tasks: 1,
 		Priority: units.PriorityNormal, Size: units.Resources{Processors: 1000, Memory: units.GiB}, RunTime: time.Hour})
-	job, err := repeat(ctx, func() (administration.Job, error) { return s.Client.Submit(ctx, name+".json", body, name) })
+	job, err := retry(ctx, func() (administration.Job, error) { return s.Client.Submit(ctx, name+".json", body, name) })
 	if err != nil {
 		return "", err
 	}
 	time.Sleep(time.Duration(i%8) * 30 * time.Millisecond) // 0 to 210 ms: before, during and after the start
 	key := administration.NewKey()
-	_, err = repeat(ctx, func() (administration.Job, error) { return s.Client.Cancel(ctx, job.ID, "changed plans", key) })
+	_, err = retry(ctx, func() (administration.Job, error) { return s.Client.Cancel(ctx, job.ID, "changed plans", key) })
 	return job.ID, err
 }
 
 // repeat repeats a call under one key until it succeeds or ctx ends.
-func repeat[T any](ctx context.Context, call func() (T, error)) (T, error) {
+func retry[T any](ctx context.Context, call func() (T, error)) (T, error) {
 	for {
 		value, err := call()
 		if err == nil || ctx.Err() != nil {
--- a/internal/faulttest/operators_test.go
+++ b/internal/faulttest/operators_test.go
@@ -24,33 +24,33 @@
 		rounds int
 	}{
 		{fault{"healthy", func(*System) {}}, 20},
-		{fault{"logRepliesLost", func(s *System) { s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":5}`) }}, 8},
-		{fault{"logSlow", func(s *System) { s.Fault(s.LogAt, `{"delay":"100ms","jitter":"200ms","seed":5}`) }}, 5},
+		{fault{"logRepliesLost", func(s *System) { s.SetFault(s.LogAddress, `{"loseReplies":0.3,"late":0.1,"seed":5}`) }}, 8},
+		{fault{"logSlow", func(s *System) { s.SetFault(s.LogAddress, `{"delay":"100ms","jitter":"200ms","seed":5}`) }}, 5},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
-			w := s.Watch(traffic)
+			s := startSystem(t)
+			w := s.StartRecording(trafficDuration)
 			f.inject(s)
 			for round := range f.rounds {
-				s.raceOperators(round)
+				s.publishConcurrently(round)
 			}
-			s.Fault(s.LogAt, `{}`)
+			s.SetFault(s.LogAddress, `{}`)
 			w.Check()
 		})
 	}
 }
 
 // edit is what one operator tried and was told.
-type edit struct {
+type editResult struct {
 	text      []byte
 	published administration.Published
 	err       error
 }
 
-func (s *System) raceOperators(round int) {
+func (s *System) publishConcurrently(round int) {
 	s.t.Helper()
 	base := s.agreedVersion()
-	var edits [entryCount]edit
+	var edits [entryCount]editResult
 	var group errgroup.Group
 	for i, e := range s.Entries {
 		edits[i].text = Document(40 + entryCount*round + i)
@@ -71,14 +71,14 @@
 	case !errors.As(loser.err, &lost) || lost.Kind != administration.KindLostRace || lost.Details.Winner != winner.published.Version:
 		s.t.Fatalf("guarantee 10, round %d: the loser was told %v; version %d won", round, loser.err, winner.published.Version)
 	}
-	s.Until(3*time.Second, "the winner is in force", func(ctx context.Context) error { return s.inForce(ctx, winner) })
+	s.WaitUntil(3*time.Second, "the winner is in force", func(ctx context.Context) error { return s.checkInForce(ctx, winner) })
 }
 
 // publish repeats an edit under its key until its outcome is known.
 func publish(e *Entry, base units.Offset, text []byte) (administration.Published, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: 5 * time.Second}
+	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: 5 * time.Second}
 	publication := administration.Publication{Environment: environmentName, Key: administration.NewKey(), Base: base, Author: string(e.ID), Text: text}
 	for {
 		published, err := client.Publish(ctx, publication, "document.json")
@@ -91,7 +91,7 @@
 // agreedVersion waits until every entry process has the same version.
 func (s *System) agreedVersion() (version units.Offset) {
 	s.t.Helper()
-	s.Until(10*time.Second, "the entry processes agree", func(ctx context.Context) error {
+	s.WaitUntil(10*time.Second, "the entry processes agree", func(ctx context.Context) error {
 		var seen [entryCount]units.Offset
 		for i, e := range s.Entries {
 			document, err := s.documentAt(ctx, e)
@@ -109,7 +109,7 @@
 	return version
 }
 
-func (s *System) inForce(ctx context.Context, winner edit) error {
+func (s *System) checkInForce(ctx context.Context, winner editResult) error {
 	for _, e := range s.Entries {
 		document, err := s.documentAt(ctx, e)
 		if err != nil {
@@ -123,6 +123,6 @@
 }
 
 func (s *System) documentAt(ctx context.Context, e *Entry) (administration.Document, error) {
-	client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: 2 * time.Second}
+	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: 2 * time.Second}
 	return client.Document(ctx, environmentName, 0)
 }
--- a/internal/faulttest/witness.go
+++ b/internal/faulttest/recorder.go
@@ -18,56 +18,56 @@
 
 // Witness collects what callers, workers, endpoints and entry processes saw
 // while faults were injected.
-type Witness struct {
+type Recorder struct {
 	*System
-	began   time.Time
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-
-	mu         sync.Mutex // of what follows
-	samples    map[string]load.Sample
-	faults     []string // answers that were wrong
-	overCommit []string
-	reverted   []string
-	versions   map[*Entry]units.Offset
+	startedAt  time.Time
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu                 sync.Mutex // of what follows
+	samples            map[string]load.Sample
+	wrongResponses     []string // answers that were wrong
+	overcommitments    []string
+	versionRegressions []string
+	versions           map[*Entry]units.Offset
 }
 
 // Watch starts traffic of callers and the sampling of workers and entry processes.
-func (s *System) Watch(traffic time.Duration) *Witness {
+func (s *System) StartRecording(traffic time.Duration) *Recorder {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Witness{System: s, began: time.Now(), cancel: cancel, samples: make(map[string]load.Sample), versions: make(map[*Entry]units.Offset)}
-	s.t.Cleanup(func() { cancel(); w.running.Wait() })
+	w := &Recorder{System: s, startedAt: time.Now(), cancel: cancel, samples: make(map[string]load.Sample), versions: make(map[*Entry]units.Offset)}
+	s.t.Cleanup(func() { cancel(); w.goroutines.Wait() })
 	for prefix, nonIdempotent := range map[string]float64{"quick-": 0, "order-": 1} {
-		w.running.Go(func() { w.send(ctx, prefix, nonIdempotent, traffic) })
+		w.goroutines.Go(func() { w.sendRequests(ctx, prefix, nonIdempotent, traffic) })
 	}
-	w.running.Go(func() { w.sampleAll(ctx) })
+	w.goroutines.Go(func() { w.sampleAll(ctx) })
 	return w
 }
 
-func (w *Witness) send(ctx context.Context, prefix string, nonIdempotent float64, traffic time.Duration) {
+func (w *Recorder) sendRequests(ctx context.Context, prefix string, nonIdempotent float64, traffic time.Duration) {
 	report, err := load.Run(ctx, load.Options{
-		Targets: []string{"http://" + w.Entries[0].Caller, "http://" + w.Entries[1].Caller}, Service: serviceName,
-		Rate: 25, Time: traffic, InFlight: 128, BodyBytes: 100, Deadline: 2 * time.Second,
-		NonIdempotent: nonIdempotent, Poisson: true, Seed: 7, Prefix: prefix, Observe: w.observe,
+		Targets: []string{"http://" + w.Entries[0].CallerAddress, "http://" + w.Entries[1].CallerAddress}, Service: serviceName,
+		Rate: 25, Duration: traffic, MaxInFlight: 128, BodyBytes: 100, Deadline: 2 * time.Second,
+		NonIdempotentShare: nonIdempotent, Poisson: true, Seed: 7, Prefix: prefix, Observe: w.recordSample,
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.faults = append(w.faults, err.Error())
+		w.wrongResponses = append(w.wrongResponses, err.Error())
 		return
 	}
 	for fault, n := range report.Faults {
-		w.faults = append(w.faults, fmt.Sprintf("%s%d times: %s", prefix, n, fault))
+		w.wrongResponses = append(w.wrongResponses, fmt.Sprintf("%s%d times: %s", prefix, n, fault))
 	}
 }
 
-func (w *Witness) observe(s load.Sample) {
+func (w *Recorder) recordSample(s load.Sample) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.samples[s.ID] = s
 }
 
-func (w *Witness) sampleAll(ctx context.Context) {
+func (w *Recorder) sampleAll(ctx context.Context) {
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -89,10 +89,10 @@
 
 // sampleWorker checks the worker's commitments and the reservation for its
 // endpoint against its capacity.
-func (w *Witness) sampleWorker(ctx context.Context, n *Node) {
+func (w *Recorder) sampleWorker(ctx context.Context, n *Node) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	table, err := w.tableOf(ctx, n)
+	table, err := w.workerTasks(ctx, n)
 	if err != nil {
 		return
 	}
@@ -102,22 +102,22 @@
 			sum = sum.Add(t.Size)
 		}
 	}
-	if !sum.Fits(Capacity) {
+	if !sum.Fits(WorkerCapacity) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.overCommit = append(w.overCommit, fmt.Sprintf("%s holds %s of %s", n.ID, sum, Capacity))
+		w.overcommitments = append(w.overcommitments, fmt.Sprintf("%s holds %s of %s", n.ID, sum, WorkerCapacity))
 	}
 }
 
-func (s *System) tableOf(ctx context.Context, n *Node) (workerapi.Table, error) {
-	client := workerapi.Client{BaseURL: "http://" + n.WorkerAt, HTTP: s.http}
+func (s *System) workerTasks(ctx context.Context, n *Node) (workerapi.Table, error) {
+	client := workerapi.Client{BaseURL: "http://" + n.WorkerAddress, HTTP: s.http}
 	return client.Tasks(ctx)
 }
 
 // sampleEntry checks that the version in force on an entry process never falls.
 // A restarted process answers only after it has read the log.
-func (w *Witness) sampleEntry(ctx context.Context, e *Entry) {
-	client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: time.Second}
+func (w *Recorder) sampleEntry(ctx context.Context, e *Entry) {
+	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: time.Second}
 	document, err := client.Document(ctx, environmentName, 0)
 	if err != nil {
 		return
@@ -125,7 +125,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if document.Version < w.versions[e] {
-		w.reverted = append(w.reverted, fmt.Sprintf("%s went from version %d to %d", e.ID, w.versions[e], document.Version))
+		w.versionRegressions = append(w.versionRegressions, fmt.Sprintf("%s went from version %d to %d", e.ID, w.versions[e], document.Version))
 	}
 	w.versions[e] = document.Version
 }
@@ -138,7 +138,7 @@
 		Size: units.Resources{Processors: 1000, Memory: units.GiB}, RunTime: runTime,
 	})
 	var id units.JobID
-	s.Until(30*time.Second, "job "+name+" is accepted", func(ctx context.Context) error {
+	s.WaitUntil(30*time.Second, "job "+name+" is accepted", func(ctx context.Context) error {
 		job, err := s.Client.Submit(ctx, name+".json", body, name)
 		id = job.ID
 		return err
@@ -147,11 +147,11 @@
 }
 
 // Settle waits until the jobs have ended in the state and returns them.
-func (s *System) Settle(limit time.Duration, state string, ids ...units.JobID) []administration.Job {
+func (s *System) WaitForJobs(limit time.Duration, state string, ids ...units.JobID) []administration.Job {
 	s.t.Helper()
 	jobs := make([]administration.Job, len(ids))
 	for i, id := range ids {
-		s.Until(limit, fmt.Sprintf("job %s is %s", id, state), func(ctx context.Context) error {
+		s.WaitUntil(limit, fmt.Sprintf("job %s is %s", id, state), func(ctx context.Context) error {
 			job, err := s.Client.Job(ctx, id)
 			if err != nil {
 				return err
@@ -172,7 +172,7 @@
 	var all []worker.Run
 	for _, n := range s.Nodes {
 		var reply struct{ Runs []worker.Run }
-		if err := s.get("http://"+n.WorkerAt+"/v1/runs", &reply); err != nil {
+		if err := s.getJSON("http://"+n.WorkerAddress+"/v1/runs", &reply); err != nil {
 			s.t.Fatal(err)
 		}
 		all = append(all, reply.Runs...)
@@ -181,12 +181,12 @@
 }
 
 // Executed returns how often each request was executed.
-func (s *System) Executed() map[string]int {
+func (s *System) Executions() map[string]int {
 	s.t.Helper()
 	sum := make(map[string]int)
 	for _, n := range s.Nodes {
 		var reply struct{ Executed map[string]int }
-		if err := s.get("http://"+n.EndpointAt+"/v1/executed", &reply); err != nil {
+		if err := s.getJSON("http://"+n.EndpointAddress+"/v1/executed", &reply); err != nil {
 			s.t.Fatal(err)
 		}
 		for id, times := range reply.Executed {
@@ -198,30 +198,30 @@
 
 // Check waits for the end of the traffic and judges the guarantees that hold in
 // every case.
-func (w *Witness) Check() {
+func (w *Recorder) Check() {
 	w.t.Helper()
 	w.cancel()
-	w.running.Wait()
+	w.goroutines.Wait()
 	runs := w.Runs()
 	for _, o := range worker.Overlaps(runs) {
 		w.t.Errorf("guarantee 2, two runs at once: %s", o)
 	}
-	w.t.Logf("after %v: runs of tasks %v", time.Since(w.began).Round(time.Second), ends(runs))
+	w.t.Logf("after %v: runs of tasks %v", time.Since(w.startedAt).Round(time.Second), countRuns(runs))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, list := range []struct {
 		guarantee string
 		broken    []string
-	}{{"1, over-committed", w.overCommit}, {"5, wrong answer", w.faults}, {"10, version reverted", w.reverted}} {
+	}{{"1, over-committed", w.overcommitments}, {"5, wrong answer", w.wrongResponses}, {"10, version reverted", w.versionRegressions}} {
 		for _, b := range list.broken {
 			w.t.Errorf("guarantee %s: %s", list.guarantee, b)
 		}
 	}
-	w.checkRequests(w.Executed())
+	w.checkRequests(w.Executions())
 }
 
 // ends counts runs by how they ended.
-func ends(runs []worker.Run) map[string]int {
+func countRuns(runs []worker.Run) map[string]int {
 	counts := make(map[string]int)
 	for _, r := range runs {
 		counts[string(r.State)]++
@@ -232,7 +232,7 @@
 	return counts
 }
 
-func (w *Witness) checkRequests(executed map[string]int) {
+func (w *Recorder) checkRequests(executed map[string]int) {
 	w.t.Helper()
 	outcomes := make(map[string]int)
 	for id, s := range w.samples {
--- a/internal/faulttest/system.go
+++ b/internal/faulttest/system.go
@@ -28,14 +28,14 @@
 	entryCount      = 2
 	workerCount     = 4
 	// readyWithin bounds the start of a system on a busy machine.
-	readyWithin = 40 * time.Second
+	readyTimeout = 40 * time.Second
 )
 
 // domains are the failure domains of the four workers.
 var domains = [workerCount]units.DomainName{"pwani-a", "pwani-b", "pwani-c", "pwani-a"}
 
 // Capacity is that of one worker.
-var Capacity = units.Resources{Processors: 8000, Memory: 16e9}
+var WorkerCapacity = units.Resources{Processors: 8000, Memory: 16e9}
 
 // System is one running system.
 type System struct {
@@ -44,42 +44,42 @@
 	binaries string
 	http     *http.Client
 
-	Client  *administration.Client
-	Log     *Process
-	LogAt   string
-	Entries [entryCount]*Entry
-	Nodes   [workerCount]*Node
-	Victim  *Node // which node a fault hits
-	relays  []*relay.Relay
+	Client     *administration.Client
+	Log        *Process
+	LogAddress string
+	Entries    [entryCount]*Entry
+	Nodes      [workerCount]*Node
+	Victim     *Node // which node a fault hits
+	relays     []*relay.Relay
 }
 
 // Entry is one entry process and the relay on its way to the log.
 type Entry struct {
 	*Process
-	ID     units.EntryID
-	Caller string
-	Admin  string
-	link   string
-	ToLog  *relay.Relay
+	ID            units.EntryID
+	CallerAddress string
+	AdminAddress  string
+	linkAddress   string
+	ToLog         *relay.Relay
 }
 
 // Node is one worker with its agent and endpoint and the relays around them.
 type Node struct {
-	ID           units.WorkerID
-	Domain       units.DomainName
-	Worker       *Process
-	Agent        *Process
-	Endpoint     *Process
-	WorkerAt     string
-	EndpointAt   string
-	ToEntry      [entryCount]*relay.Relay
-	ToWorker     *relay.Relay
-	ToEndpoint   *relay.Relay
-	Lease        *relay.Relay // lease requests of other agents to this one
-	agentLink    string
-	agentAccepts string
-	announceAt   string // takes the endpoint's announcements
-	leaving      atomic.Bool
+	ID               units.WorkerID
+	Domain           units.DomainName
+	Worker           *Process
+	Agent            *Process
+	Endpoint         *Process
+	WorkerAddress    string
+	EndpointAddress  string
+	ToEntry          [entryCount]*relay.Relay
+	ToWorker         *relay.Relay
+	ToEndpoint       *relay.Relay
+	ToLink           *relay.Relay // lease requests of other agents to this one
+	linkAddress      string
+	announceAddress  string
+	announceProxyURL string // takes the endpoint's announcements
+	leaving          atomic.Bool
 }
 
 // Start starts a system and waits until every worker and endpoint is ready.
@@ -88,12 +88,12 @@
 	t.Helper()
 	s := &System{t: t, dir: t.TempDir(), binaries: binaries, http: &http.Client{Timeout: 3 * time.Second}}
 	t.Cleanup(s.stop)
-	s.LogAt = FreeAddress(t)
-	s.Log = s.process("log", "wasabihill-standin", "log", "--listen", s.LogAt, "--rate", "400")
+	s.LogAddress = FreeAddress(t)
+	s.Log = s.newProcess("log", "wasabihill-standin", "log", "--listen", s.LogAddress, "--rate", "400")
 	s.Client = &administration.Client{Token: operatorToken, Timeout: 4 * time.Second}
 	for i := range s.Entries {
 		s.Entries[i] = s.newEntry(i)
-		s.Client.Servers = append(s.Client.Servers, s.Entries[i].Admin)
+		s.Client.Servers = append(s.Client.Servers, s.Entries[i].AdminAddress)
 	}
 	for i := range s.Nodes {
 		s.Nodes[i] = s.newNode(i)
@@ -102,8 +102,8 @@
 	for _, p := range s.processes() {
 		p.Start(t)
 	}
-	s.publishFirst()
-	s.Until(readyWithin, "every worker and endpoint is ready", s.ready)
+	s.publishDocument()
+	s.WaitUntil(readyTimeout, "every worker and endpoint is ready", s.checkReady)
 	return s
 }
 
@@ -132,11 +132,11 @@
 		r.Close()
 	}
 	s.http.CloseIdleConnections()
-	s.keepLogs()
+	s.saveLogs()
 }
 
 // keepLogs copies the logs of a failed test to FAULTTEST_LOGS, if that is set.
-func (s *System) keepLogs() {
+func (s *System) saveLogs() {
 	to := os.Getenv("FAULTTEST_LOGS")
 	if to == "" || !s.t.Failed() {
 		return
@@ -150,13 +150,13 @@
 	}
 }
 
-func (s *System) process(name, binary string, args ...string) *Process {
+func (s *System) newProcess(name, binary string, args ...string) *Process {
 	return &Process{childprocess.Process{
 		Name: name, Args: append([]string{filepath.Join(s.binaries, binary)}, args...), Log: filepath.Join(s.dir, name+".log"),
 	}}
 }
 
-func (s *System) relay(target string) *relay.Relay {
+func (s *System) newRelay(target string) *relay.Relay {
 	r, err := relay.New(target)
 	if err != nil {
 		s.t.Fatal(err)
@@ -165,7 +165,7 @@
 	return r
 }
 
-func (s *System) settings(name string, fields map[string]any) string {
+func (s *System) writeSettings(name string, fields map[string]any) string {
 	data, err := json.Marshal(fields)
 	if err != nil {
 		s.t.Fatal(err)
@@ -181,46 +181,46 @@
 // listens: agents reach it over their own relays, and must not get around a
 // faulty one by an address that they learn.
 func (s *System) newEntry(i int) *Entry {
-	e := &Entry{ID: units.EntryID(fmt.Sprintf("entry-%d", i+1)), Caller: FreeAddress(s.t), Admin: FreeAddress(s.t), link: FreeAddress(s.t), ToLog: s.relay(s.LogAt)}
-	path := s.settings(string(e.ID), map[string]any{
+	e := &Entry{ID: units.EntryID(fmt.Sprintf("entry-%d", i+1)), CallerAddress: FreeAddress(s.t), AdminAddress: FreeAddress(s.t), linkAddress: FreeAddress(s.t), ToLog: s.newRelay(s.LogAddress)}
+	path := s.writeSettings(string(e.ID), map[string]any{
 		"id": e.ID, "environment": environmentName, "failureDomain": domains[i], "region": "pwani",
-		"callerAddress": e.Caller, "adminAddress": e.Admin, "linkAddress": e.link, "advertisedLinkAddress": FreeAddress(s.t),
+		"callerAddress": e.CallerAddress, "adminAddress": e.AdminAddress, "linkAddress": e.linkAddress, "advertisedLinkAddress": FreeAddress(s.t),
 		"logAddress": e.ToLog.Address(), "operatorToken": operatorToken,
 	})
-	e.Process = s.process(string(e.ID), "wasabihill", "entry", path)
+	e.Process = s.newProcess(string(e.ID), "wasabihill", "entry", path)
 	return e
 }
 
 func (s *System) newNode(i int) *Node {
 	n := &Node{ID: units.WorkerID(fmt.Sprintf("worker-%d", i+1)), Domain: domains[i],
-		WorkerAt: FreeAddress(s.t), EndpointAt: FreeAddress(s.t), agentLink: FreeAddress(s.t), agentAccepts: FreeAddress(s.t)}
-	n.ToWorker, n.ToEndpoint, n.Lease = s.relay(n.WorkerAt), s.relay(n.EndpointAt), s.relay(n.agentLink)
+		WorkerAddress: FreeAddress(s.t), EndpointAddress: FreeAddress(s.t), linkAddress: FreeAddress(s.t), announceAddress: FreeAddress(s.t)}
+	n.ToWorker, n.ToEndpoint, n.ToLink = s.newRelay(n.WorkerAddress), s.newRelay(n.EndpointAddress), s.newRelay(n.linkAddress)
 	var entries []string
 	for k, e := range s.Entries {
-		n.ToEntry[k] = s.relay(e.link)
+		n.ToEntry[k] = s.newRelay(e.linkAddress)
 		entries = append(entries, n.ToEntry[k].Address())
 	}
-	n.announceAt = s.announcements(n)
-	path := s.settings(fmt.Sprintf("agent-%d", i+1), map[string]any{
+	n.announceProxyURL = s.startAnnouncementProxy(n)
+	path := s.writeSettings(fmt.Sprintf("agent-%d", i+1), map[string]any{
 		"worker": n.ID, "environment": environmentName, "failureDomain": n.Domain, "rack": fmt.Sprintf("rack-%d", i+1), "region": "pwani",
-		"linkAddress": n.agentLink, "advertisedLinkAddress": n.Lease.Address(), "announceAddress": n.agentAccepts,
+		"linkAddress": n.linkAddress, "advertisedLinkAddress": n.ToLink.Address(), "announceAddress": n.announceAddress,
 		"workerAddress": n.ToWorker.Address(), "entries": entries,
 	})
-	n.Worker = s.process(string(n.ID), "wasabihill-standin", "worker", "--name", string(n.ID), "--address", n.WorkerAt,
+	n.Worker = s.newProcess(string(n.ID), "wasabihill-standin", "worker", "--name", string(n.ID), "--address", n.WorkerAddress,
 		"--processors", "8", "--memory", "16GB", "--usage-lag", "1s")
-	n.Agent = s.process(fmt.Sprintf("agent-%d", i+1), "wasabihill", "agent", path)
-	n.Endpoint = s.process(fmt.Sprintf("endpoint-%d", i+1), "wasabihill-standin", "endpoint", "--service", serviceName,
-		"--address", n.EndpointAt, "--agent", n.announceAt, "--slots", "8", "--connections", "64")
+	n.Agent = s.newProcess(fmt.Sprintf("agent-%d", i+1), "wasabihill", "agent", path)
+	n.Endpoint = s.newProcess(fmt.Sprintf("endpoint-%d", i+1), "wasabihill-standin", "endpoint", "--service", serviceName,
+		"--address", n.EndpointAddress, "--agent", n.announceProxyURL, "--slots", "8", "--connections", "64")
 	return n
 }
 
 // Leave has the endpoint announce that it is leaving. It serves on, so that it
 // shows which requests still reach it.
-func (n *Node) Leave() { n.leaving.Store(true) }
+func (n *Node) AnnounceLeaving() { n.leaving.Store(true) }
 
 // announcements passes the endpoint's announcements to the agent with the
 // address of the relay in place of the endpoint's own.
-func (s *System) announcements(n *Node) string {
+func (s *System) startAnnouncementProxy(n *Node) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -236,7 +236,7 @@
 			announcement["state"] = "leaving"
 		}
 		body, _ := json.Marshal(announcement) // a decoded JSON object always encodes
-		response, err := s.http.Post("http://"+n.agentAccepts+r.URL.Path, "application/json", bytes.NewReader(body))
+		response, err := s.http.Post("http://"+n.announceAddress+r.URL.Path, "application/json", bytes.NewReader(body))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
@@ -269,17 +269,17 @@
 `, environmentName, teamName, processors, serviceName, teamName, teamName)
 }
 
-func (s *System) publishFirst() {
+func (s *System) publishDocument() {
 	key := administration.NewKey()
-	s.Until(readyWithin, "the document is published", func(ctx context.Context) error {
+	s.WaitUntil(readyTimeout, "the document is published", func(ctx context.Context) error {
 		_, err := s.Client.Publish(ctx, administration.Publication{Environment: environmentName, Key: key, Author: "faulttest", Text: Document(32)}, "document.json")
 		return err
 	})
 }
 
-func (s *System) ready(ctx context.Context) error {
+func (s *System) checkReady(ctx context.Context) error {
 	for _, e := range s.Entries {
-		client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: 2 * time.Second}
+		client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: 2 * time.Second}
 		workers, err := client.Workers(ctx)
 		if err != nil {
 			return err
@@ -299,7 +299,7 @@
 
 // Until repeats a condition until it returns nil, and fails the test when that
 // does not happen within the limit.
-func (s *System) Until(limit time.Duration, what string, condition func(context.Context) error) {
+func (s *System) WaitUntil(limit time.Duration, what string, condition func(context.Context) error) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -317,7 +317,7 @@
 }
 
 // Fault posts to the fault interface of a stand-in.
-func (s *System) Fault(address, body string) {
+func (s *System) SetFault(address, body string) {
 	s.t.Helper()
 	response, err := s.http.Post("http://"+address+"/v1/faults", "application/json", bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -329,7 +329,7 @@
 	}
 }
 
-func (s *System) get(url string, into any) error {
+func (s *System) getJSON(url string, into any) error {
 	response, err := s.http.Get(url)
 	if err != nil {
 		return err
--- a/internal/gateway/benchmark_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -40,7 +40,7 @@
 		}
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				target.Rate, target.Time, target.InFlight, target.BodyBytes, target.NonIdempotent = 500, 5*time.Second, 64, 256, 0.5
+				target.Rate, target.Duration, target.MaxInFlight, target.BodyBytes, target.NonIdempotentShare = 500, 5*time.Second, 64, 256, 0.5
 				r := runLoad(b, target)
 				b.ReportMetric(float64(r.Done.Median.Microseconds()), "p50-us")
 				b.ReportMetric(float64(r.Done.P99.Microseconds()), "p99-us")
@@ -65,8 +65,8 @@
 			capacity := 2 * 8 / serviceTime.Seconds()
 			for range b.N {
 				r := runLoad(b, load.Options{
-					Targets: []string{e.url}, Service: "desk", Rate: capacity * c.factor, Time: 5 * time.Second,
-					InFlight: 512, BodyBytes: 256, Deadline: 50 * time.Millisecond, NonIdempotent: 0.5,
+					Targets: []string{e.url}, Service: "desk", Rate: capacity * c.factor, Duration: 5 * time.Second,
+					MaxInFlight: 512, BodyBytes: 256, Deadline: 50 * time.Millisecond, NonIdempotentShare: 0.5,
 				})
 				b.ReportMetric(r.Goodput/capacity, "goodput/capacity")
 				b.ReportMetric(float64(r.NotRun.Median.Microseconds()), "refusal-p50-us")
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -55,9 +55,9 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	r, err := Run(ctx, Options{
-		Targets: c.StringSlice("target"), Service: c.String("service"), Rate: c.Float("rate"), Time: c.Duration("time"),
-		InFlight: c.Int("in-flight"), BodyBytes: c.Int("body-bytes"), Deadline: c.Duration("deadline"),
-		NonIdempotent: c.Float("non-idempotent"), Poisson: c.Bool("poisson"), Seed: c.Uint64("seed"), Prefix: c.String("prefix"),
+		Targets: c.StringSlice("target"), Service: c.String("service"), Rate: c.Float("rate"), Duration: c.Duration("time"),
+		MaxInFlight: c.Int("in-flight"), BodyBytes: c.Int("body-bytes"), Deadline: c.Duration("deadline"),
+		NonIdempotentShare: c.Float("non-idempotent"), Poisson: c.Bool("poisson"), Seed: c.Uint64("seed"), Prefix: c.String("prefix"),
 	})
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 		return err
 	}
 	if len(r.Faults) > 0 {
-		return fmt.Errorf("load: answers failed their checks:%s", counts(r.Faults))
+		return fmt.Errorf("load: answers failed their checks:%s", formatCounts(r.Faults))
 	}
 	return nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -23,19 +23,19 @@
 
 // Options configures a run.
 type Options struct {
-	Targets       []string                // base URLs of entry processes, used in turn
-	Target        func(number int) string // chooses the base URL instead of Targets; called concurrently
-	Service       string                  // empty sends straight to an endpoint, without outcomes
-	Rate          float64                 // planned requests per second
-	Time          time.Duration
-	InFlight      int // most requests at a time; later ones are sent late, not dropped
-	BodyBytes     int
-	Deadline      time.Duration // 0 sends none
-	NonIdempotent float64       // share of requests that must run at most once, 0 to 1
-	Poisson       bool          // exponential gaps between requests instead of constant ones
-	Seed          uint64
-	Prefix        string       // of request ids, so that a checker can tell runs apart
-	Observe       func(Sample) // told of each request when it has ended; called concurrently; may be nil
+	Targets            []string                // base URLs of entry processes, used in turn
+	Target             func(number int) string // chooses the base URL instead of Targets; called concurrently
+	Service            string                  // empty sends straight to an endpoint, without outcomes
+	Rate               float64                 // planned requests per second
+	Duration           time.Duration
+	MaxInFlight        int // most requests at a time; later ones are sent late, not dropped
+	BodyBytes          int
+	Deadline           time.Duration // 0 sends none
+	NonIdempotentShare float64       // share of requests that must run at most once, 0 to 1
+	Poisson            bool          // exponential gaps between requests instead of constant ones
+	Seed               uint64
+	Prefix             string       // of request ids, so that a checker can tell runs apart
+	Observe            func(Sample) // told of each request when it has ended; called concurrently; may be nil
 }
 
 // Sample is what became of one request.
@@ -56,7 +56,7 @@
 }
 
 // result is what one worker counted; workers share nothing while they run.
-type result struct {
+type workerResult struct {
 	outcomes map[string]int
 	statuses map[int]int
 	faults   map[string]int
@@ -67,17 +67,17 @@
 
 // Latencies are recorded from 1 us to 5 minutes with three digits.
 const (
-	longest = int64(5 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatencyMicroseconds = int64(5 * time.Minute / time.Microsecond)
+	significantDigits      = 3
 )
 
-func newResult() *result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
-	return &result{outcomes: map[string]int{}, statuses: map[int]int{}, faults: map[string]int{}, done: h(), notRun: h(), late: h()}
+func newWorkerResult() *workerResult {
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicroseconds, significantDigits) }
+	return &workerResult{outcomes: map[string]int{}, statuses: map[int]int{}, faults: map[string]int{}, done: h(), notRun: h(), late: h()}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), longest)) // always in range
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxLatencyMicroseconds)) // always in range
 }
 
 // Run offers the load until it is complete or ctx ends.
@@ -87,18 +87,18 @@
 	} else if len(o.Targets) == 0 {
 		o.Targets = []string{""}
 	}
-	if len(o.Targets) == 0 || o.Rate <= 0 || o.Time <= 0 || o.InFlight <= 0 {
+	if len(o.Targets) == 0 || o.Rate <= 0 || o.Duration <= 0 || o.MaxInFlight <= 0 {
 		return nil, fmt.Errorf("load: targets, rate, time and in-flight limit must be positive")
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: o.InFlight, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10}
+	transport := &http.Transport{MaxIdleConnsPerHost: o.MaxInFlight, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10}
 	defer transport.CloseIdleConnections()
-	r := &runner{options: o, client: &http.Client{Transport: transport}, body: bytes.Repeat([]byte("b"), o.BodyBytes)}
+	r := &sender{options: o, client: &http.Client{Transport: transport}, body: bytes.Repeat([]byte("b"), o.BodyBytes)}
 	r.digest = fmt.Sprintf("%016x", xxhash.Sum64(r.body))
-	requests := make(chan request, o.InFlight)
-	results := make([]*result, o.InFlight)
+	requests := make(chan request, o.MaxInFlight)
+	results := make([]*workerResult, o.MaxInFlight)
 	var wait sync.WaitGroup
 	for i := range results {
-		results[i] = newResult()
+		results[i] = newWorkerResult()
 		wait.Go(func() {
 			for q := range requests {
 				r.send(ctx, q, results[i])
@@ -106,14 +106,14 @@
 		})
 	}
 	start := time.Now()
-	planned := r.plan(ctx, start, requests)
+	planned := r.schedule(ctx, start, requests)
 	close(requests)
 	wait.Wait()
-	return report(o, planned, time.Since(start), results), nil
+	return newReport(o, planned, time.Since(start), results), nil
 }
 
 // runner sends requests.
-type runner struct {
+type sender struct {
 	options Options
 	client  *http.Client
 	body    []byte
@@ -121,13 +121,13 @@
 }
 
 // plan hands out requests at their planned times and returns how many.
-func (r *runner) plan(ctx context.Context, start time.Time, requests chan<- request) int {
+func (r *sender) schedule(ctx context.Context, start time.Time, requests chan<- request) int {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	gap := float64(time.Second) / r.options.Rate
 	at := 0.0
 	number := 0
-	for ; at < float64(r.options.Time); number++ {
-		q := request{number: number, planned: start.Add(time.Duration(at)), idempotent: random.Float64() >= r.options.NonIdempotent}
+	for ; at < float64(r.options.Duration); number++ {
+		q := request{number: number, planned: start.Add(time.Duration(at)), idempotent: random.Float64() >= r.options.NonIdempotentShare}
 		if d := time.Until(q.planned); d > 0 {
 			select {
 			case <-time.After(d):
@@ -150,15 +150,15 @@
 }
 
 // send sends one request, counts what became of it and tells the observer.
-func (r *runner) send(ctx context.Context, q request, into *result) {
+func (r *sender) send(ctx context.Context, q request, into *workerResult) {
 	id := r.options.Prefix + strconv.Itoa(q.number)
 	target := r.options.Target(q.number)
-	h, err := r.request(ctx, q, id, target)
+	h, err := r.newRequest(ctx, q, id, target)
 	if err != nil {
 		into.faults[err.Error()]++
 		return
 	}
-	record(into.late, time.Since(q.planned))
+	recordLatency(into.late, time.Since(q.planned))
 	outcome, latency := r.exchange(h, q, id, into)
 	into.outcomes[outcome]++
 	if r.options.Observe != nil {
@@ -168,7 +168,7 @@
 
 // request builds the HTTP request. Its body cannot be read twice, so that
 // net/http never sends it twice.
-func (r *runner) request(ctx context.Context, q request, id, target string) (*http.Request, error) {
+func (r *sender) newRequest(ctx context.Context, q request, id, target string) (*http.Request, error) {
 	url := target + "/"
 	if r.options.Service != "" {
 		url += "services/" + r.options.Service + "/load"
@@ -190,39 +190,39 @@
 }
 
 // broken is the outcome of a request that got no whole response.
-const broken = "broken"
+const outcomeBroken = "broken"
 
-func (r *runner) exchange(h *http.Request, q request, id string, into *result) (string, time.Duration) {
+func (r *sender) exchange(h *http.Request, q request, id string, into *workerResult) (string, time.Duration) {
 	response, err := r.client.Do(h)
 	if err != nil {
-		return broken, time.Since(q.planned)
+		return outcomeBroken, time.Since(q.planned)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	latency := time.Since(q.planned)
 	into.statuses[response.StatusCode]++
 	if err != nil {
-		return broken, latency // cut in the middle, and seen to be
+		return outcomeBroken, latency // cut in the middle, and seen to be
 	}
-	return string(r.judge(response, body, id, latency, into)), latency
+	return string(r.checkResponse(response, body, id, latency, into)), latency
 }
 
 // judge returns the outcome and checks that an answer is the request's own and
 // whole.
-func (r *runner) judge(response *http.Response, body []byte, id string, latency time.Duration, into *result) headers.Outcome {
+func (r *sender) checkResponse(response *http.Response, body []byte, id string, latency time.Duration, into *workerResult) headers.Outcome {
 	outcome := headers.Outcome(response.Header.Get(headers.OutcomeHeader))
 	if outcome == "" && r.options.Service == "" {
 		outcome = headers.Done
 	}
 	switch outcome {
 	case headers.NotRun:
-		record(into.notRun, latency)
+		recordLatency(into.notRun, latency)
 		return outcome
 	case headers.Done:
 	default:
 		return outcome
 	}
-	record(into.done, latency)
+	recordLatency(into.done, latency)
 	if response.StatusCode != http.StatusOK {
 		return outcome
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -34,7 +34,7 @@
 		target string
 		faults int
 	}{{"http://" + e.Address(), 0}, {wrong.URL, 3}} {
-		r, err := Run(t.Context(), Options{Targets: []string{c.target}, Rate: 500, Time: 100 * time.Millisecond, InFlight: 8, BodyBytes: 64, Prefix: "t-"})
+		r, err := Run(t.Context(), Options{Targets: []string{c.target}, Rate: 500, Duration: 100 * time.Millisecond, MaxInFlight: 8, BodyBytes: 64, Prefix: "t-"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 		}
 	}))
 	defer s.Close()
-	r, err := Run(t.Context(), Options{Targets: []string{s.URL}, Rate: 100, Time: 200 * time.Millisecond, InFlight: 1})
+	r, err := Run(t.Context(), Options{Targets: []string{s.URL}, Rate: 100, Duration: 200 * time.Millisecond, MaxInFlight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -35,12 +35,12 @@
 	Late     Latency        `json:"late"` // how late this program sent
 }
 
-func report(o Options, planned int, took time.Duration, results []*result) *Report {
-	all := newResult()
+func newReport(o Options, planned int, took time.Duration, results []*workerResult) *Report {
+	all := newWorkerResult()
 	for _, r := range results {
-		merge(all.outcomes, r.outcomes)
-		merge(all.statuses, r.statuses)
-		merge(all.faults, r.faults)
+		addCounts(all.outcomes, r.outcomes)
+		addCounts(all.statuses, r.statuses)
+		addCounts(all.faults, r.faults)
 		all.done.Merge(r.done)
 		all.notRun.Merge(r.notRun)
 		all.late.Merge(r.late)
@@ -52,7 +52,7 @@
 	}
 }
 
-func merge[K comparable](into, from map[K]int) {
+func addCounts[K comparable](into, from map[K]int) {
 	for k, n := range from {
 		into[k] += n
 	}
@@ -79,7 +79,7 @@
 // WriteText writes the report for people.
 func (r *Report) WriteText(w io.Writer) error {
 	out := fmt.Sprintf("planned   %d requests at %.0f/s, took %v, goodput %.1f/s\n", r.Planned, r.Rate, r.Took.Round(time.Millisecond), r.Goodput)
-	out += "outcomes " + counts(r.Outcomes) + "\nstatuses " + counts(r.Statuses) + "\nfaults   " + counts(r.Faults) + "\n"
+	out += "outcomes " + formatCounts(r.Outcomes) + "\nstatuses " + formatCounts(r.Statuses) + "\nfaults   " + formatCounts(r.Faults) + "\n"
 	for _, l := range []struct {
 		name string
 		Latency
@@ -92,7 +92,7 @@
 	return err
 }
 
-func counts[K interface{ ~string | ~int }](m map[K]int) string {
+func formatCounts[K interface{ ~string | ~int }](m map[K]int) string {
 	if len(m) == 0 {
 		return " none"
 	}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,21 +18,21 @@
 	// callerTimeout is how long a caller waits for one answer.
 	callerTimeout = 3 * time.Second
 	// callerPause is the mean time between two requests of a caller.
-	callerPause = 120 * time.Millisecond
+	meanRequestGap = 120 * time.Millisecond
 	// submitFor is how long a caller repeats a submission without an answer.
-	submitFor  = 6 * time.Second
-	retryPause = 150 * time.Millisecond
+	submitTimeout = 6 * time.Second
+	retryDelay    = 150 * time.Millisecond
 	// watchersGone is for how long a watcher may still run after its cancellation
 	// was acknowledged at the end of the run, without faults.
-	watchersGone = 5 * time.Second
+	watcherStopTimeout = 5 * time.Second
 )
 
 // The specs of jobs, which tell the runners what the tasks do.
 const (
-	quickSpec    = "quick"
-	slowSpec     = "slow"
-	hopelessSpec = "hopeless"
-	watchSpec    = "watch"
+	quickSpec   = "quick"
+	slowSpec    = "slow"
+	failingSpec = "hopeless"
+	watchSpec   = "watch"
 )
 
 // The states of a job as callers see them.
@@ -42,24 +42,24 @@
 	cancelled = "cancelled"
 )
 
-var final = map[string]bool{completed: true, failed: true, cancelled: true}
+var finalStates = map[string]bool{completed: true, failed: true, cancelled: true}
 
 // jobShape is a kind of job with its share among all.
-type jobShape struct {
-	queue string
-	share int
-	job   callers.Job
+type jobTemplate struct {
+	queue  string
+	weight int
+	job    callers.Job
 }
 
-var jobShapes = []jobShape{
+var jobTemplates = []jobTemplate{
 	{"quick", 8, callers.Job{Spec: quickSpec, Steps: []callers.Step{{Tasks: 3}, {Tasks: 2, After: []int{0}}}}},
 	{"runs", 5, callers.Job{Spec: slowSpec, Steps: []callers.Step{{Tasks: 4}, {Tasks: 1, After: []int{0}}}}},
-	{"runs", 1, callers.Job{Spec: hopelessSpec, Steps: []callers.Step{{Tasks: 1}}}},
+	{"runs", 1, callers.Job{Spec: failingSpec, Steps: []callers.Step{{Tasks: 1}}}},
 	{"quick", 1, callers.Job{Spec: watchSpec, Steps: []callers.Step{{Tasks: 2, LongRunning: true}}}},
 }
 
 // observed is a state that a caller was told.
-type observed struct {
+type observedState struct {
 	at    time.Time
 	state string
 }
@@ -69,17 +69,17 @@
 type job struct {
 	id       string
 	path     string
-	shape    *jobShape
+	template *jobTemplate
 	accepted time.Time // zero while no submission was answered with success
-	refused  bool      // every submission was answered with a refusal
+	rejected bool      // every submission was answered with a refusal
 	// cancelSent and cancelled are when the cancellation was sent first and when
 	// it was acknowledged.
 	cancelSent time.Time
 	cancelled  time.Time
-	states     []observed
+	states     []observedState
 }
 
-func (j *job) last() string {
+func (j *job) lastState() string {
 	if len(j.states) == 0 {
 		return ""
 	}
@@ -87,11 +87,11 @@
 }
 
 // cutRequest is a request that an entry process broke off.
-type cutRequest struct {
-	host string
-	sent time.Time
-	at   time.Time
-	text string
+type abortedRequest struct {
+	host      string
+	sent      time.Time
+	abortedAt time.Time
+	reason    string
 }
 
 // loadGenerator is all callers of a run.
@@ -99,29 +99,29 @@
 	fleet   *fleet
 	callers []*caller
 
-	mu      sync.Mutex // of what follows
-	jobs    map[string]*job
-	order   []*job
-	cuts    []cutRequest
-	wrong   []Broken // answers that no fault explains
-	answers int
-	watches int
+	mu                  sync.Mutex // of what follows
+	jobs                map[string]*job
+	jobsInOrder         []*job
+	abortedRequests     []abortedRequest
+	unexpectedResponses []Broken // answers that no fault explains
+	responses           int
+	watcherJobs         int
 }
 
 // caller sends one request after the other, each entry process over one
 // connection that it keeps open.
 type caller struct {
-	load    *loadGenerator
-	random  *rand.Rand
-	clients []*callers.Client
-	next    int // client
-	own     []*job
+	generator  *loadGenerator
+	random     *rand.Rand
+	clients    []*callers.Client
+	nextClient int // client
+	accepted   []*job
 }
 
-func newCallers(f *fleet, seed uint64) *loadGenerator {
+func newLoadGenerator(f *fleet, seed uint64) *loadGenerator {
 	g := &loadGenerator{fleet: f, jobs: make(map[string]*job)}
 	for i := range callerCount {
-		c := &caller{load: g, random: rand.New(rand.NewPCG(seed, uint64(i)+2)), next: i}
+		c := &caller{generator: g, random: rand.New(rand.NewPCG(seed, uint64(i)+2)), nextClient: i}
 		for _, h := range f.entries {
 			c.clients = append(c.clients, &callers.Client{Host: callersHost, Address: h.clients.Address(), Timeout: callerTimeout})
 		}
@@ -143,8 +143,8 @@
 	var wait sync.WaitGroup
 	for _, c := range g.callers {
 		wait.Go(func() {
-			for pause.For(ctx, time.Duration(c.random.ExpFloat64()*float64(callerPause))) {
-				c.act(ctx)
+			for pause.For(ctx, time.Duration(c.random.ExpFloat64()*float64(meanRequestGap))) {
+				c.sendRandomRequest(ctx)
 			}
 		})
 	}
@@ -152,78 +152,78 @@
 }
 
 // act does one thing that callers do.
-func (c *caller) act(ctx context.Context) {
+func (c *caller) sendRandomRequest(ctx context.Context) {
 	switch n := c.random.IntN(100); {
-	case n < 50 || len(c.own) == 0:
+	case n < 50 || len(c.accepted) == 0:
 		c.submit(ctx, c.newJob())
 	case n < 95:
-		c.look(ctx, c.own[c.random.IntN(len(c.own))])
+		c.queryState(ctx, c.accepted[c.random.IntN(len(c.accepted))])
 	default:
-		c.cancel(ctx, c.own[c.random.IntN(len(c.own))])
+		c.cancel(ctx, c.accepted[c.random.IntN(len(c.accepted))])
 	}
 }
 
 func (c *caller) newJob() *job {
 	total := 0
-	for _, s := range jobShapes {
-		total += s.share
+	for _, s := range jobTemplates {
+		total += s.weight
 	}
 	n := c.random.IntN(total)
 	shape := 0
-	for n >= jobShapes[shape].share {
-		n -= jobShapes[shape].share
+	for n >= jobTemplates[shape].weight {
+		n -= jobTemplates[shape].weight
 		shape++
 	}
-	g := c.load
+	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Watchers never end, so a run has room for a few only.
-	if jobShapes[shape].job.Spec == watchSpec {
-		if g.watches++; g.watches > len(g.fleet.agents) {
+	if jobTemplates[shape].job.Spec == watchSpec {
+		if g.watcherJobs++; g.watcherJobs > len(g.fleet.agents) {
 			shape = 0
 		}
 	}
-	j := &job{id: fmt.Sprintf("%016x", c.random.Uint64()), shape: &jobShapes[shape]}
-	j.path = "/" + j.shape.queue + "/" + j.id
+	j := &job{id: fmt.Sprintf("%016x", c.random.Uint64()), template: &jobTemplates[shape]}
+	j.path = "/" + j.template.queue + "/" + j.id
 	g.jobs[j.id] = j
-	g.order = append(g.order, j)
+	g.jobsInOrder = append(g.jobsInOrder, j)
 	return j
 }
 
 // send sends a request to the next entry process and notes how it ended.
 func (c *caller) send(ask func(*callers.Client) callers.Answer) callers.Answer {
-	n := c.next % len(c.clients)
-	c.next++
+	n := c.nextClient % len(c.clients)
+	c.nextClient++
 	a := ask(c.clients[n])
-	g := c.load
+	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a.Status != 0 {
-		g.answers++
+		g.responses++
 	}
-	if a.Cut(cutSlack) {
-		g.cuts = append(g.cuts, cutRequest{host: g.fleet.entries[n].name, sent: a.Sent, at: a.Sent.Add(a.After), text: a.Err.Error()})
+	if a.Cut(abortTolerance) {
+		g.abortedRequests = append(g.abortedRequests, abortedRequest{host: g.fleet.entries[n].name, sent: a.Sent, abortedAt: a.Sent.Add(a.After), reason: a.Err.Error()})
 	}
 	return a
 }
 
 // unexpected notes an answer that no fault explains.
-func (g *loadGenerator) unexpected(j *job, promise, format string, args ...any) {
+func (g *loadGenerator) recordUnexpected(j *job, promise, format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wrong = append(g.wrong, Broken{Promise: promise, At: time.Now(), Job: j.id, Text: fmt.Sprintf(format, args...)})
+	g.unexpectedResponses = append(g.unexpectedResponses, Broken{Promise: promise, At: time.Now(), Job: j.id, Text: fmt.Sprintf(format, args...)})
 }
 
 // submit hands the job in, again under its id while there is no answer.
 func (c *caller) submit(ctx context.Context, j *job) {
 	refusals, tries := 0, 0
-	for deadline := time.Now().Add(submitFor); time.Now().Before(deadline) && ctx.Err() == nil; {
+	for deadline := time.Now().Add(submitTimeout); time.Now().Before(deadline) && ctx.Err() == nil; {
 		tries++
-		a := c.send(func(client *callers.Client) callers.Answer { return client.Submit(ctx, j.path, j.shape.job) })
+		a := c.send(func(client *callers.Client) callers.Answer { return client.Submit(ctx, j.path, j.template.job) })
 		switch a.Status {
 		case http.StatusOK:
 			j.accepted = time.Now()
-			c.own = append(c.own, j)
+			c.accepted = append(c.accepted, j)
 			return
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			refusals++
@@ -231,26 +231,26 @@
 				deadline = time.Now() // this caller gives up
 			}
 		case http.StatusNotFound, http.StatusGone:
-			c.load.unexpected(j, "a queue that exists is found", "submission answered with %d", a.Status)
+			c.generator.recordUnexpected(j, "a queue that exists is found", "submission answered with %d", a.Status)
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
-	j.refused = refusals == tries
+	j.rejected = refusals == tries
 }
 
 // look asks for the job's state.
-func (c *caller) look(ctx context.Context, j *job) {
+func (c *caller) queryState(ctx context.Context, j *job) {
 	a := c.send(func(client *callers.Client) callers.Answer { return client.State(ctx, j.path) })
 	switch {
 	case a.Malformed:
-		c.load.unexpected(j, "answers are whole", "the state can't be read")
+		c.generator.recordUnexpected(j, "answers are whole", "the state can't be read")
 	case a.Status == http.StatusGone || a.Status == http.StatusNotFound:
-		c.load.unexpected(j, "an accepted job is known", "asked for its state: %d, %v after its acceptance", a.Status, time.Since(j.accepted).Round(time.Millisecond))
+		c.generator.recordUnexpected(j, "an accepted job is known", "asked for its state: %d, %v after its acceptance", a.Status, time.Since(j.accepted).Round(time.Millisecond))
 	case a.Status == http.StatusOK:
-		if before := j.last(); final[before] && a.State != before {
-			c.load.unexpected(j, "a final state stays", "shown as %s after %s", a.State, before)
+		if before := j.lastState(); finalStates[before] && a.State != before {
+			c.generator.recordUnexpected(j, "a final state stays", "shown as %s after %s", a.State, before)
 		}
-		j.states = append(j.states, observed{time.Now(), a.State})
+		j.states = append(j.states, observedState{time.Now(), a.State})
 	}
 }
 
@@ -264,59 +264,59 @@
 		j.cancelled = time.Now()
 	}
 	if a.Status == http.StatusGone {
-		c.load.unexpected(j, "an accepted job is known", "cancellation answered with %d", a.Status)
+		c.generator.recordUnexpected(j, "an accepted job is known", "cancellation answered with %d", a.Status)
 	}
 }
 
 // settle asks for every accepted job until its end is shown, then cancels the
 // watchers and waits until they are gone.
-func (g *loadGenerator) settle(ctx context.Context, within time.Duration) {
+func (g *loadGenerator) waitForJobs(ctx context.Context, within time.Duration) {
 	c := g.callers[0]
 	deadline := time.Now().Add(within)
-	for _, j := range g.order {
+	for _, j := range g.jobsInOrder {
 		// Whether a cancellation without an answer took effect is not known.
-		for !j.cancelSent.IsZero() && j.cancelled.IsZero() && !final[j.last()] && time.Now().Before(deadline) && ctx.Err() == nil {
+		for !j.cancelSent.IsZero() && j.cancelled.IsZero() && !finalStates[j.lastState()] && time.Now().Before(deadline) && ctx.Err() == nil {
 			c.cancel(ctx, j)
 		}
-		for !j.accepted.IsZero() && !g.ended(j) && time.Now().Before(deadline) && ctx.Err() == nil {
-			c.look(ctx, j)
-			if !g.ended(j) {
-				pause.For(ctx, pollEvery)
+		for !j.accepted.IsZero() && !g.settled(j) && time.Now().Before(deadline) && ctx.Err() == nil {
+			c.queryState(ctx, j)
+			if !g.settled(j) {
+				pause.For(ctx, pollInterval)
 			}
 		}
 	}
-	for _, j := range g.order {
-		if !j.accepted.IsZero() && !g.ended(j) {
-			g.unexpected(j, "an accepted job ends", "last shown as %q, %d of its tasks run", j.last(), g.fleet.witness.Live(j.id))
+	for _, j := range g.jobsInOrder {
+		if !j.accepted.IsZero() && !g.settled(j) {
+			g.recordUnexpected(j, "an accepted job ends", "last shown as %q, %d of its tasks run", j.lastState(), g.fleet.witness.Live(j.id))
 		}
 	}
 	g.cancelWatchers(ctx, c)
 }
 
 // ended reports whether nothing more is to come of the job.
-func (g *loadGenerator) ended(j *job) bool {
-	if j.shape.job.Spec == watchSpec && j.cancelSent.IsZero() {
-		return g.fleet.witness.Live(j.id) == j.shape.job.Steps[0].Tasks
+func (g *loadGenerator) settled(j *job) bool {
+	if j.template.job.Spec == watchSpec && j.cancelSent.IsZero() {
+		return g.fleet.witness.Live(j.id) == j.template.job.Steps[0].Tasks
 	}
-	return final[j.last()]
+	return finalStates[j.lastState()]
 }
 
 func (g *loadGenerator) cancelWatchers(ctx context.Context, c *caller) {
 	var watchers []*job
-	for _, j := range g.order {
-		if j.shape.job.Spec == watchSpec && !j.accepted.IsZero() {
+	for _, j := range g.jobsInOrder {
+		if j.template.job.Spec == watchSpec && !j.accepted.IsZero() {
 			watchers = append(watchers, j)
 			for tries := 0; j.cancelled.IsZero() && tries < 20 && ctx.Err() == nil; tries++ {
 				c.cancel(ctx, j)
 			}
 		}
 	}
-	deadline := time.Now().Add(watchersGone)
+	deadline := time.Now().Add(watcherStopTimeout)
 	for _, j := range watchers {
-		for g.fleet.witness.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollEvery) {
+		for g.fleet.witness.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollInterval) {
 		}
 		if n := g.fleet.witness.Live(j.id); n > 0 && ctx.Err() == nil {
-			g.unexpected(j, "cancelled jobs stop", "%d tasks still run", n)
+			g.recordUnexpected(j, "cancelled jobs stop", "%d tasks still run", n)
 		}
 	}
 }
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -15,16 +15,16 @@
 const (
 	// inTouch is how long a machine must have been free of faults for a promise
 	// with a bound to hold for it.
-	inTouch     = 4 * time.Second
-	cancelBound = 4 * time.Second
-	evacuateIn  = 5 * time.Second
-	drainBound  = 3 * time.Second
-	cutSlack    = 200 * time.Millisecond
-	afterGrace  = time.Second // a planned stop's promise covers so much after its grace
+	minFaultFreeTime  = 4 * time.Second
+	cancellationBound = 4 * time.Second
+	evacuationBound   = 5 * time.Second
+	drainBound        = 3 * time.Second
+	abortTolerance    = 200 * time.Millisecond
+	plannedStopMargin = time.Second // a planned stop's promise covers so much after its grace
 )
 
 // absence is a time in which nothing may start in a domain or on a runner.
-type absence struct {
+type noStartPeriod struct {
 	domain string
 	runner string
 	host   string
@@ -32,74 +32,74 @@
 	until  time.Time // zero for not ended
 }
 
-func (a absence) covers(at time.Time, after time.Duration) bool {
+func (a noStartPeriod) covers(at time.Time, after time.Duration) bool {
 	return at.After(a.from.Add(after)) && (a.until.IsZero() || at.Before(a.until))
 }
 
 // evidence is what the checks judge.
-type evidence struct {
-	runs    []taskrunner.Run
-	jobs    map[string]*job
-	cuts    []cutRequest
-	faults  []injected
-	out     []absence
-	drained []absence
+type observations struct {
+	runs            []taskrunner.Run
+	jobs            map[string]*job
+	abortedRequests []abortedRequest
+	faults          []injectedFault
+	domainsOut      []noStartPeriod
+	draining        []noStartPeriod
 }
 
 // check judges one promise.
 type check struct {
 	promise string
-	judge   func(*evidence, func(at time.Time, job, format string, args ...any))
+	find    func(*observations, func(at time.Time, job, format string, args ...any))
 }
 
 var checks = []check{
-	{"steps run in their order", (*evidence).checkOrder},
-	{"no runner holds more than its room", (*evidence).checkRoom},
-	{"failed attempts are counted", (*evidence).checkAttempts},
-	{"a cancelled job starts nothing", (*evidence).checkCancels},
-	{"nothing starts in a domain that is out", (*evidence).checkDomains},
-	{"nothing starts on a draining runner", (*evidence).checkDrains},
-	{"a refused job never runs", (*evidence).checkRefusals},
-	{"a completed job has done its work", (*evidence).checkCompleted},
-	{"a job ends as its tasks do", (*evidence).checkEnds},
-	{"a planned stop cuts no request off", (*evidence).checkPlannedStops},
+	{"steps run in their order", (*observations).checkOrder},
+	{"no runner holds more than its room", (*observations).checkCapacity},
+	{"failed attempts are counted", (*observations).checkAttempts},
+	{"a cancelled job starts nothing", (*observations).checkCancellations},
+	{"nothing starts in a domain that is out", (*observations).checkDomains},
+	{"nothing starts on a draining runner", (*observations).checkDrains},
+	{"a refused job never runs", (*observations).checkRejections},
+	{"a completed job has done its work", (*observations).checkCompleted},
+	{"a job ends as its tasks do", (*observations).checkFinalStates},
+	{"a planned stop cuts no request off", (*observations).checkPlannedStops},
 }
 
 // judge applies every check to what the run has shown.
-func (r *Run) judge() *Result {
-	g := r.callers
-	result := &Result{Seed: r.Seed, Faults: r.done, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Answers: g.answers}
+func (r *Run) evaluate() *Result {
+	g := r.generator
+	result := &Result{Seed: r.Seed, Faults: r.injected, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Responses: g.responses}
 	for _, h := range r.fleet.hosts() {
 		result.Processes = append(result.Processes, h.name)
 		if h.process.Ended() {
-			r.fail("processes do not end by themselves", fmt.Errorf("%s has ended", h.name))
+			r.recordFailure("processes do not end by themselves", fmt.Errorf("%s has ended", h.name))
 		}
 	}
 	result.Starts = len(result.Runs)
-	result.Broken = append(append(result.Broken, g.wrong...), r.failures...)
+	result.Broken = append(append(result.Broken, g.unexpectedResponses...), r.failures...)
 	for _, v := range r.fleet.witness.Violations() {
-		result.Broken = append(result.Broken, Broken{"a task runs once at a time and not after its end", v.At, jobOf(v.Task), v.Text})
+		result.Broken = append(result.Broken, Broken{"a task runs once at a time and not after its end", v.At, jobID(v.Task), v.Text})
 	}
 	for _, h := range r.fleet.agents {
-		r.noteDrain(h)
+		r.recordDrain(h)
 	}
-	for _, j := range g.order {
+	for _, j := range g.jobsInOrder {
 		if !j.accepted.IsZero() {
 			result.Accepted++
-		} else if j.refused {
-			result.Refused++
+		} else if j.rejected {
+			result.Rejected++
 		}
 	}
-	e := &evidence{runs: result.Runs, jobs: g.jobs, cuts: g.cuts, faults: r.done, out: r.out, drained: r.drained}
-	result.Broken = append(result.Broken, e.judge()...)
+	e := &observations{runs: result.Runs, jobs: g.jobs, abortedRequests: g.abortedRequests, faults: r.injected, domainsOut: r.domainsOut, draining: r.draining}
+	result.Broken = append(result.Broken, e.findViolations()...)
 	slices.SortStableFunc(result.Broken, func(a, b Broken) int { return a.At.Compare(b.At) })
 	return result
 }
 
-func (e *evidence) judge() []Broken {
+func (e *observations) findViolations() []Broken {
 	var all []Broken
 	for _, c := range checks {
-		c.judge(e, func(at time.Time, job, format string, args ...any) {
+		c.find(e, func(at time.Time, job, format string, args ...any) {
 			all = append(all, Broken{c.promise, at, job, fmt.Sprintf(format, args...)})
 		})
 	}
@@ -107,23 +107,23 @@
 }
 
 // fail notes a promise that broke beside the checks.
-func (r *Run) fail(promise string, err error) {
+func (r *Run) recordFailure(promise string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, Broken{Promise: promise, At: time.Now(), Text: err.Error()})
 }
 
 // calm reports whether no unplanned fault touched the host in the time before at.
-func (e *evidence) calm(host string, at time.Time, before time.Duration) bool {
+func (e *observations) faultFree(host string, at time.Time, before time.Duration) bool {
 	from := at.Add(-before)
-	return !slices.ContainsFunc(e.faults, func(f injected) bool {
+	return !slices.ContainsFunc(e.faults, func(f injectedFault) bool {
 		touches := f.Host == "" || f.Host == host
 		return touches && !f.Planned && f.Began.Before(at) && (f.Ended.IsZero() || f.Ended.After(from))
 	})
 }
 
 // taskName is the parts of a task's name, job.occurrence.step.index.
-func taskName(task string) (job string, step int) {
+func parseTaskName(task string) (job string, step int) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 {
 		return task, 0
@@ -135,15 +135,15 @@
 	return parts[0], step
 }
 
-func jobOf(task string) string { job, _ := taskName(task); return job }
+func jobID(task string) string { job, _ := parseTaskName(task); return job }
 
 // hostOf is the agent beside a runner.
-func hostOf(runner string) string { return strings.TrimPrefix(runner, runnerPrefix) }
+func hostName(runner string) string { return strings.TrimPrefix(runner, runnerPrefix) }
 
-type report = func(at time.Time, job, format string, args ...any)
+type violationReporter = func(at time.Time, job, format string, args ...any)
 
 // firstDone returns when each task first ended well.
-func (e *evidence) firstDone() map[string]time.Time {
+func (e *observations) firstCompletions() map[string]time.Time {
 	done := make(map[string]time.Time)
 	for _, x := range e.runs {
 		if first, ok := done[x.Task]; x.How == "done" && (!ok || x.Ended.Before(first)) {
@@ -153,17 +153,17 @@
 	return done
 }
 
-func (e *evidence) checkOrder(broken report) {
-	done := e.firstDone()
+func (e *observations) checkOrder(broken violationReporter) {
+	done := e.firstCompletions()
 	for _, x := range e.runs {
-		id, step := taskName(x.Task)
+		id, step := parseTaskName(x.Task)
 		j := e.jobs[id]
-		if j == nil || step >= len(j.shape.job.Steps) {
+		if j == nil || step >= len(j.template.job.Steps) {
 			broken(x.Began, id, "%s started on %s, which nobody submitted", x.Task, x.Runner)
 			continue
 		}
-		for _, before := range j.shape.job.Steps[step].After {
-			for index := range j.shape.job.Steps[before].Tasks {
+		for _, before := range j.template.job.Steps[step].After {
+			for index := range j.template.job.Steps[before].Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", id, before, index)
 				if at, ok := done[name]; !ok || at.After(x.Began) {
 					broken(x.Began, id, "%s started on %s before %s was done", x.Task, x.Runner, name)
@@ -173,7 +173,7 @@
 	}
 }
 
-func (e *evidence) checkRoom(broken report) {
+func (e *observations) checkCapacity(broken violationReporter) {
 	type change struct {
 		at   time.Time
 		by   int
@@ -192,13 +192,13 @@
 		running := 0
 		for _, c := range list {
 			if running += c.by; c.by > 0 && running > runnerCores {
-				broken(c.at, jobOf(c.task), "%s started on %s, which then ran %d tasks with room for %d", c.task, name, running, runnerCores)
+				broken(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with room for %d", c.task, name, running, runnerCores)
 			}
 		}
 	}
 }
 
-func (e *evidence) checkAttempts(broken report) {
+func (e *observations) checkAttempts(broken violationReporter) {
 	failures := make(map[string][]time.Time)
 	for _, x := range e.runs {
 		if x.How == "failed" && x.Noted {
@@ -213,57 +213,57 @@
 			}
 		}
 		if n >= maxAttempts {
-			broken(x.Began, jobOf(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
+			broken(x.Began, jobID(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
 		}
 	}
 }
 
-func (e *evidence) checkCancels(broken report) {
+func (e *observations) checkCancellations(broken violationReporter) {
 	for _, x := range e.runs {
-		j := e.jobs[jobOf(x.Task)]
-		if j == nil || j.cancelled.IsZero() || !x.Began.After(j.cancelled.Add(cancelBound)) || !e.calm(hostOf(x.Runner), x.Began, inTouch) {
+		j := e.jobs[jobID(x.Task)]
+		if j == nil || j.cancelled.IsZero() || !x.Began.After(j.cancelled.Add(cancellationBound)) || !e.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
 			continue
 		}
 		broken(x.Began, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.Began.Sub(j.cancelled).Round(time.Millisecond))
 	}
 }
 
-func (e *evidence) checkDomains(broken report) {
+func (e *observations) checkDomains(broken violationReporter) {
 	for _, x := range e.runs {
-		for _, a := range e.out {
-			if a.domain == x.Domain && a.covers(x.Began, evacuateIn) && e.calm(hostOf(x.Runner), x.Began, inTouch) {
-				broken(x.Began, jobOf(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond), a.domain)
+		for _, a := range e.domainsOut {
+			if a.domain == x.Domain && a.covers(x.Began, evacuationBound) && e.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
+				broken(x.Began, jobID(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond), a.domain)
 			}
 		}
 	}
 }
 
-func (e *evidence) checkDrains(broken report) {
+func (e *observations) checkDrains(broken violationReporter) {
 	for _, x := range e.runs {
-		for _, a := range e.drained {
-			if a.runner == x.Runner && a.covers(x.Began, drainBound) && e.calm(a.host, x.Began, inTouch) {
-				broken(x.Began, jobOf(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond))
+		for _, a := range e.draining {
+			if a.runner == x.Runner && a.covers(x.Began, drainBound) && e.faultFree(a.host, x.Began, minFaultFreeTime) {
+				broken(x.Began, jobID(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-func (e *evidence) checkRefusals(broken report) {
+func (e *observations) checkRejections(broken violationReporter) {
 	for _, x := range e.runs {
-		if j := e.jobs[jobOf(x.Task)]; j != nil && j.refused {
+		if j := e.jobs[jobID(x.Task)]; j != nil && j.rejected {
 			broken(x.Began, j.id, "%s started on %s although every submission was refused", x.Task, x.Runner)
 		}
 	}
 }
 
-func (e *evidence) checkCompleted(broken report) {
-	done := e.firstDone()
+func (e *observations) checkCompleted(broken violationReporter) {
+	done := e.firstCompletions()
 	for _, j := range e.jobs {
-		i := slices.IndexFunc(j.states, func(o observed) bool { return o.state == completed })
+		i := slices.IndexFunc(j.states, func(o observedState) bool { return o.state == completed })
 		if i < 0 {
 			continue
 		}
-		for step, s := range j.shape.job.Steps {
+		for step, s := range j.template.job.Steps {
 			for index := range s.Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", j.id, step, index)
 				if at, ok := done[name]; !ok || at.After(j.states[i].at) {
@@ -275,30 +275,30 @@
 }
 
 // checkEnds compares the state in which a job ended with what its tasks do.
-func (e *evidence) checkEnds(broken report) {
+func (e *observations) checkFinalStates(broken violationReporter) {
 	for _, j := range e.jobs {
-		state := j.last()
-		if !final[state] {
+		state := j.lastState()
+		if !finalStates[state] {
 			continue
 		}
-		want := map[string]string{hopelessSpec: failed, watchSpec: cancelled}[j.shape.job.Spec]
+		want := map[string]string{failingSpec: failed, watchSpec: cancelled}[j.template.job.Spec]
 		if want == "" {
 			want = completed
 		}
 		if state != want && (state != cancelled || j.cancelSent.IsZero()) {
-			broken(j.states[len(j.states)-1].at, j.id, "a %s job was shown as %s", j.shape.job.Spec, state)
+			broken(j.states[len(j.states)-1].at, j.id, "a %s job was shown as %s", j.template.job.Spec, state)
 		}
 	}
 }
 
-func (e *evidence) checkPlannedStops(broken report) {
-	for _, c := range e.cuts {
+func (e *observations) checkPlannedStops(broken violationReporter) {
+	for _, c := range e.abortedRequests {
 		for _, f := range e.faults {
-			if f.Kind != terminateKind || f.Host != c.host || c.at.Before(f.Began) || c.at.After(f.Began.Add(graceWithin+afterGrace)) {
+			if f.Kind != terminateKind || f.Host != c.host || c.abortedAt.Before(f.Began) || c.abortedAt.After(f.Began.Add(gracePeriod+plannedStopMargin)) {
 				continue
 			}
-			if e.calm(c.host, c.at, inTouch+c.at.Sub(c.sent)) {
-				broken(c.at, "", "%s broke a request off %v after it had been sent: %s", c.host, c.at.Sub(c.sent).Round(time.Millisecond), c.text)
+			if e.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
+				broken(c.abortedAt, "", "%s broke a request off %v after it had been sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
 			}
 		}
 	}
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -83,12 +83,12 @@
 	n := c.Int("processes")
 	p := &campaign{command: c, dir: dir, entries: max(2, n/(agentsPerEntry+1))}
 	p.agents = n - p.entries
-	if err := p.play(ctx); err != nil {
+	if err := p.runSeeds(ctx); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.Root().Writer, "%d seeds, %d with a broken promise; logs in %s\n", len(p.results), p.broken, dir)
 	if path := c.String("report"); path != "" {
-		if err := p.report(path); err != nil {
+		if err := p.writeReport(path); err != nil {
 			return err
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // play runs the seeds, some at a time.
-func (p *campaign) play(ctx context.Context) error {
+func (p *campaign) runSeeds(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, p.command.Int("parallel")))
 	deadline := time.Now().Add(time.Duration(p.command.Float("minutes") * float64(time.Minute)))
@@ -115,12 +115,12 @@
 		if !p.command.IsSet("seed") {
 			seed = rand.Uint64N(1_000_000_000)
 		}
-		group.Go(func() error { return p.playSeed(ctx, seed) })
+		group.Go(func() error { return p.runSeed(ctx, seed) })
 	}
 	return group.Wait()
 }
 
-func (p *campaign) playSeed(ctx context.Context, seed uint64) error {
+func (p *campaign) runSeed(ctx context.Context, seed uint64) error {
 	run := &Run{
 		Seed: seed, Faults: p.command.Duration("faults"), Entries: p.entries, Agents: p.agents,
 		Binary: p.command.String("node"), Dir: filepath.Join(p.dir, fmt.Sprint("seed-", seed)), Only: p.command.String("only"),
@@ -135,15 +135,15 @@
 	if len(result.Broken) > 0 {
 		p.broken++
 	}
-	return result.Write(p.command.Root().Writer, p.again(seed))
+	return result.Write(p.command.Root().Writer, p.reproduceCommand(seed))
 }
 
 // again is the command that plays a seed again.
-func (p *campaign) again(seed uint64) string {
+func (p *campaign) reproduceCommand(seed uint64) string {
 	return fmt.Sprintf("wasabihill-soak --seed %d --processes %d --faults %s", seed, p.entries+p.agents, p.command.Duration("faults"))
 }
 
-func (p *campaign) report(path string) error {
+func (p *campaign) writeReport(path string) error {
 	html, err := os.Create(path)
 	if err != nil {
 		return fault.Wrap("report", NotStarted, err)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,89 +13,89 @@
 )
 
 // target is what a kind of fault strikes.
-type target int
+type faultTarget int
 
 const (
-	entries  target = iota // one entry process
-	agents                 // one agent, its runner or its links
-	anyHost                // one process of either role
-	allHosts               // every process
+	entries  faultTarget = iota // one entry process
+	agents                      // one agent, its runner or its links
+	anyHost                     // one process of either role
+	allHosts                    // every process
 )
 
 // kind is a kind of fault.
-type kind struct {
-	name    string
-	on      target
-	process bool // stops or pauses the process, so that two at a time make no sense
-	planned bool // operators do it, so promises about planned work hold
-	longest time.Duration
-	begin   func(*Run, *host)
-	end     func(*Run, *host)
+type faultKind struct {
+	name         string
+	target       faultTarget
+	stopsProcess bool // stops or pauses the process, so that two at a time make no sense
+	planned      bool // operators do it, so promises about planned work hold
+	maxDuration  time.Duration
+	begin        func(*Run, *host)
+	end          func(*Run, *host)
 }
 
 // terminateKind is the planned stop of a process.
 const terminateKind = "terminate"
 
 // kinds lists every kind of fault once.
-var kinds = []kind{
+var faultKinds = []faultKind{
 	{"kill", anyHost, true, false, 3 * time.Second, (*Run).kill, (*Run).restart},
 	{terminateKind, anyHost, true, true, 3 * time.Second, (*Run).terminate, (*Run).restart},
-	{"pause", anyHost, true, false, 9 * time.Second, send(syscall.SIGSTOP), send(syscall.SIGCONT)},
+	{"pause", anyHost, true, false, 9 * time.Second, sendSignal(syscall.SIGSTOP), sendSignal(syscall.SIGCONT)},
 	{"killAll", allHosts, true, false, time.Second, (*Run).kill, (*Run).restart},
 	{"hangup", anyHost, false, true, time.Millisecond, (*Run).changeSettings, nil},
 	{"settingsChange", anyHost, false, true, time.Millisecond, (*Run).rewriteSettings, nil},
 
-	{"sessionsSilent", anyHost, false, false, 6 * time.Second, silence(sessions, true, true), restore(sessions)},
-	{"sessionsOneWay", anyHost, false, false, 6 * time.Second, silence(sessions, true, false), restore(sessions)},
-	{"sessionsNoAnswers", anyHost, false, false, 6 * time.Second, silence(sessions, false, true), restore(sessions)},
-	{"sessionsReset", anyHost, false, false, time.Millisecond, reset(sessions), nil},
-	{"sessionsSlow", anyHost, false, false, 5 * time.Second, delay(sessions, 150*time.Millisecond), restore(sessions)},
-	{"sessionsRefused", anyHost, false, false, 5 * time.Second, refuse(sessions), restore(sessions)},
-
-	{"storeLinkSilent", anyHost, false, false, 6 * time.Second, silence(storeLink, true, true), restore(storeLink)},
-	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, silence(storeLink, false, true), restore(storeLink)},
-	{"storeLinkReset", anyHost, false, false, time.Millisecond, reset(storeLink), nil},
-	{"storeRefuses", anyHost, false, false, 5 * time.Second, door(metastore.Fault{Status: 503}), door(metastore.Fault{})},
-	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, door(metastore.Fault{Lose: true, Appends: true}), door(metastore.Fault{})},
-	{"storeWritesLate", anyHost, false, false, 4 * time.Second, door(metastore.Fault{Lose: true, Late: 2 * time.Second, Appends: true}), door(metastore.Fault{})},
-	{"storeSlow", allHosts, false, false, 4 * time.Second, door(metastore.Fault{Delay: 200 * time.Millisecond}), door(metastore.Fault{})},
-	{"storeSilent", allHosts, false, false, 5 * time.Second, door(metastore.Fault{Silent: true}), door(metastore.Fault{})},
-	{"storeDown", allHosts, false, false, 5 * time.Second, door(metastore.Fault{Reset: true}), door(metastore.Fault{})},
+	{"sessionsSilent", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, true, true), restoreLink(sessionLink)},
+	{"sessionsOneWay", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, true, false), restoreLink(sessionLink)},
+	{"sessionsNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, false, true), restoreLink(sessionLink)},
+	{"sessionsReset", anyHost, false, false, time.Millisecond, resetLink(sessionLink), nil},
+	{"sessionsSlow", anyHost, false, false, 5 * time.Second, delayLink(sessionLink, 150*time.Millisecond), restoreLink(sessionLink)},
+	{"sessionsRefused", anyHost, false, false, 5 * time.Second, refuseConnections(sessionLink), restoreLink(sessionLink)},
+
+	{"storeLinkSilent", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, true, true), restoreLink(storeLink)},
+	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, false, true), restoreLink(storeLink)},
+	{"storeLinkReset", anyHost, false, false, time.Millisecond, resetLink(storeLink), nil},
+	{"storeRefuses", anyHost, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Status: 503}), setStoreFault(metastore.Fault{})},
+	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Lose: true, Appends: true}), setStoreFault(metastore.Fault{})},
+	{"storeWritesLate", anyHost, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Lose: true, Late: 2 * time.Second, Appends: true}), setStoreFault(metastore.Fault{})},
+	{"storeSlow", allHosts, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Delay: 200 * time.Millisecond}), setStoreFault(metastore.Fault{})},
+	{"storeSilent", allHosts, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Silent: true}), setStoreFault(metastore.Fault{})},
+	{"storeDown", allHosts, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Reset: true}), setStoreFault(metastore.Fault{})},
 	{"storeForgets", allHosts, false, false, time.Millisecond, func(r *Run, _ *host) { r.fleet.store.Forget() }, nil},
 
-	{"clientsReset", entries, false, false, time.Millisecond, reset(clientLink), nil},
-	{"clientsSlow", entries, false, false, 4 * time.Second, delay(clientLink, 100*time.Millisecond), restore(clientLink)},
+	{"clientsReset", entries, false, false, time.Millisecond, resetLink(clientLink), nil},
+	{"clientsSlow", entries, false, false, 4 * time.Second, delayLink(clientLink, 100*time.Millisecond), restoreLink(clientLink)},
 
-	{"runnerSilent", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{Silent: true}), runner(taskrunner.Fault{})},
-	{"runnerRefuses", agents, false, false, 4 * time.Second, runner(taskrunner.Fault{Status: 503}), runner(taskrunner.Fault{})},
-	{"runnerLate", agents, false, false, 4 * time.Second, runner(taskrunner.Fault{LateBy: 1500 * time.Millisecond}), runner(taskrunner.Fault{})},
-	{"runnerMute", agents, false, false, 5 * time.Second, runner(taskrunner.Fault{HeldBack: true}), runner(taskrunner.Fault{})},
+	{"runnerSilent", agents, false, false, 5 * time.Second, setRunnerFault(taskrunner.Fault{Silent: true}), setRunnerFault(taskrunner.Fault{})},
+	{"runnerRefuses", agents, false, false, 4 * time.Second, setRunnerFault(taskrunner.Fault{Status: 503}), setRunnerFault(taskrunner.Fault{})},
+	{"runnerLate", agents, false, false, 4 * time.Second, setRunnerFault(taskrunner.Fault{LateBy: 1500 * time.Millisecond}), setRunnerFault(taskrunner.Fault{})},
+	{"runnerMute", agents, false, false, 5 * time.Second, setRunnerFault(taskrunner.Fault{HeldBack: true}), setRunnerFault(taskrunner.Fault{})},
 	{"runnerCrash", agents, false, false, 4 * time.Second, func(_ *Run, h *host) { h.runner.Crash() }, func(_ *Run, h *host) { h.runner.Restart() }},
 	{"runnerReborn", agents, false, false, time.Millisecond, func(_ *Run, h *host) { h.runner.Restart() }, nil},
 	{"runnerDrains", agents, false, true, 6 * time.Second, func(_ *Run, h *host) { h.runner.Drain() }, (*Run).replaceRunner},
-	{"runnerLinkReset", agents, false, false, time.Millisecond, reset(runnerLink), nil},
-	{"runnerLinkSilent", agents, false, false, 5 * time.Second, silence(runnerLink, true, true), restore(runnerLink)},
+	{"runnerLinkReset", agents, false, false, time.Millisecond, resetLink(runnerLink), nil},
+	{"runnerLinkSilent", agents, false, false, 5 * time.Second, silenceLink(runnerLink, true, true), restoreLink(runnerLink)},
 
 	{"configuration", entries, false, true, time.Millisecond, (*Run).configure, nil},
-	{"evacuation", agents, false, true, 8 * time.Second, (*Run).evacuate, (*Run).takeBack},
+	{"evacuation", agents, false, true, 8 * time.Second, (*Run).evacuate, (*Run).endEvacuation},
 }
 
 func (r *Run) kill(h *host) { h.process.Kill() }
 
 func (r *Run) restart(h *host) {
 	if err := h.restart(r); err != nil {
-		r.fail("a process starts again", err)
+		r.recordFailure("a process starts again", err)
 	}
 }
 
 // terminate stops the process as an operator does.
 func (r *Run) terminate(h *host) {
-	if !h.process.Terminate(graceWithin) {
-		r.fail("a planned stop ends in time", fmt.Errorf("%s was killed after %v", h.name, graceWithin))
+	if !h.process.Terminate(gracePeriod) {
+		r.recordFailure("a planned stop ends in time", fmt.Errorf("%s was killed after %v", h.name, gracePeriod))
 	}
 }
 
-func send(s syscall.Signal) func(*Run, *host) {
+func sendSignal(s syscall.Signal) func(*Run, *host) {
 	return func(_ *Run, h *host) { h.process.Signal(s) }
 }
 
@@ -113,40 +113,46 @@
 }
 
 // link selects a relay of a host; nil where the host has none.
-type link func(*host) *relay.Relay
+type linkSelector func(*host) *relay.Relay
 
-func sessions(h *host) *relay.Relay   { return h.sessions }
-func storeLink(h *host) *relay.Relay  { return h.toStore }
-func clientLink(h *host) *relay.Relay { return h.clients }
-func runnerLink(h *host) *relay.Relay { return h.toRunner }
+func sessionLink(h *host) *relay.Relay { return h.sessions }
+func storeLink(h *host) *relay.Relay   { return h.toStore }
+func clientLink(h *host) *relay.Relay  { return h.clients }
+func runnerLink(h *host) *relay.Relay  { return h.toRunner }
 
-func silence(l link, forward, backward bool) func(*Run, *host) {
+func silenceLink(l linkSelector, forward, backward bool) func(*Run, *host) {
 	return func(_ *Run, h *host) { l(h).Silence(forward, backward) }
 }
 
-func restore(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Restore() } }
+func restoreLink(l linkSelector) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Restore() } }
 
-func reset(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Reset() } }
+func resetLink(l linkSelector) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Reset() } }
 
-func refuse(l link) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Refuse(true) } }
+func refuseConnections(l linkSelector) func(*Run, *host) {
+	return func(_ *Run, h *host) { l(h).Refuse(true) }
+}
 
-func delay(l link, d time.Duration) func(*Run, *host) {
+func delayLink(l linkSelector, d time.Duration) func(*Run, *host) {
 	return func(_ *Run, h *host) { l(h).Delay(d) }
 }
 
-func door(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.door.Set(f) } }
+func setStoreFault(f metastore.Fault) func(*Run, *host) {
+	return func(_ *Run, h *host) { h.storeFrontend.Set(f) }
+}
 
-func runner(f taskrunner.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.runner.Set(f) } }
+func setRunnerFault(f taskrunner.Fault) func(*Run, *host) {
+	return func(_ *Run, h *host) { h.runner.Set(f) }
+}
 
 // replaceRunner begins a new life of a runner that has drained.
 func (r *Run) replaceRunner(h *host) {
-	r.noteDrain(h)
+	r.recordDrain(h)
 	h.runner.Restart()
 }
 
 func (r *Run) configure(*host) {
 	if err := r.fleet.configure(); err != nil {
-		r.fail("a configuration is written", err)
+		r.recordFailure("a configuration is written", err)
 	}
 }
 
@@ -159,33 +165,33 @@
 		return
 	}
 	r.fleet.operator.Evacuate(h.domain, true)
-	r.out = append(r.out, absence{domain: h.domain, from: time.Now()})
+	r.domainsOut = append(r.domainsOut, noStartPeriod{domain: h.domain, from: time.Now()})
 }
 
 // takeBack ends one evacuation of the host's failure domain; the domain is back
 // with the end of the last one.
-func (r *Run) takeBack(h *host) {
+func (r *Run) endEvacuation(h *host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evacuations[h.domain]--
 	if r.evacuations[h.domain] > 0 {
 		return
 	}
-	for i := range r.out {
-		if r.out[i].domain == h.domain && r.out[i].until.IsZero() {
-			r.out[i].until = time.Now()
+	for i := range r.domainsOut {
+		if r.domainsOut[i].domain == h.domain && r.domainsOut[i].until.IsZero() {
+			r.domainsOut[i].until = time.Now()
 		}
 	}
 	r.fleet.operator.Evacuate(h.domain, false)
 }
 
 // noteDrain keeps when an agent learned that its runner drains.
-func (r *Run) noteDrain(h *host) {
+func (r *Run) recordDrain(h *host) {
 	known := h.runner.Drained()
 	if known.IsZero() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drained = append(r.drained, absence{runner: h.runner.ID, host: h.name, from: known, until: time.Now()})
+	r.draining = append(r.draining, noStartPeriod{runner: h.runner.ID, host: h.name, from: known, until: time.Now()})
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -31,24 +31,24 @@
 	// runnerPrefix and the name of its host make the id of a runner.
 	runnerPrefix = "runner-"
 	// graceWithin is when a planned stop is cut off; the settings say so too.
-	graceWithin = 6 * time.Second
+	gracePeriod = 6 * time.Second
 )
 
 // host is one machine: a process of ours with the links to it and from it, and
 // on an agent's machine the runner.
 type host struct {
-	name     string
-	role     string // entry or agent
-	domain   string
-	settings deployment.Process
-	process  *childprocess.Process
-	door     *metastore.Door
-	toStore  *relay.Relay
-	sessions *relay.Relay // links of other processes to this one
-	clients  *relay.Relay // of an entry process
-	runner   *taskrunner.Runner
-	toRunner *relay.Relay
-	toAgent  *relay.Relay // announcements of the runner
+	name          string
+	role          string // entry or agent
+	domain        string
+	settings      deployment.Process
+	process       *childprocess.Process
+	storeFrontend *metastore.Door
+	toStore       *relay.Relay
+	sessions      *relay.Relay // links of other processes to this one
+	clients       *relay.Relay // of an entry process
+	runner        *taskrunner.Runner
+	toRunner      *relay.Relay
+	toAgent       *relay.Relay // announcements of the runner
 
 }
 
@@ -74,10 +74,10 @@
 }
 
 // work tells a runner what the tasks of a job do, by the job's spec.
-func work(_, spec string) taskrunner.Work {
+func workOf(_, spec string) taskrunner.Work {
 	return map[string]taskrunner.Work{
 		quickSpec: {Time: 60 * time.Millisecond}, slowSpec: {Time: 700 * time.Millisecond},
-		hopelessSpec: {Time: 30 * time.Millisecond, Fails: true}, watchSpec: {},
+		failingSpec: {Time: 30 * time.Millisecond, Fails: true}, watchSpec: {},
 	}[spec]
 }
 
@@ -94,7 +94,7 @@
 		if i >= r.Entries {
 			role, n = "agent", i-r.Entries
 		}
-		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), door: store.Open()}
+		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), storeFrontend: store.Open()}
 		if err := h.connect(r, fmt.Sprintf("%s.%d", net, 2*i+1), fmt.Sprintf("%s.%d", net, 2*i+2)); err != nil {
 			f.close()
 			return nil, err
@@ -123,14 +123,14 @@
 		opened, err = relay.NewAt(address, target)
 		return opened
 	}
-	h.toStore = open("127.0.0.1:0", h.door.Address)
-	h.sessions = open(at(advertised, deployment.SessionPort), at(ip, deployment.SessionPort))
+	h.toStore = open("127.0.0.1:0", h.storeFrontend.Address)
+	h.sessions = open(joinAddress(advertised, deployment.SessionPort), joinAddress(ip, deployment.SessionPort))
 	h.settings = deployment.Process{Name: h.name, IP: ip, Domain: h.domain, Service: service, MemoryMb: 256, First: true}
 	if h.role == "entry" {
-		h.clients = open("127.0.0.1:0", at(ip, deployment.ClientsPort))
+		h.clients = open("127.0.0.1:0", joinAddress(ip, deployment.ClientsPort))
 	} else {
-		h.toRunner = open("127.0.0.1:0", at(ip, runnerPort))
-		h.toAgent = open("127.0.0.1:0", at(ip, deployment.HeartbeatsPort))
+		h.toRunner = open("127.0.0.1:0", joinAddress(ip, runnerPort))
+		h.toAgent = open("127.0.0.1:0", joinAddress(ip, deployment.HeartbeatsPort))
 	}
 	if err != nil {
 		return fault.Wrap("open relays of "+h.name, NotStarted, err)
@@ -149,7 +149,7 @@
 
 func (h *host) settingsPath(r *Run) string { return filepath.Join(r.Dir, h.name+".toml") }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func joinAddress(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 func (h *host) writeSettings(path string) error {
 	// A process may read the file at any moment; it never sees half of one.
@@ -168,7 +168,7 @@
 	h.runner = taskrunner.New(taskrunner.Settings{
 		ID: runnerPrefix + h.name, Service: service, Domain: h.domain, Labels: []string{"a", fmt.Sprint("rack-", n/2)},
 		Cores: runnerCores, MemoryMb: 64_000, Witness: f.witness, LeaseLimit: 10 * time.Second, StopTime: 20 * time.Millisecond,
-		AcceptsAll: true, ClockRate: 1 - 0.005*float64(n%5), Work: work,
+		AcceptsAll: true, ClockRate: 1 - 0.005*float64(n%5), Work: workOf,
 	})
 	listener, err := net.Listen("tcp", h.toRunner.Target())
 	if err != nil {
@@ -217,7 +217,7 @@
 	deadline := time.Now().Add(within)
 	for _, h := range f.entries {
 		for !h.ready(client) {
-			if time.Now().After(deadline) || !pause.For(ctx, pollEvery) {
+			if time.Now().After(deadline) || !pause.For(ctx, pollInterval) {
 				return fault.New("start", NotStarted, "%s is not ready; its log is %s", h.name, h.process.Log)
 			}
 		}
@@ -226,7 +226,7 @@
 }
 
 func (h *host) ready(client *http.Client) bool {
-	response, err := client.Get("http://" + at(h.settings.IP, deployment.ReadinessPort) + deployment.ReadinessPath)
+	response, err := client.Get("http://" + joinAddress(h.settings.IP, deployment.ReadinessPort) + deployment.ReadinessPath)
 	if err != nil {
 		return false
 	}
@@ -235,7 +235,7 @@
 }
 
 // links returns every relay of the host.
-func (h *host) links() []*relay.Relay {
+func (h *host) relays() []*relay.Relay {
 	var all []*relay.Relay
 	for _, l := range []*relay.Relay{h.toStore, h.sessions, h.clients, h.toRunner, h.toAgent} {
 		if l != nil {
@@ -246,10 +246,10 @@
 }
 
 // heal ends every fault and starts what does not run.
-func (f *fleet) heal(r *Run) {
+func (f *fleet) clearFaults(r *Run) {
 	for _, h := range f.hosts() {
-		h.door.Set(metastore.Fault{})
-		for _, l := range h.links() {
+		h.storeFrontend.Set(metastore.Fault{})
+		for _, l := range h.relays() {
 			l.Restore()
 		}
 		if h.runner != nil {
@@ -270,9 +270,9 @@
 	}
 	f.stop()
 	for _, h := range f.hosts() {
-		for _, l := range h.links() {
+		for _, l := range h.relays() {
 			l.Close()
 		}
-		h.door.Close()
+		h.storeFrontend.Close()
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -17,9 +17,9 @@
 const (
 	// Log lines from linesBefore to linesAfter around a broken promise are
 	// shown, at most linesPerProcess of each process.
-	linesBefore     = 1500 * time.Millisecond
-	linesAfter      = 300 * time.Millisecond
-	linesPerProcess = 12
+	logLinesBefore     = 1500 * time.Millisecond
+	logLinesAfter      = 300 * time.Millisecond
+	maxLinesPerProcess = 12
 )
 
 // excerpt returns the lines of a process's log around a time; those that name
@@ -35,7 +35,7 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		at, ok := lineTime(lines.Text(), b.At)
-		if !ok || at.Before(b.At.Add(-linesBefore)) || at.After(b.At.Add(linesAfter)) {
+		if !ok || at.Before(b.At.Add(-logLinesBefore)) || at.After(b.At.Add(logLinesAfter)) {
 			continue
 		}
 		if b.Job != "" && strings.Contains(lines.Text(), b.Job) {
@@ -44,8 +44,8 @@
 			others = append(others, lines.Text())
 		}
 	}
-	others = others[max(0, len(others)-max(0, linesPerProcess-len(naming))):]
-	kept := append(naming[:min(len(naming), linesPerProcess)], others...)
+	others = others[max(0, len(others)-max(0, maxLinesPerProcess-len(naming))):]
+	kept := append(naming[:min(len(naming), maxLinesPerProcess)], others...)
 	slices.SortStableFunc(kept, func(a, b string) int { return strings.Compare(a[1:min(len(a), 21)], b[1:min(len(b), 21)]) })
 	return kept
 }
@@ -70,7 +70,7 @@
 		verdict = fmt.Sprintf("BROKEN %d", len(r.Broken))
 	}
 	_, err := fmt.Fprintf(w, "seed %-20d %-10s %4d jobs accepted, %d refused; %5d answers, %5d starts, %2d faults; %.1f s\n",
-		r.Seed, verdict, r.Accepted, r.Refused, r.Answers, r.Starts, len(r.Faults), r.Took.Seconds())
+		r.Seed, verdict, r.Accepted, r.Rejected, r.Responses, r.Starts, len(r.Faults), r.Took.Seconds())
 	if err != nil || len(r.Broken) == 0 {
 		return err
 	}
@@ -84,12 +84,12 @@
 	first := r.Broken[0]
 	fmt.Fprintf(w, "  first, %.3f s after the start: %s: job %s: %s\n  again: %s\n  faults around it:\n", first.At.Sub(r.Began).Seconds(), first.Promise, first.Job, first.Text, command)
 	for _, f := range r.Faults {
-		if f.Began.Before(first.At) && f.Ended.After(first.At.Add(-2*inTouch)) {
+		if f.Began.Before(first.At) && f.Ended.After(first.At.Add(-2*minFaultFreeTime)) {
 			fmt.Fprintf(w, "    %6.2f to %6.2f s %s %s\n", f.Began.Sub(r.Began).Seconds(), f.Ended.Sub(r.Began).Seconds(), f.Kind, f.Host)
 		}
 	}
 	for _, x := range r.Runs {
-		if first.Job != "" && jobOf(x.Task) == first.Job {
+		if first.Job != "" && jobID(x.Task) == first.Job {
 			ended := "runs on"
 			if !x.Ended.IsZero() {
 				ended = fmt.Sprintf("%s at %.3f s, recorded %t", x.How, x.Ended.Sub(r.Began).Seconds(), x.Noted)
@@ -114,7 +114,7 @@
 			Broken   []Broken
 			Accepted int
 			Starts   int
-			Faults   []injected
+			Faults   []injectedFault
 		}{r.Seed, r.Broken, r.Accepted, r.Starts, r.Faults})
 		if err != nil {
 			return err
@@ -166,7 +166,7 @@
 			l.Name = "all"
 		}
 		for _, x := range r.Runs {
-			if hostOf(x.Runner) == name {
+			if hostName(x.Runner) == name {
 				l.Bars = append(l.Bars, place(x.Began, x.Ended, "run", fmt.Sprintf("%s attempt %d %s", x.Task, x.Attempt, x.How)))
 			}
 		}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -10,15 +10,15 @@
 )
 
 // planned is one fault of a schedule. Equal seeds give equal schedules.
-type planned struct {
-	kind *kind
-	host int // index in the fleet's hosts; -1 for what concerns all
-	at   time.Duration
-	long time.Duration
+type scheduledFault struct {
+	kind     *faultKind
+	host     int // index in the fleet's hosts; -1 for what concerns all
+	at       time.Duration
+	duration time.Duration
 }
 
 // injected is a fault that was injected.
-type injected struct {
+type injectedFault struct {
 	Kind    string
 	Host    string // empty for all
 	Planned bool   // by operators
@@ -28,27 +28,27 @@
 
 const (
 	// faultsPerSecond lets two or three faults overlap most of the time.
-	faultsPerSecond = 0.9
-	shortestFault   = 300 * time.Millisecond
+	faultsPerSecond  = 0.9
+	minFaultDuration = 300 * time.Millisecond
 	// processRest is left between two faults of one process, so that most begin
 	// at a process that is at work.
-	processRest = time.Second
+	processRecoveryTime = time.Second
 )
 
 // schedule draws the faults of a run.
-func schedule(r *Run) []planned {
+func schedule(r *Run) []scheduledFault {
 	random := rand.New(rand.NewPCG(r.Seed, 1))
-	var list []planned
-	chosen := slices.DeleteFunc(slices.Clone(kinds), func(k kind) bool { return r.Only != "" && k.name != r.Only })
+	var list []scheduledFault
+	chosen := slices.DeleteFunc(slices.Clone(faultKinds), func(k faultKind) bool { return r.Only != "" && k.name != r.Only })
 	if len(chosen) == 0 {
 		return nil
 	}
 	for range int(faultsPerSecond * r.Faults.Seconds()) {
 		k := &chosen[random.IntN(len(chosen))]
-		p := planned{kind: k, host: -1, at: time.Duration(random.Int64N(int64(r.Faults)))}
-		p.long = shortestFault + time.Duration(random.Int64N(int64(k.longest)))
-		p.long = min(p.long, r.Faults-p.at)
-		switch k.on {
+		p := scheduledFault{kind: k, host: -1, at: time.Duration(random.Int64N(int64(r.Faults)))}
+		p.duration = minFaultDuration + time.Duration(random.Int64N(int64(k.maxDuration)))
+		p.duration = min(p.duration, r.Faults-p.at)
+		switch k.target {
 		case entries:
 			p.host = random.IntN(r.Entries)
 		case agents:
@@ -58,17 +58,17 @@
 		}
 		list = append(list, p)
 	}
-	slices.SortFunc(list, func(a, b planned) int { return int(a.at - b.at) })
-	return withoutClashes(list)
+	slices.SortFunc(list, func(a, b scheduledFault) int { return int(a.at - b.at) })
+	return dropOverlapping(list)
 }
 
 // withoutClashes drops faults of a process that would begin during another one
 // of the same process, or of all of them.
-func withoutClashes(list []planned) []planned {
+func dropOverlapping(list []scheduledFault) []scheduledFault {
 	free := make(map[int]time.Duration) // by host: when its process is at work again
-	var kept []planned
+	var kept []scheduledFault
 	for _, p := range list {
-		if p.kind.process {
+		if p.kind.stopsProcess {
 			busy := max(free[p.host], free[-1])
 			if p.host == -1 {
 				for _, until := range free {
@@ -78,9 +78,9 @@
 			if p.at < busy {
 				continue
 			}
-			free[p.host] = p.at + p.long + processRest
+			free[p.host] = p.at + p.duration + processRecoveryTime
 			if p.kind.name == terminateKind {
-				free[p.host] += graceWithin // until it has stopped, at the latest
+				free[p.host] += gracePeriod // until it has stopped, at the latest
 			}
 		}
 		kept = append(kept, p)
@@ -89,7 +89,7 @@
 }
 
 // inject begins a fault and ends it.
-func (r *Run) inject(ctx context.Context, p planned) {
+func (r *Run) inject(ctx context.Context, p scheduledFault) {
 	var targets []*host
 	name := ""
 	if p.host >= 0 {
@@ -98,26 +98,26 @@
 	} else {
 		targets = r.fleet.hosts()
 	}
-	n := r.record(injected{Kind: p.kind.name, Host: name, Planned: p.kind.planned, Began: time.Now()})
+	n := r.record(injectedFault{Kind: p.kind.name, Host: name, Planned: p.kind.planned, Began: time.Now()})
 	for _, h := range targets {
 		if p.kind.begin != nil {
 			p.kind.begin(r, h)
 		}
 	}
-	pause.For(ctx, p.long)
+	pause.For(ctx, p.duration)
 	for _, h := range targets {
 		if p.kind.end != nil {
 			p.kind.end(r, h)
 		}
 	}
 	r.mu.Lock()
-	r.done[n].Ended = time.Now()
+	r.injected[n].Ended = time.Now()
 	r.mu.Unlock()
 }
 
-func (r *Run) record(f injected) int {
+func (r *Run) record(f injectedFault) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done = append(r.done, f)
-	return len(r.done) - 1
+	r.injected = append(r.injected, f)
+	return len(r.injected) - 1
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -33,14 +33,14 @@
 
 const (
 	// readyWithin bounds the first start of everything.
-	readyWithin = 15 * time.Second
+	readyTimeout = 15 * time.Second
 	// calmBefore is the time without faults before the first one.
-	calmBefore = 1500 * time.Millisecond
+	initialFaultFreeTime = 1500 * time.Millisecond
 	// settleWithin is how long accepted jobs may take after the last fault: a
 	// takeover, the leases of what was lost, and the work itself.
-	settleWithin = 25 * time.Second
+	jobsTimeout = 25 * time.Second
 	// pollEvery spaces repeated questions.
-	pollEvery = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
 // Run is one soak of one seed. Set the exported fields before Run.
@@ -53,16 +53,16 @@
 	Dir     string // of settings and logs
 	Only    string // inject this kind of fault alone; empty for all
 
-	began   time.Time // of the calm before the faults
-	fleet   *fleet
-	callers *loadGenerator
+	began     time.Time // of the calm before the faults
+	fleet     *fleet
+	generator *loadGenerator
 
-	mu   sync.Mutex // of what follows
-	done []injected
-	out  []absence // domains
+	mu         sync.Mutex // of what follows
+	injected   []injectedFault
+	domainsOut []noStartPeriod // domains
 	// evacuations counts those of each domain that have begun and not ended.
 	evacuations map[string]int
-	drained     []absence // runners
+	draining    []noStartPeriod // runners
 	failures    []Broken
 }
 
@@ -72,10 +72,10 @@
 	Took      time.Duration
 	Broken    []Broken // promises, the first first
 	Accepted  int
-	Refused   int
-	Answers   int
+	Rejected  int
+	Responses int
 	Starts    int
-	Faults    []injected
+	Faults    []injectedFault
 	Runs      []taskrunner.Run
 	Began     time.Time
 	Processes []string // names, in the order of their logs
@@ -95,7 +95,7 @@
 	if r.Entries < 2 || r.Agents < 2 {
 		return nil, fault.New("soak", Invalid, "%d entry processes and %d agents; want two of each at least", r.Entries, r.Agents)
 	}
-	if r.Only != "" && !slices.ContainsFunc(kinds, func(k kind) bool { return k.name == r.Only }) {
+	if r.Only != "" && !slices.ContainsFunc(faultKinds, func(k faultKind) bool { return k.name == r.Only }) {
 		return nil, fault.New("soak", Invalid, "no kind of fault is called %q", r.Only)
 	}
 	if err := os.MkdirAll(r.Dir, 0o755); err != nil {
@@ -112,36 +112,36 @@
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	if err := f.awaitReady(ctx, readyWithin); err != nil {
+	if err := f.awaitReady(ctx, readyTimeout); err != nil {
 		return nil, err
 	}
-	r.callers = newCallers(f, r.Seed)
-	defer r.callers.close()
-	r.play(ctx)
-	result := r.judge()
+	r.generator = newLoadGenerator(f, r.Seed)
+	defer r.generator.close()
+	r.execute(ctx)
+	result := r.evaluate()
 	result.Took = time.Since(begin)
 	return result, ctx.Err()
 }
 
 // play offers load, injects the faults, heals everything and waits until all
 // accepted jobs have ended.
-func (r *Run) play(ctx context.Context) {
+func (r *Run) execute(ctx context.Context) {
 	r.began = time.Now()
 	load, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var group errgroup.Group
-	group.Go(func() error { r.callers.run(load); return nil })
+	group.Go(func() error { r.generator.run(load); return nil })
 	for _, f := range schedule(r) {
-		if !pause.For(ctx, time.Until(r.began.Add(calmBefore+f.at))) {
+		if !pause.For(ctx, time.Until(r.began.Add(initialFaultFreeTime+f.at))) {
 			break
 		}
 		group.Go(func() error { r.inject(ctx, f); return nil })
 	}
-	pause.For(ctx, time.Until(r.began.Add(calmBefore+r.Faults)))
+	pause.For(ctx, time.Until(r.began.Add(initialFaultFreeTime+r.Faults)))
 	stopLoad()
 	_ = group.Wait() // neither returns an error
-	r.fleet.heal(r)
-	r.callers.settle(ctx, settleWithin)
+	r.fleet.clearFaults(r)
+	r.generator.waitForJobs(ctx, jobsTimeout)
 }
 
 func (r *Run) String() string {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -44,7 +44,7 @@
 }
 
 // soakOf plays a seed against a build of the program.
-func soakOf(t *testing.T, seed uint64, program, only string) *Result {
+func runSeed(t *testing.T, seed uint64, program, only string) *Result {
 	t.Helper()
 	r := &Run{Seed: seed, Faults: 12 * time.Second, Entries: 3, Agents: 4, Binary: program, Dir: t.TempDir(), Only: only}
 	result, err := r.Run(context.Background())
@@ -66,7 +66,7 @@
 		{663123972, "a start under way reached a runner born again under its id and was taken for lost (runner.replaceIncarnation, scheduler.setRunner)"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
-			result := soakOf(t, c.seed, binary, "")
+			result := runSeed(t, c.seed, binary, "")
 			if result.Accepted == 0 || result.Starts == 0 {
 				t.Fatalf("nothing happened: %d jobs accepted, %d starts", result.Accepted, result.Starts)
 			}
@@ -82,11 +82,11 @@
 }
 
 // A schedule must be the same for the same seed, or a seed tells nothing.
-func TestScheduleIsThatOfItsSeed(t *testing.T) {
+func TestScheduleIsSameForSeed(t *testing.T) {
 	text := func(seed uint64) string {
 		out := ""
 		for _, p := range schedule(&Run{Seed: seed, Faults: 20 * time.Second, Entries: 3, Agents: 6}) {
-			out += fmt.Sprintln(p.kind.name, p.host, p.at, p.long)
+			out += fmt.Sprintln(p.kind.name, p.host, p.at, p.duration)
 		}
 		return out
 	}
@@ -100,35 +100,35 @@
 }
 
 // change is an edit that breaks the product.
-type change struct{ file, from, to string }
+type sourceEdit struct{ file, from, to string }
 
 // Each broken build must be caught, or the checks prove nothing. The edits are
 // applied with go build -overlay; the sources stay as they are.
 func TestBrokenBuildsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		change  change
+		change  sourceEdit
 		only    string // kind of fault that brings it out; empty for none of its own
 		promise string
 	}{
 		{
 			"an end is acknowledged before it is durable, and forgotten",
-			change{"internal/scheduler/report.go", "	s.markDirty(t.job)\n	if t.step.tasksLeft == 0 {", "	if t.step.tasksLeft == 0 {"},
+			sourceEdit{"internal/scheduler/report.go", "	s.markDirty(t.job)\n	if t.step.tasksLeft == 0 {", "	if t.step.tasksLeft == 0 {"},
 			"killAll", "a task runs once at a time and not after its end",
 		},
 		{
 			"steps do not wait for each other",
-			change{"internal/scheduler/submit.go", "		if o.steps[dependency].tasksLeft > 0 {\n			return false\n		}\n", "		_ = dependency\n"},
+			sourceEdit{"internal/scheduler/submit.go", "		if o.steps[dependency].tasksLeft > 0 {\n			return false\n		}\n", "		_ = dependency\n"},
 			"configuration", "steps run in their order",
 		},
 		{
 			"a worker's capacity is ignored",
-			change{"internal/scheduler/place.go", "st.reservation().Fits(w.capacity.Sub(w.used)) && ", ""},
+			sourceEdit{"internal/scheduler/place.go", "st.reservation().Fits(w.capacity.Sub(w.used)) && ", ""},
 			"configuration", "no runner holds more than its room",
 		},
 		{
 			"evacuated domains get tasks",
-			change{"internal/scheduler/place.go", " || s.operatorState.OutOfService[w.runner.Domain]", ""},
+			sourceEdit{"internal/scheduler/place.go", " || s.operatorState.OutOfService[w.runner.Domain]", ""},
 			"evacuation", "nothing starts in a domain that is out",
 		},
 	} {
@@ -138,7 +138,7 @@
 			if err := build(program, "-overlay", overlay(t, c.change)); err != nil {
 				t.Fatal(err)
 			}
-			result := soakOf(t, 3, program, c.only)
+			result := runSeed(t, 3, program, c.only)
 			for _, b := range result.Broken {
 				if b.Promise == c.promise {
 					return
@@ -150,7 +150,7 @@
 }
 
 // overlay writes a changed copy of a source file and returns the overlay's path.
-func overlay(t *testing.T, c change) string {
+func overlay(t *testing.T, c sourceEdit) string {
 	t.Helper()
 	source, err := filepath.Abs(filepath.Join("..", "..", c.file))
 	if err != nil {
@@ -175,34 +175,34 @@
 }
 
 // The checks that no broken build brings out are shown what they must find.
-func TestChecksFindWhatTheyLookFor(t *testing.T) {
+func TestChecksFindViolations(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	quick, hopeless := &jobShapes[0], &jobShapes[2]
+	quick, hopeless := &jobTemplates[0], &jobTemplates[2]
 	for _, c := range []struct {
 		name, promise string
-		e             evidence
+		e             observations
 	}{
-		{"attempts", "failed attempts are counted", evidence{jobs: map[string]*job{"j": {id: "j", shape: hopeless}}, runs: []taskrunner.Run{
+		{"attempts", "failed attempts are counted", observations{jobs: map[string]*job{"j": {id: "j", template: hopeless}}, runs: []taskrunner.Run{
 			{Task: "j.0.0.0", Runner: "runner-a", Began: at(0), Ended: at(1), How: "failed", Noted: true},
 			{Task: "j.0.0.0", Runner: "runner-a", Began: at(1), Ended: at(2), How: "failed", Noted: true},
 			{Task: "j.0.0.0", Runner: "runner-a", Began: at(3)},
 		}}},
-		{"cancel", "a cancelled job starts nothing", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, cancelled: at(0)}},
+		{"cancel", "a cancelled job starts nothing", observations{jobs: map[string]*job{"j": {id: "j", template: quick, cancelled: at(0)}},
 			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(5)}}}},
-		{"drain", "nothing starts on a draining runner", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick}},
-			drained: []absence{{runner: "runner-a", host: "a", from: at(0), until: at(9)}},
-			runs:    []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(4)}}}},
-		{"refusal", "a refused job never runs", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, refused: true}},
+		{"drain", "nothing starts on a draining runner", observations{jobs: map[string]*job{"j": {id: "j", template: quick}},
+			draining: []noStartPeriod{{runner: "runner-a", host: "a", from: at(0), until: at(9)}},
+			runs:     []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(4)}}}},
+		{"refusal", "a refused job never runs", observations{jobs: map[string]*job{"j": {id: "j", template: quick, rejected: true}},
 			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", Began: at(5)}}}},
-		{"completed", "a completed job has done its work", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), completed}}}}}},
-		{"end", "a job ends as its tasks do", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), failed}}}}}},
-		{"planned stop", "a planned stop cuts no request off", evidence{cuts: []cutRequest{{host: "entry-0", sent: at(0.5), at: at(1)}},
-			faults: []injected{{Kind: terminateKind, Host: "entry-0", Planned: true, Began: at(0), Ended: at(3)}}}},
-		{"unknown job", "steps run in their order", evidence{runs: []taskrunner.Run{{Task: "x.0.0.0", Began: at(0)}}}},
+		{"completed", "a completed job has done its work", observations{jobs: map[string]*job{"j": {id: "j", template: quick, states: []observedState{{at(1), completed}}}}}},
+		{"end", "a job ends as its tasks do", observations{jobs: map[string]*job{"j": {id: "j", template: quick, states: []observedState{{at(1), failed}}}}}},
+		{"planned stop", "a planned stop cuts no request off", observations{abortedRequests: []abortedRequest{{host: "entry-0", sent: at(0.5), abortedAt: at(1)}},
+			faults: []injectedFault{{Kind: terminateKind, Host: "entry-0", Planned: true, Began: at(0), Ended: at(3)}}}},
+		{"unknown job", "steps run in their order", observations{runs: []taskrunner.Run{{Task: "x.0.0.0", Began: at(0)}}}},
 	} {
 		found := false
-		for _, b := range c.e.judge() {
+		for _, b := range c.e.findViolations() {
 			found = found || b.Promise == c.promise
 		}
 		if !found {
@@ -212,15 +212,15 @@
 }
 
 // A fault on the machine excuses a late start there, and only there.
-func TestCalmExcusesTheMachineAlone(t *testing.T) {
+func TestFaultExcusesOnlyItsMachine(t *testing.T) {
 	start := time.Now()
-	e := &evidence{faults: []injected{{Kind: "kill", Host: "agent-0", Began: start, Ended: start.Add(time.Second)}}}
+	e := &observations{faults: []injectedFault{{Kind: "kill", Host: "agent-0", Began: start, Ended: start.Add(time.Second)}}}
 	for host, want := range map[string]bool{"agent-0": false, "agent-1": true} {
-		if got := e.calm(host, start.Add(3*time.Second), inTouch); got != want {
+		if got := e.faultFree(host, start.Add(3*time.Second), minFaultFreeTime); got != want {
 			t.Errorf("calm at %s: got %t, want %t", host, got, want)
 		}
 	}
-	if !e.calm("agent-0", start.Add(6*time.Second), inTouch) {
+	if !e.faultFree("agent-0", start.Add(6*time.Second), minFaultFreeTime) {
 		t.Error("the machine is not calm again after the bound")
 	}
 }
