--- a/internal/faulttest/domain_test.go
+++ b/internal/faulttest/domain_test.go
@@ -11,13 +11,13 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// obeyWithin is how long a process may take to obey that a domain is out or an
-// endpoint is leaving.
+// maxReactionTime is how long tasks may still start in a domain that was taken
+// out, and requests may still reach an endpoint that is leaving.
 const maxReactionTime = 3 * time.Second
 
-// TestDomainOut guards against an agent that starts tasks in a failure domain
-// that operators have taken out because the news has not reached it, or because
-// a start that it sent in time arrives late.
+// TestDomainOut guards against tasks that start in a failure domain after
+// operators have taken it out, because the agent has not received the change, or
+// because a start that it sent in time reaches the worker late.
 func TestDomainOut(t *testing.T) {
 	t.Parallel()
 	for _, f := range []fault{
@@ -35,7 +35,7 @@
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			s := startSystem(t)
-			w := s.StartRecording(trafficDuration)
+			recorder := s.StartRecording(trafficDuration)
 			jobs := []units.JobID{s.Submit("first", 60, time.Second), s.Submit("second", 60, time.Second)}
 			time.Sleep(1500 * time.Millisecond)
 			f.inject(s)
@@ -47,7 +47,7 @@
 			s.setDomain(environment.DomainIn)
 			s.WaitForJobs(jobsTimeout, "completed", jobs...)
 			s.checkDomainOut(out, in)
-			w.Check()
+			recorder.Check()
 		})
 	}
 }
@@ -64,8 +64,8 @@
 	s.SetFault(s.LogAddress, `{}`)
 }
 
-// setDomain takes the victim's domain out or in, and returns when the
-// operator was told.
+// setDomain takes the victim's failure domain out or back in, and returns the
+// time at which the operator received the acknowledgement.
 func (s *System) setDomain(state environment.DomainState) time.Time {
 	s.t.Helper()
 	key := administration.NewKey()
@@ -91,34 +91,34 @@
 		}
 	}
 	if before == 0 || elsewhere == 0 {
-		s.t.Errorf("%d starts in the domain before and %d elsewhere after it was out; the check needs some", before, elsewhere)
+		s.t.Errorf("%d starts in the domain before it was taken out and %d elsewhere afterwards; the check needs at least one of each", before, elsewhere)
 	}
 }
 
 // TestEndpointLeaves guards against requests that reach an endpoint more than a
-// few seconds after it announced that it is leaving, while an entry process
-// cannot hear of it.
+// few seconds after it announced that it is leaving, when an entry process does
+// not receive the announcement in time.
 func TestEndpointLeaves(t *testing.T) {
 	t.Parallel()
 	for _, f := range []fault{
-		{"entryHearsNothing", func(s *System) { s.Victim.ToEntry[0].Silence(true, false) }},
+		{"entryReceivesNothing", func(s *System) { s.Victim.ToEntry[0].Silence(true, false) }},
 		{"entryPaused", func(s *System) { pauseProcess(2*time.Second, s.Entries[0].Process) }},
 		{"agentReplaced", func(s *System) { s.Victim.Agent.Kill(); s.Victim.Agent.Start(s.t) }},
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			s := startSystem(t)
-			w := s.StartRecording(trafficDuration)
+			recorder := s.StartRecording(trafficDuration)
 			time.Sleep(time.Second)
 			s.Victim.AnnounceLeaving()
 			left := time.Now()
 			f.inject(s)
-			time.Sleep(time.Until(left.Add(maxReactionTime + time.Second))) // announcements come every second
+			time.Sleep(time.Until(left.Add(maxReactionTime + time.Second))) // announcements are sent every second
 			before := s.executedRequests(s.Victim)
 			time.Sleep(3 * time.Second)
 			if after := s.executedRequests(s.Victim); before == 0 || after != before {
-				t.Errorf("guarantee 8: executed %d requests until 4 s after it announced that it is leaving, and %d by 7 s", before, after)
+				t.Errorf("guarantee 8: the endpoint had executed %d requests 4 s after it announced that it is leaving and %d requests after 7 s", before, after)
 			}
-			w.Check()
+			recorder.Check()
 		})
 	}
 }
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -15,7 +15,7 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// watcherJob is the job of the watcher that the document names.
+// watcherJob is the job of the watcher in the document.
 const watcherJob units.JobID = "watcher/freezeMonitor1"
 
 var binaries string
@@ -39,11 +39,11 @@
 	return m.Run()
 }
 
-// systems bounds the number of systems at a time: each has 15 processes, and
+// systemSlots limits the number of systems at a time: each has 15 processes, and
 // the machine is shared.
 var systemSlots = make(chan struct{}, 4)
 
-// start starts a system when fewer than the bound are running.
+// startSystem starts a system as soon as a slot is free.
 func startSystem(t *testing.T) *System {
 	t.Helper()
 	t.Parallel()
@@ -53,26 +53,26 @@
 }
 
 const (
-	// settleWithin bounds how long work may take to end after the faults: an
-	// entry process counts as dead after 15 s and a lease ends after 9 s.
+	// jobsTimeout bounds how long jobs may take to end after the faults: an entry
+	// process is declared dead after 15 s and a lease expires after 9 s.
 	jobsTimeout = 60 * time.Second
-	// pause is longer than a lease of 8 s, after which the lessor waits for 1 s.
+	// agentPause exceeds the lease of 8 s and the further 1 s that the lessor waits.
 	agentPause = 12 * time.Second
-	// lapse is longer than a lease of 8 s and its margin of 1 s.
+	// leaseLapse exceeds the lease of 8 s and its margin of 1 s.
 	leaseLapse = 10 * time.Second
-	// silence is longer than the 2-3 s in which a silent connection is noticed.
+	// silenceDuration exceeds the 2-3 s after which a silent connection is detected.
 	silenceDuration = 5 * time.Second
-	// traffic is how long callers send requests, at most.
+	// trafficDuration is the longest time for which callers send requests.
 	trafficDuration = 15 * time.Second
 )
 
-// fault is one case: something that goes wrong and is over when inject returns.
+// fault is a named fault; inject injects it and may clear it before it returns.
 type fault struct {
 	name   string
 	inject func(*System)
 }
 
-// leaseFaults last so long that the leases of the victim's tasks end.
+// leaseFaults last long enough for the leases of the victim's tasks to expire.
 var leaseFaults = []fault{
 	{"agentKilled", agentKilled},
 	{"agentPaused", func(s *System) { pauseProcess(agentPause, s.Victim.Agent) }},
@@ -83,14 +83,15 @@
 	{"agentPartitionedInLogOutage", agentPartitionedInLogOutage},
 }
 
-// TestLeasesEnd guards against a task that is lost, or runs in two places, when
-// the lease of its worker ends while its holder is dead, paused or cut off.
+// TestLeasesEnd guards against a task that is lost, or runs on two workers, when
+// the lease of its worker expires because the agent or the worker is dead, paused
+// or partitioned.
 func TestLeasesEnd(t *testing.T) {
 	t.Parallel()
 	for _, f := range leaseFaults {
 		t.Run(f.name, func(t *testing.T) {
 			s := startSystem(t)
-			runFault(s, f, 11*time.Second) // still running when the lease ends
+			runFault(s, f, 11*time.Second) // still running when the lease expires
 			expired := 0
 			for _, r := range s.Runs() {
 				if r.Worker == s.Victim.ID && r.State == workerapi.Expired {
@@ -98,13 +99,13 @@
 				}
 			}
 			if expired == 0 {
-				t.Errorf("no lease ended on %s, so the fault missed its victim", s.Victim.ID)
+				t.Errorf("no run on %s ended with an expired lease; the fault had no effect", s.Victim.ID)
 			}
 		})
 	}
 }
 
-// faults are shorter than a lease, or leave the leases alone.
+// faults are shorter than a lease, or do not affect the leases.
 var faults = []fault{
 	{"agentKilledAtRandom", agentKilledAtRandom},
 	{"entryPaused", func(s *System) { pauseProcess(silenceDuration, s.Entries[0].Process) }},
@@ -129,8 +130,9 @@
 	{"entryKilledInPartition", entryKilledInPartition},
 }
 
-// TestFaults guards against work lost, run twice or answered wrongly when a
-// process, a connection or the log fails while tasks start and requests arrive.
+// TestFaults guards against tasks that are lost or run twice, and requests that
+// get a wrong response, when a process, a connection or the log fails while tasks
+// start and requests arrive.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	for _, f := range faults {
@@ -138,11 +140,11 @@
 	}
 }
 
-// runFault injects a fault into a system at work and checks the guarantees. The
-// victim is the node of a task that runs for the given time.
+// runFault injects a fault into a system under load and checks the guarantees.
+// The victim is the node of a task that runs for the time given by long.
 func runFault(s *System, f fault, long time.Duration) {
 	s.t.Helper()
-	w := s.StartRecording(trafficDuration)
+	recorder := s.StartRecording(trafficDuration)
 	jobs := s.submitWork(long)
 	s.Victim = s.nodeOf(jobs[0])
 	time.Sleep(500 * time.Millisecond) // more tasks start
@@ -154,10 +156,10 @@
 	}
 	s.WaitUntil(jobsTimeout, "every worker and endpoint is ready again", s.checkReady)
 	s.WaitUntil(jobsTimeout, "the watcher runs", s.checkWatcherRuns)
-	w.Check()
+	recorder.Check()
 }
 
-// nodeOf returns the node on which the first task of the job runs.
+// nodeOf returns the node of the job's first run.
 func (s *System) nodeOf(id units.JobID) (node *Node) {
 	s.t.Helper()
 	s.WaitUntil(10*time.Second, "the long task runs", func(context.Context) error {
@@ -175,7 +177,7 @@
 	return node
 }
 
-// watcherRuns checks that the watcher of the document runs in one place.
+// checkWatcherRuns checks that the watcher runs on exactly one worker.
 func (s *System) checkWatcherRuns(context.Context) error {
 	open := 0
 	for _, r := range s.runsOf(watcherJob) {
@@ -184,13 +186,13 @@
 		}
 	}
 	if open != 1 {
-		return fmt.Errorf("it runs in %d places", open)
+		return fmt.Errorf("the watcher runs on %d workers", open)
 	}
 	return nil
 }
 
-// submitWork submits short tasks, so that some start at every moment of a
-// fault, and a job of longer ones first.
+// submitWork submits a job of long tasks and then jobs of short tasks, so that
+// tasks start throughout a fault.
 func (s *System) submitWork(long time.Duration) []units.JobID {
 	ids := []units.JobID{s.Submit("long", 4, long)}
 	for i := range 4 {
--- a/internal/faulttest/hops_test.go
+++ b/internal/faulttest/hops_test.go
@@ -10,9 +10,9 @@
 	"wasabihill.example/wasabihill/internal/relay"
 )
 
-// TestHopsAreRelayed guards against faults that are injected beside the traffic:
-// a process that dials around its relay, as agents did when they advertised
-// their own link address instead of the configured one.
+// TestHopsAreRelayed guards against faults that do not affect the traffic because
+// a process bypasses its relay, as happened when agents advertised their own link
+// address instead of the configured one.
 func TestHopsAreRelayed(t *testing.T) {
 	s := startSystem(t)
 	s.StartRecording(10 * time.Second)
@@ -22,13 +22,13 @@
 			lease += n.ToLink.Carried()
 			for _, r := range append([]*relay.Relay{n.ToEndpoint, n.ToWorker}, n.ToEntry[:]...) {
 				if r.Carried() == 0 {
-					return fmt.Errorf("nothing went from %s to %s", n.ID, r.Target())
+					return fmt.Errorf("no data was relayed from %s to %s", n.ID, r.Target())
 				}
 			}
 		}
 		for _, e := range s.Entries {
 			if e.ToLog.Carried() == 0 {
-				return fmt.Errorf("nothing went from %s to the log", e.ID)
+				return fmt.Errorf("no data was relayed from %s to the log", e.ID)
 			}
 		}
 		if lease == 0 {
--- a/internal/faulttest/inject_test.go
+++ b/internal/faulttest/inject_test.go
@@ -8,12 +8,12 @@
 	"wasabihill.example/wasabihill/internal/relay"
 )
 
-// slowStart delays what reaches a worker, so that a kill of its agent falls
+// slowStart delays requests to a worker by 200 ms, so that its agent is killed
 // between the admission of a task and its start.
 const slowStart = `{"delay":200000000}`
 
-// agentKilled kills an agent for longer than its lease, while starts are on
-// their way to its worker.
+// agentKilled kills an agent while start requests to its worker are in flight, and
+// restarts it after its lease has expired.
 func agentKilled(s *System) {
 	n := s.Victim
 	s.SetFault(n.WorkerAddress, slowStart)
@@ -24,8 +24,8 @@
 	n.Agent.Start(s.t)
 }
 
-// agentKilledAtRandom kills an agent again and again and replaces it at once,
-// with starts that reach its worker late.
+// agentKilledAtRandom kills and immediately restarts an agent at random intervals,
+// while start requests reach its worker late.
 func agentKilledAtRandom(s *System) {
 	random := rand.New(rand.NewPCG(7, 1))
 	s.SetFault(s.Victim.WorkerAddress, slowStart)
@@ -58,8 +58,8 @@
 	}
 }
 
-// refusedAndCut breaks every connection of one agent, one of each kind at a
-// time, and refuses new ones for a while; the others are slow.
+// refusedAndCut cuts the victim's connections, one relay at a time, and refuses new
+// ones for 1.5 s, while the other relays are slow.
 func refusedAndCut(s *System) {
 	n := s.Victim
 	all := append([]*relay.Relay{n.ToEndpoint, n.ToLink, n.ToWorker}, n.ToEntry[:]...)
@@ -74,16 +74,16 @@
 	}
 }
 
-// agentPausedInLogOutage leaves no one who could record the end of the lease
-// while the worker's tasks stop.
+// agentPausedInLogOutage pauses an agent past its lease during a log outage, so
+// that no process can record the lease expiry while the worker's tasks stop.
 func agentPausedInLogOutage(s *System) {
 	s.SetFault(s.LogAddress, `{"outage":true}`)
 	pauseProcess(leaseLapse, s.Victim.Agent)
 	s.SetFault(s.LogAddress, `{}`)
 }
 
-// agentPausedWhileEntryIsKilled has the other entry process take over the jobs
-// while the lease of their holder ends.
+// agentPausedWhileEntryIsKilled moves the jobs to the other entry process while the
+// lease of the paused agent expires.
 func agentPausedWhileEntryIsKilled(s *System) {
 	s.Victim.Agent.Signal(syscall.SIGSTOP)
 	entryKilled(s)
@@ -91,8 +91,8 @@
 	s.Victim.Agent.Signal(syscall.SIGCONT)
 }
 
-// agentPartitionedInLogOutage cuts an agent off from everything but its worker
-// and endpoint while the log is down.
+// agentPartitionedInLogOutage partitions an agent from the entry processes and the
+// other agents, but not from its worker and endpoint, during a log outage.
 func agentPartitionedInLogOutage(s *System) {
 	s.SetFault(s.LogAddress, `{"outage":true}`)
 	silenceRelaysFor(leaseLapse, true, true, append(s.leaseRelays(), s.Victim.ToEntry[:]...)...)
--- a/internal/faulttest/jobs_test.go
+++ b/internal/faulttest/jobs_test.go
@@ -14,15 +14,15 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// maxAttempts bounds the attempts of a task that always fails: four failures on
-// at least two workers end it, or eight when it never got to a second worker.
+// maxAttempts is the limit on attempts of a task that always fails: the task fails
+// after four failures on at least two workers, or after eight on a single worker.
 const maxAttempts = 8
 
-// TestJobAlwaysFails guards against a job that is tried forever, or that fails
-// without a reason that its team can see.
+// TestJobAlwaysFails guards against a job that is retried forever, or that fails
+// without a reason that is visible to its team, when all its tasks fail.
 func TestJobAlwaysFails(t *testing.T) {
 	s := startSystem(t)
-	w := s.StartRecording(trafficDuration)
+	recorder := s.StartRecording(trafficDuration)
 	for _, n := range s.Nodes {
 		s.SetFault(n.WorkerAddress, `{"failTasks":true}`)
 	}
@@ -41,7 +41,7 @@
 	ended := 0
 	for task, n := range attempts {
 		if n > maxAttempts {
-			t.Errorf("%s was tried %d times, want at most %d", task, n, maxAttempts)
+			t.Errorf("%s had %d attempts, want at most %d", task, n, maxAttempts)
 		}
 		if n >= 4 && len(workers[task]) >= 2 {
 			ended++
@@ -53,12 +53,12 @@
 	before := len(s.runsOf(job.ID))
 	time.Sleep(2 * time.Second)
 	if after := len(s.runsOf(job.ID)); after != before {
-		t.Errorf("%d runs started after the job had failed", after-before)
+		t.Errorf("%d runs started after the job failed", after-before)
 	}
-	w.Check()
+	recorder.Check()
 }
 
-// taskRun is one run of a task.
+// taskRun is one run of a task on a worker.
 type taskRun struct {
 	task    string
 	worker  units.WorkerID
@@ -79,8 +79,9 @@
 	return list
 }
 
-// TestCancellations guards against a cancelled job that keeps running or starts
-// later, and against room that a cancelled start never gives back.
+// TestCancellations guards against a cancelled job that continues to run or starts
+// later, and against resources that a cancelled start never releases, when
+// cancellations race with starts.
 func TestCancellations(t *testing.T) {
 	t.Parallel()
 	for _, f := range []fault{
@@ -94,7 +95,7 @@
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			s := startSystem(t)
-			w := s.StartRecording(trafficDuration)
+			recorder := s.StartRecording(trafficDuration)
 			var injecting sync.WaitGroup
 			injecting.Go(func() { f.inject(s) })
 			ids := s.submitAndCancelJobs(200)
@@ -109,19 +110,19 @@
 				}
 				return nil
 			})
-			quiet := len(s.runsOf(ids...))
-			s.WaitForJobs(jobsTimeout, "completed", s.Submit("afterwards", 40, time.Second)) // needs the room of the whole system
-			if n := len(s.runsOf(ids...)); n != quiet {
-				t.Errorf("%d runs of cancelled jobs started after all of them had ended", n-quiet)
+			endedRuns := len(s.runsOf(ids...))
+			s.WaitForJobs(jobsTimeout, "completed", s.Submit("afterwards", 40, time.Second)) // needs all free resources of the system
+			if n := len(s.runsOf(ids...)); n != endedRuns {
+				t.Errorf("%d runs of cancelled jobs started after all their runs had ended", n-endedRuns)
 			}
-			t.Logf("%d of %d cancelled jobs ran for a time", quiet, len(ids))
-			w.Check()
+			t.Logf("%d runs were started for %d cancelled jobs", endedRuns, len(ids))
+			recorder.Check()
 		})
 	}
 }
 
-// cancelBurst submits jobs that would run for an hour and cancels each as soon
-// as it is accepted or a moment later, so that cancellations cross starts.
+// submitAndCancelJobs submits jobs that run for an hour and cancels each up to
+// 210 ms after it is accepted, so that cancellations race with starts.
 func (s *System) submitAndCancelJobs(count int) []units.JobID {
 	ids := make([]units.JobID, count)
 	errs := make([]error, count)
@@ -158,7 +159,7 @@
 	return job.ID, err
 }
 
-// repeat repeats a call under one key until it succeeds or ctx ends.
+// retry retries a call until it succeeds or ctx ends.
 func retry[T any](ctx context.Context, call func() (T, error)) (T, error) {
 	for {
 		value, err := call()
--- a/internal/faulttest/operators_test.go
+++ b/internal/faulttest/operators_test.go
@@ -14,8 +14,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// TestOperatorsRace guards against two operators who both believe that their
-// edit of one version is in force, and against a process that shows an older
+// TestOperatorsRace guards against two operators whose concurrent edits of the same
+// version are both acknowledged, and against an entry process that shows an older
 // version afterwards.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
@@ -29,18 +29,18 @@
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			s := startSystem(t)
-			w := s.StartRecording(trafficDuration)
+			recorder := s.StartRecording(trafficDuration)
 			f.inject(s)
 			for round := range f.rounds {
 				s.publishConcurrently(round)
 			}
 			s.SetFault(s.LogAddress, `{}`)
-			w.Check()
+			recorder.Check()
 		})
 	}
 }
 
-// edit is what one operator tried and was told.
+// editResult is the text that an operator published and the result.
 type editResult struct {
 	text      []byte
 	published administration.Published
@@ -67,14 +67,15 @@
 	var lost *administration.Error
 	switch {
 	case winner.err != nil || loser.err == nil:
-		s.t.Fatalf("guarantee 10, round %d: both operators got the same answer: %v and %v", round, winner.err, loser.err)
+		s.t.Fatalf("guarantee 10, round %d: want one published edit and one rejected; got errors %v and %v", round, winner.err, loser.err)
 	case !errors.As(loser.err, &lost) || lost.Kind != administration.KindLostRace || lost.Details.Winner != winner.published.Version:
-		s.t.Fatalf("guarantee 10, round %d: the loser was told %v; version %d won", round, loser.err, winner.published.Version)
+		s.t.Fatalf("guarantee 10, round %d: the rejected operator got error %v; version %d is in force", round, loser.err, winner.published.Version)
 	}
-	s.WaitUntil(3*time.Second, "the winner is in force", func(ctx context.Context) error { return s.checkInForce(ctx, winner) })
+	s.WaitUntil(3*time.Second, "the accepted edit is in force on every entry process", func(ctx context.Context) error { return s.checkInForce(ctx, winner) })
 }
 
-// publish repeats an edit under its key until its outcome is known.
+// publish publishes an edit, and retries under the same idempotency key until the
+// outcome is known.
 func publish(e *Entry, base units.Offset, text []byte) (administration.Published, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -88,7 +89,8 @@
 	}
 }
 
-// agreedVersion waits until every entry process has the same version.
+// agreedVersion waits until every entry process has the same version and returns
+// it.
 func (s *System) agreedVersion() (version units.Offset) {
 	s.t.Helper()
 	s.WaitUntil(10*time.Second, "the entry processes agree", func(ctx context.Context) error {
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/internal/loopback"
 )
 
-// Build compiles the product and its stand-ins into dir.
+// Build compiles the wasabihill and wasabihill-standin programs into dir.
 func Build(dir string) error {
 	command := exec.Command("go", "build", "-o", dir+string(filepath.Separator),
 		"wasabihill.example/wasabihill/cmd/wasabihill", "wasabihill.example/wasabihill/cmd/wasabihill-standin")
@@ -22,10 +22,10 @@
 	return nil
 }
 
-// Process is a program that a test starts, stops and starts again.
+// Process is a child process that a test starts, stops and restarts.
 type Process struct{ childprocess.Process }
 
-// Start starts the process, or fails the test.
+// Start starts the process and fails the test if that is not possible.
 func (p *Process) Start(t testing.TB) {
 	t.Helper()
 	if err := p.Process.Start(); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// FreeAddress returns a loopback address that stays reserved for the test.
+// FreeAddress returns a loopback address that stays reserved until the test ends.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	reservation, err := loopback.Reserve()
--- a/internal/faulttest/recorder.go
+++ b/internal/faulttest/recorder.go
@@ -16,67 +16,68 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// Witness collects what callers, workers, endpoints and entry processes saw
-// while faults were injected.
+// Recorder sends requests and records the state of workers, endpoints and
+// entry processes while faults are injected.
 type Recorder struct {
 	*System
 	startedAt  time.Time
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu                 sync.Mutex // of what follows
+	mu                 sync.Mutex // guards the fields below
 	samples            map[string]load.Sample
-	wrongResponses     []string // answers that were wrong
+	wrongResponses     []string
 	overcommitments    []string
 	versionRegressions []string
 	versions           map[*Entry]units.Offset
 }
 
-// Watch starts traffic of callers and the sampling of workers and entry processes.
+// StartRecording sends caller requests for the given time and samples workers
+// and entry processes until Check.
 func (s *System) StartRecording(traffic time.Duration) *Recorder {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Recorder{System: s, startedAt: time.Now(), cancel: cancel, samples: make(map[string]load.Sample), versions: make(map[*Entry]units.Offset)}
-	s.t.Cleanup(func() { cancel(); w.goroutines.Wait() })
+	rec := &Recorder{System: s, startedAt: time.Now(), cancel: cancel, samples: make(map[string]load.Sample), versions: make(map[*Entry]units.Offset)}
+	s.t.Cleanup(func() { cancel(); rec.goroutines.Wait() })
 	for prefix, nonIdempotent := range map[string]float64{"quick-": 0, "order-": 1} {
-		w.goroutines.Go(func() { w.sendRequests(ctx, prefix, nonIdempotent, traffic) })
+		rec.goroutines.Go(func() { rec.sendRequests(ctx, prefix, nonIdempotent, traffic) })
 	}
-	w.goroutines.Go(func() { w.sampleAll(ctx) })
-	return w
+	rec.goroutines.Go(func() { rec.sampleAll(ctx) })
+	return rec
 }
 
-func (w *Recorder) sendRequests(ctx context.Context, prefix string, nonIdempotent float64, traffic time.Duration) {
+func (rec *Recorder) sendRequests(ctx context.Context, prefix string, nonIdempotent float64, traffic time.Duration) {
 	report, err := load.Run(ctx, load.Options{
-		Targets: []string{"http://" + w.Entries[0].CallerAddress, "http://" + w.Entries[1].CallerAddress}, Service: serviceName,
+		Targets: []string{"http://" + rec.Entries[0].CallerAddress, "http://" + rec.Entries[1].CallerAddress}, Service: serviceName,
 		Rate: 25, Duration: traffic, MaxInFlight: 128, BodyBytes: 100, Deadline: 2 * time.Second,
-		NonIdempotentShare: nonIdempotent, Poisson: true, Seed: 7, Prefix: prefix, Observe: w.recordSample,
+		NonIdempotentShare: nonIdempotent, Poisson: true, Seed: 7, Prefix: prefix, Observe: rec.recordSample,
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
 	if err != nil {
-		w.wrongResponses = append(w.wrongResponses, err.Error())
+		rec.wrongResponses = append(rec.wrongResponses, err.Error())
 		return
 	}
 	for fault, n := range report.Faults {
-		w.wrongResponses = append(w.wrongResponses, fmt.Sprintf("%s%d times: %s", prefix, n, fault))
+		rec.wrongResponses = append(rec.wrongResponses, fmt.Sprintf("%s%d times: %s", prefix, n, fault))
 	}
 }
 
-func (w *Recorder) recordSample(s load.Sample) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.samples[s.ID] = s
+func (rec *Recorder) recordSample(s load.Sample) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.samples[s.ID] = s
 }
 
-func (w *Recorder) sampleAll(ctx context.Context) {
+func (rec *Recorder) sampleAll(ctx context.Context) {
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		group, sampling := errgroup.WithContext(ctx)
-		for _, n := range w.Nodes {
-			group.Go(func() error { w.sampleWorker(sampling, n); return nil })
+		for _, n := range rec.Nodes {
+			group.Go(func() error { rec.sampleWorker(sampling, n); return nil })
 		}
-		for _, e := range w.Entries {
-			group.Go(func() error { w.sampleEntry(sampling, e); return nil })
+		for _, e := range rec.Entries {
+			group.Go(func() error { rec.sampleEntry(sampling, e); return nil })
 		}
 		_ = group.Wait()
 		select {
@@ -87,12 +88,12 @@
 	}
 }
 
-// sampleWorker checks the worker's commitments and the reservation for its
-// endpoint against its capacity.
-func (w *Recorder) sampleWorker(ctx context.Context, n *Node) {
+// sampleWorker checks that the tasks on a worker and the reservation for its
+// endpoint fit the worker's capacity.
+func (rec *Recorder) sampleWorker(ctx context.Context, n *Node) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	table, err := w.workerTasks(ctx, n)
+	table, err := rec.workerTasks(ctx, n)
 	if err != nil {
 		return
 	}
@@ -103,9 +104,9 @@
 		}
 	}
 	if !sum.Fits(WorkerCapacity) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.overcommitments = append(w.overcommitments, fmt.Sprintf("%s holds %s of %s", n.ID, sum, WorkerCapacity))
+		rec.mu.Lock()
+		defer rec.mu.Unlock()
+		rec.overcommitments = append(rec.overcommitments, fmt.Sprintf("%s has %s committed of %s", n.ID, sum, WorkerCapacity))
 	}
 }
 
@@ -114,23 +115,25 @@
 	return client.Tasks(ctx)
 }
 
-// sampleEntry checks that the version in force on an entry process never falls.
-// A restarted process answers only after it has read the log.
-func (w *Recorder) sampleEntry(ctx context.Context, e *Entry) {
+// sampleEntry checks that the document version in force on an entry process
+// never decreases, also across a restart: a restarted process answers only after
+// it has replayed the log.
+func (rec *Recorder) sampleEntry(ctx context.Context, e *Entry) {
 	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: time.Second}
 	document, err := client.Document(ctx, environmentName, 0)
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if document.Version < w.versions[e] {
-		w.versionRegressions = append(w.versionRegressions, fmt.Sprintf("%s went from version %d to %d", e.ID, w.versions[e], document.Version))
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if document.Version < rec.versions[e] {
+		rec.versionRegressions = append(rec.versionRegressions, fmt.Sprintf("%s went from version %d to %d", e.ID, rec.versions[e], document.Version))
 	}
-	w.versions[e] = document.Version
+	rec.versions[e] = document.Version
 }
 
-// Submit submits a job and repeats it under its key until it is accepted.
+// Submit submits a job and retries under the same idempotency key until the job
+// is accepted.
 func (s *System) Submit(name string, tasks int, runTime time.Duration) units.JobID {
 	s.t.Helper()
 	body := administration.EncodeSubmission(administration.Submission{
@@ -146,7 +149,8 @@
 	return id
 }
 
-// Settle waits until the jobs have ended in the state and returns them.
+// WaitForJobs waits until the jobs are in the given state without running tasks
+// and returns them.
 func (s *System) WaitForJobs(limit time.Duration, state string, ids ...units.JobID) []administration.Job {
 	s.t.Helper()
 	jobs := make([]administration.Job, len(ids))
@@ -158,7 +162,7 @@
 			}
 			jobs[i] = job
 			if job.State != state || job.Tasks.Running > 0 {
-				return fmt.Errorf("it is %s with %+v", job.State, job.Tasks)
+				return fmt.Errorf("job is %s, tasks %+v", job.State, job.Tasks)
 			}
 			return nil
 		})
@@ -166,7 +170,7 @@
 	return jobs
 }
 
-// Runs returns every run of every worker.
+// Runs returns the task runs that the workers recorded.
 func (s *System) Runs() []worker.Run {
 	s.t.Helper()
 	var all []worker.Run
@@ -180,7 +184,7 @@
 	return all
 }
 
-// Executed returns how often each request was executed.
+// Executions returns how often the endpoints executed each request, by request ID.
 func (s *System) Executions() map[string]int {
 	s.t.Helper()
 	sum := make(map[string]int)
@@ -196,31 +200,31 @@
 	return sum
 }
 
-// Check waits for the end of the traffic and judges the guarantees that hold in
-// every case.
-func (w *Recorder) Check() {
-	w.t.Helper()
-	w.cancel()
-	w.goroutines.Wait()
-	runs := w.Runs()
+// Check stops the requests and the sampling, and checks the guarantees that hold
+// under every fault.
+func (rec *Recorder) Check() {
+	rec.t.Helper()
+	rec.cancel()
+	rec.goroutines.Wait()
+	runs := rec.Runs()
 	for _, o := range worker.Overlaps(runs) {
-		w.t.Errorf("guarantee 2, two runs at once: %s", o)
+		rec.t.Errorf("guarantee 2, overlapping runs: %s", o)
 	}
-	w.t.Logf("after %v: runs of tasks %v", time.Since(w.startedAt).Round(time.Second), countRuns(runs))
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	rec.t.Logf("task runs by state after %v: %v", time.Since(rec.startedAt).Round(time.Second), countRuns(runs))
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
 	for _, list := range []struct {
 		guarantee string
 		broken    []string
-	}{{"1, over-committed", w.overcommitments}, {"5, wrong answer", w.wrongResponses}, {"10, version reverted", w.versionRegressions}} {
+	}{{"1, overcommitted", rec.overcommitments}, {"5, wrong response", rec.wrongResponses}, {"10, version reverted", rec.versionRegressions}} {
 		for _, b := range list.broken {
-			w.t.Errorf("guarantee %s: %s", list.guarantee, b)
+			rec.t.Errorf("guarantee %s: %s", list.guarantee, b)
 		}
 	}
-	w.checkRequests(w.Executions())
+	rec.checkRequests(rec.Executions())
 }
 
-// ends counts runs by how they ended.
+// countRuns counts runs by state, and second and later attempts as "repeated".
 func countRuns(runs []worker.Run) map[string]int {
 	counts := make(map[string]int)
 	for _, r := range runs {
@@ -232,23 +236,23 @@
 	return counts
 }
 
-func (w *Recorder) checkRequests(executed map[string]int) {
-	w.t.Helper()
+func (rec *Recorder) checkRequests(executed map[string]int) {
+	rec.t.Helper()
 	outcomes := make(map[string]int)
-	for id, s := range w.samples {
+	for id, s := range rec.samples {
 		outcomes[s.Outcome]++
 		n := executed[id]
 		switch {
 		case s.Outcome == string(headers.NotRun) && n > 0:
-			w.t.Errorf("guarantee 6: %s was rejected as not run and executed %d times", id, n)
+			rec.t.Errorf("guarantee 6: %s was rejected as not run but was executed %d times", id, n)
 		case !s.Idempotent && n > 1:
-			w.t.Errorf("guarantee 7: %s is non-idempotent and was executed %d times", id, n)
+			rec.t.Errorf("guarantee 7: %s is non-idempotent and was executed %d times", id, n)
 		case s.Outcome == string(headers.Done) && n == 0:
-			w.t.Errorf("guarantee 5: %s got a response and was never executed", id)
+			rec.t.Errorf("guarantee 5: %s got a response but was never executed", id)
 		}
 	}
-	w.t.Logf("outcomes of requests: %v", outcomes)
+	rec.t.Logf("outcomes of requests: %v", outcomes)
 	if outcomes[string(headers.Done)] == 0 {
-		w.t.Error("no request was answered, so the checks of requests say nothing")
+		rec.t.Error("no request got a response; the request checks need at least one")
 	}
 }
--- a/internal/faulttest/system.go
+++ b/internal/faulttest/system.go
@@ -27,17 +27,18 @@
 	teamName        = "moulds"
 	entryCount      = 2
 	workerCount     = 4
-	// readyWithin bounds the start of a system on a busy machine.
+	// readyTimeout leaves time to start a system on a busy machine.
 	readyTimeout = 40 * time.Second
 )
 
-// domains are the failure domains of the four workers.
+// domains holds the failure domain of each worker.
 var domains = [workerCount]units.DomainName{"pwani-a", "pwani-b", "pwani-c", "pwani-a"}
 
-// Capacity is that of one worker.
+// WorkerCapacity is the capacity of each worker.
 var WorkerCapacity = units.Resources{Processors: 8000, Memory: 16e9}
 
-// System is one running system.
+// System is a log service, entry processes and workers, connected over relays
+// that inject faults.
 type System struct {
 	t        testing.TB
 	dir      string
@@ -49,11 +50,11 @@
 	LogAddress string
 	Entries    [entryCount]*Entry
 	Nodes      [workerCount]*Node
-	Victim     *Node // which node a fault hits
+	Victim     *Node // the node on which a fault is injected
 	relays     []*relay.Relay
 }
 
-// Entry is one entry process and the relay on its way to the log.
+// Entry is an entry process and the relay of its connection to the log.
 type Entry struct {
 	*Process
 	ID            units.EntryID
@@ -63,7 +64,8 @@
 	ToLog         *relay.Relay
 }
 
-// Node is one worker with its agent and endpoint and the relays around them.
+// Node is a worker with its agent, its endpoint and the relays of their
+// connections.
 type Node struct {
 	ID               units.WorkerID
 	Domain           units.DomainName
@@ -75,15 +77,15 @@
 	ToEntry          [entryCount]*relay.Relay
 	ToWorker         *relay.Relay
 	ToEndpoint       *relay.Relay
-	ToLink           *relay.Relay // lease requests of other agents to this one
+	ToLink           *relay.Relay // lease requests from other agents to this agent
 	linkAddress      string
 	announceAddress  string
-	announceProxyURL string // takes the endpoint's announcements
+	announceProxyURL string // receives the endpoint's announcements
 	leaving          atomic.Bool
 }
 
 // Start starts a system and waits until every worker and endpoint is ready.
-// Everything ends with the test.
+// The system is stopped when the test ends.
 func Start(t testing.TB, binaries string) *System {
 	t.Helper()
 	s := &System{t: t, dir: t.TempDir(), binaries: binaries, http: &http.Client{Timeout: 3 * time.Second}}
@@ -121,7 +123,7 @@
 	return all
 }
 
-// stop ends every process and shows the logs of a failed test.
+// stop kills every process and saves the logs of a failed test.
 func (s *System) stop() {
 	if s.Nodes[workerCount-1] != nil {
 		for _, p := range s.processes() {
@@ -135,7 +137,8 @@
 	s.saveLogs()
 }
 
-// keepLogs copies the logs of a failed test to FAULTTEST_LOGS, if that is set.
+// saveLogs copies the logs of a failed test to the directory in the environment
+// variable FAULTTEST_LOGS, if that is set.
 func (s *System) saveLogs() {
 	to := os.Getenv("FAULTTEST_LOGS")
 	if to == "" || !s.t.Failed() {
@@ -177,9 +180,9 @@
 	return path
 }
 
-// newEntry plans an entry process. It advertises an address on which nothing
-// listens: agents reach it over their own relays, and must not get around a
-// faulty one by an address that they learn.
+// newEntry configures an entry process without starting it. The process
+// advertises an address on which nothing listens: agents connect over their own
+// relays, and a learned address must not let them bypass a faulty relay.
 func (s *System) newEntry(i int) *Entry {
 	e := &Entry{ID: units.EntryID(fmt.Sprintf("entry-%d", i+1)), CallerAddress: FreeAddress(s.t), AdminAddress: FreeAddress(s.t), linkAddress: FreeAddress(s.t), ToLog: s.newRelay(s.LogAddress)}
 	path := s.writeSettings(string(e.ID), map[string]any{
@@ -214,12 +217,13 @@
 	return n
 }
 
-// Leave has the endpoint announce that it is leaving. It serves on, so that it
-// shows which requests still reach it.
+// AnnounceLeaving makes the endpoint announce that it is leaving. The endpoint
+// continues to serve, so that a test can see which requests still reach it.
 func (n *Node) AnnounceLeaving() { n.leaving.Store(true) }
 
-// announcements passes the endpoint's announcements to the agent with the
-// address of the relay in place of the endpoint's own.
+// startAnnouncementProxy starts a proxy that forwards the endpoint's
+// announcements to the agent and replaces the endpoint's address with that of its
+// relay. It returns the URL of the proxy.
 func (s *System) startAnnouncementProxy(n *Node) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -249,7 +253,8 @@
 	return "http://" + listener.Addr().String()
 }
 
-// Document returns the document of the system with a quota for the team.
+// Document returns the environment document of the system, with a team quota of
+// the given number of processors.
 func Document(processors int) []byte {
 	return fmt.Appendf(nil, `{
   "environment": %q,
@@ -297,7 +302,7 @@
 	return nil
 }
 
-// Until repeats a condition until it returns nil, and fails the test when that
+// WaitUntil polls the condition until it returns nil, and fails the test if that
 // does not happen within the limit.
 func (s *System) WaitUntil(limit time.Duration, what string, condition func(context.Context) error) {
 	s.t.Helper()
@@ -311,12 +316,13 @@
 		select {
 		case <-time.After(200 * time.Millisecond):
 		case <-ctx.Done():
-			s.t.Fatalf("not within %v: %s; last: %v", limit, what, err)
+			s.t.Fatalf("timed out after %v waiting until %s; last error: %v", limit, what, err)
 		}
 	}
 }
 
-// Fault posts to the fault interface of a stand-in.
+// SetFault sets the injected fault of the stand-in at the address; body is the
+// JSON object of the fault, and {} clears it.
 func (s *System) SetFault(address, body string) {
 	s.t.Helper()
 	response, err := s.http.Post("http://"+address+"/v1/faults", "application/json", bytes.NewReader([]byte(body)))
--- a/internal/faulttest/watcher_test.go
+++ b/internal/faulttest/watcher_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestWatcherInLogOutage guards against a watcher that stops watching, or that
-// runs twice, when its holder dies while the log cannot record it: the lessor
-// activates the standby by itself.
+// TestWatcherInLogOutage guards against a watcher that stays down, or that runs
+// twice, when its agent dies during a log outage. The lessor must activate the
+// standby without the log.
 func TestWatcherInLogOutage(t *testing.T) {
 	s := startSystem(t)
-	w := s.StartRecording(trafficDuration)
+	recorder := s.StartRecording(trafficDuration)
 	s.WaitUntil(30*time.Second, "the watcher runs", s.checkWatcherRuns)
 	s.Victim = s.nodeOf(watcherJob)
 	s.WaitUntil(30*time.Second, "a standby is admitted", s.checkStandbyAdmitted)
@@ -30,12 +30,12 @@
 	s.SetFault(s.LogAddress, `{}`)
 	s.Victim.Agent.Start(t)
 	s.WaitUntil(jobsTimeout, "every worker and endpoint is ready again", s.checkReady)
-	time.Sleep(5 * time.Second) // a second run would show by now
+	time.Sleep(5 * time.Second) // a second run would have started by now
 	s.WaitUntil(jobsTimeout, "the watcher runs", s.checkWatcherRuns)
-	w.Check()
+	recorder.Check()
 }
 
-// standbyHeld checks that a worker other than the holder holds a standby.
+// checkStandbyAdmitted checks that a worker other than the victim holds a standby.
 func (s *System) checkStandbyAdmitted(ctx context.Context) error {
 	for _, n := range s.Nodes {
 		table, err := s.workerTasks(ctx, n)
@@ -48,5 +48,5 @@
 			}
 		}
 	}
-	return fmt.Errorf("no worker holds a standby")
+	return fmt.Errorf("no worker has a standby of the watcher")
 }
