--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -15,19 +15,20 @@
 const (
 	callersHost = "desk.example"
 	callerCount = 5
-	// callerTimeout is how long a caller waits for one answer.
+	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 3 * time.Second
-	// callerPause is the mean time between two requests of a caller.
+	// meanRequestGap is the mean time between two requests of a caller.
 	meanRequestGap = 120 * time.Millisecond
-	// submitFor is how long a caller repeats a submission without an answer.
+	// submitTimeout is how long a caller retries a submission that is not accepted.
 	submitTimeout = 6 * time.Second
 	retryDelay    = 150 * time.Millisecond
-	// watchersGone is for how long a watcher may still run after its cancellation
-	// was acknowledged at the end of the run, without faults.
+	// watcherStopTimeout is how long a watcher may still run after the
+	// acknowledgement of its cancellation at the end of the run, when no fault is
+	// injected.
 	watcherStopTimeout = 5 * time.Second
 )
 
-// The specs of jobs, which tell the runners what the tasks do.
+// The specs of jobs, by which the runner stand-ins select what the tasks do.
 const (
 	quickSpec   = "quick"
 	slowSpec    = "slow"
@@ -35,7 +36,7 @@
 	watchSpec   = "watch"
 )
 
-// The states of a job as callers see them.
+// The final states of a job in responses to callers.
 const (
 	completed = "completed"
 	failed    = "failed"
@@ -44,7 +45,7 @@
 
 var finalStates = map[string]bool{completed: true, failed: true, cancelled: true}
 
-// jobShape is a kind of job with its share among all.
+// jobTemplate is a kind of job and its relative frequency.
 type jobTemplate struct {
 	queue  string
 	weight int
@@ -58,22 +59,22 @@
 	{"quick", 1, callers.Job{Spec: watchSpec, Steps: []callers.Step{{Tasks: 2, LongRunning: true}}}},
 }
 
-// observed is a state that a caller was told.
+// observedState is a job state that a caller received.
 type observedState struct {
 	at    time.Time
 	state string
 }
 
-// job is what callers know of a job. Its caller alone writes it, until all
+// job records what callers observed of a job. Only its caller writes it until all
 // callers have stopped.
 type job struct {
 	id       string
 	path     string
 	template *jobTemplate
-	accepted time.Time // zero while no submission was answered with success
-	rejected bool      // every submission was answered with a refusal
-	// cancelSent and cancelled are when the cancellation was sent first and when
-	// it was acknowledged.
+	accepted time.Time // zero until a submission succeeds
+	rejected bool      // every submission was rejected
+	// cancelSent and cancelled are the times at which the cancellation was first
+	// sent and first acknowledged.
 	cancelSent time.Time
 	cancelled  time.Time
 	states     []observedState
@@ -86,7 +87,8 @@
 	return j.states[len(j.states)-1].state
 }
 
-// cutRequest is a request that an entry process broke off.
+// abortedRequest is a request whose connection an entry process closed before the
+// response was complete.
 type abortedRequest struct {
 	host      string
 	sent      time.Time
@@ -94,27 +96,27 @@
 	reason    string
 }
 
-// loadGenerator is all callers of a run.
+// loadGenerator holds the callers of a run and the jobs that they submitted.
 type loadGenerator struct {
 	fleet   *fleet
 	callers []*caller
 
-	mu                  sync.Mutex // of what follows
+	mu                  sync.Mutex // guards the fields below
 	jobs                map[string]*job
 	jobsInOrder         []*job
 	abortedRequests     []abortedRequest
-	unexpectedResponses []Broken // answers that no fault explains
+	unexpectedResponses []Broken // responses that no fault explains
 	responses           int
 	watcherJobs         int
 }
 
-// caller sends one request after the other, each entry process over one
-// connection that it keeps open.
+// caller sends requests one at a time, to the entry processes in turn, over one
+// persistent connection to each.
 type caller struct {
 	generator  *loadGenerator
 	random     *rand.Rand
 	clients    []*callers.Client
-	nextClient int // client
+	nextClient int // counter; modulo len(clients) it is the index
 	accepted   []*job
 }
 
@@ -138,7 +140,7 @@
 	}
 }
 
-// run offers load until ctx ends.
+// run runs the callers until ctx ends.
 func (g *loadGenerator) run(ctx context.Context) {
 	var wait sync.WaitGroup
 	for _, c := range g.callers {
@@ -151,7 +153,7 @@
 	wait.Wait()
 }
 
-// act does one thing that callers do.
+// sendRandomRequest submits a job, or queries or cancels a job of this caller.
 func (c *caller) sendRandomRequest(ctx context.Context) {
 	switch n := c.random.IntN(100); {
 	case n < 50 || len(c.accepted) == 0:
@@ -177,7 +179,8 @@
 	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Watchers never end, so a run has room for a few only.
+	// Watchers never end by themselves, so their number is limited to that of the
+	// agents to leave capacity for other jobs.
 	if jobTemplates[shape].job.Spec == watchSpec {
 		if g.watcherJobs++; g.watcherJobs > len(g.fleet.agents) {
 			shape = 0
@@ -190,11 +193,11 @@
 	return j
 }
 
-// send sends a request to the next entry process and notes how it ended.
-func (c *caller) send(ask func(*callers.Client) callers.Answer) callers.Answer {
+// send sends a request to the next entry process and records its outcome.
+func (c *caller) send(request func(*callers.Client) callers.Answer) callers.Answer {
 	n := c.nextClient % len(c.clients)
 	c.nextClient++
-	a := ask(c.clients[n])
+	a := request(c.clients[n])
 	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,14 +210,15 @@
 	return a
 }
 
-// unexpected notes an answer that no fault explains.
+// recordUnexpected records a response that no fault explains.
 func (g *loadGenerator) recordUnexpected(j *job, promise, format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.unexpectedResponses = append(g.unexpectedResponses, Broken{Promise: promise, At: time.Now(), Job: j.id, Text: fmt.Sprintf(format, args...)})
 }
 
-// submit hands the job in, again under its id while there is no answer.
+// submit submits the job and retries under the same job ID until it is accepted or
+// the caller gives up.
 func (c *caller) submit(ctx context.Context, j *job) {
 	refusals, tries := 0, 0
 	for deadline := time.Now().Add(submitTimeout); time.Now().Before(deadline) && ctx.Err() == nil; {
@@ -228,33 +232,33 @@
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			refusals++
 			if c.random.IntN(2) == 0 {
-				deadline = time.Now() // this caller gives up
+				deadline = time.Now() // the caller gives up after a rejection
 			}
 		case http.StatusNotFound, http.StatusGone:
-			c.generator.recordUnexpected(j, "a queue that exists is found", "submission answered with %d", a.Status)
+			c.generator.recordUnexpected(j, "a queue that exists is found", "submission got status %d", a.Status)
 		}
 		pause.For(ctx, retryDelay)
 	}
 	j.rejected = refusals == tries
 }
 
-// look asks for the job's state.
+// queryState queries the state of the job and checks it against earlier ones.
 func (c *caller) queryState(ctx context.Context, j *job) {
 	a := c.send(func(client *callers.Client) callers.Answer { return client.State(ctx, j.path) })
 	switch {
 	case a.Malformed:
-		c.generator.recordUnexpected(j, "answers are whole", "the state can't be read")
+		c.generator.recordUnexpected(j, "answers are whole", "the response to a state query is malformed")
 	case a.Status == http.StatusGone || a.Status == http.StatusNotFound:
-		c.generator.recordUnexpected(j, "an accepted job is known", "asked for its state: %d, %v after its acceptance", a.Status, time.Since(j.accepted).Round(time.Millisecond))
+		c.generator.recordUnexpected(j, "an accepted job is known", "state query got status %d, %v after the job was accepted", a.Status, time.Since(j.accepted).Round(time.Millisecond))
 	case a.Status == http.StatusOK:
 		if before := j.lastState(); finalStates[before] && a.State != before {
-			c.generator.recordUnexpected(j, "a final state stays", "shown as %s after %s", a.State, before)
+			c.generator.recordUnexpected(j, "a final state stays", "state is %s after it was %s", a.State, before)
 		}
 		j.states = append(j.states, observedState{time.Now(), a.State})
 	}
 }
 
-// cancel cancels the job.
+// cancel sends a cancellation of the job and records its acknowledgement.
 func (c *caller) cancel(ctx context.Context, j *job) {
 	if j.cancelSent.IsZero() {
 		j.cancelSent = time.Now()
@@ -264,17 +268,17 @@
 		j.cancelled = time.Now()
 	}
 	if a.Status == http.StatusGone {
-		c.generator.recordUnexpected(j, "an accepted job is known", "cancellation answered with %d", a.Status)
+		c.generator.recordUnexpected(j, "an accepted job is known", "cancellation got status %d", a.Status)
 	}
 }
 
-// settle asks for every accepted job until its end is shown, then cancels the
-// watchers and waits until they are gone.
+// waitForJobs queries every accepted job until it has settled, then cancels the
+// watchers and waits until their tasks have stopped.
 func (g *loadGenerator) waitForJobs(ctx context.Context, within time.Duration) {
 	c := g.callers[0]
 	deadline := time.Now().Add(within)
 	for _, j := range g.jobsInOrder {
-		// Whether a cancellation without an answer took effect is not known.
+		// An unacknowledged cancellation may have taken effect, so it is retried.
 		for !j.cancelSent.IsZero() && j.cancelled.IsZero() && !finalStates[j.lastState()] && time.Now().Before(deadline) && ctx.Err() == nil {
 			c.cancel(ctx, j)
 		}
@@ -287,13 +291,14 @@
 	}
 	for _, j := range g.jobsInOrder {
 		if !j.accepted.IsZero() && !g.settled(j) {
-			g.recordUnexpected(j, "an accepted job ends", "last shown as %q, %d of its tasks run", j.lastState(), g.fleet.witness.Live(j.id))
+			g.recordUnexpected(j, "an accepted job ends", "last state was %q, %d of its tasks are running", j.lastState(), g.fleet.witness.Live(j.id))
 		}
 	}
 	g.cancelWatchers(ctx, c)
 }
 
-// ended reports whether nothing more is to come of the job.
+// settled reports whether the job is in a final state, or is a watcher that was
+// not cancelled and whose tasks are all running.
 func (g *loadGenerator) settled(j *job) bool {
 	if j.template.job.Spec == watchSpec && j.cancelSent.IsZero() {
 		return g.fleet.witness.Live(j.id) == j.template.job.Steps[0].Tasks
@@ -316,7 +321,7 @@
 		for g.fleet.witness.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollInterval) {
 		}
 		if n := g.fleet.witness.Live(j.id); n > 0 && ctx.Err() == nil {
-			g.recordUnexpected(j, "cancelled jobs stop", "%d tasks still run", n)
+			g.recordUnexpected(j, "cancelled jobs stop", "%d tasks are still running", n)
 		}
 	}
 }
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -11,32 +11,33 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// The bounds of the promises, as the users state them.
+// The bounds of the promises, from the users' requirements.
 const (
-	// inTouch is how long a machine must have been free of faults for a promise
-	// with a bound to hold for it.
+	// minFaultFreeTime is how long a machine must have been free of unplanned
+	// faults for a time bound to apply to it.
 	minFaultFreeTime  = 4 * time.Second
 	cancellationBound = 4 * time.Second
 	evacuationBound   = 5 * time.Second
 	drainBound        = 3 * time.Second
 	abortTolerance    = 200 * time.Millisecond
-	plannedStopMargin = time.Second // a planned stop's promise covers so much after its grace
+	plannedStopMargin = time.Second // after the grace period; requests cut until then count against the planned stop
 )
 
-// absence is a time in which nothing may start in a domain or on a runner.
+// noStartPeriod is a period in which no task may start in a failure domain or on a
+// runner.
 type noStartPeriod struct {
 	domain string
 	runner string
 	host   string
 	from   time.Time
-	until  time.Time // zero for not ended
+	until  time.Time // zero if the period has not ended
 }
 
 func (a noStartPeriod) covers(at time.Time, after time.Duration) bool {
 	return at.After(a.from.Add(after)) && (a.until.IsZero() || at.Before(a.until))
 }
 
-// evidence is what the checks judge.
+// observations is the input of the checks.
 type observations struct {
 	runs            []taskrunner.Run
 	jobs            map[string]*job
@@ -46,7 +47,7 @@
 	draining        []noStartPeriod
 }
 
-// check judges one promise.
+// check finds violations of one promise.
 type check struct {
 	promise string
 	find    func(*observations, func(at time.Time, job, format string, args ...any))
@@ -65,14 +66,14 @@
 	{"a planned stop cuts no request off", (*observations).checkPlannedStops},
 }
 
-// judge applies every check to what the run has shown.
+// evaluate applies every check to the run and returns the result.
 func (r *Run) evaluate() *Result {
 	g := r.generator
 	result := &Result{Seed: r.Seed, Faults: r.injected, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Responses: g.responses}
 	for _, h := range r.fleet.hosts() {
 		result.Processes = append(result.Processes, h.name)
 		if h.process.Ended() {
-			r.recordFailure("processes do not end by themselves", fmt.Errorf("%s has ended", h.name))
+			r.recordFailure("processes do not end by themselves", fmt.Errorf("process %s exited unexpectedly", h.name))
 		}
 	}
 	result.Starts = len(result.Runs)
@@ -106,14 +107,15 @@
 	return all
 }
 
-// fail notes a promise that broke beside the checks.
+// recordFailure records a violation that was found outside the checks.
 func (r *Run) recordFailure(promise string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, Broken{Promise: promise, At: time.Now(), Text: err.Error()})
 }
 
-// calm reports whether no unplanned fault touched the host in the time before at.
+// faultFree reports whether no unplanned fault affected the host from before
+// earlier than at until at.
 func (e *observations) faultFree(host string, at time.Time, before time.Duration) bool {
 	from := at.Add(-before)
 	return !slices.ContainsFunc(e.faults, func(f injectedFault) bool {
@@ -122,7 +124,8 @@
 	})
 }
 
-// taskName is the parts of a task's name, job.occurrence.step.index.
+// parseTaskName returns the job ID and the step of a task name, which is
+// job.occurrence.step.index.
 func parseTaskName(task string) (job string, step int) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 {
@@ -137,12 +140,12 @@
 
 func jobID(task string) string { job, _ := parseTaskName(task); return job }
 
-// hostOf is the agent beside a runner.
+// hostName returns the name of the agent on the runner's machine.
 func hostName(runner string) string { return strings.TrimPrefix(runner, runnerPrefix) }
 
 type violationReporter = func(at time.Time, job, format string, args ...any)
 
-// firstDone returns when each task first ended well.
+// firstCompletions returns the time at which each task first completed.
 func (e *observations) firstCompletions() map[string]time.Time {
 	done := make(map[string]time.Time)
 	for _, x := range e.runs {
@@ -159,14 +162,14 @@
 		id, step := parseTaskName(x.Task)
 		j := e.jobs[id]
 		if j == nil || step >= len(j.template.job.Steps) {
-			broken(x.Began, id, "%s started on %s, which nobody submitted", x.Task, x.Runner)
+			broken(x.Began, id, "%s started on %s, but no caller submitted it", x.Task, x.Runner)
 			continue
 		}
 		for _, before := range j.template.job.Steps[step].After {
 			for index := range j.template.job.Steps[before].Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", id, before, index)
 				if at, ok := done[name]; !ok || at.After(x.Began) {
-					broken(x.Began, id, "%s started on %s before %s was done", x.Task, x.Runner, name)
+					broken(x.Began, id, "%s started on %s before %s completed", x.Task, x.Runner, name)
 				}
 			}
 		}
@@ -187,12 +190,12 @@
 		}
 	}
 	for name, list := range changes {
-		// An end and a start at the same time need no more room.
+		// Of changes at the same time, ends are counted before starts.
 		slices.SortFunc(list, func(a, b change) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.by, b.by)) })
 		running := 0
 		for _, c := range list {
 			if running += c.by; c.by > 0 && running > runnerCores {
-				broken(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with room for %d", c.task, name, running, runnerCores)
+				broken(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with %d cores", c.task, name, running, runnerCores)
 			}
 		}
 	}
@@ -251,7 +254,7 @@
 func (e *observations) checkRejections(broken violationReporter) {
 	for _, x := range e.runs {
 		if j := e.jobs[jobID(x.Task)]; j != nil && j.rejected {
-			broken(x.Began, j.id, "%s started on %s although every submission was refused", x.Task, x.Runner)
+			broken(x.Began, j.id, "%s started on %s although every submission was rejected", x.Task, x.Runner)
 		}
 	}
 }
@@ -267,14 +270,15 @@
 			for index := range s.Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", j.id, step, index)
 				if at, ok := done[name]; !ok || at.After(j.states[i].at) {
-					broken(j.states[i].at, j.id, "shown as completed before %s was done", name)
+					broken(j.states[i].at, j.id, "state was completed before %s completed", name)
 				}
 			}
 		}
 	}
 }
 
-// checkEnds compares the state in which a job ended with what its tasks do.
+// checkFinalStates compares the final state of a job with the one that its spec
+// and cancellation imply.
 func (e *observations) checkFinalStates(broken violationReporter) {
 	for _, j := range e.jobs {
 		state := j.lastState()
@@ -286,7 +290,7 @@
 			want = completed
 		}
 		if state != want && (state != cancelled || j.cancelSent.IsZero()) {
-			broken(j.states[len(j.states)-1].at, j.id, "a %s job was shown as %s", j.template.job.Spec, state)
+			broken(j.states[len(j.states)-1].at, j.id, "final state of a %s job is %s", j.template.job.Spec, state)
 		}
 	}
 }
@@ -298,7 +302,7 @@
 				continue
 			}
 			if e.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
-				broken(c.abortedAt, "", "%s broke a request off %v after it had been sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
+				broken(c.abortedAt, "", "%s aborted a request %v after it was sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
 			}
 		}
 	}
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -19,52 +19,54 @@
 
 const description = `Starts entry processes and agents as separate processes against stand-ins of the
 platform, injects faults from outside and checks what callers and runners see.
-A seed gives one schedule of faults. Exits with an error when a promise broke.
+A seed determines the schedule of faults. Exits with an error when a promise was
+broken.
 
 Examples:
-  # three fresh seeds
+  # three random seeds
   wasabihill-soak --seeds 3
 
-  # fifty seeds, four at a time, with a time line of each
+  # fifty random seeds, four at a time, with a timeline of each
   wasabihill-soak --seeds 50 --parallel 4 --report soak.html
 
-  # one seed again
+  # repeat one seed
   wasabihill-soak --seed 42`
 
-// Broken promises end the command with this error kind.
+// promiseBroken is the kind of the error with which the command exits when a
+// promise was broken.
 const promiseBroken Kind = "promiseBroken"
 
-// agentsPerEntry divides the processes of a run between the roles.
+// agentsPerEntry is the number of agents for each entry process.
 const agentsPerEntry = 2
 
-// Command is the command line of wasabihill-soak.
+// Command returns the command line of wasabihill-soak.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name: "wasabihill-soak", Usage: "inject faults into the running programs and check their promises", Description: description,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many fresh seeds to play"},
-			&cli.Uint64Flag{Name: "seed", Usage: "play this seed instead of fresh ones"},
-			&cli.FloatFlag{Name: "minutes", Usage: "play fresh seeds for so long instead of a number of them"},
-			&cli.DurationFlag{Name: "faults", Value: 20 * time.Second, Usage: "for how long faults are injected in each run"},
-			&cli.IntFlag{Name: "processes", Value: 9, Usage: "processes of a run; a third are entry processes, of which there are two at least"},
-			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "runs at a time"},
-			&cli.StringFlag{Name: "only", Usage: "inject this kind of fault alone"},
-			&cli.StringFlag{Name: "node", Value: "bin/wasabihill-node", Usage: "program to run"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of random seeds to run"},
+			&cli.Uint64Flag{Name: "seed", Usage: "run this seed instead of random ones"},
+			&cli.FloatFlag{Name: "minutes", Usage: "run random seeds for this many minutes instead of a fixed number"},
+			&cli.DurationFlag{Name: "faults", Value: 20 * time.Second, Usage: "how long faults are injected in each run"},
+			&cli.IntFlag{Name: "processes", Value: 9, Usage: "processes of a run; a third of them, but at least two, are entry processes"},
+			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "maximum number of concurrent runs"},
+			&cli.StringFlag{Name: "only", Usage: "inject only this kind of fault"},
+			&cli.StringFlag{Name: "node", Value: "bin/wasabihill-node", Usage: "path of the wasabihill-node program"},
 			&cli.StringFlag{Name: "dir", Usage: "directory for settings and logs; a temporary one when omitted"},
-			&cli.StringFlag{Name: "report", Usage: "write a time line of faults and runs to this HTML file, and the verdicts beside it as JSON"},
+			&cli.StringFlag{Name: "report", Usage: "write a timeline of faults and task runs to this HTML file, and the results as JSON to the same path with .json appended"},
 		},
 		Action: runCommand,
 	}
 }
 
-// campaign plays many seeds.
+// campaign runs several seeds and collects their results.
 type campaign struct {
 	command *cli.Command
 	dir     string
 	entries int
 	agents  int
 
-	mu      sync.Mutex // of what follows
+	mu      sync.Mutex // guards the fields below
 	results []*Result
 	broken  int
 }
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// play runs the seeds, some at a time.
+// runSeeds runs the seeds, as many at a time as the flag parallel allows.
 func (p *campaign) runSeeds(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, p.command.Int("parallel")))
@@ -138,7 +140,7 @@
 	return result.Write(p.command.Root().Writer, p.reproduceCommand(seed))
 }
 
-// again is the command that plays a seed again.
+// reproduceCommand returns the command that repeats the run of a seed.
 func (p *campaign) reproduceCommand(seed uint64) string {
 	return fmt.Sprintf("wasabihill-soak --seed %d --processes %d --faults %s", seed, p.entries+p.agents, p.command.Duration("faults"))
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// target is what a kind of fault strikes.
+// faultTarget is the set of hosts that a kind of fault affects.
 type faultTarget int
 
 const (
@@ -22,21 +22,22 @@
 	allHosts                    // every process
 )
 
-// kind is a kind of fault.
+// faultKind is a kind of fault.
 type faultKind struct {
 	name         string
 	target       faultTarget
-	stopsProcess bool // stops or pauses the process, so that two at a time make no sense
-	planned      bool // operators do it, so promises about planned work hold
+	stopsProcess bool // stops or pauses the process, so such faults of one process must not overlap
+	planned      bool // an operator action, during which promises with a time bound still apply
 	maxDuration  time.Duration
 	begin        func(*Run, *host)
 	end          func(*Run, *host)
 }
 
-// terminateKind is the planned stop of a process.
+// terminateKind is the name of the planned stop of a process.
 const terminateKind = "terminate"
 
-// kinds lists every kind of fault once.
+// faultKinds lists the kinds of faults. Their order is part of the schedule of a
+// seed.
 var faultKinds = []faultKind{
 	{"kill", anyHost, true, false, 3 * time.Second, (*Run).kill, (*Run).restart},
 	{terminateKind, anyHost, true, true, 3 * time.Second, (*Run).terminate, (*Run).restart},
@@ -50,26 +51,26 @@
 	{"sessionsNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, false, true), restoreLink(sessionLink)},
 	{"sessionsReset", anyHost, false, false, time.Millisecond, resetLink(sessionLink), nil},
 	{"sessionsSlow", anyHost, false, false, 5 * time.Second, delayLink(sessionLink, 150*time.Millisecond), restoreLink(sessionLink)},
-	{"sessionsRefused", anyHost, false, false, 5 * time.Second, refuseConnections(sessionLink), restoreLink(sessionLink)},
+	{"sessionsRefused", anyHost, false, false, 5 * time.Second, refuseLink(sessionLink), restoreLink(sessionLink)},
 
 	{"storeLinkSilent", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, true, true), restoreLink(storeLink)},
 	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, false, true), restoreLink(storeLink)},
 	{"storeLinkReset", anyHost, false, false, time.Millisecond, resetLink(storeLink), nil},
-	{"storeRefuses", anyHost, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Status: 503}), setStoreFault(metastore.Fault{})},
-	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Lose: true, Appends: true}), setStoreFault(metastore.Fault{})},
-	{"storeWritesLate", anyHost, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Lose: true, Late: 2 * time.Second, Appends: true}), setStoreFault(metastore.Fault{})},
-	{"storeSlow", allHosts, false, false, 4 * time.Second, setStoreFault(metastore.Fault{Delay: 200 * time.Millisecond}), setStoreFault(metastore.Fault{})},
-	{"storeSilent", allHosts, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Silent: true}), setStoreFault(metastore.Fault{})},
-	{"storeDown", allHosts, false, false, 5 * time.Second, setStoreFault(metastore.Fault{Reset: true}), setStoreFault(metastore.Fault{})},
+	{"storeRefuses", anyHost, false, false, 5 * time.Second, onStore(metastore.Fault{Status: 503}), onStore(metastore.Fault{})},
+	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, onStore(metastore.Fault{Lose: true, Appends: true}), onStore(metastore.Fault{})},
+	{"storeWritesLate", anyHost, false, false, 4 * time.Second, onStore(metastore.Fault{Lose: true, Late: 2 * time.Second, Appends: true}), onStore(metastore.Fault{})},
+	{"storeSlow", allHosts, false, false, 4 * time.Second, onStore(metastore.Fault{Delay: 200 * time.Millisecond}), onStore(metastore.Fault{})},
+	{"storeSilent", allHosts, false, false, 5 * time.Second, onStore(metastore.Fault{Silent: true}), onStore(metastore.Fault{})},
+	{"storeDown", allHosts, false, false, 5 * time.Second, onStore(metastore.Fault{Reset: true}), onStore(metastore.Fault{})},
 	{"storeForgets", allHosts, false, false, time.Millisecond, func(r *Run, _ *host) { r.fleet.store.Forget() }, nil},
 
 	{"clientsReset", entries, false, false, time.Millisecond, resetLink(clientLink), nil},
 	{"clientsSlow", entries, false, false, 4 * time.Second, delayLink(clientLink, 100*time.Millisecond), restoreLink(clientLink)},
 
-	{"runnerSilent", agents, false, false, 5 * time.Second, setRunnerFault(taskrunner.Fault{Silent: true}), setRunnerFault(taskrunner.Fault{})},
-	{"runnerRefuses", agents, false, false, 4 * time.Second, setRunnerFault(taskrunner.Fault{Status: 503}), setRunnerFault(taskrunner.Fault{})},
-	{"runnerLate", agents, false, false, 4 * time.Second, setRunnerFault(taskrunner.Fault{LateBy: 1500 * time.Millisecond}), setRunnerFault(taskrunner.Fault{})},
-	{"runnerMute", agents, false, false, 5 * time.Second, setRunnerFault(taskrunner.Fault{HeldBack: true}), setRunnerFault(taskrunner.Fault{})},
+	{"runnerSilent", agents, false, false, 5 * time.Second, onRunner(taskrunner.Fault{Silent: true}), onRunner(taskrunner.Fault{})},
+	{"runnerRefuses", agents, false, false, 4 * time.Second, onRunner(taskrunner.Fault{Status: 503}), onRunner(taskrunner.Fault{})},
+	{"runnerLate", agents, false, false, 4 * time.Second, onRunner(taskrunner.Fault{LateBy: 1500 * time.Millisecond}), onRunner(taskrunner.Fault{})},
+	{"runnerMute", agents, false, false, 5 * time.Second, onRunner(taskrunner.Fault{HeldBack: true}), onRunner(taskrunner.Fault{})},
 	{"runnerCrash", agents, false, false, 4 * time.Second, func(_ *Run, h *host) { h.runner.Crash() }, func(_ *Run, h *host) { h.runner.Restart() }},
 	{"runnerReborn", agents, false, false, time.Millisecond, func(_ *Run, h *host) { h.runner.Restart() }, nil},
 	{"runnerDrains", agents, false, true, 6 * time.Second, func(_ *Run, h *host) { h.runner.Drain() }, (*Run).replaceRunner},
@@ -88,10 +89,10 @@
 	}
 }
 
-// terminate stops the process as an operator does.
+// terminate stops the process gracefully, as operators do.
 func (r *Run) terminate(h *host) {
 	if !h.process.Terminate(gracePeriod) {
-		r.recordFailure("a planned stop ends in time", fmt.Errorf("%s was killed after %v", h.name, gracePeriod))
+		r.recordFailure("a planned stop ends in time", fmt.Errorf("%s did not stop within %v and was killed", h.name, gracePeriod))
 	}
 }
 
@@ -99,11 +100,12 @@
 	return func(_ *Run, h *host) { h.process.Signal(s) }
 }
 
-// rewriteSettings changes the settings file without a signal.
+// rewriteSettings changes the settings file without sending a signal to the
+// process.
 func (r *Run) rewriteSettings(h *host) {
 	h.settings.MemoryMb++
 	if err := h.writeSettings(h.settingsPath(r)); err != nil {
-		klog.ErrorS(err, "settings are not changed", "host", h.name)
+		klog.ErrorS(err, "settings file could not be rewritten", "host", h.name)
 	}
 }
 
@@ -112,7 +114,7 @@
 	h.process.Signal(syscall.SIGHUP)
 }
 
-// link selects a relay of a host; nil where the host has none.
+// linkSelector returns one relay of a host, or nil if the host does not have it.
 type linkSelector func(*host) *relay.Relay
 
 func sessionLink(h *host) *relay.Relay { return h.sessions }
@@ -128,23 +130,17 @@
 
 func resetLink(l linkSelector) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Reset() } }
 
-func refuseConnections(l linkSelector) func(*Run, *host) {
-	return func(_ *Run, h *host) { l(h).Refuse(true) }
-}
+func refuseLink(l linkSelector) func(*Run, *host) { return func(_ *Run, h *host) { l(h).Refuse(true) } }
 
 func delayLink(l linkSelector, d time.Duration) func(*Run, *host) {
 	return func(_ *Run, h *host) { l(h).Delay(d) }
 }
 
-func setStoreFault(f metastore.Fault) func(*Run, *host) {
-	return func(_ *Run, h *host) { h.storeFrontend.Set(f) }
-}
+func onStore(f metastore.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.store.Set(f) } }
 
-func setRunnerFault(f taskrunner.Fault) func(*Run, *host) {
-	return func(_ *Run, h *host) { h.runner.Set(f) }
-}
+func onRunner(f taskrunner.Fault) func(*Run, *host) { return func(_ *Run, h *host) { h.runner.Set(f) } }
 
-// replaceRunner begins a new life of a runner that has drained.
+// replaceRunner starts a new incarnation of a drained runner.
 func (r *Run) replaceRunner(h *host) {
 	r.recordDrain(h)
 	h.runner.Restart()
@@ -156,7 +152,8 @@
 	}
 }
 
-// evacuate takes the host's failure domain out, unless it is out already.
+// evacuate takes the host's failure domain out, unless another evacuation has
+// taken it out already.
 func (r *Run) evacuate(h *host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,8 +165,8 @@
 	r.domainsOut = append(r.domainsOut, noStartPeriod{domain: h.domain, from: time.Now()})
 }
 
-// takeBack ends one evacuation of the host's failure domain; the domain is back
-// with the end of the last one.
+// endEvacuation ends one evacuation of the host's failure domain. The end of the
+// last one brings the domain back.
 func (r *Run) endEvacuation(h *host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +182,8 @@
 	r.fleet.operator.Evacuate(h.domain, false)
 }
 
-// noteDrain keeps when an agent learned that its runner drains.
+// recordDrain records the period since the agent received the draining state of
+// its runner.
 func (r *Run) recordDrain(h *host) {
 	known := h.runner.Drained()
 	if known.IsZero() {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -28,41 +28,42 @@
 	runnerCores = 8
 	maxAttempts = 2
 	runnerPort  = 8165
-	// runnerPrefix and the name of its host make the id of a runner.
+	// runnerPrefix followed by the name of its host is the ID of a runner.
 	runnerPrefix = "runner-"
-	// graceWithin is when a planned stop is cut off; the settings say so too.
+	// gracePeriod is the time after which a planned stop becomes a kill. The
+	// settings of the processes have the same value.
 	gracePeriod = 6 * time.Second
 )
 
-// host is one machine: a process of ours with the links to it and from it, and
-// on an agent's machine the runner.
+// host is one machine: an entry process or an agent with the relays of its
+// connections and, beside an agent, the runner.
 type host struct {
-	name          string
-	role          string // entry or agent
-	domain        string
-	settings      deployment.Process
-	process       *childprocess.Process
-	storeFrontend *metastore.Door
-	toStore       *relay.Relay
-	sessions      *relay.Relay // links of other processes to this one
-	clients       *relay.Relay // of an entry process
-	runner        *taskrunner.Runner
-	toRunner      *relay.Relay
-	toAgent       *relay.Relay // announcements of the runner
+	name     string
+	role     string // entry or agent
+	domain   string
+	settings deployment.Process
+	process  *childprocess.Process
+	store    *metastore.Door
+	toStore  *relay.Relay
+	sessions *relay.Relay // sessions from other processes to this one
+	clients  *relay.Relay // callers to the entry process; nil for an agent
+	runner   *taskrunner.Runner
+	toRunner *relay.Relay
+	toAgent  *relay.Relay // announcements of the runner
 
 }
 
-// deploymentCount keeps the addresses of soaks of one process apart.
+// deploymentCount gives each deployment of this test process its own addresses.
 var deploymentCount atomic.Int64
 
-// fleet is everything that runs.
+// fleet is the processes and stand-ins of a run.
 type fleet struct {
 	store    *metastore.Log
 	operator deployment.Operator
 	witness  *taskrunner.Witness
 	entries  []*host
 	agents   []*host
-	stop     context.CancelFunc // of the runners
+	stop     context.CancelFunc // stops the runners
 
 	mu      sync.Mutex
 	version int // of the configuration
@@ -73,7 +74,7 @@
 	{Name: "runs", Host: callersHost, Prefix: "/runs/", Priority: 2, MaxAttempts: maxAttempts},
 }
 
-// work tells a runner what the tasks of a job do, by the job's spec.
+// workOf returns the work of a task for the spec of its job.
 func workOf(_, spec string) taskrunner.Work {
 	return map[string]taskrunner.Work{
 		quickSpec: {Time: 60 * time.Millisecond}, slowSpec: {Time: 700 * time.Millisecond},
@@ -86,15 +87,15 @@
 	f := &fleet{store: store, operator: deployment.Operator{Store: store}, witness: taskrunner.NewWitness()}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
-	// Each process of a run has a loopback address of its own, and another one
-	// at which its relays listen.
+	// Each process of a run has its own loopback address, and a second one on which
+	// the relay of its sessions listens.
 	net := fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, deploymentCount.Add(1)%250)
 	for i := range r.Entries + r.Agents {
 		role, n := "entry", i
 		if i >= r.Entries {
 			role, n = "agent", i-r.Entries
 		}
-		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), storeFrontend: store.Open()}
+		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), store: store.Open()}
 		if err := h.connect(r, fmt.Sprintf("%s.%d", net, 2*i+1), fmt.Sprintf("%s.%d", net, 2*i+2)); err != nil {
 			f.close()
 			return nil, err
@@ -112,8 +113,8 @@
 	return f, f.configure()
 }
 
-// connect creates the relays of a host, which has the address ip and is known
-// to others by the address advertised.
+// connect creates the relays and the settings of a host. Its process listens on ip
+// and advertises the address advertised.
 func (h *host) connect(r *Run, ip, advertised string) (err error) {
 	open := func(address, target string) *relay.Relay {
 		if err != nil {
@@ -123,7 +124,7 @@
 		opened, err = relay.NewAt(address, target)
 		return opened
 	}
-	h.toStore = open("127.0.0.1:0", h.storeFrontend.Address)
+	h.toStore = open("127.0.0.1:0", h.store.Address)
 	h.sessions = open(joinAddress(advertised, deployment.SessionPort), joinAddress(ip, deployment.SessionPort))
 	h.settings = deployment.Process{Name: h.name, IP: ip, Domain: h.domain, Service: service, MemoryMb: 256, First: true}
 	if h.role == "entry" {
@@ -152,7 +153,8 @@
 func joinAddress(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 func (h *host) writeSettings(path string) error {
-	// A process may read the file at any moment; it never sees half of one.
+	// The rename is atomic, so a process that reads the file at any time never reads
+	// a partial one.
 	if err := os.WriteFile(path+".new", []byte(h.settings.Settings()), 0o600); err != nil {
 		return fault.Wrap("write settings of "+h.name, NotStarted, err)
 	}
@@ -162,8 +164,8 @@
 	return nil
 }
 
-// startRunner starts the runner of an agent's machine. The clocks of runners
-// are up to 2 % slow.
+// startRunner starts the runner on an agent's machine. The clocks of the runners
+// run up to 2 % slow.
 func (f *fleet) startRunner(ctx context.Context, h *host, n int) error {
 	h.runner = taskrunner.New(taskrunner.Settings{
 		ID: runnerPrefix + h.name, Service: service, Domain: h.domain, Labels: []string{"a", fmt.Sprint("rack-", n/2)},
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// configure puts the next version of the configuration in force.
+// configure writes the next version of the configuration to the store.
 func (f *fleet) configure() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +203,8 @@
 	return nil
 }
 
-// restart starts a process that has ended, not for the first time.
+// restart starts a process again after it has ended. Its settings no longer say
+// that this is the first start.
 func (h *host) restart(r *Run) error {
 	h.settings.First = false
 	if err := h.writeSettings(h.settingsPath(r)); err != nil {
@@ -210,7 +213,7 @@
 	return h.process.Start()
 }
 
-// awaitReady waits until every entry process is ready.
+// awaitReady waits until the readiness check of every entry process passes.
 func (f *fleet) awaitReady(ctx context.Context, within time.Duration) error {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -218,7 +221,7 @@
 	for _, h := range f.entries {
 		for !h.ready(client) {
 			if time.Now().After(deadline) || !pause.For(ctx, pollInterval) {
-				return fault.New("start", NotStarted, "%s is not ready; its log is %s", h.name, h.process.Log)
+				return fault.New("start", NotStarted, "%s did not become ready in time; its log is in %s", h.name, h.process.Log)
 			}
 		}
 	}
@@ -234,7 +237,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// links returns every relay of the host.
+// relays returns the relays of the host.
 func (h *host) relays() []*relay.Relay {
 	var all []*relay.Relay
 	for _, l := range []*relay.Relay{h.toStore, h.sessions, h.clients, h.toRunner, h.toAgent} {
@@ -245,10 +248,11 @@
 	return all
 }
 
-// heal ends every fault and starts what does not run.
+// clearFaults clears every fault, resumes paused processes and brings all failure
+// domains back.
 func (f *fleet) clearFaults(r *Run) {
 	for _, h := range f.hosts() {
-		h.storeFrontend.Set(metastore.Fault{})
+		h.store.Set(metastore.Fault{})
 		for _, l := range h.relays() {
 			l.Restore()
 		}
@@ -262,7 +266,7 @@
 	}
 }
 
-// close ends everything that was started.
+// close stops the processes and closes the stand-ins and relays.
 func (f *fleet) close() {
 	for _, h := range f.hosts() {
 		h.process.Signal(syscall.SIGCONT)
@@ -273,6 +277,6 @@
 		for _, l := range h.relays() {
 			l.Close()
 		}
-		h.storeFrontend.Close()
+		h.store.Close()
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// Log lines from linesBefore to linesAfter around a broken promise are
-	// shown, at most linesPerProcess of each process.
+	// The report shows the log lines from logLinesBefore before a violation to
+	// logLinesAfter after it, at most maxLinesPerProcess of each process.
 	logLinesBefore     = 1500 * time.Millisecond
 	logLinesAfter      = 300 * time.Millisecond
 	maxLinesPerProcess = 12
 )
 
-// excerpt returns the lines of a process's log around a time; those that name
-// the job go first when there are too many.
+// excerpt returns the lines of a process's log around a violation. When there are
+// too many, lines that contain the job ID are preferred.
 func (r *Result) excerpt(process string, b Broken) []string {
 	file, err := os.Open(filepath.Join(r.Dir, process+".log"))
 	if err != nil {
@@ -62,8 +62,9 @@
 	return at.AddDate(near.Year(), 0, 0), true
 }
 
-// Write prints the verdict on a run, and for a broken one how to repeat it and
-// the log lines around the first broken promise.
+// Write prints the result of a run. If promises were broken, it also prints the
+// command that repeats the run, and the faults, task runs and log lines around the
+// first violation.
 func (r *Result) Write(w io.Writer, command string) error {
 	verdict := "kept"
 	if len(r.Broken) > 0 {
@@ -90,7 +91,7 @@
 	}
 	for _, x := range r.Runs {
 		if first.Job != "" && jobID(x.Task) == first.Job {
-			ended := "runs on"
+			ended := "still running"
 			if !x.Ended.IsZero() {
 				ended = fmt.Sprintf("%s at %.3f s, recorded %t", x.How, x.Ended.Sub(r.Began).Seconds(), x.Noted)
 			}
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// WriteJSON writes the verdicts for other programs.
+// WriteJSON writes one JSON object for each result.
 func WriteJSON(w io.Writer, results []*Result) error {
 	encoder := json.NewEncoder(w)
 	for _, r := range results {
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// bar is a span of time on a lane of the time line, in percent of its width.
+// bar is a period on a lane of the timeline. Left and Width are percentages of the
+// lane's width.
 type bar struct {
 	Left, Width float64
 	Class, Text string
@@ -139,7 +141,8 @@
 	Lanes []lane
 }
 
-// lanes draws the faults and the runs of each host over time.
+// lanes returns one lane with the faults and task runs of each process, after a
+// lane with the violations and the faults of all processes.
 func (r *Result) lanes() []lane {
 	end := r.Began
 	for _, x := range r.Runs {
@@ -202,7 +205,7 @@
 {{range .Lanes}}<div class="lane"><b>{{.Name}}</b>{{range .Bars}}<div class="bar {{.Class}}" style="left:{{printf "%.2f" .Left}}%;width:{{printf "%.2f" .Width}}%" title="{{.Text}}"></div>{{end}}</div>
 {{end}}{{end}}`))
 
-// WriteHTML writes a time line of faults against runs for every seed.
+// WriteHTML writes a timeline of faults and task runs for every seed.
 func WriteHTML(w io.Writer, results []*Result) error {
 	charts := make([]chart, len(results))
 	for i, r := range results {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -9,19 +9,20 @@
 	"wasabihill.example/wasabihill/internal/pause"
 )
 
-// planned is one fault of a schedule. Equal seeds give equal schedules.
+// scheduledFault is one fault of a schedule. Equal seeds give equal schedules.
 type scheduledFault struct {
 	kind     *faultKind
-	host     int // index in the fleet's hosts; -1 for what concerns all
+	host     int // index in the fleet's hosts; -1 for all hosts
 	at       time.Duration
 	duration time.Duration
 }
 
-// injected is a fault that was injected.
+// injectedFault is a fault that was injected. It is encoded as JSON under its field
+// names.
 type injectedFault struct {
 	Kind    string
-	Host    string // empty for all
-	Planned bool   // by operators
+	Host    string // empty for all hosts
+	Planned bool   // an operator action
 	Began   time.Time
 	Ended   time.Time
 }
@@ -30,12 +31,12 @@
 	// faultsPerSecond lets two or three faults overlap most of the time.
 	faultsPerSecond  = 0.9
 	minFaultDuration = 300 * time.Millisecond
-	// processRest is left between two faults of one process, so that most begin
-	// at a process that is at work.
+	// processRecoveryTime separates two faults that stop the same process, so that
+	// most faults hit a process that has resumed work.
 	processRecoveryTime = time.Second
 )
 
-// schedule draws the faults of a run.
+// schedule returns the random faults of a run, sorted by time.
 func schedule(r *Run) []scheduledFault {
 	random := rand.New(rand.NewPCG(r.Seed, 1))
 	var list []scheduledFault
@@ -62,10 +63,10 @@
 	return dropOverlapping(list)
 }
 
-// withoutClashes drops faults of a process that would begin during another one
-// of the same process, or of all of them.
+// dropOverlapping drops faults that stop a process and begin while another such
+// fault affects the same process.
 func dropOverlapping(list []scheduledFault) []scheduledFault {
-	free := make(map[int]time.Duration) // by host: when its process is at work again
+	free := make(map[int]time.Duration) // when the process has resumed work, by host
 	var kept []scheduledFault
 	for _, p := range list {
 		if p.kind.stopsProcess {
@@ -80,7 +81,7 @@
 			}
 			free[p.host] = p.at + p.duration + processRecoveryTime
 			if p.kind.name == terminateKind {
-				free[p.host] += gracePeriod // until it has stopped, at the latest
+				free[p.host] += gracePeriod // the latest time at which it has stopped
 			}
 		}
 		kept = append(kept, p)
@@ -88,7 +89,7 @@
 	return kept
 }
 
-// inject begins a fault and ends it.
+// inject injects a fault, clears it after its duration and records both times.
 func (r *Run) inject(ctx context.Context, p scheduledFault) {
 	var targets []*host
 	name := ""
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,9 @@
 // Package soak runs the real programs as separate processes against stand-ins of
-// the platform, injects faults from outside them, and checks the promises of the
-// product from what callers and runners see.
+// the platform, injects faults from outside the processes, and checks the promises
+// of the product from the observations of callers and runners.
 //
-// Reading order: soak.go (a run), fleet.go (what runs), schedule.go and
-// faults.go (what is done to it), callers.go (load), checks.go (promises),
+// Reading order: soak.go (a run), fleet.go (processes and stand-ins),
+// schedule.go and faults.go (faults), callers.go (load), checks.go (promises),
 // report.go.
 package soak
 
@@ -22,55 +22,56 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// Kind tells errors of this package apart.
+// Kind is the kind of an error of this package.
 type Kind string
 
-// The kinds of Error.
+// The kinds of errors.
 const (
-	NotStarted Kind = "notStarted" // the deployment did not come up
-	Invalid    Kind = "invalid"    // settings that can't be run
+	NotStarted Kind = "notStarted" // the deployment did not start
+	Invalid    Kind = "invalid"    // the settings of the run are invalid
 )
 
 const (
-	// readyWithin bounds the first start of everything.
+	// readyTimeout bounds the first start of the processes.
 	readyTimeout = 15 * time.Second
-	// calmBefore is the time without faults before the first one.
+	// initialFaultFreeTime is the time under load before the first fault.
 	initialFaultFreeTime = 1500 * time.Millisecond
-	// settleWithin is how long accepted jobs may take after the last fault: a
-	// takeover, the leases of what was lost, and the work itself.
+	// jobsTimeout is how long accepted jobs may take to end after the last fault:
+	// it covers a failover, the expiry of leases of lost tasks, and the tasks'
+	// run time.
 	jobsTimeout = 25 * time.Second
-	// pollEvery spaces repeated questions.
+	// pollInterval is the time between two queries while waiting.
 	pollInterval = 100 * time.Millisecond
 )
 
-// Run is one soak of one seed. Set the exported fields before Run.
+// Run is the soak run of one seed. Set the exported fields before calling Run.
 type Run struct {
 	Seed    uint64
-	Faults  time.Duration // for which faults are injected
+	Faults  time.Duration // how long faults are injected
 	Entries int
 	Agents  int
-	Binary  string // wasabihill-node
-	Dir     string // of settings and logs
-	Only    string // inject this kind of fault alone; empty for all
+	Binary  string // path of wasabihill-node
+	Dir     string // directory of settings and logs
+	Only    string // the only kind of fault to inject; empty for all kinds
 
-	began     time.Time // of the calm before the faults
+	began     time.Time // start of the fault-free time before the first fault
 	fleet     *fleet
 	generator *loadGenerator
 
-	mu         sync.Mutex // of what follows
+	mu         sync.Mutex // guards the fields below
 	injected   []injectedFault
-	domainsOut []noStartPeriod // domains
-	// evacuations counts those of each domain that have begun and not ended.
+	domainsOut []noStartPeriod // periods in which failure domains were out
+	// evacuations counts the current evacuations of each failure domain.
 	evacuations map[string]int
-	draining    []noStartPeriod // runners
+	draining    []noStartPeriod // periods in which runners were draining
 	failures    []Broken
 }
 
-// Result is what a run has shown.
+// Result is the result of a run.
 type Result struct {
 	Seed      uint64
 	Took      time.Duration
-	Broken    []Broken // promises, the first first
+	Broken    []Broken // violations, ordered by time
 	Accepted  int
 	Rejected  int
 	Responses int
@@ -78,25 +79,25 @@
 	Faults    []injectedFault
 	Runs      []taskrunner.Run
 	Began     time.Time
-	Processes []string // names, in the order of their logs
+	Processes []string // names, entry processes first
 	Dir       string
 }
 
-// Broken is a promise that was not kept.
+// Broken is a violation of a promise. It is encoded as JSON under its field names.
 type Broken struct {
 	Promise string
 	At      time.Time
-	Job     string // empty when it concerns no single job
+	Job     string // empty if the violation concerns no single job
 	Text    string
 }
 
-// Run plays the seed's schedule and judges it.
+// Run executes the schedule of the seed and evaluates the result.
 func (r *Run) Run(ctx context.Context) (*Result, error) {
 	if r.Entries < 2 || r.Agents < 2 {
-		return nil, fault.New("soak", Invalid, "%d entry processes and %d agents; want two of each at least", r.Entries, r.Agents)
+		return nil, fault.New("soak", Invalid, "%d entry processes and %d agents; want at least two of each", r.Entries, r.Agents)
 	}
 	if r.Only != "" && !slices.ContainsFunc(faultKinds, func(k faultKind) bool { return k.name == r.Only }) {
-		return nil, fault.New("soak", Invalid, "no kind of fault is called %q", r.Only)
+		return nil, fault.New("soak", Invalid, "unknown kind of fault %q", r.Only)
 	}
 	if err := os.MkdirAll(r.Dir, 0o755); err != nil {
 		return nil, fault.Wrap("soak", NotStarted, err)
@@ -123,7 +124,7 @@
 	return result, ctx.Err()
 }
 
-// play offers load, injects the faults, heals everything and waits until all
+// execute generates load, injects the faults, clears them and waits until all
 // accepted jobs have ended.
 func (r *Run) execute(ctx context.Context) {
 	r.began = time.Now()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// TestMain builds the program that the tests run as processes.
+// TestMain builds the program that the tests start as processes.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "soak-test-")
 	if err == nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// soakOf plays a seed against a build of the program.
+// runSeed runs a seed against a build of the program.
 func runSeed(t *testing.T, seed uint64, program, only string) *Result {
 	t.Helper()
 	r := &Run{Seed: seed, Faults: 12 * time.Second, Entries: 3, Agents: 4, Binary: program, Dir: t.TempDir(), Only: only}
@@ -54,8 +54,9 @@
 	return result
 }
 
-// Guards against any fault of the short schedules breaking a promise. The seeds
-// after the first two failed once; their causes stand beside them.
+// TestShortSoak guards against a promise that breaks under the faults of short
+// schedules. The seeds after the first two are regressions; the cause of each is
+// given beside it.
 func TestShortSoak(t *testing.T) {
 	for _, c := range []struct {
 		seed  uint64
@@ -63,12 +64,12 @@
 	}{
 		{1, ""},
 		{2, ""},
-		{663123972, "a start under way reached a runner born again under its id and was taken for lost (runner.replaceIncarnation, scheduler.setRunner)"},
+		{663123972, "a start request in flight reached a new incarnation of the runner under the same ID and was treated as lost (runner.replaceIncarnation, scheduler.setRunner)"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
 			result := runSeed(t, c.seed, binary, "")
 			if result.Accepted == 0 || result.Starts == 0 {
-				t.Fatalf("nothing happened: %d jobs accepted, %d starts", result.Accepted, result.Starts)
+				t.Fatalf("no load was processed: %d jobs accepted, %d starts", result.Accepted, result.Starts)
 			}
 			if len(result.Broken) > 0 {
 				text := &bytes.Buffer{}
@@ -81,7 +82,8 @@
 	}
 }
 
-// A schedule must be the same for the same seed, or a seed tells nothing.
+// TestScheduleIsSameForSeed guards against a failure that its seed does not
+// reproduce because the schedule of a seed varies.
 func TestScheduleIsSameForSeed(t *testing.T) {
 	text := func(seed uint64) string {
 		out := ""
@@ -99,16 +101,17 @@
 	}
 }
 
-// change is an edit that breaks the product.
+// sourceEdit is an edit that introduces a fault into the product.
 type sourceEdit struct{ file, from, to string }
 
-// Each broken build must be caught, or the checks prove nothing. The edits are
-// applied with go build -overlay; the sources stay as they are.
+// TestBrokenBuildsAreCaught guards against checks that pass although the product
+// breaks a promise. It applies faulty edits with go build -overlay, so that the
+// sources are not changed.
 func TestBrokenBuildsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  sourceEdit
-		only    string // kind of fault that brings it out; empty for none of its own
+		only    string // kind of fault that exposes the edit
 		promise string
 	}{
 		{
@@ -144,12 +147,13 @@
 					return
 				}
 			}
-			t.Errorf("%q was not found broken; found: %v", c.promise, result.Broken)
+			t.Errorf("no violation of %q was found; found: %v", c.promise, result.Broken)
 		})
 	}
 }
 
-// overlay writes a changed copy of a source file and returns the overlay's path.
+// overlay writes an edited copy of a source file and returns the path of the
+// overlay file.
 func overlay(t *testing.T, c sourceEdit) string {
 	t.Helper()
 	source, err := filepath.Abs(filepath.Join("..", "..", c.file))
@@ -161,7 +165,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(data), c.from) != 1 {
-		t.Fatalf("%s does not hold %q once; the edit has to follow the source", c.file, c.from)
+		t.Fatalf("%s does not contain %q exactly once; update the edit to match the source", c.file, c.from)
 	}
 	dir := t.TempDir()
 	changed, index := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
@@ -174,7 +178,8 @@
 	return index
 }
 
-// The checks that no broken build brings out are shown what they must find.
+// TestChecksFindViolations guards against checks that miss a violation. It covers
+// the checks that TestBrokenBuildsAreCaught does not, with constructed observations.
 func TestChecksFindViolations(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -206,21 +211,22 @@
 			found = found || b.Promise == c.promise
 		}
 		if !found {
-			t.Errorf("%s: %q was not found broken", c.name, c.promise)
+			t.Errorf("%s: no violation of %q was found", c.name, c.promise)
 		}
 	}
 }
 
-// A fault on the machine excuses a late start there, and only there.
+// TestFaultExcusesOnlyItsMachine guards against a fault that excuses a late start on
+// another machine, and against one that excuses starts after the bound.
 func TestFaultExcusesOnlyItsMachine(t *testing.T) {
 	start := time.Now()
 	e := &observations{faults: []injectedFault{{Kind: "kill", Host: "agent-0", Began: start, Ended: start.Add(time.Second)}}}
 	for host, want := range map[string]bool{"agent-0": false, "agent-1": true} {
 		if got := e.faultFree(host, start.Add(3*time.Second), minFaultFreeTime); got != want {
-			t.Errorf("calm at %s: got %t, want %t", host, got, want)
+			t.Errorf("fault-free at %s: got %t, want %t", host, got, want)
 		}
 	}
 	if !e.faultFree("agent-0", start.Add(6*time.Second), minFaultFreeTime) {
-		t.Error("the machine is not calm again after the bound")
+		t.Error("the machine is not fault-free after the bound")
 	}
 }
