--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -11,8 +11,8 @@
 )
 
 const description = `Sends POST requests at planned times and measures latency from the planned
-time. Each answer is checked to belong to its request and to be whole; this
-needs endpoints like those of wasabihill-standin. Exits with an error when a
+time. Checks that each response is complete and belongs to its request; this
+requires endpoints like those of wasabihill-standin. Exits with an error when a
 check fails.
 
 Examples:
@@ -20,32 +20,33 @@
   wasabihill load --target http://127.0.0.1:7001 --target http://127.0.0.1:7002 \
     --service mouldDesk --rate 200 --time 30s
 
-  # half of them must run at most once, all within 250 ms; report as JSON
+  # half of the requests are non-idempotent, all have a deadline of 250 ms;
+  # report as JSON
   wasabihill load --target http://127.0.0.1:7001 --service mouldDesk \
     --rate 500 --time 10s --non-idempotent 0.5 --deadline 250ms --json
 
-  # straight to an endpoint, for comparison
+  # directly to an endpoint, for comparison
   wasabihill load --target http://127.0.0.1:8080 --rate 200 --time 30s`
 
-// Command is the subcommand load of wasabihill.
+// Command returns the load subcommand of wasabihill.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:        "load",
-		Usage:       "offer load to a service and check every answer",
+		Usage:       "send load to a service and check every response",
 		Description: description,
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Required: true, Usage: "base URL of an entry process; may be repeated"},
-			&cli.StringFlag{Name: "service", Usage: "service to call; empty sends straight to an endpoint"},
+			&cli.StringFlag{Name: "service", Usage: "service to call; if empty, the targets are endpoints"},
 			&cli.FloatFlag{Name: "rate", Value: 100, Usage: "planned requests per second"},
-			&cli.DurationFlag{Name: "time", Value: 10 * time.Second, Usage: "how long requests are planned"},
-			&cli.IntFlag{Name: "in-flight", Value: 256, Usage: "most requests at a time"},
-			&cli.IntFlag{Name: "body-bytes", Value: 256, Usage: "length of a request body"},
-			&cli.DurationFlag{Name: "deadline", Usage: "deadline of each request; 0 sends none"},
-			&cli.FloatFlag{Name: "non-idempotent", Usage: "share of requests that must run at most once, 0 to 1"},
-			&cli.BoolFlag{Name: "poisson", Usage: "exponential gaps between requests"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the plan"},
-			&cli.StringFlag{Name: "prefix", Usage: "prefix of request ids"},
-			&cli.BoolFlag{Name: "json", Usage: "report as JSON"},
+			&cli.DurationFlag{Name: "time", Value: 10 * time.Second, Usage: "how long requests are sent"},
+			&cli.IntFlag{Name: "in-flight", Value: 256, Usage: "maximum number of concurrent requests"},
+			&cli.IntFlag{Name: "body-bytes", Value: 256, Usage: "size of each request body"},
+			&cli.DurationFlag{Name: "deadline", Usage: "deadline of each request; 0 for none"},
+			&cli.FloatFlag{Name: "non-idempotent", Usage: "share of non-idempotent requests, 0 to 1"},
+			&cli.BoolFlag{Name: "poisson", Usage: "use exponentially distributed gaps between requests"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the request schedule"},
+			&cli.StringFlag{Name: "prefix", Usage: "prefix of request IDs"},
+			&cli.BoolFlag{Name: "json", Usage: "write the report as JSON"},
 		},
 		Action: run,
 	}
@@ -70,7 +71,7 @@
 		return err
 	}
 	if len(r.Faults) > 0 {
-		return fmt.Errorf("load: answers failed their checks:%s", formatCounts(r.Faults))
+		return fmt.Errorf("load: responses failed their checks:%s", formatCounts(r.Faults))
 	}
 	return nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load offers requests at planned times, whatever the responses do,
-// and measures latency from the planned time, so that a stalled system does
-// not hide behind requests that were never sent.
+// Package load sends requests at planned times, independently of the responses
+// (an open workload), and measures latency from the planned time. A stall of the
+// system thus shows in the latency of all requests planned during it.
 package load
 
 import (
@@ -21,31 +21,31 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// Options configures a run.
+// Options configures a load run.
 type Options struct {
-	Targets            []string                // base URLs of entry processes, used in turn
-	Target             func(number int) string // chooses the base URL instead of Targets; called concurrently
-	Service            string                  // empty sends straight to an endpoint, without outcomes
+	Targets            []string                // base URLs of entry processes, used round robin
+	Target             func(number int) string // returns the base URL and replaces Targets; called concurrently
+	Service            string                  // if empty, requests go directly to endpoints, which send no outcomes
 	Rate               float64                 // planned requests per second
 	Duration           time.Duration
-	MaxInFlight        int // most requests at a time; later ones are sent late, not dropped
+	MaxInFlight        int // concurrent requests; further requests are sent late, not dropped
 	BodyBytes          int
-	Deadline           time.Duration // 0 sends none
-	NonIdempotentShare float64       // share of requests that must run at most once, 0 to 1
-	Poisson            bool          // exponential gaps between requests instead of constant ones
+	Deadline           time.Duration // 0 for none
+	NonIdempotentShare float64       // share of non-idempotent requests, 0 to 1
+	Poisson            bool          // exponentially distributed instead of constant gaps between requests
 	Seed               uint64
-	Prefix             string       // of request ids, so that a checker can tell runs apart
-	Observe            func(Sample) // told of each request when it has ended; called concurrently; may be nil
+	Prefix             string       // of request IDs, so that a checker can distinguish runs
+	Observe            func(Sample) // called concurrently with the sample of each finished request; may be nil
 }
 
-// Sample is what became of one request.
+// Sample is the result of one request.
 type Sample struct {
 	ID         string
-	Target     string // base URL that it was sent to
+	Target     string // base URL to which the request was sent
 	Idempotent bool
 	Planned    time.Time
 	Latency    time.Duration // from the planned time
-	Outcome    string        // done, notRun, unknown, or broken when no whole response came
+	Outcome    string        // done, notRun, unknown, or broken without a complete response
 }
 
 // request is one planned request.
@@ -55,17 +55,18 @@
 	idempotent bool
 }
 
-// result is what one worker counted; workers share nothing while they run.
+// workerResult holds the counts of one worker goroutine. Workers share no state
+// while they run.
 type workerResult struct {
 	outcomes map[string]int
 	statuses map[int]int
 	faults   map[string]int
 	done     *hdrhistogram.Histogram // microseconds from the planned time
 	notRun   *hdrhistogram.Histogram
-	late     *hdrhistogram.Histogram // from the planned time until it was sent
+	late     *hdrhistogram.Histogram // from the planned time to the send time
 }
 
-// Latencies are recorded from 1 us to 5 minutes with three digits.
+// Latencies are recorded from 1 us to 5 minutes with three significant digits.
 const (
 	maxLatencyMicroseconds = int64(5 * time.Minute / time.Microsecond)
 	significantDigits      = 3
@@ -77,10 +78,10 @@
 }
 
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), maxLatencyMicroseconds)) // always in range
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxLatencyMicroseconds)) // cannot fail: the value is in range
 }
 
-// Run offers the load until it is complete or ctx ends.
+// Run sends the planned requests until all have ended or ctx ends.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Target == nil {
 		o.Target = func(number int) string { return o.Targets[number%len(o.Targets)] }
@@ -112,7 +113,7 @@
 	return newReport(o, planned, time.Since(start), results), nil
 }
 
-// runner sends requests.
+// sender sends the requests of a run.
 type sender struct {
 	options Options
 	client  *http.Client
@@ -120,7 +121,8 @@
 	digest  string
 }
 
-// plan hands out requests at their planned times and returns how many.
+// schedule passes requests to the workers at their planned times and returns the
+// number of requests.
 func (r *sender) schedule(ctx context.Context, start time.Time, requests chan<- request) int {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	gap := float64(time.Second) / r.options.Rate
@@ -149,7 +151,7 @@
 	return number
 }
 
-// send sends one request, counts what became of it and tells the observer.
+// send sends one request, counts its outcome and calls Observe.
 func (r *sender) send(ctx context.Context, q request, into *workerResult) {
 	id := r.options.Prefix + strconv.Itoa(q.number)
 	target := r.options.Target(q.number)
@@ -166,8 +168,8 @@
 	}
 }
 
-// request builds the HTTP request. Its body cannot be read twice, so that
-// net/http never sends it twice.
+// newRequest builds the HTTP request. Its body cannot be rewound, so net/http never
+// retries the request.
 func (r *sender) newRequest(ctx context.Context, q request, id, target string) (*http.Request, error) {
 	url := target + "/"
 	if r.options.Service != "" {
@@ -189,7 +191,7 @@
 	return h, nil
 }
 
-// broken is the outcome of a request that got no whole response.
+// outcomeBroken is the outcome of a request without a complete response.
 const outcomeBroken = "broken"
 
 func (r *sender) exchange(h *http.Request, q request, id string, into *workerResult) (string, time.Duration) {
@@ -202,13 +204,13 @@
 	latency := time.Since(q.planned)
 	into.statuses[response.StatusCode]++
 	if err != nil {
-		return outcomeBroken, latency // cut in the middle, and seen to be
+		return outcomeBroken, latency // the truncation of the body was detected
 	}
 	return string(r.checkResponse(response, body, id, latency, into)), latency
 }
 
-// judge returns the outcome and checks that an answer is the request's own and
-// whole.
+// checkResponse returns the outcome, and checks that a response is complete and
+// belongs to the request.
 func (r *sender) checkResponse(response *http.Response, body []byte, id string, latency time.Duration, into *workerResult) headers.Outcome {
 	outcome := headers.Outcome(response.Header.Get(headers.OutcomeHeader))
 	if outcome == "" && r.options.Service == "" {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,7 +10,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency summarises a histogram. All values are from the planned send time.
+// Latency summarises a histogram of times since the planned send time. Durations in
+// its JSON form are nanoseconds.
 type Latency struct {
 	Count  int64         `json:"count"`
 	Mean   time.Duration `json:"mean"`
@@ -23,16 +24,16 @@
 
 // Report is the result of a run. Durations in its JSON form are nanoseconds.
 type Report struct {
-	Rate     float64        `json:"rate"`     // planned
-	Planned  int            `json:"planned"`  // requests
-	Goodput  float64        `json:"goodput"`  // done per second
+	Rate     float64        `json:"rate"`     // planned requests per second
+	Planned  int            `json:"planned"`  // number of requests
+	Goodput  float64        `json:"goodput"`  // requests per second with the outcome done
 	Took     time.Duration  `json:"took"`     // until the last response
-	Outcomes map[string]int `json:"outcomes"` // done, notRun, unknown, broken (no whole response)
+	Outcomes map[string]int `json:"outcomes"` // by outcome: done, notRun, unknown, broken (no complete response)
 	Statuses map[int]int    `json:"statuses"`
-	Faults   map[string]int `json:"faults"` // violations; empty when every answer was right
+	Faults   map[string]int `json:"faults"` // violations by kind; empty when every response was correct
 	Done     Latency        `json:"done"`
 	NotRun   Latency        `json:"notRun"`
-	Late     Latency        `json:"late"` // how late this program sent
+	Late     Latency        `json:"late"` // from the planned time to the send time
 }
 
 func newReport(o Options, planned int, took time.Duration, results []*workerResult) *Report {
@@ -76,7 +77,7 @@
 	return e.Encode(r)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
 	out := fmt.Sprintf("planned   %d requests at %.0f/s, took %v, goodput %.1f/s\n", r.Planned, r.Rate, r.Took.Round(time.Millisecond), r.Goodput)
 	out += "outcomes " + formatCounts(r.Outcomes) + "\nstatuses " + formatCounts(r.Statuses) + "\nfaults   " + formatCounts(r.Faults) + "\n"
