--- a/internal/acceptance/checks_test.go
+++ b/internal/acceptance/checks_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against a check of planned stops that blames them for a process that was
-// killed from outside, and against one that excuses what the planned stop cut.
+// TestPlannedStopIsDistinguishedFromKill guards against a check of planned stops
+// that reports requests lost because another process was killed from outside, and
+// against one that excuses requests aborted by the planned stop.
 func TestPlannedStopIsDistinguishedFromKill(t *testing.T) {
 	firm := Firms()[0]
 	entries := firm.Entries()
@@ -16,21 +17,21 @@
 	for _, c := range []struct {
 		name   string
 		target Entry
-		gone   time.Duration // when nothing listened there, since start; 0 for never
+		gone   time.Duration // when the target refused connections, since start; 0 for never
 		broken int
 	}{
-		{"cut by the planned stop", stopped, at + 100*time.Millisecond, 1},
+		{"aborted by the planned stop", stopped, at + 100*time.Millisecond, 1},
 		{"in flight at a killed process", killed, at + 100*time.Millisecond, 0},
-		{"cut by a process that lives on", killed, 0, 1},
-		{"long before the process was gone", killed, at + 5*time.Second, 1},
+		{"aborted by a process that continues to run", killed, 0, 1},
+		{"aborted long before the process refused connections", killed, at + 5*time.Second, 1},
 	} {
-		d := newFirmRun(&Run{}, firm)
-		d.observed.start = start
-		d.observed.results["order-1"] = requestResult{target: c.target.callerURL(), outcome: "unknown", plannedAt: at}
+		f := newFirmRun(&Run{}, firm)
+		f.observed.start = start
+		f.observed.results["order-1"] = requestResult{target: c.target.callerURL(), outcome: "unknown", plannedAt: at}
 		if c.gone > 0 {
-			d.observed.recordConnectionRefused(c.target, start.Add(c.gone))
+			f.observed.recordConnectionRefused(c.target, start.Add(c.gone))
 		}
-		if broken, _ := d.checkPlannedStop(); len(broken) != c.broken {
+		if broken, _ := f.checkPlannedStop(); len(broken) != c.broken {
 			t.Errorf("%s: got %v, want %d broken", c.name, broken, c.broken)
 		}
 	}
--- a/internal/acceptance/command.go
+++ b/internal/acceptance/command.go
@@ -13,18 +13,18 @@
 	dir := &cli.StringFlag{Name: "dir", Value: "run", Usage: "`DIRECTORY` for settings, documents and results"}
 	return &cli.Command{
 		Name:  "wasabihill-acceptance",
-		Usage: "plan and drive a shortened day of both firms",
+		Usage: "prepare and run a shortened day of both firms",
 		Commands: []*cli.Command{
 			{
-				Name: "plan", Usage: "write settings, documents and the list of processes",
+				Name: "plan", Usage: "write the settings, the documents and the list of processes",
 				Flags: []cli.Flag{dir, &cli.StringFlag{Name: "binaries", Value: "bin", Usage: "`DIRECTORY` of the programs"}},
 				Action: func(_ context.Context, c *cli.Command) error {
 					return WriteFiles(c.String("dir"), c.String("binaries"))
 				},
 			},
 			{
-				Name: "drive", Usage: "send work, inject failures, check the guarantees",
-				Flags: []cli.Flag{dir, &cli.StringFlag{Name: "actions", Required: true, Usage: "named `PIPE` to which kills, stops and starts are written"}},
+				Name: "drive", Usage: "send requests and jobs, inject failures and check the guarantees",
+				Flags: []cli.Flag{dir, &cli.StringFlag{Name: "actions", Required: true, Usage: "named `PIPE` to which the actions on processes (kill, stop, start) are written"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					actions, err := os.OpenFile(c.String("actions"), os.O_WRONLY, 0)
 					if err != nil {
--- a/internal/acceptance/drive.go
+++ b/internal/acceptance/drive.go
@@ -19,90 +19,91 @@
 type Run struct {
 	Dir      string
 	Firms    []Firm
-	Actions  io.Writer // lines "start NAME", "KILL NAME" or "TERM NAME"
+	Actions  io.Writer // receives lines "start NAME" or "SIGNAL NAME", with signal KILL, TERM, STOP or CONT
 	Progress io.Writer
 
 	began time.Time
-	mu    sync.Mutex // of Actions and Progress
+	mu    sync.Mutex // guards Actions and Progress
 }
 
-// The times of the day, from the moment when everything is ready.
+// The times of the run, measured from when every process is ready, its rates and
+// its limits.
 const (
 	readyTimeout = 30 * time.Second
-	jobsTimeout  = 60 * time.Second // for jobs to end after the traffic
+	jobsTimeout  = 60 * time.Second // for jobs to end after the requests
 	trafficTime  = 58 * time.Second
 	domainOutAt  = 6 * time.Second
 	domainInAt   = 16 * time.Second
 	pauseAt      = 8 * time.Second
 	urgentAt     = 12 * time.Second
-	resumeAt     = 20 * time.Second // 12 s later: past the lease of 8 s
+	resumeAt     = 20 * time.Second // 12 s after the pause, which exceeds the lease of 8 s
 	killAt       = 20 * time.Second
 	restartAt    = 23 * time.Second
-	// The lease of the instance that is lost ends while the log is cut, so its
-	// watcher has to continue without the log.
+	// The lease of the lost instance expires during the log outage, so its watcher
+	// has to be activated elsewhere without the log.
 	loseInstanceAt   = 25 * time.Second
 	logCutAt         = 29 * time.Second
 	logBackAt        = 39 * time.Second
 	returnInstanceAt = 42 * time.Second
 	plannedStopAt    = 44 * time.Second
 	replaceAt        = 52 * time.Second
-	quickRate        = 120.0 // requests a second of each firm
+	quickRate        = 120.0 // requests per second of each firm
 	orderRate        = 15.0
 	requestLimit     = 2 * time.Second
 )
 
-// step is something that happens to a firm at a time of the day.
+// step is an action on a firm at a time of the run.
 type step struct {
 	at   time.Duration
 	name string
 	do   func(*firmRun, context.Context) error
 }
 
-// tracks is the timetable of each firm. The steps of a track follow each other;
-// the tracks run side by side, so that a step that waits for the log, which may
-// be stopped by hand, does not delay what needs no log.
+// tracks is the timetable of each firm. The steps of a track run in sequence and the
+// tracks run concurrently, so that a step that waits for the log, which may be
+// stopped by hand, does not delay steps that do not need the log.
 var tracks = [][]step{
 	{ // teams
 		{0, "submit batch jobs", (*firmRun).submitJobs},
 		{2 * time.Second, "cancel a burst of jobs", (*firmRun).cancelBurst},
 		{urgentAt, "submit an urgent job", (*firmRun).submitUrgent},
-		{returnInstanceAt, "submit more batch jobs", func(d *firmRun, ctx context.Context) error { return d.submitBatch(ctx, "late", lateJobs) }},
+		{returnInstanceAt, "submit more batch jobs", func(f *firmRun, ctx context.Context) error { return f.submitN(ctx, "late", lateJobs) }},
 	},
 	{ // operators
-		{domainOutAt, "take a failure domain out", func(d *firmRun, ctx context.Context) error { return d.setDomain(ctx, environment.DomainOut) }},
-		{domainInAt, "bring the failure domain back", func(d *firmRun, ctx context.Context) error { return d.setDomain(ctx, environment.DomainIn) }},
+		{domainOutAt, "take a failure domain out", func(f *firmRun, ctx context.Context) error { return f.setDomain(ctx, environment.DomainOut) }},
+		{domainInAt, "bring the failure domain back", func(f *firmRun, ctx context.Context) error { return f.setDomain(ctx, environment.DomainIn) }},
 	},
 	{ // the log service
-		{logCutAt, "cut the log service", func(d *firmRun, ctx context.Context) error { return d.setOutage(ctx, true) }},
-		{logBackAt, "bring the log service back", func(d *firmRun, ctx context.Context) error { return d.setOutage(ctx, false) }},
+		{logCutAt, "cut the log service", func(f *firmRun, ctx context.Context) error { return f.setOutage(ctx, true) }},
+		{logBackAt, "bring the log service back", func(f *firmRun, ctx context.Context) error { return f.setOutage(ctx, false) }},
 	},
 	{ // processes
-		{pauseAt, "pause an agent", func(d *firmRun, _ context.Context) error { return d.writeActions("STOP", d.pausedAgent()) }},
-		{resumeAt, "resume the agent, past its lease", func(d *firmRun, _ context.Context) error { return d.writeActions("CONT", d.pausedAgent()) }},
-		{killAt, "kill an entry process and an agent", func(d *firmRun, _ context.Context) error { return d.writeActions("KILL", d.killedProcesses()...) }},
-		{restartAt, "start them again", func(d *firmRun, _ context.Context) error { return d.writeActions("start", d.killedProcesses()...) }},
+		{pauseAt, "pause an agent", func(f *firmRun, _ context.Context) error { return f.writeActions("STOP", f.pausedAgent()) }},
+		{resumeAt, "resume the agent, past its lease", func(f *firmRun, _ context.Context) error { return f.writeActions("CONT", f.pausedAgent()) }},
+		{killAt, "kill an entry process and an agent", func(f *firmRun, _ context.Context) error { return f.writeActions("KILL", f.killedProcesses()...) }},
+		{restartAt, "start them again", func(f *firmRun, _ context.Context) error { return f.writeActions("start", f.killedProcesses()...) }},
 		{loseInstanceAt, "lose the instance of a watcher: its worker and its agent", (*firmRun).loseInstance},
 		{returnInstanceAt, "return the instance", (*firmRun).returnInstance},
 		{plannedStopAt, "stop an entry process, an agent and an endpoint gracefully", (*firmRun).plannedStop},
-		{replaceAt, "start them again", func(d *firmRun, _ context.Context) error { return d.writeActions("start", d.gracefullyStopped()...) }},
+		{replaceAt, "start them again", func(f *firmRun, _ context.Context) error { return f.writeActions("start", f.gracefullyStopped()...) }},
 	},
 }
 
-// Drive runs the day of all firms at once, checks it, and returns the number
-// of checks that failed.
+// Drive runs all firms concurrently, checks the guarantees and returns the number
+// of failed checks.
 func (r *Run) Drive(ctx context.Context) (broken int, err error) {
 	r.began = time.Now()
-	days := make([]*firmRun, len(r.Firms))
+	runs := make([]*firmRun, len(r.Firms))
 	group, running := errgroup.WithContext(ctx)
-	for i, f := range r.Firms {
-		days[i] = newFirmRun(r, f)
-		group.Go(func() error { return days[i].run(running) })
+	for i, firm := range r.Firms {
+		runs[i] = newFirmRun(r, firm)
+		group.Go(func() error { return runs[i].run(running) })
 	}
 	if err := group.Wait(); err != nil {
 		return 0, err
 	}
-	for _, d := range days {
-		broken += d.printSummary()
+	for _, f := range runs {
+		broken += f.printSummary()
 	}
 	return broken, nil
 }
@@ -113,7 +114,7 @@
 	fmt.Fprintf(r.Progress, "%6.1fs  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// day is the run of one firm.
+// firmRun is the run of one firm.
 type firmRun struct {
 	*Run
 	firm     Firm
@@ -122,68 +123,68 @@
 	observed observations
 }
 
-func newFirmRun(r *Run, f Firm) *firmRun {
-	d := &firmRun{Run: r, firm: f, http: &http.Client{Timeout: 2 * time.Second}}
-	d.client = &administration.Client{Token: operatorToken, HTTP: &http.Client{Timeout: 15 * time.Second}}
-	d.observed.results = make(map[string]requestResult)
-	d.observed.executed = make(map[string]map[string]int)
-	d.observed.lateExecutions = make(map[string]int)
-	d.observed.versions = make(map[string][]versionSample)
-	d.observed.connectionsRefused = make(map[string][]time.Time)
-	d.observed.states = make(map[units.JobID]administration.Job)
-	for _, e := range f.Entries() {
-		d.client.Servers = append(d.client.Servers, e.Admin)
+func newFirmRun(r *Run, firm Firm) *firmRun {
+	f := &firmRun{Run: r, firm: firm, http: &http.Client{Timeout: 2 * time.Second}}
+	f.client = &administration.Client{Token: operatorToken, HTTP: &http.Client{Timeout: 15 * time.Second}}
+	f.observed.results = make(map[string]requestResult)
+	f.observed.executed = make(map[string]map[string]int)
+	f.observed.lateExecutions = make(map[string]int)
+	f.observed.versions = make(map[string][]versionSample)
+	f.observed.connectionsRefused = make(map[string][]time.Time)
+	f.observed.states = make(map[units.JobID]administration.Job)
+	for _, e := range firm.Entries() {
+		f.client.Servers = append(f.client.Servers, e.Admin)
 	}
-	return d
+	return f
 }
 
-func (d *firmRun) run(ctx context.Context) error {
-	if err := d.prepare(ctx); err != nil {
-		return fmt.Errorf("%s: %w", d.firm.Name, err)
+func (f *firmRun) run(ctx context.Context) error {
+	if err := f.prepare(ctx); err != nil {
+		return fmt.Errorf("%s: %w", f.firm.Name, err)
 	}
-	d.printProgress("%s: every process is ready", d.firm.Name)
-	d.observed.start = time.Now()
+	f.printProgress("%s: every process is ready", f.firm.Name)
+	f.observed.start = time.Now()
 	sampling, stopSampling := context.WithCancel(ctx)
 	defer stopSampling()
 	group, ctx := errgroup.WithContext(ctx)
 	followed := make(chan struct{})
 	group.Go(func() error {
 		defer close(followed)
-		return d.runTimetable(ctx)
+		return f.runTimetable(ctx)
 	})
-	group.Go(func() error { d.sample(sampling); return nil })
+	group.Go(func() error { f.sample(sampling); return nil })
 	group.Go(func() error {
 		defer stopSampling()
-		if err := d.sendRequests(ctx); err != nil {
+		if err := f.sendRequests(ctx); err != nil {
 			return err
 		}
-		<-followed // jobs are still submitted until then
-		return d.waitForJobs(ctx)
+		<-followed // the timetable submits jobs until it ends
+		return f.waitForJobs(ctx)
 	})
 	if err := group.Wait(); err != nil {
-		return fmt.Errorf("%s: %w", d.firm.Name, err)
+		return fmt.Errorf("%s: %w", f.firm.Name, err)
 	}
-	return d.collect()
+	return f.collect()
 }
 
-// follow carries out the timetable.
-func (d *firmRun) runTimetable(ctx context.Context) error {
+// runTimetable runs the tracks of the timetable.
+func (f *firmRun) runTimetable(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, track := range tracks {
-		group.Go(func() error { return d.runTrack(ctx, track) })
+		group.Go(func() error { return f.runTrack(ctx, track) })
 	}
 	return group.Wait()
 }
 
-func (d *firmRun) runTrack(ctx context.Context, track []step) error {
+func (f *firmRun) runTrack(ctx context.Context, track []step) error {
 	for _, s := range track {
 		select {
-		case <-time.After(time.Until(d.observed.start.Add(s.at))):
+		case <-time.After(time.Until(f.observed.start.Add(s.at))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		d.printProgress("%s: %s", d.firm.Name, s.name)
-		if err := s.do(d, ctx); err != nil {
+		f.printProgress("%s: %s", f.firm.Name, s.name)
+		if err := s.do(f, ctx); err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
@@ -192,14 +193,14 @@
 
 // prepare publishes the trial document, promotes it to production and waits
 // until all processes are ready.
-func (d *firmRun) prepare(ctx context.Context) error {
+func (f *firmRun) prepare(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	key := administration.NewKey()
 	published := administration.Published{}
-	err := d.waitUntil(ctx, "the trial document is published", func() (bool, error) {
-		p, err := d.client.Publish(ctx, administration.Publication{
-			Environment: trialName, Key: key, Author: "acceptance", Text: d.firm.Document(trialName)}, "trial.json")
+	err := f.waitUntil(ctx, "the trial document is published", func() (bool, error) {
+		p, err := f.client.Publish(ctx, administration.Publication{
+			Environment: trialName, Key: key, Author: "acceptance", Text: f.firm.Document(trialName)}, "trial.json")
 		published = p
 		return err == nil, err
 	})
@@ -208,21 +209,21 @@
 	}
 	key = administration.NewKey()
 	var promoted administration.Published
-	err = d.waitUntil(ctx, "the document is promoted", func() (bool, error) {
-		p, err := d.client.Promote(ctx, trialName, productionName, published.Version, 0, "acceptance", key)
+	err = f.waitUntil(ctx, "the document is promoted", func() (bool, error) {
+		p, err := f.client.Promote(ctx, trialName, productionName, published.Version, 0, "acceptance", key)
 		promoted = p
 		return err == nil, err
 	})
 	if err != nil {
 		return err
 	}
-	d.observed.acceptedVersions = append(d.observed.acceptedVersions, acceptedVersion{promoted.Version, time.Now()})
-	return d.waitUntil(ctx, "every worker and endpoint is ready", d.allReady(ctx))
+	f.observed.acceptedVersions = append(f.observed.acceptedVersions, acceptedVersion{promoted.Version, time.Now()})
+	return f.waitUntil(ctx, "every worker and endpoint is ready", f.allReady(ctx))
 }
 
-func (d *firmRun) allReady(ctx context.Context) func() (bool, error) {
+func (f *firmRun) allReady(ctx context.Context) func() (bool, error) {
 	return func() (bool, error) {
-		workers, err := d.client.Workers(ctx)
+		workers, err := f.client.Workers(ctx)
 		if err != nil {
 			return false, err
 		}
@@ -233,14 +234,14 @@
 			}
 		}
 		if ready < workersPerFirm {
-			return false, fmt.Errorf("%d of %d are ready", ready, workersPerFirm)
+			return false, fmt.Errorf("%d of %d workers are ready", ready, workersPerFirm)
 		}
 		return true, nil
 	}
 }
 
-// until repeats a condition until it holds or ctx ends.
-func (d *firmRun) waitUntil(ctx context.Context, what string, condition func() (bool, error)) error {
+// waitUntil polls a condition until it holds or ctx ends.
+func (f *firmRun) waitUntil(ctx context.Context, what string, condition func() (bool, error)) error {
 	for {
 		ok, err := condition()
 		if ok {
@@ -249,105 +250,107 @@
 		select {
 		case <-time.After(200 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("never happened: %s (last answer: %v)", what, err)
+			return fmt.Errorf("timed out waiting until %s (last error: %v)", what, err)
 		}
 	}
 }
 
-func (d *firmRun) writeActions(verb string, names ...string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (f *firmRun) writeActions(verb string, names ...string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for _, name := range names {
-		if _, err := fmt.Fprintln(d.Actions, verb, name); err != nil {
+		if _, err := fmt.Fprintln(f.Actions, verb, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// victims are killed without notice: the second entry process and the agent of
-// the second worker.
-func (d *firmRun) killedProcesses() []string {
-	return []string{string(d.firm.Entries()[1].ID), agentName(d.firm.Workers()[1])}
+// killedProcesses returns the names of the processes that are killed without
+// notice: the second entry process and the agent of the second worker.
+func (f *firmRun) killedProcesses() []string {
+	return []string{string(f.firm.Entries()[1].ID), agentName(f.firm.Workers()[1])}
 }
 
-// paused is the agent that is paused past its lease and resumed.
-func (d *firmRun) pausedAgent() string { return agentName(d.firm.Workers()[3]) }
+// pausedAgent returns the name of the agent that is paused past its lease and then
+// resumed.
+func (f *firmRun) pausedAgent() string { return agentName(f.firm.Workers()[3]) }
 
 // loseInstance makes the worker that runs the first watcher unreachable and
 // kills its agent.
-func (d *firmRun) loseInstance(ctx context.Context) error {
-	job, err := d.client.Job(ctx, units.JobID("watcher/"+d.firm.Watchers[0]))
+func (f *firmRun) loseInstance(ctx context.Context) error {
+	job, err := f.client.Job(ctx, units.JobID("watcher/"+f.firm.Watchers[0]))
 	if err != nil {
 		return err
 	}
-	for _, w := range d.firm.Workers() {
+	for _, w := range f.firm.Workers() {
 		if len(job.Details) == 1 && w.ID == job.Details[0].Worker {
-			d.observed.lostInstance = w
-			if err := d.postFault(ctx, "http://"+w.Worker+"/v1/faults", `{"unreachable":true}`); err != nil {
+			f.observed.lostInstance = w
+			if err := f.postFault(ctx, "http://"+w.Worker+"/v1/faults", `{"unreachable":true}`); err != nil {
 				return err
 			}
-			return d.writeActions("KILL", agentName(w))
+			return f.writeActions("KILL", agentName(w))
 		}
 	}
 	return fmt.Errorf("no worker runs %s: %+v", job.ID, job.Details)
 }
 
-func (d *firmRun) returnInstance(ctx context.Context) error {
-	w := d.observed.lostInstance
-	if err := d.postFault(ctx, "http://"+w.Worker+"/v1/faults", `{}`); err != nil {
+func (f *firmRun) returnInstance(ctx context.Context) error {
+	w := f.observed.lostInstance
+	if err := f.postFault(ctx, "http://"+w.Worker+"/v1/faults", `{}`); err != nil {
 		return err
 	}
-	return d.writeActions("start", agentName(w))
+	return f.writeActions("start", agentName(w))
 }
 
-// stopped are stopped gracefully: the third entry process, the agent of the
-// last worker and the endpoint of the first.
-func (d *firmRun) gracefullyStopped() []string {
-	workers := d.firm.Workers()
-	return []string{string(d.firm.Entries()[2].ID), agentName(workers[len(workers)-1]), endpointName(workers[0])}
+// gracefullyStopped returns the names of the processes that are stopped gracefully:
+// the third entry process, the agent of the last worker and the endpoint of the
+// first worker.
+func (f *firmRun) gracefullyStopped() []string {
+	workers := f.firm.Workers()
+	return []string{string(f.firm.Entries()[2].ID), agentName(workers[len(workers)-1]), endpointName(workers[0])}
 }
 
-func (d *firmRun) plannedStop(context.Context) error {
-	d.observed.mu.Lock()
-	d.observed.leaving = append(d.observed.leaving, leavingEndpoint{d.firm.Workers()[0], time.Now()})
-	d.observed.mu.Unlock()
-	return d.writeActions("TERM", d.gracefullyStopped()...)
+func (f *firmRun) plannedStop(context.Context) error {
+	f.observed.mu.Lock()
+	f.observed.leaving = append(f.observed.leaving, leavingEndpoint{f.firm.Workers()[0], time.Now()})
+	f.observed.mu.Unlock()
+	return f.writeActions("TERM", f.gracefullyStopped()...)
 }
 
-// outDomain is the failure domain that operators take out.
-func (d *firmRun) domainTakenOut() units.DomainName { return d.firm.Domains[2] }
+// domainTakenOut returns the failure domain that operators take out.
+func (f *firmRun) domainTakenOut() units.DomainName { return f.firm.Domains[2] }
 
-func (d *firmRun) setDomain(ctx context.Context, state environment.DomainState) error {
-	key := administration.NewKey() // the same for each try: the edit takes effect once
+func (f *firmRun) setDomain(ctx context.Context, state environment.DomainState) error {
+	key := administration.NewKey() // the same for every retry, so that the edit takes effect once
 	sent := time.Now()
 	var p administration.Published
-	err := d.waitUntil(ctx, "the edit is accepted", func() (_ bool, err error) {
-		p, err = d.client.SetDomainState(ctx, productionName, d.domainTakenOut(), state, "acceptance", key)
+	err := f.waitUntil(ctx, "the edit is accepted", func() (_ bool, err error) {
+		p, err = f.client.SetDomainState(ctx, productionName, f.domainTakenOut(), state, "acceptance", key)
 		return err == nil, err
 	})
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	d.observed.acceptedVersions = append(d.observed.acceptedVersions, acceptedVersion{p.Version, now})
+	f.observed.acceptedVersions = append(f.observed.acceptedVersions, acceptedVersion{p.Version, now})
 	if state == environment.DomainOut {
-		d.observed.domainOut = now
+		f.observed.domainOut = now
 	} else {
-		d.observed.domainIn = sent
+		f.observed.domainIn = sent
 	}
 	return nil
 }
 
-func (d *firmRun) setOutage(ctx context.Context, outage bool) error {
+func (f *firmRun) setOutage(ctx context.Context, outage bool) error {
 	now := time.Now()
 	if outage {
-		d.observed.logCut = now
+		f.observed.logCut = now
 	} else {
-		d.observed.logBack = now
+		f.observed.logBack = now
 	}
-	return d.waitUntil(ctx, "the log service takes the order", func() (bool, error) {
-		err := d.postFault(ctx, "http://"+d.firm.LogAddress()+"/v1/faults", fmt.Sprintf(`{"outage":%v}`, outage))
+	return f.waitUntil(ctx, "the log service accepts the fault", func() (bool, error) {
+		err := f.postFault(ctx, "http://"+f.firm.LogAddress()+"/v1/faults", fmt.Sprintf(`{"outage":%v}`, outage))
 		return err == nil, err
 	})
 }
--- a/internal/acceptance/files.go
+++ b/internal/acceptance/files.go
@@ -10,9 +10,10 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// WriteFiles writes the settings and documents of all firms below dir, and
-// dir/processes with one line for each process to start: name, a tab, the
-// command. Stand-ins come first, then entry processes, agents and endpoints.
+// WriteFiles writes the settings and documents of all firms to subdirectories of
+// dir, and the list of processes to dir/processes. Each line of the list has the
+// name of a process, a tab and its command. For each firm the log service and
+// workers come first, then entry processes, agents and endpoints.
 func WriteFiles(dir string, binaries string) error {
 	var lines []string
 	for _, f := range Firms() {
@@ -30,7 +31,7 @@
 	return os.WriteFile(filepath.Join(dir, "processes"), []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 }
 
-// files returns the firm's settings and document by file name.
+// files returns the contents of the firm's settings and document by file name.
 func (f Firm) files() map[string][]byte {
 	files := map[string][]byte{"trial.json": f.Document(trialName)}
 	for _, e := range f.Entries() {
@@ -139,12 +140,12 @@
 func encodeIndented(v any) []byte {
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		panic(err) // only strings, numbers and structs of this file
+		panic(err) // not reached: the values are structs of strings, numbers and booleans
 	}
 	return append(data, '\n')
 }
 
-// processes returns the lines of the process list.
+// processes returns the firm's lines of the process list.
 func (f Firm) processes(binaries, dir string) []string {
 	standin, product := filepath.Join(binaries, "wasabihill-standin"), filepath.Join(binaries, "wasabihill")
 	line := func(name, format string, args ...any) string { return name + "\t" + fmt.Sprintf(format, args...) }
--- a/internal/acceptance/files_test.go
+++ b/internal/acceptance/files_test.go
@@ -10,8 +10,8 @@
 	"wasabihill.example/wasabihill/pkg/environment"
 )
 
-// Guards against a run that fails because its own settings or documents are
-// refused.
+// TestFilesAreAccepted guards against a run that fails because the settings or
+// documents that it writes are invalid.
 func TestFilesAreAccepted(t *testing.T) {
 	dir := t.TempDir()
 	if err := WriteFiles(dir, "bin"); err != nil {
--- a/internal/acceptance/layout.go
+++ b/internal/acceptance/layout.go
@@ -1,7 +1,7 @@
-// Package acceptance runs a shortened day of both firms against real processes
-// and checks the ten guarantees from what callers, workers and endpoints saw.
-// It starts no process; scripts/run.sh does, from the list that WriteFiles
-// leaves behind.
+// Package acceptance runs a shortened day of both firms against real processes and
+// checks the ten guarantees from observations of callers, workers and endpoints.
+// It starts no process itself: scripts/run.sh starts those in the list that
+// WriteFiles writes.
 package acceptance
 
 import (
@@ -11,7 +11,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// Firm is one user of wasabihill at the size of today.
+// Firm is a user of wasabihill with its workload at today's size.
 type Firm struct {
 	Name          string
 	Region        units.RegionName
@@ -30,7 +30,7 @@
 	BasePort      int
 }
 
-// Sizes that both firms share.
+// Sizes and names that are the same for both firms.
 const (
 	workersPerFirm      = 11
 	entriesPerFirm      = 3
@@ -70,18 +70,18 @@
 	}
 }
 
-// Worker is the place of one worker, its agent and its endpoint.
+// Worker is the location and the addresses of a worker, its agent and its endpoint.
 type Worker struct {
 	ID       units.WorkerID
 	Domain   units.DomainName
 	Rack     units.RackName
 	Worker   string // address of the worker stand-in
 	Agent    string // link address of the agent
-	Announce string // address at which the agent takes announcements
+	Announce string // address at which the agent receives announcements
 	Endpoint string // address of the endpoint stand-in
 }
 
-// Entry is the place of one entry process.
+// Entry is the location and the addresses of an entry process.
 type Entry struct {
 	ID     units.EntryID
 	Domain units.DomainName
@@ -90,14 +90,14 @@
 	Link   string
 }
 
-// callers is the base URL that callers use.
+// callerURL returns the base URL that callers use.
 func (e Entry) callerURL() string { return "http://" + e.Caller }
 
 // Log returns the address of the firm's log service.
 func (f Firm) LogAddress() string { return address(f.BasePort) }
 
-// Workers returns the firm's workers, three to a rack, racks in turn over the
-// failure domains.
+// Workers returns the firm's workers. There are three workers per rack, and racks
+// are assigned to the failure domains round robin.
 func (f Firm) Workers() []Worker {
 	workers := make([]Worker, 0, workersPerFirm)
 	for i := range workersPerFirm {
--- a/internal/acceptance/work.go
+++ b/internal/acceptance/work.go
@@ -27,51 +27,50 @@
 	submitters    = 4
 )
 
-// submitJobs submits the firm's batch work.
-func (d *firmRun) submitJobs(ctx context.Context) error {
-	return d.submitBatch(ctx, "batch", batchJobs)
-}
+// submitJobs submits the firm's batch jobs.
+func (f *firmRun) submitJobs(ctx context.Context) error { return f.submitN(ctx, "batch", batchJobs) }
 
-// submitBatch submits jobs at once. A submission whose outcome is not known is
-// repeated under its key.
-func (d *firmRun) submitBatch(ctx context.Context, prefix string, n int) error {
+// submitN submits n jobs concurrently. A submission with an unknown outcome is
+// retried under the same idempotency key.
+func (f *firmRun) submitN(ctx context.Context, prefix string, n int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(submitters)
 	ids := make([]units.JobID, n)
 	for i := range ids {
 		group.Go(func() error {
-			id, err := d.submit(ctx, d.batchJob(fmt.Sprintf("%s-%d", prefix, i), taskRunTime))
+			id, err := f.submit(ctx, f.batchJob(fmt.Sprintf("%s-%d", prefix, i), taskRunTime))
 			ids[i] = id
 			return err
 		})
 	}
 	err := group.Wait()
-	d.observed.jobs = append(d.observed.jobs, ids...)
+	f.observed.jobs = append(f.observed.jobs, ids...)
 	return err
 }
 
-func (d *firmRun) batchJob(name string, runTime time.Duration) administration.Submission {
+func (f *firmRun) batchJob(name string, runTime time.Duration) administration.Submission {
 	return administration.Submission{
-		Key: name, Team: d.firm.BatchTeam, Name: name, Kind: "plan", Priority: units.PriorityNormal, Tasks: tasksPerJob,
+		Key: name, Team: f.firm.BatchTeam, Name: name, Kind: "plan", Priority: units.PriorityNormal, Tasks: tasksPerJob,
 		Size: units.Resources{Processors: 1500, Memory: 2 * units.GiB}, RunTime: runTime,
 	}
 }
 
-// submitUrgent submits a job that has to start within 1.4 s of its acceptance.
-func (d *firmRun) submitUrgent(ctx context.Context) error {
-	job := d.batchJob("urgent", taskRunTime)
-	job.Team, job.Priority, job.Tasks, job.Kind = d.firm.ServiceTeam, units.PriorityUrgent, urgentTasks, "rush"
-	id, err := d.submit(ctx, job)
-	d.observed.urgent, d.observed.urgentAt = id, time.Now()
+// submitUrgent submits a job whose tasks have to start within 1.4 s of its
+// acceptance.
+func (f *firmRun) submitUrgent(ctx context.Context) error {
+	job := f.batchJob("urgent", taskRunTime)
+	job.Team, job.Priority, job.Tasks, job.Kind = f.firm.ServiceTeam, units.PriorityUrgent, urgentTasks, "rush"
+	id, err := f.submit(ctx, job)
+	f.observed.urgent, f.observed.urgentAt = id, time.Now()
 	return err
 }
 
-func (d *firmRun) submit(ctx context.Context, s administration.Submission) (units.JobID, error) {
+func (f *firmRun) submit(ctx context.Context, s administration.Submission) (units.JobID, error) {
 	body := administration.EncodeSubmission(s)
 	var id units.JobID
 	var refused error
-	err := d.waitUntil(ctx, "a job is accepted", func() (bool, error) {
-		job, err := d.client.Submit(ctx, s.Name+".json", body, s.Key)
+	err := f.waitUntil(ctx, "a job is accepted", func() (bool, error) {
+		job, err := f.client.Submit(ctx, s.Name+".json", body, s.Key)
 		id = job.ID
 		if administration.KindOf(err) == administration.KindInvalid {
 			refused = err
@@ -82,40 +81,40 @@
 	return id, errors.Join(err, refused)
 }
 
-// cancelBurst submits long jobs and cancels them at once, while they start.
-func (d *firmRun) cancelBurst(ctx context.Context) error {
+// cancelBurst submits long jobs and cancels each immediately, while it starts.
+func (f *firmRun) cancelBurst(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(submitters)
 	ids := make([]units.JobID, cancelledJobs)
 	for i := range ids {
 		group.Go(func() (err error) {
-			if ids[i], err = d.submit(ctx, d.batchJob(fmt.Sprintf("cancelled-%d", i), time.Hour)); err != nil {
+			if ids[i], err = f.submit(ctx, f.batchJob(fmt.Sprintf("cancelled-%d", i), time.Hour)); err != nil {
 				return err
 			}
-			return d.waitUntil(ctx, "a cancellation is accepted", func() (bool, error) {
-				_, err := d.client.Cancel(ctx, ids[i], "cancelled by the acceptance run", administration.NewKey())
+			return f.waitUntil(ctx, "a cancellation is accepted", func() (bool, error) {
+				_, err := f.client.Cancel(ctx, ids[i], "cancelled by the acceptance run", administration.NewKey())
 				return err == nil, err
 			})
 		})
 	}
 	err := group.Wait()
-	d.observed.cancelled = append(d.observed.cancelled, ids...)
+	f.observed.cancelled = append(f.observed.cancelled, ids...)
 	return err
 }
 
-// answer is what a caller learned about one request.
+// requestResult is the result of one request as seen by its caller.
 type requestResult struct {
 	idempotent bool
 	target     string // base URL of the entry process
 	outcome    string
-	plannedAt  time.Duration // planned time since the start
+	plannedAt  time.Duration // planned time, since the start of the run
 	latency    time.Duration
 }
 
-// traffic sends the callers' requests to the entry processes that the
-// platform's balancer would choose: those whose readiness check passes.
-func (d *firmRun) sendRequests(ctx context.Context) error {
-	targets := d.startBalancer(ctx)
+// sendRequests sends the callers' requests to the entry processes whose readiness
+// check passes, as the platform's load balancer does.
+func (f *firmRun) sendRequests(ctx context.Context) error {
+	targets := f.startBalancer(ctx)
 	group, ctx := errgroup.WithContext(ctx)
 	for _, class := range []struct {
 		name          string
@@ -123,14 +122,14 @@
 		nonIdempotent float64
 		into          **load.Report
 	}{
-		{"quick", quickRate, 0, &d.observed.quick},
-		{"order", orderRate, 1, &d.observed.order},
+		{"quick", quickRate, 0, &f.observed.quick},
+		{"order", orderRate, 1, &f.observed.order},
 	} {
 		group.Go(func() error {
 			report, err := load.Run(ctx, load.Options{
-				Target: targets, Service: string(d.firm.Service), Rate: class.rate, Duration: trafficTime, MaxInFlight: 256,
+				Target: targets, Service: string(f.firm.Service), Rate: class.rate, Duration: trafficTime, MaxInFlight: 256,
 				BodyBytes: 200, Deadline: requestLimit, NonIdempotentShare: class.nonIdempotent, Poisson: true, Seed: 1,
-				Prefix: class.name + "-", Observe: d.recordSample,
+				Prefix: class.name + "-", Observe: f.recordSample,
 			})
 			*class.into = report
 			return err
@@ -139,19 +138,20 @@
 	return group.Wait()
 }
 
-func (d *firmRun) recordSample(s load.Sample) {
-	d.observed.mu.Lock()
-	defer d.observed.mu.Unlock()
-	d.observed.results[s.ID] = requestResult{s.Idempotent, s.Target, s.Outcome, s.Planned.Sub(d.observed.start), s.Latency}
+func (f *firmRun) recordSample(s load.Sample) {
+	f.observed.mu.Lock()
+	defer f.observed.mu.Unlock()
+	f.observed.results[s.ID] = requestResult{s.Idempotent, s.Target, s.Outcome, s.Planned.Sub(f.observed.start), s.Latency}
 }
 
-// balance follows the readiness of the entry processes like the platform's
-// balancer and returns the choice of the next target.
-func (d *firmRun) startBalancer(ctx context.Context) func(int) string {
-	entries := d.firm.Entries()
+// startBalancer polls the readiness of the entry processes until ctx ends, as the
+// platform's load balancer does. It returns the function that chooses the target of
+// a request.
+func (f *firmRun) startBalancer(ctx context.Context) func(int) string {
+	entries := f.firm.Entries()
 	ready := make([]bool, len(entries))
 	for i, e := range entries {
-		ready[i] = d.entryReady(ctx, e)
+		ready[i] = f.entryReady(ctx, e)
 		go func() {
 			ticker := time.NewTicker(250 * time.Millisecond)
 			defer ticker.Stop()
@@ -161,16 +161,16 @@
 					return
 				case <-ticker.C:
 				}
-				ok := d.entryReady(ctx, e)
-				d.observed.mu.Lock()
+				ok := f.entryReady(ctx, e)
+				f.observed.mu.Lock()
 				ready[i] = ok
-				d.observed.mu.Unlock()
+				f.observed.mu.Unlock()
 			}
 		}()
 	}
 	return func(n int) string {
-		d.observed.mu.Lock()
-		defer d.observed.mu.Unlock()
+		f.observed.mu.Lock()
+		defer f.observed.mu.Unlock()
 		for k := range entries {
 			if i := (n + k) % len(entries); ready[i] {
 				return entries[i].callerURL()
@@ -180,14 +180,14 @@
 	}
 }
 
-func (d *firmRun) entryReady(ctx context.Context, e Entry) bool {
+func (f *firmRun) entryReady(ctx context.Context, e Entry) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Admin+"/readyz", nil)
 	if err != nil {
 		return false
 	}
-	response, err := d.http.Do(r)
+	response, err := f.http.Do(r)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		d.observed.recordConnectionRefused(e, time.Now())
+		f.observed.recordConnectionRefused(e, time.Now())
 	}
 	if err != nil {
 		return false
@@ -196,28 +196,28 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// settle waits until every job has ended.
-func (d *firmRun) waitForJobs(ctx context.Context) error {
+// waitForJobs waits until every job has ended.
+func (f *firmRun) waitForJobs(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, jobsTimeout)
 	defer cancel()
-	err := d.waitUntil(ctx, "every job ends", func() (bool, error) {
-		open, err := d.openJobs(ctx)
+	err := f.waitUntil(ctx, "every job ends", func() (bool, error) {
+		open, err := f.openJobs(ctx)
 		if err == nil && open > 0 {
-			err = fmt.Errorf("%d jobs are open", open)
+			err = fmt.Errorf("%d jobs have not ended", open)
 		}
 		return err == nil, err
 	})
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		d.printProgress("%s: %v", d.firm.Name, err)
-		return nil // the check of completed jobs reports it
+		f.printProgress("%s: %v", f.firm.Name, err)
+		return nil // checkJobs reports the violation
 	}
 	return err
 }
 
-func (d *firmRun) openJobs(ctx context.Context) (int, error) {
+func (f *firmRun) openJobs(ctx context.Context) (int, error) {
 	open := 0
-	for _, id := range append(append([]units.JobID(nil), d.observed.jobs...), d.observed.cancelled...) {
-		job, err := d.client.Job(ctx, id)
+	for _, id := range append(append([]units.JobID(nil), f.observed.jobs...), f.observed.cancelled...) {
+		job, err := f.client.Job(ctx, id)
 		if err != nil {
 			return 0, err
 		}
@@ -228,12 +228,12 @@
 	return open, nil
 }
 
-func (d *firmRun) postFault(ctx context.Context, url, body string) error {
+func (f *firmRun) postFault(ctx context.Context, url, body string) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	response, err := d.http.Do(r)
+	response, err := f.http.Do(r)
 	if err != nil {
 		return err
 	}
