--- a/internal/acceptance/checks.go
+++ b/internal/acceptance/checks.go
@@ -23,7 +23,7 @@
 	{"no task runs in two places at once", (*firmRun).checkOverlaps},
 	{"evicted work resumes exactly once", (*firmRun).checkJobs},
 	{"no task starts in a domain that was taken out", (*firmRun).checkDomainOut},
-	{"every answer is whole and reaches its own caller", (*firmRun).checkAnswers},
+	{"every answer is whole and reaches its own caller", (*firmRun).checkResponses},
 	{"a refusal that says not run is true", (*firmRun).checkNotRun},
 	{"a non-idempotent request runs at most once", (*firmRun).checkAtMostOnce},
 	{"a leaving endpoint gets no new work after 3 s", (*firmRun).checkLeaving},
@@ -84,7 +84,7 @@
 	return broken, observed
 }
 
-func (f *firmRun) checkAnswers() (broken []string, observed int) {
+func (f *firmRun) checkResponses() (broken []string, observed int) {
 	for _, report := range []map[string]int{f.observed.quick.Faults, f.observed.order.Faults} {
 		for fault, n := range report {
 			broken = append(broken, fmt.Sprintf("%d times: %s", n, fault))
--- a/internal/acceptance/checks_test.go
+++ b/internal/acceptance/checks_test.go
@@ -15,10 +15,10 @@
 	start := time.Now()
 	at := plannedStopAt + time.Second
 	for _, c := range []struct {
-		name   string
-		target Entry
-		gone   time.Duration // when the target refused connections, since start; 0 for never
-		broken int
+		name      string
+		target    Entry
+		refusedAt time.Duration // when the target refused connections, since start; 0 for never
+		broken    int
 	}{
 		{"aborted by the planned stop", stopped, at + 100*time.Millisecond, 1},
 		{"in flight at a killed process", killed, at + 100*time.Millisecond, 0},
@@ -28,8 +28,8 @@
 		f := newFirmRun(&Run{}, firm)
 		f.observed.start = start
 		f.observed.results["order-1"] = requestResult{target: c.target.callerURL(), outcome: "unknown", plannedAt: at}
-		if c.gone > 0 {
-			f.observed.recordConnectionRefused(c.target, start.Add(c.gone))
+		if c.refusedAt > 0 {
+			f.observed.recordConnectionRefused(c.target, start.Add(c.refusedAt))
 		}
 		if broken, _ := f.checkPlannedStop(); len(broken) != c.broken {
 			t.Errorf("%s: got %v, want %d broken", c.name, broken, c.broken)
--- a/internal/acceptance/work.go
+++ b/internal/acceptance/work.go
@@ -68,17 +68,17 @@
 func (f *firmRun) submit(ctx context.Context, s administration.Submission) (units.JobID, error) {
 	body := administration.EncodeSubmission(s)
 	var id units.JobID
-	var refused error
+	var rejected error
 	err := f.waitUntil(ctx, "a job is accepted", func() (bool, error) {
 		job, err := f.client.Submit(ctx, s.Name+".json", body, s.Key)
 		id = job.ID
 		if administration.KindOf(err) == administration.KindInvalid {
-			refused = err
+			rejected = err
 			return true, nil
 		}
 		return err == nil, err
 	})
-	return id, errors.Join(err, refused)
+	return id, errors.Join(err, rejected)
 }
 
 // cancelBurst submits long jobs and cancels each immediately, while it starts.
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -145,7 +145,7 @@
 func runFault(s *System, f fault, long time.Duration) {
 	s.t.Helper()
 	recorder := s.StartRecording(trafficDuration)
-	jobs := s.submitWork(long)
+	jobs := s.submitJobs(long)
 	s.Victim = s.nodeOf(jobs[0])
 	time.Sleep(500 * time.Millisecond) // more tasks start
 	f.inject(s)
@@ -193,7 +193,7 @@
 
 // submitWork submits a job of long tasks and then jobs of short tasks, so that
 // tasks start throughout a fault.
-func (s *System) submitWork(long time.Duration) []units.JobID {
+func (s *System) submitJobs(long time.Duration) []units.JobID {
 	ids := []units.JobID{s.Submit("long", 4, long)}
 	for i := range 4 {
 		ids = append(ids, s.Submit(fmt.Sprintf("short-%d", i), 15, time.Second))
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -171,22 +171,22 @@
 		total += s.weight
 	}
 	n := c.random.IntN(total)
-	shape := 0
-	for n >= jobTemplates[shape].weight {
-		n -= jobTemplates[shape].weight
-		shape++
+	index := 0
+	for n >= jobTemplates[index].weight {
+		n -= jobTemplates[index].weight
+		index++
 	}
 	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Watchers never end by themselves, so their number is limited to that of the
 	// agents to leave capacity for other jobs.
-	if jobTemplates[shape].job.Spec == watchSpec {
+	if jobTemplates[index].job.Spec == watchSpec {
 		if g.watcherJobs++; g.watcherJobs > len(g.fleet.agents) {
-			shape = 0
+			index = 0
 		}
 	}
-	j := &job{id: fmt.Sprintf("%016x", c.random.Uint64()), template: &jobTemplates[shape]}
+	j := &job{id: fmt.Sprintf("%016x", c.random.Uint64()), template: &jobTemplates[index]}
 	j.path = "/" + j.template.queue + "/" + j.id
 	g.jobs[j.id] = j
 	g.jobsInOrder = append(g.jobsInOrder, j)
@@ -220,9 +220,9 @@
 // submit submits the job and retries under the same job ID until it is accepted or
 // the caller gives up.
 func (c *caller) submit(ctx context.Context, j *job) {
-	refusals, tries := 0, 0
+	rejections, attempts := 0, 0
 	for deadline := time.Now().Add(submitTimeout); time.Now().Before(deadline) && ctx.Err() == nil; {
-		tries++
+		attempts++
 		a := c.send(func(client *callers.Client) callers.Answer { return client.Submit(ctx, j.path, j.template.job) })
 		switch a.Status {
 		case http.StatusOK:
@@ -230,7 +230,7 @@
 			c.accepted = append(c.accepted, j)
 			return
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			refusals++
+			rejections++
 			if c.random.IntN(2) == 0 {
 				deadline = time.Now() // the caller gives up after a rejection
 			}
@@ -239,7 +239,7 @@
 		}
 		pause.For(ctx, retryDelay)
 	}
-	j.rejected = refusals == tries
+	j.rejected = rejections == attempts
 }
 
 // queryState queries the state of the job and checks it against earlier ones.
@@ -291,7 +291,7 @@
 	}
 	for _, j := range g.jobsInOrder {
 		if !j.accepted.IsZero() && !g.settled(j) {
-			g.recordUnexpected(j, "an accepted job ends", "last state was %q, %d of its tasks are running", j.lastState(), g.fleet.witness.Live(j.id))
+			g.recordUnexpected(j, "an accepted job ends", "last state was %q, %d of its tasks are running", j.lastState(), g.fleet.runRecorder.Live(j.id))
 		}
 	}
 	g.cancelWatchers(ctx, c)
@@ -301,7 +301,7 @@
 // not cancelled and whose tasks are all running.
 func (g *loadGenerator) settled(j *job) bool {
 	if j.template.job.Spec == watchSpec && j.cancelSent.IsZero() {
-		return g.fleet.witness.Live(j.id) == j.template.job.Steps[0].Tasks
+		return g.fleet.runRecorder.Live(j.id) == j.template.job.Steps[0].Tasks
 	}
 	return finalStates[j.lastState()]
 }
@@ -318,9 +318,9 @@
 	}
 	deadline := time.Now().Add(watcherStopTimeout)
 	for _, j := range watchers {
-		for g.fleet.witness.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollInterval) {
+		for g.fleet.runRecorder.Live(j.id) > 0 && time.Now().Before(deadline) && pause.For(ctx, pollInterval) {
 		}
-		if n := g.fleet.witness.Live(j.id); n > 0 && ctx.Err() == nil {
+		if n := g.fleet.runRecorder.Live(j.id); n > 0 && ctx.Err() == nil {
 			g.recordUnexpected(j, "cancelled jobs stop", "%d tasks are still running", n)
 		}
 	}
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -69,7 +69,7 @@
 // evaluate applies every check to the run and returns the result.
 func (r *Run) evaluate() *Result {
 	g := r.generator
-	result := &Result{Seed: r.Seed, Faults: r.injected, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Responses: g.responses}
+	result := &Result{Seed: r.Seed, Faults: r.injected, Runs: r.fleet.runRecorder.Runs(), Began: r.began, Dir: r.Dir, Responses: g.responses}
 	for _, h := range r.fleet.hosts() {
 		result.Processes = append(result.Processes, h.name)
 		if h.process.Ended() {
@@ -78,7 +78,7 @@
 	}
 	result.Starts = len(result.Runs)
 	result.Broken = append(append(result.Broken, g.unexpectedResponses...), r.failures...)
-	for _, v := range r.fleet.witness.Violations() {
+	for _, v := range r.fleet.runRecorder.Violations() {
 		result.Broken = append(result.Broken, Broken{"a task runs once at a time and not after its end", v.At, jobID(v.Task), v.Text})
 	}
 	for _, h := range r.fleet.agents {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -58,12 +58,12 @@
 
 // fleet is the processes and stand-ins of a run.
 type fleet struct {
-	store    *metastore.Log
-	operator deployment.Operator
-	witness  *taskrunner.Witness
-	entries  []*host
-	agents   []*host
-	stop     context.CancelFunc // stops the runners
+	store       *metastore.Log
+	operator    deployment.Operator
+	runRecorder *taskrunner.Witness
+	entries     []*host
+	agents      []*host
+	stop        context.CancelFunc // stops the runners
 
 	mu      sync.Mutex
 	version int // of the configuration
@@ -84,7 +84,7 @@
 
 func newFleet(r *Run) (*fleet, error) {
 	store := metastore.NewLog()
-	f := &fleet{store: store, operator: deployment.Operator{Store: store}, witness: taskrunner.NewWitness()}
+	f := &fleet{store: store, operator: deployment.Operator{Store: store}, runRecorder: taskrunner.NewWitness()}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	// Each process of a run has its own loopback address, and a second one on which
@@ -169,7 +169,7 @@
 func (f *fleet) startRunner(ctx context.Context, h *host, n int) error {
 	h.runner = taskrunner.New(taskrunner.Settings{
 		ID: runnerPrefix + h.name, Service: service, Domain: h.domain, Labels: []string{"a", fmt.Sprint("rack-", n/2)},
-		Cores: runnerCores, MemoryMb: 64_000, Witness: f.witness, LeaseLimit: 10 * time.Second, StopTime: 20 * time.Millisecond,
+		Cores: runnerCores, MemoryMb: 64_000, Witness: f.runRecorder, LeaseLimit: 10 * time.Second, StopTime: 20 * time.Millisecond,
 		AcceptsAll: true, ClockRate: 1 - 0.005*float64(n%5), Work: workOf,
 	})
 	listener, err := net.Listen("tcp", h.toRunner.Target())
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -151,16 +151,16 @@
 	for _, f := range r.Faults {
 		end = later(end, f.Ended)
 	}
-	whole := end.Sub(r.Began).Seconds()
-	if whole <= 0 {
+	total := end.Sub(r.Began).Seconds()
+	if total <= 0 {
 		return nil
 	}
 	place := func(from, to time.Time, class, text string) bar {
 		if to.IsZero() {
 			to = end
 		}
-		left := 100 * from.Sub(r.Began).Seconds() / whole
-		return bar{left, max(0.15, 100*to.Sub(from).Seconds()/whole), class, fmt.Sprintf("%s, %.2f to %.2f s", text, from.Sub(r.Began).Seconds(), to.Sub(r.Began).Seconds())}
+		left := 100 * from.Sub(r.Began).Seconds() / total
+		return bar{left, max(0.15, 100*to.Sub(from).Seconds()/total), class, fmt.Sprintf("%s, %.2f to %.2f s", text, from.Sub(r.Began).Seconds(), to.Sub(r.Began).Seconds())}
 	}
 	var all []lane
 	for _, name := range append([]string{""}, r.Processes...) {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -66,22 +66,22 @@
 // dropOverlapping drops faults that stop a process and begin while another such
 // fault affects the same process.
 func dropOverlapping(list []scheduledFault) []scheduledFault {
-	free := make(map[int]time.Duration) // when the process has resumed work, by host
+	recoveredAt := make(map[int]time.Duration) // when the process has resumed work, by host
 	var kept []scheduledFault
 	for _, p := range list {
 		if p.kind.stopsProcess {
-			busy := max(free[p.host], free[-1])
+			busy := max(recoveredAt[p.host], recoveredAt[-1])
 			if p.host == -1 {
-				for _, until := range free {
+				for _, until := range recoveredAt {
 					busy = max(busy, until)
 				}
 			}
 			if p.at < busy {
 				continue
 			}
-			free[p.host] = p.at + p.duration + processRecoveryTime
+			recoveredAt[p.host] = p.at + p.duration + processRecoveryTime
 			if p.kind.name == terminateKind {
-				free[p.host] += gracePeriod // the latest time at which it has stopped
+				recoveredAt[p.host] += gracePeriod // the latest time at which it has stopped
 			}
 		}
 		kept = append(kept, p)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -92,8 +92,8 @@
 		}
 		return out
 	}
-	first, again := text(7), text(7)
-	if first != again {
+	first, second := text(7), text(7)
+	if first != second {
 		t.Error("two schedules of one seed differ")
 	}
 	if first == text(8) {
