--- a/internal/acceptance/observations.go
+++ b/internal/acceptance/observations.go
@@ -51,10 +51,10 @@
 }
 
 // recordConnectionRefused records that the entry process refused a connection.
-func (e *observations) recordConnectionRefused(entry Entry, at time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.connectionsRefused[entry.callerURL()] = append(e.connectionsRefused[entry.callerURL()], at)
+func (o *observations) recordConnectionRefused(entry Entry, at time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.connectionsRefused[entry.callerURL()] = append(o.connectionsRefused[entry.callerURL()], at)
 }
 
 // acceptedVersion is a version of the document and the time at which the operator
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -33,8 +33,8 @@
 	until  time.Time // zero if the period has not ended
 }
 
-func (a noStartPeriod) covers(at time.Time, after time.Duration) bool {
-	return at.After(a.from.Add(after)) && (a.until.IsZero() || at.Before(a.until))
+func (p noStartPeriod) covers(at time.Time, after time.Duration) bool {
+	return at.After(p.from.Add(after)) && (p.until.IsZero() || at.Before(p.until))
 }
 
 // observations is the input of the checks.
@@ -91,16 +91,16 @@
 			result.Rejected++
 		}
 	}
-	e := &observations{runs: result.Runs, jobs: g.jobs, abortedRequests: g.abortedRequests, faults: r.injected, domainsOut: r.domainsOut, draining: r.draining}
-	result.Broken = append(result.Broken, e.findViolations()...)
+	o := &observations{runs: result.Runs, jobs: g.jobs, abortedRequests: g.abortedRequests, faults: r.injected, domainsOut: r.domainsOut, draining: r.draining}
+	result.Broken = append(result.Broken, o.findViolations()...)
 	slices.SortStableFunc(result.Broken, func(a, b Broken) int { return a.At.Compare(b.At) })
 	return result
 }
 
-func (e *observations) findViolations() []Broken {
+func (o *observations) findViolations() []Broken {
 	var all []Broken
 	for _, c := range checks {
-		c.find(e, func(at time.Time, job, format string, args ...any) {
+		c.find(o, func(at time.Time, job, format string, args ...any) {
 			all = append(all, Broken{c.promise, at, job, fmt.Sprintf(format, args...)})
 		})
 	}
@@ -116,9 +116,9 @@
 
 // faultFree reports whether no unplanned fault affected the host from before
 // earlier than at until at.
-func (e *observations) faultFree(host string, at time.Time, before time.Duration) bool {
+func (o *observations) faultFree(host string, at time.Time, before time.Duration) bool {
 	from := at.Add(-before)
-	return !slices.ContainsFunc(e.faults, func(f injectedFault) bool {
+	return !slices.ContainsFunc(o.faults, func(f injectedFault) bool {
 		touches := f.Host == "" || f.Host == host
 		return touches && !f.Planned && f.Began.Before(at) && (f.Ended.IsZero() || f.Ended.After(from))
 	})
@@ -146,9 +146,9 @@
 type violationReporter = func(at time.Time, job, format string, args ...any)
 
 // firstCompletions returns the time at which each task first completed.
-func (e *observations) firstCompletions() map[string]time.Time {
+func (o *observations) firstCompletions() map[string]time.Time {
 	done := make(map[string]time.Time)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		if first, ok := done[x.Task]; x.How == "done" && (!ok || x.Ended.Before(first)) {
 			done[x.Task] = x.Ended
 		}
@@ -156,11 +156,11 @@
 	return done
 }
 
-func (e *observations) checkOrder(broken violationReporter) {
-	done := e.firstCompletions()
-	for _, x := range e.runs {
+func (o *observations) checkOrder(broken violationReporter) {
+	done := o.firstCompletions()
+	for _, x := range o.runs {
 		id, step := parseTaskName(x.Task)
-		j := e.jobs[id]
+		j := o.jobs[id]
 		if j == nil || step >= len(j.template.job.Steps) {
 			broken(x.Began, id, "%s started on %s, but no caller submitted it", x.Task, x.Runner)
 			continue
@@ -176,14 +176,14 @@
 	}
 }
 
-func (e *observations) checkCapacity(broken violationReporter) {
+func (o *observations) checkCapacity(broken violationReporter) {
 	type change struct {
 		at   time.Time
 		by   int
 		task string
 	}
 	changes := make(map[string][]change)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		changes[x.Runner] = append(changes[x.Runner], change{x.Began, 1, x.Task})
 		if !x.Ended.IsZero() {
 			changes[x.Runner] = append(changes[x.Runner], change{x.Ended, -1, x.Task})
@@ -201,14 +201,14 @@
 	}
 }
 
-func (e *observations) checkAttempts(broken violationReporter) {
+func (o *observations) checkAttempts(broken violationReporter) {
 	failures := make(map[string][]time.Time)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		if x.How == "failed" && x.Noted {
 			failures[x.Task] = append(failures[x.Task], x.Ended)
 		}
 	}
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		n := 0
 		for _, at := range failures[x.Task] {
 			if at.Before(x.Began) {
@@ -221,47 +221,47 @@
 	}
 }
 
-func (e *observations) checkCancellations(broken violationReporter) {
-	for _, x := range e.runs {
-		j := e.jobs[jobID(x.Task)]
-		if j == nil || j.cancelled.IsZero() || !x.Began.After(j.cancelled.Add(cancellationBound)) || !e.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
+func (o *observations) checkCancellations(broken violationReporter) {
+	for _, x := range o.runs {
+		j := o.jobs[jobID(x.Task)]
+		if j == nil || j.cancelled.IsZero() || !x.Began.After(j.cancelled.Add(cancellationBound)) || !o.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
 			continue
 		}
 		broken(x.Began, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.Began.Sub(j.cancelled).Round(time.Millisecond))
 	}
 }
 
-func (e *observations) checkDomains(broken violationReporter) {
-	for _, x := range e.runs {
-		for _, a := range e.domainsOut {
-			if a.domain == x.Domain && a.covers(x.Began, evacuationBound) && e.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
+func (o *observations) checkDomains(broken violationReporter) {
+	for _, x := range o.runs {
+		for _, a := range o.domainsOut {
+			if a.domain == x.Domain && a.covers(x.Began, evacuationBound) && o.faultFree(hostName(x.Runner), x.Began, minFaultFreeTime) {
 				broken(x.Began, jobID(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond), a.domain)
 			}
 		}
 	}
 }
 
-func (e *observations) checkDrains(broken violationReporter) {
-	for _, x := range e.runs {
-		for _, a := range e.draining {
-			if a.runner == x.Runner && a.covers(x.Began, drainBound) && e.faultFree(a.host, x.Began, minFaultFreeTime) {
-				broken(x.Began, jobID(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond))
+func (o *observations) checkDrains(broken violationReporter) {
+	for _, x := range o.runs {
+		for _, a := range o.draining {
+			if a.runner == x.Runner && a.covers(x.Began, drainBound) && o.faultFree(a.host, x.Began, minFaultFreeTime) {
+				broken(x.Began, jobID(x.Task), "%s started on %s %v after its agent received its draining state", x.Task, x.Runner, x.Began.Sub(a.from).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-func (e *observations) checkRejections(broken violationReporter) {
-	for _, x := range e.runs {
-		if j := e.jobs[jobID(x.Task)]; j != nil && j.rejected {
+func (o *observations) checkRejections(broken violationReporter) {
+	for _, x := range o.runs {
+		if j := o.jobs[jobID(x.Task)]; j != nil && j.rejected {
 			broken(x.Began, j.id, "%s started on %s although every submission was rejected", x.Task, x.Runner)
 		}
 	}
 }
 
-func (e *observations) checkCompleted(broken violationReporter) {
-	done := e.firstCompletions()
-	for _, j := range e.jobs {
+func (o *observations) checkCompleted(broken violationReporter) {
+	done := o.firstCompletions()
+	for _, j := range o.jobs {
 		i := slices.IndexFunc(j.states, func(o observedState) bool { return o.state == completed })
 		if i < 0 {
 			continue
@@ -279,8 +279,8 @@
 
 // checkFinalStates compares the final state of a job with the one that its spec
 // and cancellation imply.
-func (e *observations) checkFinalStates(broken violationReporter) {
-	for _, j := range e.jobs {
+func (o *observations) checkFinalStates(broken violationReporter) {
+	for _, j := range o.jobs {
 		state := j.lastState()
 		if !finalStates[state] {
 			continue
@@ -295,13 +295,13 @@
 	}
 }
 
-func (e *observations) checkPlannedStops(broken violationReporter) {
-	for _, c := range e.abortedRequests {
-		for _, f := range e.faults {
+func (o *observations) checkPlannedStops(broken violationReporter) {
+	for _, c := range o.abortedRequests {
+		for _, f := range o.faults {
 			if f.Kind != terminateKind || f.Host != c.host || c.abortedAt.Before(f.Began) || c.abortedAt.After(f.Began.Add(gracePeriod+plannedStopMargin)) {
 				continue
 			}
-			if e.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
+			if o.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
 				broken(c.abortedAt, "", "%s aborted a request %v after it was sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
 			}
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -53,7 +53,7 @@
 
 }
 
-// deploymentCount gives each deployment of this test process its own addresses.
+// deploymentCount gives each deployment of this process its own addresses.
 var deploymentCount atomic.Int64
 
 // fleet is the processes and stand-ins of a run.
