--- a/internal/acceptance/summary.go
+++ b/internal/acceptance/summary.go
@@ -47,16 +47,16 @@
 // printMeasurements prints the four measurements that the users require: request
 // latency, batch throughput, start of urgent jobs, and gaps of watchers.
 func (f *firmRun) printMeasurements() {
-	e := &f.observed
-	q := e.quick.Done
+	o := &f.observed
+	q := o.quick.Done
 	fmt.Fprintf(f.Progress, "  latency of %s: p50 %s, p99 %s, p99.9 %s; %d of %d answered\n", f.firm.QuickPath,
-		q.Median.Round(time.Microsecond), q.P99.Round(time.Microsecond), q.P999.Round(time.Microsecond), q.Count, e.quick.Planned)
-	fmt.Fprintf(f.Progress, "  outcomes: %s; non-idempotent: %s\n", formatCounts(e.quick.Outcomes), formatCounts(e.order.Outcomes))
+		q.Median.Round(time.Microsecond), q.P99.Round(time.Microsecond), q.P999.Round(time.Microsecond), q.Count, o.quick.Planned)
+	fmt.Fprintf(f.Progress, "  outcomes: %s; non-idempotent: %s\n", formatCounts(o.quick.Outcomes), formatCounts(o.order.Outcomes))
 	completed, evicted, during := 0, 0, 0
-	for _, r := range e.runs {
+	for _, r := range o.runs {
 		if r.State == "completed" {
 			completed++
-			if r.End.After(e.domainOut) && r.End.Before(e.domainIn) {
+			if r.End.After(o.domainOut) && r.End.Before(o.domainIn) {
 				during++
 			}
 		}
@@ -72,7 +72,7 @@
 		if i == 0 {
 			note = " (its instance was lost while the log was cut)"
 		}
-		fmt.Fprintf(f.Progress, "  %s: unwatched for at most %s%s\n", name, longestGap(e.runs, "watcher/"+name+"/0").Round(time.Millisecond), note)
+		fmt.Fprintf(f.Progress, "  %s: unwatched for at most %s%s\n", name, longestGap(o.runs, "watcher/"+name+"/0").Round(time.Millisecond), note)
 	}
 }
 
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -179,19 +179,19 @@
 
 // checkWatcherRuns checks that the watcher runs on exactly one worker.
 func (s *System) checkWatcherRuns(context.Context) error {
-	open := 0
+	running := 0
 	for _, r := range s.runsOf(watcherJob) {
 		if r.running {
-			open++
+			running++
 		}
 	}
-	if open != 1 {
-		return fmt.Errorf("the watcher runs on %d workers", open)
+	if running != 1 {
+		return fmt.Errorf("the watcher runs on %d workers", running)
 	}
 	return nil
 }
 
-// submitWork submits a job of long tasks and then jobs of short tasks, so that
+// submitJobs submits a job of long tasks and then jobs of short tasks, so that
 // tasks start throughout a fault.
 func (s *System) submitJobs(long time.Duration) []units.JobID {
 	ids := []units.JobID{s.Submit("long", 4, long)}
