--- a/internal/faulttest/operators_test.go
+++ b/internal/faulttest/operators_test.go
@@ -14,8 +14,8 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// TestOperatorsRace guards against two operators who both believe that their
-// edit of one version is in force, and against a process that shows an older
+// TestOperatorsRace guards against two operators whose concurrent edits of the same
+// version are both acknowledged, and against an entry process that shows an older
 // version afterwards.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
@@ -24,33 +24,33 @@
 		rounds int
 	}{
 		{fault{"healthy", func(*System) {}}, 20},
-		{fault{"logRepliesLost", func(s *System) { s.Fault(s.LogAt, `{"loseReplies":0.3,"late":0.1,"seed":5}`) }}, 8},
-		{fault{"logSlow", func(s *System) { s.Fault(s.LogAt, `{"delay":"100ms","jitter":"200ms","seed":5}`) }}, 5},
+		{fault{"logRepliesLost", func(s *System) { s.SetFault(s.LogAddress, `{"loseReplies":0.3,"late":0.1,"seed":5}`) }}, 8},
+		{fault{"logSlow", func(s *System) { s.SetFault(s.LogAddress, `{"delay":"100ms","jitter":"200ms","seed":5}`) }}, 5},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			s := start(t)
-			w := s.Watch(traffic)
+			s := startSystem(t)
+			recorder := s.StartRecording(trafficDuration)
 			f.inject(s)
 			for round := range f.rounds {
-				s.raceOperators(round)
+				s.publishConcurrently(round)
 			}
-			s.Fault(s.LogAt, `{}`)
-			w.Check()
+			s.SetFault(s.LogAddress, `{}`)
+			recorder.Check()
 		})
 	}
 }
 
-// edit is what one operator tried and was told.
-type edit struct {
+// editResult is the text that an operator published and the result.
+type editResult struct {
 	text      []byte
 	published administration.Published
 	err       error
 }
 
-func (s *System) raceOperators(round int) {
+func (s *System) publishConcurrently(round int) {
 	s.t.Helper()
 	base := s.agreedVersion()
-	var edits [entryCount]edit
+	var edits [entryCount]editResult
 	var group errgroup.Group
 	for i, e := range s.Entries {
 		edits[i].text = Document(40 + entryCount*round + i)
@@ -67,18 +67,19 @@
 	var lost *administration.Error
 	switch {
 	case winner.err != nil || loser.err == nil:
-		s.t.Fatalf("guarantee 10, round %d: both operators got the same answer: %v and %v", round, winner.err, loser.err)
+		s.t.Fatalf("guarantee 10, round %d: want one published edit and one rejected; got errors %v and %v", round, winner.err, loser.err)
 	case !errors.As(loser.err, &lost) || lost.Kind != administration.KindLostRace || lost.Details.Winner != winner.published.Version:
-		s.t.Fatalf("guarantee 10, round %d: the loser was told %v; version %d won", round, loser.err, winner.published.Version)
+		s.t.Fatalf("guarantee 10, round %d: the rejected operator got error %v; version %d is in force", round, loser.err, winner.published.Version)
 	}
-	s.Until(3*time.Second, "the winner is in force", func(ctx context.Context) error { return s.inForce(ctx, winner) })
+	s.WaitUntil(3*time.Second, "the accepted edit is in force on every entry process", func(ctx context.Context) error { return s.checkInForce(ctx, winner) })
 }
 
-// publish repeats an edit under its key until its outcome is known.
+// publish publishes an edit, and retries under the same idempotency key until the
+// outcome is known.
 func publish(e *Entry, base units.Offset, text []byte) (administration.Published, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: 5 * time.Second}
+	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: 5 * time.Second}
 	publication := administration.Publication{Environment: environmentName, Key: administration.NewKey(), Base: base, Author: string(e.ID), Text: text}
 	for {
 		published, err := client.Publish(ctx, publication, "document.json")
@@ -88,10 +89,11 @@
 	}
 }
 
-// agreedVersion waits until every entry process has the same version.
+// agreedVersion waits until every entry process has the same version and returns
+// it.
 func (s *System) agreedVersion() (version units.Offset) {
 	s.t.Helper()
-	s.Until(10*time.Second, "the entry processes agree", func(ctx context.Context) error {
+	s.WaitUntil(10*time.Second, "the entry processes agree", func(ctx context.Context) error {
 		var seen [entryCount]units.Offset
 		for i, e := range s.Entries {
 			document, err := s.documentAt(ctx, e)
@@ -109,7 +111,7 @@
 	return version
 }
 
-func (s *System) inForce(ctx context.Context, winner edit) error {
+func (s *System) checkInForce(ctx context.Context, winner editResult) error {
 	for _, e := range s.Entries {
 		document, err := s.documentAt(ctx, e)
 		if err != nil {
@@ -123,6 +125,6 @@
 }
 
 func (s *System) documentAt(ctx context.Context, e *Entry) (administration.Document, error) {
-	client := administration.Client{Servers: []string{e.Admin}, Token: operatorToken, Timeout: 2 * time.Second}
+	client := administration.Client{Servers: []string{e.AdminAddress}, Token: operatorToken, Timeout: 2 * time.Second}
 	return client.Document(ctx, environmentName, 0)
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load offers requests at planned times, whatever the responses do,
-// and measures latency from the planned time, so that a stalled system does
-// not hide behind requests that were never sent.
+// Package load sends requests at planned times, independently of the responses
+// (an open workload), and measures latency from the planned time. A stall of the
+// system thus shows in the latency of all requests planned during it.
 package load
 
 import (
@@ -21,31 +21,31 @@
 	"wasabihill.example/wasabihill/internal/standin/endpoint"
 )
 
-// Options configures a run.
+// Options configures a load run.
 type Options struct {
-	Targets       []string                // base URLs of entry processes, used in turn
-	Target        func(number int) string // chooses the base URL instead of Targets; called concurrently
-	Service       string                  // empty sends straight to an endpoint, without outcomes
-	Rate          float64                 // planned requests per second
-	Time          time.Duration
-	InFlight      int // most requests at a time; later ones are sent late, not dropped
-	BodyBytes     int
-	Deadline      time.Duration // 0 sends none
-	NonIdempotent float64       // share of requests that must run at most once, 0 to 1
-	Poisson       bool          // exponential gaps between requests instead of constant ones
-	Seed          uint64
-	Prefix        string       // of request ids, so that a checker can tell runs apart
-	Observe       func(Sample) // told of each request when it has ended; called concurrently; may be nil
+	Targets            []string                // base URLs of entry processes, used round robin
+	Target             func(number int) string // returns the base URL and replaces Targets; called concurrently
+	Service            string                  // if empty, requests go directly to endpoints, which send no outcomes
+	Rate               float64                 // planned requests per second
+	Duration           time.Duration
+	MaxInFlight        int // concurrent requests; further requests are sent late, not dropped
+	BodyBytes          int
+	Deadline           time.Duration // 0 for none
+	NonIdempotentShare float64       // share of non-idempotent requests, 0 to 1
+	Poisson            bool          // exponentially distributed instead of constant gaps between requests
+	Seed               uint64
+	Prefix             string       // of request IDs, so that a checker can distinguish runs
+	Observe            func(Sample) // called concurrently with the sample of each finished request; may be nil
 }
 
-// Sample is what became of one request.
+// Sample is the result of one request.
 type Sample struct {
 	ID         string
-	Target     string // base URL that it was sent to
+	Target     string // base URL to which the request was sent
 	Idempotent bool
 	Planned    time.Time
 	Latency    time.Duration // from the planned time
-	Outcome    string        // done, notRun, unknown, or broken when no whole response came
+	Outcome    string        // done, notRun, unknown, or broken without a complete response
 }
 
 // request is one planned request.
@@ -55,50 +55,51 @@
 	idempotent bool
 }
 
-// result is what one worker counted; workers share nothing while they run.
-type result struct {
+// workerResult holds the counts of one worker goroutine. Workers share no state
+// while they run.
+type workerResult struct {
 	outcomes map[string]int
 	statuses map[int]int
 	faults   map[string]int
 	done     *hdrhistogram.Histogram // microseconds from the planned time
 	notRun   *hdrhistogram.Histogram
-	late     *hdrhistogram.Histogram // from the planned time until it was sent
+	late     *hdrhistogram.Histogram // from the planned time to the send time
 }
 
-// Latencies are recorded from 1 us to 5 minutes with three digits.
+// Latencies are recorded from 1 us to 5 minutes with three significant digits.
 const (
-	longest = int64(5 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatencyMicroseconds = int64(5 * time.Minute / time.Microsecond)
+	significantDigits      = 3
 )
 
-func newResult() *result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
-	return &result{outcomes: map[string]int{}, statuses: map[int]int{}, faults: map[string]int{}, done: h(), notRun: h(), late: h()}
+func newWorkerResult() *workerResult {
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicroseconds, significantDigits) }
+	return &workerResult{outcomes: map[string]int{}, statuses: map[int]int{}, faults: map[string]int{}, done: h(), notRun: h(), late: h()}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), longest)) // always in range
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxLatencyMicroseconds)) // cannot fail: the value is in range
 }
 
-// Run offers the load until it is complete or ctx ends.
+// Run sends the planned requests until all have ended or ctx ends.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Target == nil {
 		o.Target = func(number int) string { return o.Targets[number%len(o.Targets)] }
 	} else if len(o.Targets) == 0 {
 		o.Targets = []string{""}
 	}
-	if len(o.Targets) == 0 || o.Rate <= 0 || o.Time <= 0 || o.InFlight <= 0 {
+	if len(o.Targets) == 0 || o.Rate <= 0 || o.Duration <= 0 || o.MaxInFlight <= 0 {
 		return nil, fmt.Errorf("load: targets, rate, time and in-flight limit must be positive")
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: o.InFlight, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10}
+	transport := &http.Transport{MaxIdleConnsPerHost: o.MaxInFlight, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10}
 	defer transport.CloseIdleConnections()
-	r := &runner{options: o, client: &http.Client{Transport: transport}, body: bytes.Repeat([]byte("b"), o.BodyBytes)}
+	r := &sender{options: o, client: &http.Client{Transport: transport}, body: bytes.Repeat([]byte("b"), o.BodyBytes)}
 	r.digest = fmt.Sprintf("%016x", xxhash.Sum64(r.body))
-	requests := make(chan request, o.InFlight)
-	results := make([]*result, o.InFlight)
+	requests := make(chan request, o.MaxInFlight)
+	results := make([]*workerResult, o.MaxInFlight)
 	var wait sync.WaitGroup
 	for i := range results {
-		results[i] = newResult()
+		results[i] = newWorkerResult()
 		wait.Go(func() {
 			for q := range requests {
 				r.send(ctx, q, results[i])
@@ -106,28 +107,29 @@
 		})
 	}
 	start := time.Now()
-	planned := r.plan(ctx, start, requests)
+	planned := r.schedule(ctx, start, requests)
 	close(requests)
 	wait.Wait()
-	return report(o, planned, time.Since(start), results), nil
+	return newReport(o, planned, time.Since(start), results), nil
 }
 
-// runner sends requests.
-type runner struct {
+// sender sends the requests of a run.
+type sender struct {
 	options Options
 	client  *http.Client
 	body    []byte
 	digest  string
 }
 
-// plan hands out requests at their planned times and returns how many.
-func (r *runner) plan(ctx context.Context, start time.Time, requests chan<- request) int {
+// schedule passes requests to the workers at their planned times and returns the
+// number of requests.
+func (r *sender) schedule(ctx context.Context, start time.Time, requests chan<- request) int {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	gap := float64(time.Second) / r.options.Rate
 	at := 0.0
 	number := 0
-	for ; at < float64(r.options.Time); number++ {
-		q := request{number: number, planned: start.Add(time.Duration(at)), idempotent: random.Float64() >= r.options.NonIdempotent}
+	for ; at < float64(r.options.Duration); number++ {
+		q := request{number: number, planned: start.Add(time.Duration(at)), idempotent: random.Float64() >= r.options.NonIdempotentShare}
 		if d := time.Until(q.planned); d > 0 {
 			select {
 			case <-time.After(d):
@@ -149,16 +151,16 @@
 	return number
 }
 
-// send sends one request, counts what became of it and tells the observer.
-func (r *runner) send(ctx context.Context, q request, into *result) {
+// send sends one request, counts its outcome and calls Observe.
+func (r *sender) send(ctx context.Context, q request, into *workerResult) {
 	id := r.options.Prefix + strconv.Itoa(q.number)
 	target := r.options.Target(q.number)
-	h, err := r.request(ctx, q, id, target)
+	h, err := r.newRequest(ctx, q, id, target)
 	if err != nil {
 		into.faults[err.Error()]++
 		return
 	}
-	record(into.late, time.Since(q.planned))
+	recordLatency(into.late, time.Since(q.planned))
 	outcome, latency := r.exchange(h, q, id, into)
 	into.outcomes[outcome]++
 	if r.options.Observe != nil {
@@ -166,9 +168,9 @@
 	}
 }
 
-// request builds the HTTP request. Its body cannot be read twice, so that
-// net/http never sends it twice.
-func (r *runner) request(ctx context.Context, q request, id, target string) (*http.Request, error) {
+// newRequest builds the HTTP request. Its body cannot be rewound, so net/http never
+// retries the request.
+func (r *sender) newRequest(ctx context.Context, q request, id, target string) (*http.Request, error) {
 	url := target + "/"
 	if r.options.Service != "" {
 		url += "services/" + r.options.Service + "/load"
@@ -189,40 +191,40 @@
 	return h, nil
 }
 
-// broken is the outcome of a request that got no whole response.
-const broken = "broken"
+// outcomeBroken is the outcome of a request without a complete response.
+const outcomeBroken = "broken"
 
-func (r *runner) exchange(h *http.Request, q request, id string, into *result) (string, time.Duration) {
+func (r *sender) exchange(h *http.Request, q request, id string, into *workerResult) (string, time.Duration) {
 	response, err := r.client.Do(h)
 	if err != nil {
-		return broken, time.Since(q.planned)
+		return outcomeBroken, time.Since(q.planned)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	latency := time.Since(q.planned)
 	into.statuses[response.StatusCode]++
 	if err != nil {
-		return broken, latency // cut in the middle, and seen to be
+		return outcomeBroken, latency // the truncation of the body was detected
 	}
-	return string(r.judge(response, body, id, latency, into)), latency
+	return string(r.checkResponse(response, body, id, latency, into)), latency
 }
 
-// judge returns the outcome and checks that an answer is the request's own and
-// whole.
-func (r *runner) judge(response *http.Response, body []byte, id string, latency time.Duration, into *result) headers.Outcome {
+// checkResponse returns the outcome, and checks that a response is complete and
+// belongs to the request.
+func (r *sender) checkResponse(response *http.Response, body []byte, id string, latency time.Duration, into *workerResult) headers.Outcome {
 	outcome := headers.Outcome(response.Header.Get(headers.OutcomeHeader))
 	if outcome == "" && r.options.Service == "" {
 		outcome = headers.Done
 	}
 	switch outcome {
 	case headers.NotRun:
-		record(into.notRun, latency)
+		recordLatency(into.notRun, latency)
 		return outcome
 	case headers.Done:
 	default:
 		return outcome
 	}
-	record(into.done, latency)
+	recordLatency(into.done, latency)
 	if response.StatusCode != http.StatusOK {
 		return outcome
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,7 +10,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency summarises a histogram. All values are from the planned send time.
+// Latency summarises a histogram of times since the planned send time. Durations in
+// its JSON form are nanoseconds.
 type Latency struct {
 	Count  int64         `json:"count"`
 	Mean   time.Duration `json:"mean"`
@@ -23,24 +24,24 @@
 
 // Report is the result of a run. Durations in its JSON form are nanoseconds.
 type Report struct {
-	Rate     float64        `json:"rate"`     // planned
-	Planned  int            `json:"planned"`  // requests
-	Goodput  float64        `json:"goodput"`  // done per second
+	Rate     float64        `json:"rate"`     // planned requests per second
+	Planned  int            `json:"planned"`  // number of requests
+	Goodput  float64        `json:"goodput"`  // requests per second with the outcome done
 	Took     time.Duration  `json:"took"`     // until the last response
-	Outcomes map[string]int `json:"outcomes"` // done, notRun, unknown, broken (no whole response)
+	Outcomes map[string]int `json:"outcomes"` // by outcome: done, notRun, unknown, broken (no complete response)
 	Statuses map[int]int    `json:"statuses"`
-	Faults   map[string]int `json:"faults"` // violations; empty when every answer was right
+	Faults   map[string]int `json:"faults"` // violations by kind; empty when every response was correct
 	Done     Latency        `json:"done"`
 	NotRun   Latency        `json:"notRun"`
-	Late     Latency        `json:"late"` // how late this program sent
+	Late     Latency        `json:"late"` // from the planned time to the send time
 }
 
-func report(o Options, planned int, took time.Duration, results []*result) *Report {
-	all := newResult()
+func newReport(o Options, planned int, took time.Duration, results []*workerResult) *Report {
+	all := newWorkerResult()
 	for _, r := range results {
-		merge(all.outcomes, r.outcomes)
-		merge(all.statuses, r.statuses)
-		merge(all.faults, r.faults)
+		addCounts(all.outcomes, r.outcomes)
+		addCounts(all.statuses, r.statuses)
+		addCounts(all.faults, r.faults)
 		all.done.Merge(r.done)
 		all.notRun.Merge(r.notRun)
 		all.late.Merge(r.late)
@@ -52,7 +53,7 @@
 	}
 }
 
-func merge[K comparable](into, from map[K]int) {
+func addCounts[K comparable](into, from map[K]int) {
 	for k, n := range from {
 		into[k] += n
 	}
@@ -76,10 +77,10 @@
 	return e.Encode(r)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
 	out := fmt.Sprintf("planned   %d requests at %.0f/s, took %v, goodput %.1f/s\n", r.Planned, r.Rate, r.Took.Round(time.Millisecond), r.Goodput)
-	out += "outcomes " + counts(r.Outcomes) + "\nstatuses " + counts(r.Statuses) + "\nfaults   " + counts(r.Faults) + "\n"
+	out += "outcomes " + formatCounts(r.Outcomes) + "\nstatuses " + formatCounts(r.Statuses) + "\nfaults   " + formatCounts(r.Faults) + "\n"
 	for _, l := range []struct {
 		name string
 		Latency
@@ -92,7 +93,7 @@
 	return err
 }
 
-func counts[K interface{ ~string | ~int }](m map[K]int) string {
+func formatCounts[K interface{ ~string | ~int }](m map[K]int) string {
 	if len(m) == 0 {
 		return " none"
 	}
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -11,119 +11,122 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// The bounds of the promises, as the users state them.
+// The bounds of the promises, from the users' requirements.
 const (
-	// inTouch is how long a machine must have been free of faults for a promise
-	// with a bound to hold for it.
-	inTouch     = 4 * time.Second
-	cancelBound = 4 * time.Second
-	evacuateIn  = 5 * time.Second
-	drainBound  = 3 * time.Second
-	cutSlack    = 200 * time.Millisecond
-	afterGrace  = time.Second // a planned stop's promise covers so much after its grace
+	// minFaultFreeTime is how long a machine must have been free of unplanned
+	// faults for a time bound to apply to it.
+	minFaultFreeTime  = 4 * time.Second
+	cancellationBound = 4 * time.Second
+	evacuationBound   = 5 * time.Second
+	drainBound        = 3 * time.Second
+	abortTolerance    = 200 * time.Millisecond
+	plannedStopMargin = time.Second // after the grace period; requests cut until then count against the planned stop
 )
 
-// absence is a time in which nothing may start in a domain or on a runner.
-type absence struct {
+// noStartPeriod is a period in which no task may start in a failure domain or on a
+// runner.
+type noStartPeriod struct {
 	domain string
 	runner string
 	host   string
 	from   time.Time
-	until  time.Time // zero for not ended
+	until  time.Time // zero if the period has not ended
 }
 
-func (a absence) covers(at time.Time, after time.Duration) bool {
-	return at.After(a.from.Add(after)) && (a.until.IsZero() || at.Before(a.until))
+func (p noStartPeriod) covers(at time.Time, after time.Duration) bool {
+	return at.After(p.from.Add(after)) && (p.until.IsZero() || at.Before(p.until))
 }
 
-// evidence is what the checks judge.
-type evidence struct {
-	runs    []taskrunner.Run
-	jobs    map[string]*job
-	cuts    []cutRequest
-	faults  []injected
-	out     []absence
-	drained []absence
+// observations is the input of the checks.
+type observations struct {
+	runs            []taskrunner.Run
+	jobs            map[string]*job
+	abortedRequests []abortedRequest
+	faults          []injectedFault
+	domainsOut      []noStartPeriod
+	draining        []noStartPeriod
 }
 
-// check judges one promise.
+// check finds violations of one promise.
 type check struct {
 	promise string
-	judge   func(*evidence, func(at time.Time, job, format string, args ...any))
+	find    func(*observations, func(at time.Time, job, format string, args ...any))
 }
 
 var checks = []check{
-	{"steps run in their order", (*evidence).checkOrder},
-	{"no runner holds more than its room", (*evidence).checkRoom},
-	{"failed attempts are counted", (*evidence).checkAttempts},
-	{"a cancelled job starts nothing", (*evidence).checkCancels},
-	{"nothing starts in a domain that is out", (*evidence).checkDomains},
-	{"nothing starts on a draining runner", (*evidence).checkDrains},
-	{"a refused job never runs", (*evidence).checkRefusals},
-	{"a completed job has done its work", (*evidence).checkCompleted},
-	{"a job ends as its tasks do", (*evidence).checkEnds},
-	{"a planned stop cuts no request off", (*evidence).checkPlannedStops},
+	{"steps run in their order", (*observations).checkOrder},
+	{"no runner holds more than its room", (*observations).checkCapacity},
+	{"failed attempts are counted", (*observations).checkAttempts},
+	{"a cancelled job starts nothing", (*observations).checkCancellations},
+	{"nothing starts in a domain that is out", (*observations).checkDomains},
+	{"nothing starts on a draining runner", (*observations).checkDrains},
+	{"a refused job never runs", (*observations).checkRejections},
+	{"a completed job has done its work", (*observations).checkCompleted},
+	{"a job ends as its tasks do", (*observations).checkFinalStates},
+	{"a planned stop cuts no request off", (*observations).checkPlannedStops},
 }
 
-// judge applies every check to what the run has shown.
-func (r *Run) judge() *Result {
-	g := r.callers
-	result := &Result{Seed: r.Seed, Faults: r.done, Runs: r.fleet.witness.Runs(), Began: r.began, Dir: r.Dir, Answers: g.answers}
+// evaluate applies every check to the run and returns the result.
+func (r *Run) evaluate() *Result {
+	g := r.generator
+	result := &Result{Seed: r.Seed, Faults: r.injected, Runs: r.fleet.runRecorder.Runs(), Began: r.began, Dir: r.Dir, Responses: g.responses}
 	for _, h := range r.fleet.hosts() {
 		result.Processes = append(result.Processes, h.name)
 		if h.process.Exited() {
-			r.fail("processes do not end by themselves", fmt.Errorf("%s has ended", h.name))
+			r.recordFailure("processes do not end by themselves", fmt.Errorf("process %s exited unexpectedly", h.name))
 		}
 	}
 	result.Starts = len(result.Runs)
-	result.Broken = append(append(result.Broken, g.wrong...), r.failures...)
-	for _, v := range r.fleet.witness.Violations() {
-		result.Broken = append(result.Broken, Broken{"a task runs once at a time and not after its end", v.At, jobOf(v.Task), v.Text})
+	result.Broken = append(append(result.Broken, g.unexpectedResponses...), r.failures...)
+	for _, v := range r.fleet.runRecorder.Violations() {
+		result.Broken = append(result.Broken, Broken{"a task runs once at a time and not after its end", v.At, jobID(v.Task), v.Text})
 	}
 	for _, h := range r.fleet.agents {
-		r.noteDrain(h)
+		r.recordDrain(h)
 	}
-	for _, j := range g.order {
+	for _, j := range g.jobsInOrder {
 		if !j.accepted.IsZero() {
 			result.Accepted++
-		} else if j.refused {
-			result.Refused++
+		} else if j.rejected {
+			result.Rejected++
 		}
 	}
-	e := &evidence{runs: result.Runs, jobs: g.jobs, cuts: g.cuts, faults: r.done, out: r.out, drained: r.drained}
-	result.Broken = append(result.Broken, e.judge()...)
+	o := &observations{runs: result.Runs, jobs: g.jobs, abortedRequests: g.abortedRequests, faults: r.injected, domainsOut: r.domainsOut, draining: r.draining}
+	result.Broken = append(result.Broken, o.findViolations()...)
 	slices.SortStableFunc(result.Broken, func(a, b Broken) int { return a.At.Compare(b.At) })
 	return result
 }
 
-func (e *evidence) judge() []Broken {
+func (o *observations) findViolations() []Broken {
 	var all []Broken
 	for _, c := range checks {
-		c.judge(e, func(at time.Time, job, format string, args ...any) {
+		c.find(o, func(at time.Time, job, format string, args ...any) {
 			all = append(all, Broken{c.promise, at, job, fmt.Sprintf(format, args...)})
 		})
 	}
 	return all
 }
 
-// fail notes a promise that broke beside the checks.
-func (r *Run) fail(promise string, err error) {
+// recordFailure records a violation that was found outside the checks.
+func (r *Run) recordFailure(promise string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, Broken{Promise: promise, At: time.Now(), Text: err.Error()})
 }
 
-// calm reports whether no unplanned fault touched the host in the time before at.
-func (e *evidence) calm(host string, at time.Time, before time.Duration) bool {
+// faultFree reports whether no unplanned fault affected the host from before
+// earlier than at until at.
+func (o *observations) faultFree(host string, at time.Time, before time.Duration) bool {
 	from := at.Add(-before)
-	return !slices.ContainsFunc(e.faults, func(f injected) bool {
+	return !slices.ContainsFunc(o.faults, func(f injectedFault) bool {
 		touches := f.Host == "" || f.Host == host
 		return touches && !f.Planned && f.Began.Before(at) && (f.Ended.IsZero() || f.Ended.After(from))
 	})
 }
 
-// taskName is the parts of a task's name, job.occurrence.step.index.
-func taskName(task string) (job string, step int) {
+// parseTaskName returns the job ID and the step of a task name, which is
+// job.occurrence.step.index.
+func parseTaskName(task string) (job string, step int) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 {
 		return task, 0
@@ -135,17 +138,17 @@
 	return parts[0], step
 }
 
-func jobOf(task string) string { job, _ := taskName(task); return job }
+func jobID(task string) string { job, _ := parseTaskName(task); return job }
 
-// hostOf is the agent beside a runner.
-func hostOf(runner string) string { return strings.TrimPrefix(runner, runnerPrefix) }
+// hostName returns the name of the agent on the runner's machine.
+func hostName(runner string) string { return strings.TrimPrefix(runner, runnerPrefix) }
 
-type report = func(at time.Time, job, format string, args ...any)
+type violationReporter = func(at time.Time, job, format string, args ...any)
 
-// firstDone returns when each task first ended well.
-func (e *evidence) firstDone() map[string]time.Time {
+// firstCompletions returns the time at which each task first completed.
+func (o *observations) firstCompletions() map[string]time.Time {
 	done := make(map[string]time.Time)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		if first, ok := done[x.Task]; x.End == "done" && (!ok || x.EndTime.Before(first)) {
 			done[x.Task] = x.EndTime
 		}
@@ -153,59 +156,59 @@
 	return done
 }
 
-func (e *evidence) checkOrder(broken report) {
-	done := e.firstDone()
-	for _, x := range e.runs {
-		id, step := taskName(x.Task)
-		j := e.jobs[id]
-		if j == nil || step >= len(j.shape.job.Steps) {
-			broken(x.StartTime, id, "%s started on %s, which nobody submitted", x.Task, x.Runner)
+func (o *observations) checkOrder(broken violationReporter) {
+	done := o.firstCompletions()
+	for _, x := range o.runs {
+		id, step := parseTaskName(x.Task)
+		j := o.jobs[id]
+		if j == nil || step >= len(j.template.job.Steps) {
+			broken(x.StartTime, id, "%s started on %s, but no caller submitted it", x.Task, x.Runner)
 			continue
 		}
-		for _, before := range j.shape.job.Steps[step].After {
-			for index := range j.shape.job.Steps[before].Tasks {
+		for _, before := range j.template.job.Steps[step].After {
+			for index := range j.template.job.Steps[before].Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", id, before, index)
 				if at, ok := done[name]; !ok || at.After(x.StartTime) {
-					broken(x.StartTime, id, "%s started on %s before %s was done", x.Task, x.Runner, name)
+					broken(x.StartTime, id, "%s started on %s before %s completed", x.Task, x.Runner, name)
 				}
 			}
 		}
 	}
 }
 
-func (e *evidence) checkRoom(broken report) {
+func (o *observations) checkCapacity(broken violationReporter) {
 	type change struct {
 		at   time.Time
 		by   int
 		task string
 	}
 	changes := make(map[string][]change)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		changes[x.Runner] = append(changes[x.Runner], change{x.StartTime, 1, x.Task})
 		if !x.EndTime.IsZero() {
 			changes[x.Runner] = append(changes[x.Runner], change{x.EndTime, -1, x.Task})
 		}
 	}
 	for name, list := range changes {
-		// An end and a start at the same time need no more room.
+		// Of changes at the same time, ends are counted before starts.
 		slices.SortFunc(list, func(a, b change) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.by, b.by)) })
 		running := 0
 		for _, c := range list {
 			if running += c.by; c.by > 0 && running > runnerCores {
-				broken(c.at, jobOf(c.task), "%s started on %s, which then ran %d tasks with room for %d", c.task, name, running, runnerCores)
+				broken(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with %d cores", c.task, name, running, runnerCores)
 			}
 		}
 	}
 }
 
-func (e *evidence) checkAttempts(broken report) {
+func (o *observations) checkAttempts(broken violationReporter) {
 	failures := make(map[string][]time.Time)
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		if x.End == "failed" && x.Acknowledged {
 			failures[x.Task] = append(failures[x.Task], x.EndTime)
 		}
 	}
-	for _, x := range e.runs {
+	for _, x := range o.runs {
 		n := 0
 		for _, at := range failures[x.Task] {
 			if at.Before(x.StartTime) {
@@ -213,92 +216,93 @@
 			}
 		}
 		if n >= maxAttempts {
-			broken(x.StartTime, jobOf(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
+			broken(x.StartTime, jobID(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
 		}
 	}
 }
 
-func (e *evidence) checkCancels(broken report) {
-	for _, x := range e.runs {
-		j := e.jobs[jobOf(x.Task)]
-		if j == nil || j.cancelled.IsZero() || !x.StartTime.After(j.cancelled.Add(cancelBound)) || !e.calm(hostOf(x.Runner), x.StartTime, inTouch) {
+func (o *observations) checkCancellations(broken violationReporter) {
+	for _, x := range o.runs {
+		j := o.jobs[jobID(x.Task)]
+		if j == nil || j.cancelled.IsZero() || !x.StartTime.After(j.cancelled.Add(cancellationBound)) || !o.faultFree(hostName(x.Runner), x.StartTime, minFaultFreeTime) {
 			continue
 		}
 		broken(x.StartTime, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.StartTime.Sub(j.cancelled).Round(time.Millisecond))
 	}
 }
 
-func (e *evidence) checkDomains(broken report) {
-	for _, x := range e.runs {
-		for _, a := range e.out {
-			if a.domain == x.Domain && a.covers(x.StartTime, evacuateIn) && e.calm(hostOf(x.Runner), x.StartTime, inTouch) {
-				broken(x.StartTime, jobOf(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond), a.domain)
+func (o *observations) checkDomains(broken violationReporter) {
+	for _, x := range o.runs {
+		for _, a := range o.domainsOut {
+			if a.domain == x.Domain && a.covers(x.StartTime, evacuationBound) && o.faultFree(hostName(x.Runner), x.StartTime, minFaultFreeTime) {
+				broken(x.StartTime, jobID(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond), a.domain)
 			}
 		}
 	}
 }
 
-func (e *evidence) checkDrains(broken report) {
-	for _, x := range e.runs {
-		for _, a := range e.drained {
-			if a.runner == x.Runner && a.covers(x.StartTime, drainBound) && e.calm(a.host, x.StartTime, inTouch) {
-				broken(x.StartTime, jobOf(x.Task), "%s started on %s %v after its agent knew that it drains", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond))
+func (o *observations) checkDrains(broken violationReporter) {
+	for _, x := range o.runs {
+		for _, a := range o.draining {
+			if a.runner == x.Runner && a.covers(x.StartTime, drainBound) && o.faultFree(a.host, x.StartTime, minFaultFreeTime) {
+				broken(x.StartTime, jobID(x.Task), "%s started on %s %v after its agent received its draining state", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-func (e *evidence) checkRefusals(broken report) {
-	for _, x := range e.runs {
-		if j := e.jobs[jobOf(x.Task)]; j != nil && j.refused {
-			broken(x.StartTime, j.id, "%s started on %s although every submission was refused", x.Task, x.Runner)
+func (o *observations) checkRejections(broken violationReporter) {
+	for _, x := range o.runs {
+		if j := o.jobs[jobID(x.Task)]; j != nil && j.rejected {
+			broken(x.StartTime, j.id, "%s started on %s although every submission was rejected", x.Task, x.Runner)
 		}
 	}
 }
 
-func (e *evidence) checkCompleted(broken report) {
-	done := e.firstDone()
-	for _, j := range e.jobs {
-		i := slices.IndexFunc(j.states, func(o observed) bool { return o.state == completed })
+func (o *observations) checkCompleted(broken violationReporter) {
+	done := o.firstCompletions()
+	for _, j := range o.jobs {
+		i := slices.IndexFunc(j.states, func(o observedState) bool { return o.state == completed })
 		if i < 0 {
 			continue
 		}
-		for step, s := range j.shape.job.Steps {
+		for step, s := range j.template.job.Steps {
 			for index := range s.Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", j.id, step, index)
 				if at, ok := done[name]; !ok || at.After(j.states[i].at) {
-					broken(j.states[i].at, j.id, "shown as completed before %s was done", name)
+					broken(j.states[i].at, j.id, "state was completed before %s completed", name)
 				}
 			}
 		}
 	}
 }
 
-// checkEnds compares the state in which a job ended with what its tasks do.
-func (e *evidence) checkEnds(broken report) {
-	for _, j := range e.jobs {
-		state := j.last()
-		if !final[state] {
+// checkFinalStates compares the final state of a job with the one that its spec
+// and cancellation imply.
+func (o *observations) checkFinalStates(broken violationReporter) {
+	for _, j := range o.jobs {
+		state := j.lastState()
+		if !finalStates[state] {
 			continue
 		}
-		want := map[string]string{hopelessSpec: failed, watchSpec: cancelled}[j.shape.job.Spec]
+		want := map[string]string{failingSpec: failed, watchSpec: cancelled}[j.template.job.Spec]
 		if want == "" {
 			want = completed
 		}
 		if state != want && (state != cancelled || j.cancelSent.IsZero()) {
-			broken(j.states[len(j.states)-1].at, j.id, "a %s job was shown as %s", j.shape.job.Spec, state)
+			broken(j.states[len(j.states)-1].at, j.id, "final state of a %s job is %s", j.template.job.Spec, state)
 		}
 	}
 }
 
-func (e *evidence) checkPlannedStops(broken report) {
-	for _, c := range e.cuts {
-		for _, f := range e.faults {
-			if f.Kind != terminateKind || f.Host != c.host || c.at.Before(f.Began) || c.at.After(f.Began.Add(graceWithin+afterGrace)) {
+func (o *observations) checkPlannedStops(broken violationReporter) {
+	for _, c := range o.abortedRequests {
+		for _, f := range o.faults {
+			if f.Kind != terminateKind || f.Host != c.host || c.abortedAt.Before(f.Began) || c.abortedAt.After(f.Began.Add(gracePeriod+plannedStopMargin)) {
 				continue
 			}
-			if e.calm(c.host, c.at, inTouch+c.at.Sub(c.sent)) {
-				broken(c.at, "", "%s broke a request off %v after it had been sent: %s", c.host, c.at.Sub(c.sent).Round(time.Millisecond), c.text)
+			if o.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
+				broken(c.abortedAt, "", "%s aborted a request %v after it was sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
 			}
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -28,41 +28,42 @@
 	runnerCores = 8
 	maxAttempts = 2
 	runnerPort  = 8165
-	// runnerPrefix and the name of its host make the id of a runner.
+	// runnerPrefix followed by the name of its host is the ID of a runner.
 	runnerPrefix = "runner-"
-	// graceWithin is when a planned stop is cut off; the settings say so too.
-	graceWithin = 6 * time.Second
+	// gracePeriod is the time after which a planned stop becomes a kill. The
+	// settings of the processes have the same value.
+	gracePeriod = 6 * time.Second
 )
 
-// host is one machine: a process of ours with the links to it and from it, and
-// on an agent's machine the runner.
+// host is one machine: an entry process or an agent with the relays of its
+// connections and, beside an agent, the runner.
 type host struct {
 	name     string
 	role     string // entry or agent
 	domain   string
 	settings deployment.Process
 	process  *childprocess.Process
-	door     *metastore.Server
+	store    *metastore.Server
 	toStore  *relay.Relay
-	sessions *relay.Relay // links of other processes to this one
-	clients  *relay.Relay // of an entry process
+	sessions *relay.Relay // sessions from other processes to this one
+	clients  *relay.Relay // callers to the entry process; nil for an agent
 	runner   *taskrunner.Runner
 	toRunner *relay.Relay
 	toAgent  *relay.Relay // announcements of the runner
 
 }
 
-// deploymentCount keeps the addresses of soaks of one process apart.
+// deploymentCount gives each deployment of this process its own addresses.
 var deploymentCount atomic.Int64
 
-// fleet is everything that runs.
+// fleet is the processes and stand-ins of a run.
 type fleet struct {
-	store    *metastore.Log
-	operator deployment.Operator
-	witness  *taskrunner.Recorder
-	entries  []*host
-	agents   []*host
-	stop     context.CancelFunc // of the runners
+	store       *metastore.Log
+	operator    deployment.Operator
+	runRecorder *taskrunner.Recorder
+	entries     []*host
+	agents      []*host
+	stop        context.CancelFunc // stops the runners
 
 	mu      sync.Mutex
 	version int // of the configuration
@@ -73,28 +74,28 @@
 	{Name: "runs", Host: callersHost, Prefix: "/runs/", Priority: 2, MaxAttempts: maxAttempts},
 }
 
-// work tells a runner what the tasks of a job do, by the job's spec.
-func work(_, spec string) taskrunner.Work {
+// workOf returns the work of a task for the spec of its job.
+func workOf(_, spec string) taskrunner.Work {
 	return map[string]taskrunner.Work{
 		quickSpec: {Duration: 60 * time.Millisecond}, slowSpec: {Duration: 700 * time.Millisecond},
-		hopelessSpec: {Duration: 30 * time.Millisecond, Fails: true}, watchSpec: {},
+		failingSpec: {Duration: 30 * time.Millisecond, Fails: true}, watchSpec: {},
 	}[spec]
 }
 
 func newFleet(r *Run) (*fleet, error) {
 	store := metastore.NewLog()
-	f := &fleet{store: store, operator: deployment.Operator{Store: store}, witness: taskrunner.NewRecorder()}
+	f := &fleet{store: store, operator: deployment.Operator{Store: store}, runRecorder: taskrunner.NewRecorder()}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
-	// Each process of a run has a loopback address of its own, and another one
-	// at which its relays listen.
+	// Each process of a run has its own loopback address, and a second one on which
+	// the relay of its sessions listens.
 	net := fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, deploymentCount.Add(1)%250)
 	for i := range r.Entries + r.Agents {
 		role, n := "entry", i
 		if i >= r.Entries {
 			role, n = "agent", i-r.Entries
 		}
-		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), door: store.NewServer()}
+		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), store: store.NewServer()}
 		if err := h.connect(r, fmt.Sprintf("%s.%d", net, 2*i+1), fmt.Sprintf("%s.%d", net, 2*i+2)); err != nil {
 			f.close()
 			return nil, err
@@ -112,8 +113,8 @@
 	return f, f.configure()
 }
 
-// connect creates the relays of a host, which has the address ip and is known
-// to others by the address advertised.
+// connect creates the relays and the settings of a host. Its process listens on ip
+// and advertises the address advertised.
 func (h *host) connect(r *Run, ip, advertised string) (err error) {
 	open := func(address, target string) *relay.Relay {
 		if err != nil {
@@ -123,14 +124,14 @@
 		opened, err = relay.NewAt(address, target)
 		return opened
 	}
-	h.toStore = open("127.0.0.1:0", h.door.Address)
-	h.sessions = open(at(advertised, deployment.SessionPort), at(ip, deployment.SessionPort))
+	h.toStore = open("127.0.0.1:0", h.store.Address)
+	h.sessions = open(joinAddress(advertised, deployment.SessionPort), joinAddress(ip, deployment.SessionPort))
 	h.settings = deployment.Process{Name: h.name, IP: ip, Domain: h.domain, Service: service, MemoryMb: 256, FirstStart: true}
 	if h.role == "entry" {
-		h.clients = open("127.0.0.1:0", at(ip, deployment.ClientsPort))
+		h.clients = open("127.0.0.1:0", joinAddress(ip, deployment.ClientsPort))
 	} else {
-		h.toRunner = open("127.0.0.1:0", at(ip, runnerPort))
-		h.toAgent = open("127.0.0.1:0", at(ip, deployment.HeartbeatsPort))
+		h.toRunner = open("127.0.0.1:0", joinAddress(ip, runnerPort))
+		h.toAgent = open("127.0.0.1:0", joinAddress(ip, deployment.HeartbeatsPort))
 	}
 	if err != nil {
 		return fault.Wrap("open relays of "+h.name, NotStarted, err)
@@ -149,10 +150,11 @@
 
 func (h *host) settingsPath(r *Run) string { return filepath.Join(r.Dir, h.name+".toml") }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func joinAddress(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 func (h *host) writeSettings(path string) error {
-	// A process may read the file at any moment; it never sees half of one.
+	// The rename is atomic, so a process that reads the file at any time never reads
+	// a partial one.
 	if err := os.WriteFile(path+".new", []byte(h.settings.Settings()), 0o600); err != nil {
 		return fault.Wrap("write settings of "+h.name, NotStarted, err)
 	}
@@ -162,13 +164,13 @@
 	return nil
 }
 
-// startRunner starts the runner of an agent's machine. The clocks of runners
-// are up to 2 % slow.
+// startRunner starts the runner on an agent's machine. The clocks of the runners
+// run up to 2 % slow.
 func (f *fleet) startRunner(ctx context.Context, h *host, n int) error {
 	h.runner = taskrunner.New(taskrunner.Settings{
 		ID: runnerPrefix + h.name, Service: service, Domain: h.domain, Labels: []string{"a", fmt.Sprint("rack-", n/2)},
-		Cores: runnerCores, MemoryMb: 64_000, Recorder: f.witness, MaxLease: 10 * time.Second, StopDelay: 20 * time.Millisecond,
-		IgnoreCapacity: true, ClockRate: 1 - 0.005*float64(n%5), Work: work,
+		Cores: runnerCores, MemoryMb: 64_000, Recorder: f.runRecorder, MaxLease: 10 * time.Second, StopDelay: 20 * time.Millisecond,
+		IgnoreCapacity: true, ClockRate: 1 - 0.005*float64(n%5), Work: workOf,
 	})
 	listener, err := net.Listen("tcp", h.toRunner.Target())
 	if err != nil {
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// configure puts the next version of the configuration in force.
+// configure writes the next version of the configuration to the store.
 func (f *fleet) configure() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +203,8 @@
 	return nil
 }
 
-// restart starts a process that has ended, not for the first time.
+// restart starts a process again after it has ended. Its settings no longer say
+// that this is the first start.
 func (h *host) restart(r *Run) error {
 	h.settings.FirstStart = false
 	if err := h.writeSettings(h.settingsPath(r)); err != nil {
@@ -210,15 +213,15 @@
 	return h.process.Start()
 }
 
-// awaitReady waits until every entry process is ready.
+// awaitReady waits until the readiness check of every entry process passes.
 func (f *fleet) awaitReady(ctx context.Context, within time.Duration) error {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	deadline := time.Now().Add(within)
 	for _, h := range f.entries {
 		for !h.ready(client) {
-			if time.Now().After(deadline) || !pause.For(ctx, pollEvery) {
-				return fault.New("start", NotStarted, "%s is not ready; its log is %s", h.name, h.process.LogPath)
+			if time.Now().After(deadline) || !pause.For(ctx, pollInterval) {
+				return fault.New("start", NotStarted, "%s did not become ready in time; its log is in %s", h.name, h.process.LogPath)
 			}
 		}
 	}
@@ -226,7 +229,7 @@
 }
 
 func (h *host) ready(client *http.Client) bool {
-	response, err := client.Get("http://" + at(h.settings.IP, deployment.ReadinessPort) + deployment.ReadinessPath)
+	response, err := client.Get("http://" + joinAddress(h.settings.IP, deployment.ReadinessPort) + deployment.ReadinessPath)
 	if err != nil {
 		return false
 	}
@@ -234,8 +237,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// links returns every relay of the host.
-func (h *host) links() []*relay.Relay {
+// relays returns the relays of the host.
+func (h *host) relays() []*relay.Relay {
 	var all []*relay.Relay
 	for _, l := range []*relay.Relay{h.toStore, h.sessions, h.clients, h.toRunner, h.toAgent} {
 		if l != nil {
@@ -245,11 +248,12 @@
 	return all
 }
 
-// heal ends every fault and starts what does not run.
-func (f *fleet) heal(r *Run) {
+// clearFaults clears every fault, resumes paused processes and brings all failure
+// domains back.
+func (f *fleet) clearFaults(r *Run) {
 	for _, h := range f.hosts() {
-		h.door.Set(metastore.Fault{})
-		for _, l := range h.links() {
+		h.store.Set(metastore.Fault{})
+		for _, l := range h.relays() {
 			l.ClearFaults()
 		}
 		if h.runner != nil {
@@ -262,7 +266,7 @@
 	}
 }
 
-// close ends everything that was started.
+// close stops the processes and closes the stand-ins and relays.
 func (f *fleet) close() {
 	for _, h := range f.hosts() {
 		h.process.Signal(syscall.SIGCONT)
@@ -270,9 +274,9 @@
 	}
 	f.stop()
 	for _, h := range f.hosts() {
-		for _, l := range h.links() {
+		for _, l := range h.relays() {
 			l.Close()
 		}
-		h.door.Close()
+		h.store.Close()
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// Log lines from linesBefore to linesAfter around a broken promise are
-	// shown, at most linesPerProcess of each process.
-	linesBefore     = 1500 * time.Millisecond
-	linesAfter      = 300 * time.Millisecond
-	linesPerProcess = 12
+	// The report shows the log lines from logLinesBefore before a violation to
+	// logLinesAfter after it, at most maxLinesPerProcess of each process.
+	logLinesBefore     = 1500 * time.Millisecond
+	logLinesAfter      = 300 * time.Millisecond
+	maxLinesPerProcess = 12
 )
 
-// excerpt returns the lines of a process's log around a time; those that name
-// the job go first when there are too many.
+// excerpt returns the lines of a process's log around a violation. When there are
+// too many, lines that contain the job ID are preferred.
 func (r *Result) excerpt(process string, b Broken) []string {
 	file, err := os.Open(filepath.Join(r.Dir, process+".log"))
 	if err != nil {
@@ -35,7 +35,7 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		at, ok := lineTime(lines.Text(), b.At)
-		if !ok || at.Before(b.At.Add(-linesBefore)) || at.After(b.At.Add(linesAfter)) {
+		if !ok || at.Before(b.At.Add(-logLinesBefore)) || at.After(b.At.Add(logLinesAfter)) {
 			continue
 		}
 		if b.Job != "" && strings.Contains(lines.Text(), b.Job) {
@@ -44,8 +44,8 @@
 			others = append(others, lines.Text())
 		}
 	}
-	others = others[max(0, len(others)-max(0, linesPerProcess-len(naming))):]
-	kept := append(naming[:min(len(naming), linesPerProcess)], others...)
+	others = others[max(0, len(others)-max(0, maxLinesPerProcess-len(naming))):]
+	kept := append(naming[:min(len(naming), maxLinesPerProcess)], others...)
 	slices.SortStableFunc(kept, func(a, b string) int { return strings.Compare(a[1:min(len(a), 21)], b[1:min(len(b), 21)]) })
 	return kept
 }
@@ -62,15 +62,16 @@
 	return at.AddDate(near.Year(), 0, 0), true
 }
 
-// Write prints the verdict on a run, and for a broken one how to repeat it and
-// the log lines around the first broken promise.
+// Write prints the result of a run. If promises were broken, it also prints the
+// command that repeats the run, and the faults, task runs and log lines around the
+// first violation.
 func (r *Result) Write(w io.Writer, command string) error {
 	verdict := "kept"
 	if len(r.Broken) > 0 {
 		verdict = fmt.Sprintf("BROKEN %d", len(r.Broken))
 	}
 	_, err := fmt.Fprintf(w, "seed %-20d %-10s %4d jobs accepted, %d refused; %5d answers, %5d starts, %2d faults; %.1f s\n",
-		r.Seed, verdict, r.Accepted, r.Refused, r.Answers, r.Starts, len(r.Faults), r.Took.Seconds())
+		r.Seed, verdict, r.Accepted, r.Rejected, r.Responses, r.Starts, len(r.Faults), r.Took.Seconds())
 	if err != nil || len(r.Broken) == 0 {
 		return err
 	}
@@ -84,13 +85,13 @@
 	first := r.Broken[0]
 	fmt.Fprintf(w, "  first, %.3f s after the start: %s: job %s: %s\n  again: %s\n  faults around it:\n", first.At.Sub(r.Began).Seconds(), first.Promise, first.Job, first.Text, command)
 	for _, f := range r.Faults {
-		if f.Began.Before(first.At) && f.Ended.After(first.At.Add(-2*inTouch)) {
+		if f.Began.Before(first.At) && f.Ended.After(first.At.Add(-2*minFaultFreeTime)) {
 			fmt.Fprintf(w, "    %6.2f to %6.2f s %s %s\n", f.Began.Sub(r.Began).Seconds(), f.Ended.Sub(r.Began).Seconds(), f.Kind, f.Host)
 		}
 	}
 	for _, x := range r.Runs {
-		if first.Job != "" && jobOf(x.Task) == first.Job {
-			ended := "runs on"
+		if first.Job != "" && jobID(x.Task) == first.Job {
+			ended := "still running"
 			if !x.EndTime.IsZero() {
 				ended = fmt.Sprintf("%s at %.3f s, recorded %t", x.End, x.EndTime.Sub(r.Began).Seconds(), x.Acknowledged)
 			}
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// WriteJSON writes the verdicts for other programs.
+// WriteJSON writes one JSON object for each result.
 func WriteJSON(w io.Writer, results []*Result) error {
 	encoder := json.NewEncoder(w)
 	for _, r := range results {
@@ -114,7 +115,7 @@
 			Broken   []Broken
 			Accepted int
 			Starts   int
-			Faults   []injected
+			Faults   []injectedFault
 		}{r.Seed, r.Broken, r.Accepted, r.Starts, r.Faults})
 		if err != nil {
 			return err
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// bar is a span of time on a lane of the time line, in percent of its width.
+// bar is a period on a lane of the timeline. Left and Width are percentages of the
+// lane's width.
 type bar struct {
 	Left, Width float64
 	Class, Text string
@@ -139,7 +141,8 @@
 	Lanes []lane
 }
 
-// lanes draws the faults and the runs of each host over time.
+// lanes returns one lane with the faults and task runs of each process, after a
+// lane with the violations and the faults of all processes.
 func (r *Result) lanes() []lane {
 	end := r.Began
 	for _, x := range r.Runs {
@@ -148,16 +151,16 @@
 	for _, f := range r.Faults {
 		end = later(end, f.Ended)
 	}
-	whole := end.Sub(r.Began).Seconds()
-	if whole <= 0 {
+	total := end.Sub(r.Began).Seconds()
+	if total <= 0 {
 		return nil
 	}
 	place := func(from, to time.Time, class, text string) bar {
 		if to.IsZero() {
 			to = end
 		}
-		left := 100 * from.Sub(r.Began).Seconds() / whole
-		return bar{left, max(0.15, 100*to.Sub(from).Seconds()/whole), class, fmt.Sprintf("%s, %.2f to %.2f s", text, from.Sub(r.Began).Seconds(), to.Sub(r.Began).Seconds())}
+		left := 100 * from.Sub(r.Began).Seconds() / total
+		return bar{left, max(0.15, 100*to.Sub(from).Seconds()/total), class, fmt.Sprintf("%s, %.2f to %.2f s", text, from.Sub(r.Began).Seconds(), to.Sub(r.Began).Seconds())}
 	}
 	var all []lane
 	for _, name := range append([]string{""}, r.Processes...) {
@@ -166,7 +169,7 @@
 			l.Name = "all"
 		}
 		for _, x := range r.Runs {
-			if hostOf(x.Runner) == name {
+			if hostName(x.Runner) == name {
 				l.Bars = append(l.Bars, place(x.StartTime, x.EndTime, "run", fmt.Sprintf("%s attempt %d %s", x.Task, x.Attempt, x.End)))
 			}
 		}
@@ -202,7 +205,7 @@
 {{range .Lanes}}<div class="lane"><b>{{.Name}}</b>{{range .Bars}}<div class="bar {{.Class}}" style="left:{{printf "%.2f" .Left}}%;width:{{printf "%.2f" .Width}}%" title="{{.Text}}"></div>{{end}}</div>
 {{end}}{{end}}`))
 
-// WriteHTML writes a time line of faults against runs for every seed.
+// WriteHTML writes a timeline of faults and task runs for every seed.
 func WriteHTML(w io.Writer, results []*Result) error {
 	charts := make([]chart, len(results))
 	for i, r := range results {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"wasabihill.example/wasabihill/internal/standin/taskrunner"
 )
 
-// TestMain builds the program that the tests run as processes.
+// TestMain builds the program that the tests start as processes.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "soak-test-")
 	if err == nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// soakOf plays a seed against a build of the program.
-func soakOf(t *testing.T, seed uint64, program, only string) *Result {
+// runSeed runs a seed against a build of the program.
+func runSeed(t *testing.T, seed uint64, program, only string) *Result {
 	t.Helper()
 	r := &Run{Seed: seed, Faults: 12 * time.Second, Entries: 3, Agents: 4, Binary: program, Dir: t.TempDir(), Only: only}
 	result, err := r.Run(context.Background())
@@ -54,8 +54,9 @@
 	return result
 }
 
-// Guards against any fault of the short schedules breaking a promise. The seeds
-// after the first two failed once; their causes stand beside them.
+// TestShortSoak guards against a promise that breaks under the faults of short
+// schedules. The seeds after the first two are regressions; the cause of each is
+// given beside it.
 func TestShortSoak(t *testing.T) {
 	for _, c := range []struct {
 		seed  uint64
@@ -63,12 +64,12 @@
 	}{
 		{1, ""},
 		{2, ""},
-		{663123972, "a start under way reached a runner born again under its id and was taken for lost (runner.replaceIncarnation, scheduler.setRunner)"},
+		{663123972, "a start request in flight reached a new incarnation of the runner under the same ID and was treated as lost (runner.replaceIncarnation, scheduler.setRunner)"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
-			result := soakOf(t, c.seed, binary, "")
+			result := runSeed(t, c.seed, binary, "")
 			if result.Accepted == 0 || result.Starts == 0 {
-				t.Fatalf("nothing happened: %d jobs accepted, %d starts", result.Accepted, result.Starts)
+				t.Fatalf("no load was processed: %d jobs accepted, %d starts", result.Accepted, result.Starts)
 			}
 			if len(result.Broken) > 0 {
 				text := &bytes.Buffer{}
@@ -81,17 +82,18 @@
 	}
 }
 
-// A schedule must be the same for the same seed, or a seed tells nothing.
-func TestScheduleIsThatOfItsSeed(t *testing.T) {
+// TestScheduleIsSameForSeed guards against a failure that its seed does not
+// reproduce because the schedule of a seed varies.
+func TestScheduleIsSameForSeed(t *testing.T) {
 	text := func(seed uint64) string {
 		out := ""
 		for _, p := range schedule(&Run{Seed: seed, Faults: 20 * time.Second, Entries: 3, Agents: 6}) {
-			out += fmt.Sprintln(p.kind.name, p.host, p.at, p.long)
+			out += fmt.Sprintln(p.kind.name, p.host, p.at, p.duration)
 		}
 		return out
 	}
-	first, again := text(7), text(7)
-	if first != again {
+	first, second := text(7), text(7)
+	if first != second {
 		t.Error("two schedules of one seed differ")
 	}
 	if first == text(8) {
@@ -99,36 +101,37 @@
 	}
 }
 
-// change is an edit that breaks the product.
-type change struct{ file, from, to string }
+// sourceEdit is an edit that introduces a fault into the product.
+type sourceEdit struct{ file, from, to string }
 
-// Each broken build must be caught, or the checks prove nothing. The edits are
-// applied with go build -overlay; the sources stay as they are.
+// TestBrokenBuildsAreCaught guards against checks that pass although the product
+// breaks a promise. It applies faulty edits with go build -overlay, so that the
+// sources are not changed.
 func TestBrokenBuildsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		change  change
-		only    string // kind of fault that brings it out; empty for none of its own
+		change  sourceEdit
+		only    string // kind of fault that exposes the edit
 		promise string
 	}{
 		{
 			"an end is acknowledged before it is durable, and forgotten",
-			change{"internal/scheduler/report.go", "	s.markDirty(t.job)\n	if t.step.tasksLeft == 0 {", "	if t.step.tasksLeft == 0 {"},
+			sourceEdit{"internal/scheduler/report.go", "	s.markDirty(t.job)\n	if t.step.tasksLeft == 0 {", "	if t.step.tasksLeft == 0 {"},
 			"killAll", "a task runs once at a time and not after its end",
 		},
 		{
 			"steps do not wait for each other",
-			change{"internal/scheduler/submit.go", "		if o.steps[dependency].tasksLeft > 0 {\n			return false\n		}\n", "		_ = dependency\n"},
+			sourceEdit{"internal/scheduler/submit.go", "		if o.steps[dependency].tasksLeft > 0 {\n			return false\n		}\n", "		_ = dependency\n"},
 			"configuration", "steps run in their order",
 		},
 		{
 			"a worker's capacity is ignored",
-			change{"internal/scheduler/place.go", "st.reservation().Fits(w.capacity.Sub(w.used)) && ", ""},
+			sourceEdit{"internal/scheduler/place.go", "st.reservation().Fits(w.capacity.Sub(w.used)) && ", ""},
 			"configuration", "no runner holds more than its room",
 		},
 		{
 			"evacuated domains get tasks",
-			change{"internal/scheduler/place.go", " || s.operatorState.OutOfService[w.runner.Domain]", ""},
+			sourceEdit{"internal/scheduler/place.go", " || s.operatorState.OutOfService[w.runner.Domain]", ""},
 			"evacuation", "nothing starts in a domain that is out",
 		},
 	} {
@@ -138,19 +141,20 @@
 			if err := build(program, "-overlay", overlay(t, c.change)); err != nil {
 				t.Fatal(err)
 			}
-			result := soakOf(t, 3, program, c.only)
+			result := runSeed(t, 3, program, c.only)
 			for _, b := range result.Broken {
 				if b.Promise == c.promise {
 					return
 				}
 			}
-			t.Errorf("%q was not found broken; found: %v", c.promise, result.Broken)
+			t.Errorf("no violation of %q was found; found: %v", c.promise, result.Broken)
 		})
 	}
 }
 
-// overlay writes a changed copy of a source file and returns the overlay's path.
-func overlay(t *testing.T, c change) string {
+// overlay writes an edited copy of a source file and returns the path of the
+// overlay file.
+func overlay(t *testing.T, c sourceEdit) string {
 	t.Helper()
 	source, err := filepath.Abs(filepath.Join("..", "..", c.file))
 	if err != nil {
@@ -161,7 +165,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(data), c.from) != 1 {
-		t.Fatalf("%s does not hold %q once; the edit has to follow the source", c.file, c.from)
+		t.Fatalf("%s does not contain %q exactly once; update the edit to match the source", c.file, c.from)
 	}
 	dir := t.TempDir()
 	changed, index := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
@@ -174,53 +178,55 @@
 	return index
 }
 
-// The checks that no broken build brings out are shown what they must find.
-func TestChecksFindWhatTheyLookFor(t *testing.T) {
+// TestChecksFindViolations guards against checks that miss a violation. It covers
+// the checks that TestBrokenBuildsAreCaught does not, with constructed observations.
+func TestChecksFindViolations(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	quick, hopeless := &jobShapes[0], &jobShapes[2]
+	quick, hopeless := &jobTemplates[0], &jobTemplates[2]
 	for _, c := range []struct {
 		name, promise string
-		e             evidence
+		e             observations
 	}{
-		{"attempts", "failed attempts are counted", evidence{jobs: map[string]*job{"j": {id: "j", shape: hopeless}}, runs: []taskrunner.Run{
+		{"attempts", "failed attempts are counted", observations{jobs: map[string]*job{"j": {id: "j", template: hopeless}}, runs: []taskrunner.Run{
 			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(0), EndTime: at(1), End: "failed", Acknowledged: true},
 			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(1), EndTime: at(2), End: "failed", Acknowledged: true},
 			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(3)},
 		}}},
-		{"cancel", "a cancelled job starts nothing", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, cancelled: at(0)}},
+		{"cancel", "a cancelled job starts nothing", observations{jobs: map[string]*job{"j": {id: "j", template: quick, cancelled: at(0)}},
 			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(5)}}}},
-		{"drain", "nothing starts on a draining runner", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick}},
-			drained: []absence{{runner: "runner-a", host: "a", from: at(0), until: at(9)}},
-			runs:    []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(4)}}}},
-		{"refusal", "a refused job never runs", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, refused: true}},
+		{"drain", "nothing starts on a draining runner", observations{jobs: map[string]*job{"j": {id: "j", template: quick}},
+			draining: []noStartPeriod{{runner: "runner-a", host: "a", from: at(0), until: at(9)}},
+			runs:     []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(4)}}}},
+		{"refusal", "a refused job never runs", observations{jobs: map[string]*job{"j": {id: "j", template: quick, rejected: true}},
 			runs: []taskrunner.Run{{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(5)}}}},
-		{"completed", "a completed job has done its work", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), completed}}}}}},
-		{"end", "a job ends as its tasks do", evidence{jobs: map[string]*job{"j": {id: "j", shape: quick, states: []observed{{at(1), failed}}}}}},
-		{"planned stop", "a planned stop cuts no request off", evidence{cuts: []cutRequest{{host: "entry-0", sent: at(0.5), at: at(1)}},
-			faults: []injected{{Kind: terminateKind, Host: "entry-0", Planned: true, Began: at(0), Ended: at(3)}}}},
-		{"unknown job", "steps run in their order", evidence{runs: []taskrunner.Run{{Task: "x.0.0.0", StartTime: at(0)}}}},
+		{"completed", "a completed job has done its work", observations{jobs: map[string]*job{"j": {id: "j", template: quick, states: []observedState{{at(1), completed}}}}}},
+		{"end", "a job ends as its tasks do", observations{jobs: map[string]*job{"j": {id: "j", template: quick, states: []observedState{{at(1), failed}}}}}},
+		{"planned stop", "a planned stop cuts no request off", observations{abortedRequests: []abortedRequest{{host: "entry-0", sent: at(0.5), abortedAt: at(1)}},
+			faults: []injectedFault{{Kind: terminateKind, Host: "entry-0", Planned: true, Began: at(0), Ended: at(3)}}}},
+		{"unknown job", "steps run in their order", observations{runs: []taskrunner.Run{{Task: "x.0.0.0", StartTime: at(0)}}}},
 	} {
 		found := false
-		for _, b := range c.e.judge() {
+		for _, b := range c.e.findViolations() {
 			found = found || b.Promise == c.promise
 		}
 		if !found {
-			t.Errorf("%s: %q was not found broken", c.name, c.promise)
+			t.Errorf("%s: no violation of %q was found", c.name, c.promise)
 		}
 	}
 }
 
-// A fault on the machine excuses a late start there, and only there.
-func TestCalmExcusesTheMachineAlone(t *testing.T) {
+// TestFaultExcusesOnlyItsMachine guards against a fault that excuses a late start on
+// another machine, and against one that excuses starts after the bound.
+func TestFaultExcusesOnlyItsMachine(t *testing.T) {
 	start := time.Now()
-	e := &evidence{faults: []injected{{Kind: "kill", Host: "agent-0", Began: start, Ended: start.Add(time.Second)}}}
+	e := &observations{faults: []injectedFault{{Kind: "kill", Host: "agent-0", Began: start, Ended: start.Add(time.Second)}}}
 	for host, want := range map[string]bool{"agent-0": false, "agent-1": true} {
-		if got := e.calm(host, start.Add(3*time.Second), inTouch); got != want {
-			t.Errorf("calm at %s: got %t, want %t", host, got, want)
+		if got := e.faultFree(host, start.Add(3*time.Second), minFaultFreeTime); got != want {
+			t.Errorf("fault-free at %s: got %t, want %t", host, got, want)
 		}
 	}
-	if !e.calm("agent-0", start.Add(6*time.Second), inTouch) {
-		t.Error("the machine is not calm again after the bound")
+	if !e.faultFree("agent-0", start.Add(6*time.Second), minFaultFreeTime) {
+		t.Error("the machine is not fault-free after the bound")
 	}
 }
