--- a/internal/faulttest/hops_test.go
+++ b/internal/faulttest/hops_test.go
@@ -19,15 +19,15 @@
 	s.WaitUntil(10*time.Second, "every hop is relayed", func(context.Context) error {
 		lease := int64(0)
 		for _, n := range s.Nodes {
-			lease += n.ToLink.Carried()
+			lease += n.ToLink.ForwardedBytes()
 			for _, r := range append([]*relay.Relay{n.ToEndpoint, n.ToWorker}, n.ToEntry[:]...) {
-				if r.Carried() == 0 {
+				if r.ForwardedBytes() == 0 {
 					return fmt.Errorf("no data was relayed from %s to %s", n.ID, r.Target())
 				}
 			}
 		}
 		for _, e := range s.Entries {
-			if e.ToLog.Carried() == 0 {
+			if e.ToLog.ForwardedBytes() == 0 {
 				return fmt.Errorf("no data was relayed from %s to the log", e.ID)
 			}
 		}
