--- a/internal/scheduler/backlog.go
+++ b/internal/scheduler/backlog.go
@@ -131,7 +131,7 @@
 // updateMeanWork adds the job to the moving average of its queue's work per job.
 func (s *Scheduler) updateMeanWork(j *job) {
 	work := j.work()
-	if mean, known := s.meanJobWork[j.Queue]; known {
+	if mean, ok := s.meanJobWork[j.Queue]; ok {
 		work = mean + meanWorkSmoothing*(work-mean)
 	}
 	s.meanJobWork[j.Queue] = work
--- a/internal/scheduler/besteffort.go
+++ b/internal/scheduler/besteffort.go
@@ -40,9 +40,9 @@
 	readingDelay = 800 * time.Millisecond
 	// learnInterval is the averaging window of the workers' readings.
 	learnInterval = 500 * time.Millisecond
-	// maxLatencyShare is the share of its latency target up to which a
-	// latency-critical task may be predicted to rise when another best-effort task is
-	// placed beside it. minRate is the corresponding service rate.
+	// maxLatencyShare is the highest predicted latency of a latency-critical task, as
+	// a share of its target, at which another best-effort task may be placed beside
+	// it. minRate is the corresponding service rate (target / latency).
 	maxLatencyShare = 0.82
 	minRate         = 1 / maxLatencyShare
 	// maxUnobservedLoss limits the predicted loss of a latency-critical task's rate
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -89,13 +89,13 @@
 // A runner that restarts under its id may have received a start that was in transit, so
 // its lists of runs have to be read first. Starting the task elsewhere at once would run
 // it twice.
-func TestNewIncarnationMayHoldPendingStart(t *testing.T) {
+func TestNewIncarnationMayRunPendingStart(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", 2)
 	id := f.submit("quick", workflow.Step{Count: 2, Size: cores(1)})
 	f.tick()
 	f.addWorker("b", 2)
-	held, lost := string(id)+".0.0.0", string(id)+".0.0.1"
+	listed, lost := string(id)+".0.0.0", string(id)+".0.0.1"
 	a.runner.BornUnixMs, a.runner.Silent = 2, true // its lists of runs have not been read yet
 	f.report("a")
 	if again := f.tick(); len(again) > 0 {
@@ -105,8 +105,8 @@
 	delete(a.running, lost)
 	f.report("a")
 	again := f.tick()
-	if _, ok := again[held]; ok {
-		t.Errorf("%s started again although the new incarnation runs it", held)
+	if _, ok := again[listed]; ok {
+		t.Errorf("%s started again although the new incarnation runs it", listed)
 	}
 	if _, ok := again[lost]; !ok {
 		t.Errorf("%s did not start again although no runner lists it", lost)
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -25,7 +25,7 @@
 	records   map[string][]byte
 }
 
-// fakeAgent holds what an agent would report.
+// fakeAgent contains what an agent would report.
 type fakeAgent struct {
 	sequence uint64
 	runner   *wire.RunnerState
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A batch image with known interference on a latency-critical image must be placed where
-// that image does not run; otherwise it raises the latency there.
+// A batch image that interferes with a latency-critical image, according to the model, must
+// be placed where that image does not run; otherwise it raises the latency there.
 func TestInterferingImagesAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("serves", 32)
@@ -204,7 +204,7 @@
 // Best-effort tasks with and without interference are pending at the same time. If those
 // without interference took the workers that tolerate any image, none would be left for
 // the others.
-func TestHarmlessTasksLeaveCapacityForInterferingTasks(t *testing.T) {
+func TestNonInterferingTasksLeaveCapacityForInterferingTasks(t *testing.T) {
 	f := newFixture(t)
 	for image, worker := range map[string]units.WorkerID{"delicate": "sensitive", "robust": "robust"} {
 		f.addWorker(worker, 16)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -24,7 +24,8 @@
 )
 
 // preempt stops less urgent tasks to make capacity for the steps that have unplaced
-// tasks, most urgent first.
+// tasks, most urgent first. It stops none for a job that would be late even if the
+// step started now, nor for gangs, best-effort steps and steps that need advice.
 func (s *Scheduler) preempt(unplaced []pendingStep, now Timestamp, cache *searchCache) {
 	if len(unplaced) == 0 {
 		return
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -81,11 +81,11 @@
 		percent int32
 		need    workflow.Step
 	}{
-		"equally urgent":                       {"quick", batch(8, 1), 10, urgent(1)},
-		"watchers":                             {"runs", workflow.Step{Count: 8, Size: cores(1), LongRunning: true}, 100, urgent(1)},
-		"about to end":                         {"runs", batch(8, 1), 95, urgent(1)},
-		"too large to ever fit":                {"runs", batch(8, 1), 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
-		"best-effort tasks hold no processors": {"runs", workflow.Step{Count: 8, Size: cores(1), BestEffort: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
+		"equally urgent":        {"quick", batch(8, 1), 10, urgent(1)},
+		"watchers":              {"runs", workflow.Step{Count: 8, Size: cores(1), LongRunning: true}, 100, urgent(1)},
+		"about to end":          {"runs", batch(8, 1), 95, urgent(1)},
+		"too large to ever fit": {"runs", batch(8, 1), 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
+		"best-effort tasks reserve no processors": {"runs", workflow.Step{Count: 8, Size: cores(1), BestEffort: true, Checkpointing: true, Estimate: time.Second}, 10, workflow.Step{Count: 1, Size: cores(9), Estimate: time.Second}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -20,7 +20,7 @@
 // JobKey returns the key of a job's record.
 func JobKey(id workflow.JobID) string { return jobPrefix + string(id) }
 
-// attemptGap is added to the highest known attempt of a recovered task, because
+// attemptGap is added to the highest recorded attempt of a recovered task, because
 // attempts that were ordered shortly before a change of leader may be unrecorded.
 const attemptGap = 8
 
@@ -113,8 +113,8 @@
 
 // Recover restores the jobs from the newest records of an earlier leader. The
 // runs that it ordered are not recorded but appear in the agents' reports. No
-// task of a recovered job starts until every previously known agent has reported
-// or its lease has expired.
+// task of a recovered job starts until every agent passed to RecoverWorker has
+// reported its runs or its lease has expired.
 func (s *Scheduler) Recover(items []durable.Item, now Timestamp) error {
 	progress := make(map[string]*wire.ProgressRecord)
 	for _, item := range items {
@@ -215,7 +215,7 @@
 	o.openSteps()
 }
 
-// RecoverWorker adds a worker that was known to an earlier leader.
+// RecoverWorker adds a worker on which an earlier leader may have ordered runs.
 func (s *Scheduler) RecoverWorker(id units.WorkerID, now Timestamp) {
 	s.AddWorker(id, now)
 	s.workers[id].mayHaveUnknownRuns = true
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -346,7 +346,7 @@
 
 // adopt reports whether the run on w is the current run of the task. It makes it the
 // current run if the task has none. The highest attempt does not tell which run is
-// active, because for a recovered step it is only known for all tasks together.
+// active, because for a recovered step it is recorded only for all tasks together.
 func (s *Scheduler) adopt(w *worker, t *task, attempt workflow.Attempt) bool {
 	if t.worker == w && t.attempt == attempt {
 		return true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -126,7 +126,7 @@
 	lastProgress   progressReading
 	load           int64             // from the last report: tail latency in ms, or processors in use in millicores
 	pace           int               // percent, from the last report
-	paceSince      bootclock.Instant // time of the first report with this pace
+	paceSince      bootclock.Instant // since when the started run has had this pace
 	movedFrom      *worker           // worker that the task was last moved off, or nil
 	mayReturnAt    bootclock.Instant // the task does not return to movedFrom earlier
 }
@@ -154,7 +154,7 @@
 	retryAt                                    bootclock.Instant // avoided until then
 	failureStreak                              int               // consecutive failures
 	speed                                      speed
-	durableEnd                                 uint64
+	durableEnd                                 uint64         // the ends of runs up to this number are durable
 	unflushedEnds                              []reportedEnds // reported ends whose records are not durable yet
 	orders                                     pendingOrders
 }
--- a/internal/scheduler/searchcache.go
+++ b/internal/scheduler/searchcache.go
@@ -15,9 +15,9 @@
 // searchKey holds the properties other than the size that determine which workers
 // can run a task.
 type searchKey struct {
-	service     units.ServiceName
-	image       string // only for best-effort tasks
-	requirement string
+	service       units.ServiceName
+	image         string // only for best-effort tasks
+	requiredLabel string
 }
 
 func (s *Scheduler) newSearchCache() *searchCache {
@@ -35,9 +35,9 @@
 }
 
 func (c *searchCache) key(st *step) searchKey {
-	key := searchKey{service: c.scheduler.currentPolicy(st.tasks[0].job).Service, requirement: st.RequiredLabel}
+	key := searchKey{service: c.scheduler.currentPolicy(st.tasks[0].job).Service, requiredLabel: st.RequiredLabel}
 	if st.BestEffort {
-		key.image = "fills " + st.Image
+		key.image = "fills " + st.Image // never empty, unlike the image of other tasks
 	}
 	return key
 }
--- a/internal/scheduler/takeover_test.go
+++ b/internal/scheduler/takeover_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// A task without a known run may be running on a worker of an earlier leader until that
-// worker's agent has reported or its leases have expired. Starting the task earlier could
-// run it twice.
+// A task whose run no agent has reported may be running on a worker of an earlier leader
+// until that worker's agent has reported or its leases have expired. Starting the task
+// earlier could run it twice.
 func TestTakeoverWaitsForDisconnectedAgent(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 1)
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// An agent whose runner is permanently gone never lists its runs. It must not block all
-// recovered jobs for ever.
+// An agent whose runner is permanently lost never lists its runs. It must not block all
+// recovered jobs forever.
 func TestTakeoverDoesNotWaitForMissingRunner(t *testing.T) {
 	f := newFixture(t)
 	f.addWorker("a", 1)
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -61,7 +61,7 @@
 	}
 	if w.mayHaveUnknownRuns {
 		w.mayHaveUnknownRuns = false
-		klog.InfoS("all runs of an earlier leader are in the tables", "worker", w.id, "attached", w.attached)
+		klog.InfoS("all runs of the worker that an earlier leader ordered are in the tables", "worker", w.id, "attached", w.attached)
 	}
 	if !w.synced && len(w.tasks) > 0 {
 		klog.InfoS("worker is given up", "worker", w.id, "tasks", len(w.tasks))
@@ -70,7 +70,7 @@
 }
 
 // drainWorker stops the long-running tasks of a draining worker, which would not
-// end by themselves, so that they restart elsewhere before the worker is gone.
+// end by themselves, so that they restart elsewhere before the runner leaves.
 func (s *Scheduler) drainWorker(w *worker, now Timestamp) {
 	for _, t := range w.tasks {
 		if t.step.LongRunning && t.stopOrderedAt == 0 && t.confirmed {
