--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -87,14 +87,14 @@
 	// BaseToken is higher for each later agent process of the machine. The
 	// fencing tokens of calls are derived from it.
 	BaseToken    FencingToken
-	LongestLease time.Duration
-	OnChange     func() // called without locks after a change that the scheduler must receive promptly
+	LongestLease time.Duration // upper limit of the duration of a lease
+	OnChange     func()        // called without locks after a change that the scheduler must receive promptly
 
 	mu                  sync.Mutex
 	info                *Info        // nil before the first announcement
 	ordinal             FencingToken // of the current incarnation, counted by this process
 	listed              bool         // a listing of this incarnation has been received
-	unresponsive        bool         // the last poll was not answered
+	unresponsive        bool         // the last poll failed
 	runs                map[workflow.TaskID]*run
 	ended               []EndedRun // listed but not recorded yet, ordered by number
 	rejections          []Rejection
@@ -151,7 +151,7 @@
 // runs anything. If the new incarnation has the same id, it may have accepted
 // starts that were sent to the previous one, including starts that it confirmed
 // before the agent detected the restart. The table of runs is therefore kept, and
-// the first listing requested from now on shows which runs are gone: that request
+// the first listing requested from now on shows which runs are lost: that request
 // carries a higher token, which fences all earlier calls. The caller holds c.mu.
 func (c *Controller) replaceIncarnation(info Info) {
 	sameID := c.info != nil && c.info.ID == info.ID
@@ -426,7 +426,7 @@
 }
 
 // mergeEndedRun updates the table from an ended run in a listing, and reports
-// whether that end was not known yet. The caller holds c.mu.
+// whether the end is new. The caller holds c.mu.
 func (c *Controller) mergeEndedRun(e EndedRun) bool {
 	if e.Number <= c.recordedEnd {
 		return false
@@ -459,7 +459,7 @@
 	}
 	c.mu.Unlock()
 	for _, s := range stops {
-		klog.InfoS("stopping a run because the lease from the scheduler has ended", "task", s.Task.String(), "attempt", s.Attempt)
+		klog.InfoS("stopping a run because the scheduler's grant has ended", "task", s.Task.String(), "attempt", s.Attempt)
 		c.Stop(ctx, s.Task, s.Attempt)
 	}
 }
--- a/internal/runner/latency.go
+++ b/internal/runner/latency.go
@@ -44,10 +44,10 @@
 	// unknownCauseFactor multiplies the pace of a task without a reliable
 	// estimate when the model does not explain the excess latency.
 	unknownCauseFactor = 0.5
-	// knownLossShare is the fraction of the total estimated rate loss that is
+	// estimatedLossShare is the fraction of the total estimated rate loss that is
 	// removed when that loss is too small to explain the excess latency. The next
 	// reading, after alarmDelay, shows whether this is enough.
-	knownLossShare = 0.5
+	estimatedLossShare = 0.5
 	// minLossShare is the fraction of the rate loss to remove that a task must
 	// cause to be throttled.
 	minLossShare = 0.05
@@ -218,7 +218,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(loss[b], loss[a]) })
 	explained := excess
 	if excess > total {
-		explained = knownLossShare * total
+		explained = estimatedLossShare * total
 	}
 	remaining := explained
 	for _, i := range order {
@@ -276,8 +276,8 @@
 	}
 }
 
-// CompleteRun adds the fields of a start order to a run that this process knows
-// only from a listing.
+// CompleteRun adds the fields of a start order to a run that this process has only
+// found in a listing.
 func (c *Controller) CompleteRun(s StartOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/runner/latency_test.go
+++ b/internal/runner/latency_test.go
@@ -26,22 +26,22 @@
 // Guards against best-effort tasks that continue beside a latency-critical task which
 // stays over its target, because the model has a low estimate for their images.
 func TestLastingExcessHaltsAllBestEffortTasks(t *testing.T) {
-	harmless, unknown := &run{image: "quiet", load: 2000, pace: fullPace}, &run{image: "new", load: 2000, pace: fullPace}
-	c := newProtectingController(19, harmless, unknown)
+	quiet, unobserved := &run{image: "quiet", load: 2000, pace: fullPace}, &run{image: "new", load: 2000, pace: fullPace}
+	c := newProtectingController(19, quiet, unobserved)
 	critical := c.runs[workflow.TaskID{Job: "critical"}]
 	critical.overTargetSince = at(0)
 	c.paceChanges(at(haltAfter))
-	if harmless.pace != 0 || unknown.pace != 0 {
-		t.Errorf("paces after %v over the target: got %d and %d, want 0", haltAfter, harmless.pace, unknown.pace)
+	if quiet.pace != 0 || unobserved.pace != 0 {
+		t.Errorf("paces after %v over the target: got %d and %d, want 0", haltAfter, quiet.pace, unobserved.pace)
 	}
 	critical.load, critical.overTargetSince = 17, 0
 	c.paceChanges(at(haltAfter + readingDelay + time.Second))
-	if harmless.pace != 0 {
-		t.Errorf("pace while latency is above the goal: got %d, want 0", harmless.pace)
+	if quiet.pace != 0 {
+		t.Errorf("pace while latency is above the goal: got %d, want 0", quiet.pace)
 	}
 	critical.load = 6
 	c.paceChanges(at(haltAfter + 3*time.Second))
-	if harmless.pace == 0 {
+	if quiet.pace == 0 {
 		t.Errorf("pace after the latency has fallen: got 0, want more than 0")
 	}
 }
@@ -58,11 +58,11 @@
 
 // A growing queue raises the latency to many times its target, far beyond what the
 // model predicts. Guards against a controller that then waits for the halt of all
-// best-effort tasks: each reading must lower the pace of the harmful image, and the
-// harmless one must continue at full pace.
+// best-effort tasks: each reading must lower the pace of the interfering image, and the
+// other one must continue at full pace.
 func TestKnownInterferenceIsReducedWhenQueueBuildsUp(t *testing.T) {
-	harmful, harmless := &run{image: "press", load: 1400, pace: fullPace}, &run{image: "quiet", load: 1400, pace: fullPace}
-	c := newProtectingController(400, harmful, harmless)
+	interfering, quiet := &run{image: "press", load: 1400, pace: fullPace}, &run{image: "quiet", load: 1400, pace: fullPace}
+	c := newProtectingController(400, interfering, quiet)
 	c.SetEstimates([]interference.Estimate{
 		{LatencyCriticalImage: "web", BestEffortImage: "press", LossPerCore: 0.5, Variance: 0.01}, {LatencyCriticalImage: "web", BestEffortImage: "quiet", LossPerCore: 0.002, Variance: 0.01},
 	})
@@ -71,9 +71,9 @@
 	for i, want := range []int{50, 25} {
 		now := at(time.Duration(i) * alarmDelay)
 		c.paceChanges(now)
-		harmful.load /= 2 // the load follows the new pace
-		if harmful.pace > want || harmless.pace != fullPace {
-			t.Errorf("reading %d: got pace %d for the harmful and %d for the harmless task, want %d and %d", i, harmful.pace, harmless.pace, want, fullPace)
+		interfering.load /= 2 // the load follows the new pace
+		if interfering.pace > want || quiet.pace != fullPace {
+			t.Errorf("reading %d: got pace %d for the interfering and %d for the other task, want %d and %d", i, interfering.pace, quiet.pace, want, fullPace)
 		}
 	}
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -107,13 +107,13 @@
 const (
 	Fenced               Kind = "fenced"      // the runner has seen a higher token
 	Superseded           Kind = "superseded"  // this or a later attempt has already ended on the runner
-	LeaseExpired         Kind = "late"        // the lease in the call has already expired
+	LeaseExpired         Kind = "late"        // the lease in the call, or the grant for it, has already expired
 	InsufficientCapacity Kind = "noRoom"      // the free resources do not suffice
 	InvalidTicket        Kind = "noTicket"    // the ticket is missing or no longer valid
-	Unavailable          Kind = "unhealthy"   // the runner rejected the call and has not carried it out
-	WrongIncarnation     Kind = "reborn"      // another incarnation received the call
+	Unavailable          Kind = "unhealthy"   // the runner or its agent rejected the call, which was not carried out
+	WrongIncarnation     Kind = "reborn"      // the call is for another incarnation than the current one
 	Invalid              Kind = "invalid"     // the call was rejected as malformed
-	NotSent              Kind = "unreachable" // the call did not leave this machine
+	NotSent              Kind = "unreachable" // the call did not leave this process
 	Unanswered           Kind = "unanswered"  // no usable reply; the call may have been carried out or may still be
 )
 
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -20,13 +20,13 @@
 	calls  []string
 }
 
-func (f *fakeAPI) next(name string, answers *[]Kind) (ClockTime, error) {
+func (f *fakeAPI) next(name string, results *[]Kind) (ClockTime, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, name)
 	kind := Kind("")
-	if len(*answers) > 0 {
-		kind, *answers = (*answers)[0], (*answers)[1:]
+	if len(*results) > 0 {
+		kind, *results = (*results)[0], (*results)[1:]
 	}
 	if kind != "" {
 		return 0, fault.New(name, kind, "scripted")
@@ -105,7 +105,7 @@
 
 // The first start call is carried out but not answered, and its run completes; the
 // second call is rejected as superseded. Guards against reporting the attempt as
-// rejected or gone before the scheduler has received the end of the run.
+// rejected or lost before the scheduler has received the end of the run.
 func TestEndOfUnansweredStartIsReported(t *testing.T) {
 	api := &fakeAPI{starts: []Kind{Unanswered, Superseded}}
 	c := newReadyController(api)
