--- a/internal/workflow/workflow.go
+++ b/internal/workflow/workflow.go
@@ -1,5 +1,5 @@
 // Package workflow defines the jobs that the scheduler places: steps of equal tasks
-// with their dependencies, sizes and constraints. It holds no runtime state.
+// with their dependencies, sizes and constraints. It contains no runtime state.
 package workflow
 
 import (
@@ -138,7 +138,7 @@
 	Advice           *Advice           // nil if any worker of the service may run a step
 }
 
-// Advice holds the timing of the calls to the advice service, which issues tickets for
+// Advice contains the timing of the calls to the advice service, which issues tickets for
 // the workers that may run a step.
 type Advice struct {
 	CallTime       time.Duration // fixed duration of a call
