--- a/internal/interference/interference_test.go
+++ b/internal/interference/interference_test.go
@@ -20,25 +20,25 @@
 	return LatencyReading{Task: task(index), Image: "web", Latency: target / rate, Target: target}
 }
 
-// Guards against throttling the wrong task: the model must distinguish a harmful from
-// a harmless image although both run at the same time and the load of the
+// Guards against throttling the wrong task: the model must distinguish an interfering
+// from a non-interfering image although both run at the same time and the load of the
 // latency-critical task varies.
-func TestHarmfulImageIsFound(t *testing.T) {
+func TestInterferingImageIsFound(t *testing.T) {
 	var m Model
 	random := rand.New(rand.NewPCG(1, 2))
 	now := bootclock.Instant(0)
 	for i := range 240 {
 		now = now.Add(2 * time.Second) // long enough that the previous reading has no effect
-		harmful, harmless := 4*random.Float64(), 8*random.Float64()
+		interfering, quiet := 4*random.Float64(), 8*random.Float64()
 		variation := 0.5 * math.Sin(float64(i)/20*math.Pi)
-		rate := (2.5 + variation - 0.3*harmful) * (1 + 0.05*random.NormFloat64())
-		m.Observe(now, []LatencyReading{at(0, rate)}, []UsageReading{{Image: "press", Cores: harmful}, {Image: "quiet", Cores: harmless}})
+		rate := (2.5 + variation - 0.3*interfering) * (1 + 0.05*random.NormFloat64())
+		m.Observe(now, []LatencyReading{at(0, rate)}, []UsageReading{{Image: "press", Cores: interfering}, {Image: "quiet", Cores: quiet}})
 	}
 	if got := m.LossPerCore("web", "press"); got < 0.2 || got > 0.4 {
-		t.Errorf("harmful image: got %.3f per core, want about 0.3", got)
+		t.Errorf("interfering image: got %.3f per core, want about 0.3", got)
 	}
 	if got := m.LossPerCore("web", "quiet"); got > 0.06 {
-		t.Errorf("harmless image: got %.3f per core, want about 0", got)
+		t.Errorf("non-interfering image: got %.3f per core, want about 0", got)
 	}
 }
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// Near saturation latency grows faster than linearly: the same two cores double it for
-// an idle task and multiply it for a busy one. Guards against an estimate that holds
+// Near saturation latency grows faster than linearly: the same two cores raise it far
+// more for a busy task than for an idle one. Guards against an estimate that holds
 // for only one of the two.
 func TestOneEstimateHoldsForIdleAndBusyTasks(t *testing.T) {
 	var m Model
@@ -108,7 +108,7 @@
 	}
 }
 
-// A reading still shows the interference of a harmful task that has ended shortly
+// A reading still shows the interference of a best-effort task that has ended shortly
 // before. Guards against attributing it to the tasks that continue, which would then be
 // throttled.
 func TestLossOfEndedTaskIsNotAttributedToOthers(t *testing.T) {
