--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -62,7 +62,7 @@
 // Inputs are the measurements that a tick evaluates.
 type Inputs struct {
 	Now          time.Time
-	Enabled      bool
+	Enabled      bool    // false restores all shares
 	LatencyRatio float64 // tolerated ratio of the latency with batch tasks to that without; at least 1
 	Services     []Service
 	Tasks        []Task
@@ -83,11 +83,11 @@
 	Kind    ActionKind
 	Task    units.Task
 	Attempt units.Attempt
-	Share   float64 // for Throttle and Restore
-	Service units.ServiceName
+	Share   float64           // for Throttle and Restore
+	Service units.ServiceName // the one with the highest latency relative to its limit; empty if guards are disabled
 }
 
-// Controller holds the state of the control loop between ticks. The zero value is
+// Controller contains the state of the control loop between ticks. The zero value is
 // ready to use.
 type Controller struct {
 	baselines map[units.ServiceName]*baseline
@@ -155,8 +155,8 @@
 }
 
 // protect throttles tasks until the latency attributed to batch tasks has fallen by
-// the amount by which the service exceeds its limit. It evicts a task when all
-// tasks are at minShare.
+// the amount by which the service exceeds its limit. When all tasks are at minShare
+// and latency stays over the limit, it evicts one.
 func (c *Controller) protect(in Inputs, s *Service) []Action {
 	if !c.lastRestore.IsZero() && in.Now.Sub(c.lastRestore) < 2*c.recoveryPeriod {
 		c.recoveryPeriod = min(2*c.recoveryPeriod, maxRecoveryPeriod)
@@ -281,8 +281,8 @@
 	return actions
 }
 
-// candidates returns the tasks that may be throttled or evicted, in that order:
-// tasks of teams over quota first, then by ascending priority, then by descending
+// candidates returns the tasks that may be throttled or evicted, the first to be
+// affected first: tasks of teams over quota, then by ascending priority, then by descending
 // slowdown of the service. A task whose usage was measured before the last action is
 // left out, because that measurement does not show the effect of the action.
 func (c *Controller) candidates(in Inputs, s units.ServiceName) []Task {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -62,8 +62,8 @@
 	}
 	in := Inputs{Now: s.now, Enabled: true, LatencyRatio: 1.2, Services: []Service{{"web", visible.latency, 50 * time.Millisecond, at}}}
 	for _, t := range s.tasks {
-		share, known := visible.shares[t.Task]
-		if known {
+		share, ok := visible.shares[t.Task]
+		if ok {
 			t.Usage, t.MeasuredAt = units.Millicores(2000*share), at
 		}
 		in.Tasks = append(in.Tasks, t)
--- a/internal/guard/learning.go
+++ b/internal/guard/learning.go
@@ -52,8 +52,8 @@
 	variance  float64 // of perCore
 	cores     float64 // decayed average of the cores in use by the kind while it runs
 	updatedAt time.Time
-	exported  float64
-	version   uint64 // of the controller when exported was set
+	exported  float64 // latency ratio that Changed returns; 1 before the first export
+	version   uint64  // of the controller when exported was set
 }
 
 // Interference is the estimated effect of a kind of batch job on a service.
@@ -99,7 +99,8 @@
 }
 
 // observe updates the estimates of the running kinds from one measurement, with a
-// Kalman filter with a diagonal covariance for excess = sum(perCore x cores).
+// Kalman filter with a diagonal covariance for excess = sum(perCore x cores). excess is
+// the fraction by which the latency exceeds its baseline.
 func (c *Controller) observe(s Service, excess float64, tasks []Task) {
 	cores := make(map[units.JobKind]float64)
 	var kinds []units.JobKind
@@ -145,6 +146,7 @@
 		if len(c.pairs) >= maxPairs {
 			c.dropOldest()
 		}
+		// An earlier update time lets observe accept the measurement of at.
 		r = &slowdown{variance: initialVariance, exported: 1, updatedAt: at.Add(-time.Second)}
 		c.pairs[p] = r
 	}
@@ -161,7 +163,7 @@
 	return perCore * float64(t.Usage) / 1000
 }
 
-// defaultPerCore is lower than any effect that matters, so that kinds with a known
+// defaultPerCore is lower than any effect that matters, so that kinds with an estimated
 // effect are throttled first.
 const defaultPerCore = 1e-3
 
