--- a/internal/operations/follower.go
+++ b/internal/operations/follower.go
@@ -22,7 +22,7 @@
 	retryPause = 150 * time.Millisecond
 )
 
-// Follower reads the operators' records and holds the state that results from them.
+// Follower reads the operators' records and provides the state that results from them.
 // Set the exported fields before calling Run.
 type Follower struct {
 	Store  durable.Store
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,4 +1,4 @@
-// Package operations holds the settings that the operators control: the routes to
+// Package operations defines the settings that the operators control: the routes to
 // the queues, the services, the request limits, and the failure domains that are out
 // of service. A Follower reads the operators' records and provides immutable states.
 package operations
@@ -29,7 +29,7 @@
 	RejectsOverload bool // its workers reject tasks that exceed their capacity
 }
 
-// Limits holds the limits for the requests of clients.
+// Limits are the limits for the requests of clients.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -94,14 +94,13 @@
 	return c.byName[name]
 }
 
-// State holds all operator settings that are in force. It is immutable.
+// State contains all operator settings that are in force. It is immutable.
 type State struct {
 	Configuration *Configuration            // nil before the first version has been read
 	OutOfService  map[units.DomainName]bool // failure domains that receive no new tasks
 }
 
-// RecordFormat decodes the operators' records. The package that knows their format
-// implements it.
+// RecordFormat decodes the operators' records. The package platform implements it.
 type RecordFormat interface {
 	// Apply returns the state after a record with key and value; a nil value
 	// deletes the key. An error leaves the state as it is.
