--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,13 +1,13 @@
 // Package leadership elects the entry process that runs the scheduler. A claim or a
 // renewal of the leadership is an append to a topic of the platform's store, on the
-// condition that nothing else was appended since. So one of two concurrent claims wins.
+// condition that nothing else was appended since. So two concurrent claims never both win.
 // The term is the offset after the claim. It serves as a fencing token against the
 // records and orders of earlier leaders.
 //
 // Each renewal extends the leader's lease, counted from the time before the renewal was
 // sent. A follower claims the leadership only after a longer time without a renewal.
-// While the store responds to no process, a leader may extend its lease by promises of
-// all other entry processes not to claim.
+// While no entry process gets a reply from the store, the leader may extend its lease by
+// promises of all others not to claim.
 package leadership
 
 import (
@@ -38,8 +38,8 @@
 	// leadership. It exceeds leaseDuration by the possible clock drift in that time.
 	claimTimeout = 1900 * time.Millisecond
 	// pendingClaimTimeout is how long this process does not renounce the term of a claim
-	// without a response. Other processes read the claim a few milliseconds before or
-	// after the response. If there is none for this long, it is probably lost, and
+	// without a reply. Other processes read the claim a few milliseconds before or
+	// after the reply. If there is none for this long, it is probably lost, and
 	// another process should lead.
 	pendingClaimTimeout = 250 * time.Millisecond
 	// PromiseDuration is how long a promise not to claim is valid.
@@ -56,7 +56,7 @@
 	maxPollTimeout = 700 * time.Millisecond
 	// retryDelay is the delay before a failed call is retried.
 	retryDelay = 100 * time.Millisecond
-	// reachableTimeout is how long after its last response the store is considered
+	// reachableTimeout is how long after its last reply the store is considered
 	// reachable.
 	reachableTimeout = 800 * time.Millisecond
 )
@@ -92,25 +92,27 @@
 	// LeaderExited queries the leader's machine and reports whether the leader's process
 	// has ended and another one runs there. It is called while Connected reports false.
 	LeaderExited func(ctx context.Context, leader Leader) bool
-	// Connected reports whether this process leads or has a session with the leader.
+	// Connected reports whether this process leads or has a session with the leader. If it
+	// is nil, the process counts as connected.
 	Connected func() bool
 
 	mu                sync.Mutex
 	leader            Leader
 	wonTerm           Term              // highest term won by this process
-	pendingClaim      Term              // term of a claim without a response; 0 if there is none
+	pendingClaim      Term              // term of a claim without a reply; 0 if there is none
 	pendingClaimUntil bootclock.Instant // the pending claim's term is not renounced before this time
 	renouncedTerm     Term              // highest term that this process has renounced and therefore never leads
 	leaseEnd          bootclock.Instant // end of this process's lease as leader
 	promisedUntil     bootclock.Instant // this process does not claim before this time
-	storeAnsweredAt   bootclock.Instant // time of the store's last response
+	storeAnsweredAt   bootclock.Instant // time of the store's last reply
 	renewalSeenAt     bootclock.Instant // when a renewal was last seen or has to be assumed; 0 if never
-	nextOffset        units.Offset      // known end of the topic
+	nextOffset        units.Offset      // where the next read begins; a claim or renewal requires that the topic ends there
 	released          bool              // the last leader has released the leadership
 	eligibleSince     bootclock.Instant // time since which a claim is possible; 0 if it is not
 }
 
-// Leader returns the last known leader. Its Term is 0 if there has been none.
+// Leader returns the leader with the highest term that this process has seen. Its Term
+// is 0 if there has been none.
 func (e *Elector) Leader() Leader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,9 +127,9 @@
 }
 
 // Promise handles a leader's request for a promise not to claim for PromiseDuration. It
-// refuses if the store is reachable for this process, which can then become leader, or
-// if it knows a later term. It also returns the last known term.
-func (e *Elector) Promise(term Term) (promised, reachable bool, known Term) {
+// gives none if the store is reachable for this process, which can then become leader, or
+// if it has seen a later term. It also returns the highest term that it has seen.
+func (e *Elector) Promise(term Term) (promised, reachable bool, highest Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := bootclock.Now()
@@ -142,7 +144,7 @@
 // ConfirmOrRenounce reports whether this process leads the term or is about to. If it
 // reports false, this process never leads the term, so the caller may claim the
 // leadership at once. Other processes can read a claim before this process receives the
-// response to it, so the term of a claim that was just sent is not renounced.
+// reply to it, so the term of a claim that was just sent is not renounced.
 func (e *Elector) ConfirmOrRenounce(term Term) (leads bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,7 +155,7 @@
 	return false
 }
 
-// ObserveTerm ends this process's lease if another process knows a later term.
+// ObserveTerm ends this process's lease if another process has seen a later term.
 func (e *Elector) ObserveTerm(term Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -248,7 +250,7 @@
 
 func (e *Elector) connected() bool { return e.Connected == nil || e.Connected() }
 
-// leaderExited reports whether the known leader's process has certainly ended: it was an
+// leaderExited reports whether the last leader's process has certainly ended: it was an
 // earlier incarnation of this process, or its machine runs another process.
 func (e *Elector) leaderExited(ctx context.Context) bool {
 	leader := e.Leader()
@@ -286,7 +288,7 @@
 	e.mu.Unlock()
 	batch, err := e.Store.Read(ctx, Topic, false, from, wait)
 	if fault.Is(err, durable.Expired) {
-		klog.InfoS("leadership records were deleted before they were read", "from", from, "first", batch.Next)
+		klog.InfoS("leadership records were deleted before they were read; continuing with the last record", "from", from, "first", batch.Next)
 		if err := e.seekLastRecord(ctx); err != nil {
 			return err
 		}
@@ -308,7 +310,7 @@
 // errRecordsDeleted is returned if records were deleted before this process read them.
 var errRecordsDeleted = fault.New("read", durable.Expired, "records were deleted before they were read")
 
-// apply updates the known leader from a record.
+// apply updates the leader and the time of the last renewal from a record.
 func (e *Elector) apply(value []byte) {
 	record := &wire.LeadershipRecord{}
 	if err := proto.Unmarshal(value, record); err != nil {
@@ -398,9 +400,9 @@
 type renewalResult int
 
 const (
-	renewed  renewalResult = iota
-	retryNow               // the end of the topic is known again
-	unanswered
+	renewed    renewalResult = iota
+	retryNow                 // it conflicted with an earlier renewal of this leader, which has been read since
+	unanswered               // the store did not reply, or the records can't be read
 	lost
 )
 
@@ -441,7 +443,7 @@
 }
 
 // readBack is called if a renewal conflicts with another record: an earlier renewal whose
-// response was lost, or the claim of another leader. It determines whether this process
+// reply was lost, or the claim of another leader. It determines whether this process
 // still leads.
 func (e *Elector) readBack(ctx context.Context, term Term) renewalResult {
 	err := e.read(ctx, 0)
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -14,7 +14,7 @@
 	"wasabihill.example/wasabihill/platform"
 )
 
-// queryingStore delays the response to the elector's first claim, which the store has
+// queryingStore delays the reply to the elector's first claim, which the store has
 // already executed, and then queries the elector whether it leads.
 type queryingStore struct {
 	durable.Store
@@ -43,7 +43,7 @@
 }
 
 // A follower may read a claim from the store and query the claimant before the claimant
-// has received the response to its claim. If the claimant renounced the term then, it
+// has received the reply to its claim. If the claimant renounced the term then, it
 // would give up a claim that all other processes follow, and there would be no leader
 // until another claim.
 func TestPendingClaimIsNotRenounced(t *testing.T) {
@@ -52,7 +52,7 @@
 		t.Errorf("term: got %d, want %d, the first claim", got, want)
 	}
 	if !<-leads {
-		t.Error("term 1 was renounced while its claim had no response yet")
+		t.Error("term 1 was renounced while its claim had no reply yet")
 	}
 }
 
@@ -142,12 +142,12 @@
 	}
 }
 
-// A process that has renounced a term must never lead it, even if the response to its claim
+// A process that has renounced a term must never lead it, even if the reply to its claim
 // arrives later, because the process that sent the query may claim the leadership.
 func TestRenouncedTermIsNeverLed(t *testing.T) {
 	c, leads := startQueried(t, 400*time.Millisecond)
 	if <-leads {
-		t.Fatal("term 1 is confirmed although the response to its claim is 400 ms late")
+		t.Fatal("term 1 is confirmed although the reply to its claim is 400 ms late")
 	}
 	select {
 	case term := <-c.terms:
@@ -158,7 +158,7 @@
 	}
 }
 
-// A process must refuse to promise not to claim while it can reach the store. A promise
+// A process must not promise to abstain from claims while it can reach the store. A promise
 // must delay its claims for PromiseDuration; otherwise two processes could lead.
 func TestPromiseDelaysClaim(t *testing.T) {
 	log := metastore.NewLog()
@@ -167,12 +167,12 @@
 	b := start(t, log, "b", nil)
 	time.Sleep(300 * time.Millisecond)
 	if promised, reachable, _ := b.Promise(term); promised || !reachable {
-		t.Errorf("with the store: got promised %t, reachable %t, want a refusal", promised, reachable)
+		t.Errorf("with the store: got promised %t, reachable %t; want false, true", promised, reachable)
 	}
 	b.storeConnection.Set(metastore.Fault{NoReply: true})
 	time.Sleep(1500 * time.Millisecond)
 	if promised, _, _ := b.Promise(term); !promised {
-		t.Error("without the store: got a refusal, want a promise")
+		t.Error("without the store: got no promise, want one")
 	}
 	at := bootclock.Now()
 	a.storeConnection.Set(metastore.Fault{NoReply: true})
