--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,6 +1,6 @@
 // Package jobstore writes the scheduler's records to the platform's store. It sends one
 // append at a time, which contains all records queued meanwhile and is fenced by the
-// leader's term. An append without a response is retried with the same sequence number.
+// leader's term. An append without a reply is retried with the same sequence number.
 // So its records are in the topic exactly once, and its outcome is certain before
 // anything is acknowledged.
 package jobstore
@@ -61,12 +61,14 @@
 }
 
 // Fence prevents any further appends by earlier terms, so that a later read of the topic
-// returns all of their records. Error kinds: Fenced, or the error of ctx.
+// returns all of their records. Error kinds: Fenced, OutOfOrder and Invalid, or the error
+// of ctx.
 func (w *Writer) Fence(ctx context.Context) error {
 	return w.append(ctx, nil)
 }
 
-// LoadSnapshot reads the newest records. It must be called after Fence and before Run.
+// LoadSnapshot reads the newest record of each key. It must be called after Fence and
+// before Run. It retries until ctx ends, except after an error of kind Invalid.
 func (w *Writer) LoadSnapshot(ctx context.Context) ([]durable.Item, error) {
 	for {
 		snapshot, err := w.Store.ReadSnapshot(ctx, Topic)
@@ -97,8 +99,9 @@
 	return w.appendStart != 0 && bootclock.Now().Sub(w.appendStart) > stallTimeout
 }
 
-// Run appends the queued records until ctx ends. It returns an error of kind Fenced if a
-// later term has fenced this one.
+// Run appends the queued records until ctx ends or an append fails for good. It returns an
+// error of kind Fenced if a later term has fenced this one. Other errors are of kind
+// OutOfOrder or Invalid, or the error of ctx.
 func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
@@ -147,7 +150,7 @@
 	return batch
 }
 
-// append sends an append and retries it until the store has responded.
+// append sends an append and retries it until the store has executed it or rejected it.
 func (w *Writer) append(ctx context.Context, records []durable.Record) error {
 	w.setAppendStart(bootclock.Now())
 	defer w.setAppendStart(0)
