--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -33,7 +33,7 @@
 // AdviceRequest asks the advice service which workers may run a step.
 type AdviceRequest struct {
 	Step      StepID
-	RunnerIDs []string // incarnations of the candidate runners
+	RunnerIDs []string // of the candidate runners
 }
 
 // advice holds the tickets that permit a step to run on certain workers.
@@ -41,7 +41,7 @@
 	requested  bool
 	retryAt    bootclock.Instant // no request before this time
 	validUntil bootclock.Instant // end of the tickets' validity
-	tickets    map[string]string // by runner incarnation
+	tickets    map[string]string // by runner id
 }
 
 // AdviceRequests returns the requests to send now. Each step waits for SetAdvice.
@@ -74,7 +74,7 @@
 	return requests
 }
 
-// SetAdvice stores the reply to a request: the tickets by runner incarnation, which
+// SetAdvice stores the reply to a request: the tickets by runner id, which
 // are valid for the given time from now. tickets is nil if the request failed.
 func (s *Scheduler) SetAdvice(id StepID, tickets map[string]string, valid time.Duration, now Timestamp) {
 	s.openAdviceRequests--
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -60,14 +60,14 @@
 	for _, workers := range []int{60, 300} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			f := overloadedFixture(b, workers)
-			pending, throttled := 0, 0
+			pendingTasks, throttledTasks := 0, 0
 			for _, u := range f.scheduler.pendingSteps(f.now) {
-				pending += u.step.unplaced
+				pendingTasks += u.step.unplaced
 			}
 			for _, w := range f.scheduler.workers {
 				for _, t := range w.tasks {
 					if t.throttled(f.now) {
-						throttled++
+						throttledTasks++
 					}
 				}
 			}
@@ -75,8 +75,8 @@
 				f.scheduler.Tick(f.now, true)
 				f.advance(5 * time.Millisecond)
 			}
-			b.ReportMetric(float64(pending), "waiting")
-			b.ReportMetric(float64(throttled), "slowed")
+			b.ReportMetric(float64(pendingTasks), "waiting")
+			b.ReportMetric(float64(throttledTasks), "slowed")
 		})
 	}
 }
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -14,12 +14,12 @@
 // Orders are the pending orders for one agent.
 type Orders struct {
 	Worker            units.WorkerID
-	RunnerID          string // incarnation of the runner that the orders are for
+	RunnerID          string // of the runner that the orders are for
 	Starts            []runner.StartOrder
 	Stops             []Stop
 	Descriptions      []runner.StartOrder     // of runs that the agent has only seen in its runner's lists
 	Estimates         []interference.Estimate // interference estimates for the images on the worker
-	RunnerStartUnixMs int64                   // start of the incarnation that DurableEnds refers to
+	RunnerStartUnixMs int64                   // start of the runner's incarnation that the starts and DurableEnds are for
 	DurableEnds       uint64                  // the ends of runs up to this number are durable
 }
 
