--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -61,8 +61,8 @@
 }
 
 // Fence prevents any further appends by earlier terms, so that a later read of the topic
-// returns all of their records. Error kinds: Fenced, OutOfOrder and Invalid, or the error
-// of ctx.
+// returns all of their records. It appends no records: the epoch of the call suffices.
+// Error kinds: Fenced, OutOfOrder and Invalid, or the error of ctx.
 func (w *Writer) Fence(ctx context.Context) error {
 	return w.append(ctx, nil)
 }
--- a/internal/operations/follower.go
+++ b/internal/operations/follower.go
@@ -18,8 +18,8 @@
 	// readWait is well below the time within which a change must be in force, so
 	// that each reply confirms early enough that no change is missing.
 	readWait = time.Second
-	// retryPause is the maximum delay after a failed read.
-	retryPause = 150 * time.Millisecond
+	// retryDelay is the maximum delay after a failed read.
+	retryDelay = 150 * time.Millisecond
 )
 
 // Follower reads the operators' records and provides the state that results from them.
@@ -63,7 +63,7 @@
 			break
 		}
 		klog.InfoS("read of the operators' records failed; loading them again", "err", err)
-		pause.Jittered(ctx, retryPause)
+		pause.Jittered(ctx, retryDelay)
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 		batch, err := f.Store.Read(ctx, durable.Topic(f.Format.Topic()), true, from, readWait)
 		if fault.Is(err, durable.Unavailable) {
 			klog.V(2).InfoS("read of the operators' records failed; will try again", "err", err)
-			pause.Jittered(ctx, retryPause)
+			pause.Jittered(ctx, retryDelay)
 			continue
 		}
 		if err != nil {
