--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 	drainTimeout = 20 * time.Second
 	// drainNotice is the time between the announcement of a planned stop and the
 	// shutdown of the sessions. It lets a heartbeat reach every entry process
-	// before the sessions refuse requests.
+	// before the sessions reject requests.
 	drainNotice = 1200 * time.Millisecond
 )
 
@@ -103,8 +103,8 @@
 
 	// OmitUnchanged omits the fields that describe the worker (domain, rack,
 	// region, link address, capacity, process) from a heartbeat once the entry
-	// process has answered one that had them on the same session. The entry process
-	// must then keep them. The first heartbeat of a session or epoch has them all.
+	// process has replied to one that contained them on the same session. The entry
+	// process must store them. The first heartbeat of a session or epoch contains all.
 	OmitUnchanged bool
 
 	// MetricsScope receives a counter for each kind of event; nil means none.
@@ -277,7 +277,7 @@
 	a.tickStandbys(now)
 	a.tickGuard(now)
 	a.reconcileAll(now)
-	a.removeGoneEntries(now)
+	a.removeStaleEntries(now)
 }
 
 // post queues fn for the control loop. It reports false if the loop has ended.
@@ -336,14 +336,14 @@
 // runOnLoop runs fn on the control loop and returns its result. If ctx ends
 // first, fn may still run later; its result is then dropped.
 func runOnLoop[T any](ctx context.Context, a *Agent, fn func() (T, error)) (T, error) {
-	type answer struct {
+	type result struct {
 		value T
 		err   error
 	}
-	results := make(chan answer, 1)
+	results := make(chan result, 1)
 	if a.post(func() {
 		value, err := fn()
-		results <- answer{value, err}
+		results <- result{value, err}
 	}) {
 		select {
 		case r := <-results:
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,7 +21,7 @@
 // process is an agent of a worker: the real one or a faulty variant.
 type process interface{ Run(context.Context) error }
 
-// simulation holds three workers, one per failure domain, their agents, and a
+// simulation contains three workers, one per failure domain, their agents, and a
 // simulated platform that dispatches tasks and checks the guarantees.
 type simulation struct {
 	t            *testing.T
@@ -77,7 +77,7 @@
 	return gatedSession{s, g}, nil
 }
 
-// gateHandler holds requests while the process is paused and drops them once it
+// gateHandler delays requests while the process is paused and drops them once it
 // is killed.
 func gateHandler(g *gate, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/decisions.go
+++ b/internal/agent/decisions.go
@@ -11,9 +11,9 @@
 // second and worker they span four hours, far longer than a launch is resent.
 const maxDecisions = 16384
 
-// decisions records the answers about attempts that may not start, or not
-// start again, under this epoch. A repeated or late launch gets the same answer,
-// so that a refused attempt never runs.
+// decisions records the results of launches: attempts that were rejected or have
+// run and so must not start, or not start again, under this epoch. A repeated or
+// late launch gets the same result, so that a rejected attempt never runs.
 type decisions struct {
 	byAttempt map[attemptID]decision
 	order     []attemptID // oldest first
@@ -26,7 +26,7 @@
 	number units.Attempt
 }
 
-// decision is the recorded answer about an attempt.
+// decision is the recorded result of the launch of an attempt.
 type decision struct {
 	outcome wire.Outcome // STARTED or REFUSED
 	reason  string
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -35,7 +35,7 @@
 	// entry process within its lease.
 	maxRedialBackoff = 3 * time.Second
 	// entryRetention is how long an entry process is kept that is not a seed, is
-	// not listed and does not answer. Entry processes count each other as dead
+	// not listed and does not answer. Entry processes consider each other failed
 	// after 15 s and need not list the live ones in every reply.
 	entryRetention = 35 * time.Second
 	maxEntries     = 64
@@ -86,7 +86,7 @@
 		ordered = append(ordered, e)
 	}
 	unresponsive := func(e *entry) int {
-		if now.Sub(e.answeredAt) < maxAnswerAge {
+		if now.Sub(e.answeredAt) < maxReplyAge {
 			return 0
 		}
 		return 1
@@ -149,7 +149,7 @@
 		return nil
 	}
 	for _, e := range a.entries {
-		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < maxAnswerAge {
+		if e.name == t.launchedBy && e.session != nil && now.Sub(e.answeredAt) < maxReplyAge {
 			return e
 		}
 	}
@@ -181,16 +181,16 @@
 		return e
 	}
 	for _, e := range a.entries {
-		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < maxAnswerAge {
+		if l.Entry != "" && e.name == l.Entry && now.Sub(e.answeredAt) < maxReplyAge {
 			return e
 		}
 	}
 	return nil
 }
 
-// removeGoneEntries ends the sessions of entry processes that have been neither
-// listed nor answering for entryRetention.
-func (a *Agent) removeGoneEntries(now time.Time) {
+// removeStaleEntries removes the entry processes that are not seeds and have been
+// neither listed nor responsive for entryRetention, and ends their sessions.
+func (a *Agent) removeStaleEntries(now time.Time) {
 	for address, e := range a.entries {
 		if !e.seed && now.Sub(e.listedAt) > entryRetention && now.Sub(e.answeredAt) > entryRetention {
 			e.cancel()
--- a/internal/agent/entries_test.go
+++ b/internal/agent/entries_test.go
@@ -9,8 +9,8 @@
 type stubSession struct{ Session }
 
 // Guards against a report that reaches no entry process because the one that
-// launched the task is gone, and against reports that go to every one of many
-// entry processes.
+// launched the task does not answer, and against reports that go to every one of
+// many entry processes.
 func TestReportsGoToTheLauncherFirst(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -22,7 +22,7 @@
 		{"few entry processes", maxBroadcastEntries, 0, 0, true, true},
 		{"many entry processes", 12, 0, 0, true, false},
 		{"unacknowledged for longer than launcherOnlyPeriod", 12, 0, launcherOnlyPeriod + time.Millisecond, true, true},
-		{"launcher unresponsive", 12, maxAnswerAge, 0, true, true},
+		{"launcher unresponsive", 12, maxReplyAge, 0, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := &Agent{}
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -12,7 +12,7 @@
 	// different jobs at which the worker is suspected instead of the jobs.
 	maxConsecutiveFailures = 5
 	// minSuspectBackoff and maxSuspectBackoff bound the time for which a suspected
-	// worker refuses tasks. Every further failure doubles it.
+	// worker rejects tasks. Every further failure doubles it.
 	minSuspectBackoff = 30 * time.Second
 	maxSuspectBackoff = 10 * time.Minute
 )
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// maxAnswerAge bounds the age of the last answer of an entry process that counts
-// as responsive and whose view of the log counts as current.
-const maxAnswerAge = 2 * time.Second
+// maxReplyAge bounds the age of the last reply of an entry process that counts
+// as responsive and whose report about the log counts as current.
+const maxReplyAge = 2 * time.Second
 
 // trackLogReachability updates since when the log has been reachable without
 // interruption.
@@ -170,7 +170,7 @@
 }
 
 // maxLogReadAge bounds the age of the newest read of the log that shows that the
-// log answers at present. A follower at the tail reads several times a second,
+// log is reachable at present. A follower at the tail reads several times a second,
 // whereas entry processes report the log as unreachable only after 3 s.
 const maxLogReadAge = time.Second
 
@@ -190,14 +190,14 @@
 func (a *Agent) logReachable(now time.Time) bool { return a.anyEntry(now, true) }
 
 // logDown reports whether entry processes answer and none of them reaches
-// the log. It is false without recent answers, when the state of the log is unknown.
+// the log. It is false without recent replies, when the state of the log is unknown.
 func (a *Agent) logDown(now time.Time) bool { return a.anyEntry(now, false) && !a.anyEntry(now, true) }
 
-// anyEntry reports whether any entry process has recently answered that the log is
+// anyEntry reports whether any entry process has recently reported that the log is
 // reachable or unreachable, as given.
 func (a *Agent) anyEntry(now time.Time, reachable bool) bool {
 	for _, e := range a.entries {
-		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxAnswerAge && e.logReachable == reachable {
+		if !e.answeredAt.IsZero() && now.Sub(e.answeredAt) < maxReplyAge && e.logReachable == reachable {
 			return true
 		}
 	}
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s %s %s at %s for %s", e.kind, e.worker, e.op, e.at, e.lasts)
 }
 
-// faults holds the function that injects each kind of fault.
+// faults contains the function that injects each kind of fault.
 var faults = map[string]func(*simulation, event){
 	// pause stops the agent, possibly beyond the end of its lease, and resumes it.
 	"pause": func(sim *simulation, e event) { sim.pauseProcess(e.worker, e.lasts) },
@@ -152,7 +152,7 @@
 	})
 }
 
-// Guards against a task that runs on two workers, a refused attempt that runs, a
+// Guards against a task that runs on two workers, a rejected attempt that runs, a
 // worker that is committed beyond its capacity, and a lost task, under any mix of
 // pauses, restarts, second agents, partitions, log outages, and lost or late
 // messages.
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// launchReplyTimeout bounds how long a launch request is held open. Tasks that
-	// are undecided by then are omitted from the reply, and the entry process
+	// launchReplyTimeout bounds how long the reply to a launch is delayed. Tasks
+	// that are undecided by then are omitted from the reply, and the entry process
 	// repeats their launch.
 	launchReplyTimeout = 1500 * time.Millisecond
 	// launchTimeout is how long a launch waits for free resources, a lease or a
-	// fresh configuration before it is refused, so that the task can be placed on
+	// fresh configuration before it is rejected, so that the task can be placed on
 	// another worker.
 	launchTimeout = 3 * time.Second
 	// minRemainingLease is the least remaining time of the agent's lease at which
@@ -61,7 +61,7 @@
 }
 
 // checkLaunchable returns an error if the agent cannot decide on the launch at
-// present. That is not a refusal: nothing is recorded, and the entry process
+// present. That is not a rejection: nothing is recorded, and the entry process
 // repeats the launch.
 func (a *Agent) checkLaunchable(l *wire.Launch) error {
 	switch {
@@ -76,7 +76,7 @@
 }
 
 // handleLaunch decides on one attempt or queues it. A repeated launch gets the
-// answer that was given before.
+// result that was sent before.
 func (a *Agent) handleLaunch(l *wire.Launch, request *wire.LaunchTask, results chan<- *wire.LaunchResult) {
 	if a.RecordCause != nil {
 		a.RecordCause(request.GetTask().Task().String(), request.GetCause())
@@ -116,8 +116,8 @@
 		a.reconcile(t, now)
 		return
 	}
-	if reason := a.permanentRefusal(candidate); reason != "" {
-		a.refuse(candidate, reason)
+	if reason := a.permanentRejection(candidate); reason != "" {
+		a.reject(candidate, reason)
 		return
 	}
 	candidate.setPhase(phasePending, now)
@@ -145,19 +145,19 @@
 // maxLaunchCallers bounds the calls that wait for the result of one launch.
 const maxLaunchCallers = 16
 
-// permanentRefusal returns why the attempt can never start on this worker, or "".
-func (a *Agent) permanentRefusal(t *task) string {
+// permanentRejection returns why the attempt can never start on this worker, or "".
+func (a *Agent) permanentRejection(t *task) string {
 	if t.attempt == 0 || t.size.Processors < 0 || t.size.Memory < 0 || t.size.Accelerators < 0 || t.spec.GetRunMilliseconds() < 0 {
 		return "malformed task"
 	}
 	if len(a.tasks) >= maxTasks {
 		return "too many tasks"
 	}
-	return a.refusalReason(t)
+	return a.rejectionReason(t)
 }
 
-// refusalReason returns why the worker refuses tasks such as t at present, or "".
-func (a *Agent) refusalReason(t *task) string {
+// rejectionReason returns why the worker rejects tasks such as t at present, or "".
+func (a *Agent) rejectionReason(t *task) string {
 	now := time.Now()
 	switch {
 	case a.stopping:
@@ -175,10 +175,11 @@
 }
 
 // admit starts a pending task once the agent has a lease, a fresh configuration
-// and enough free resources. It refuses the task when the launch times out.
+// and enough free resources. It rejects the task if the launch has timed out, the
+// worker rejects tasks such as t, or no eviction can free enough resources.
 func (a *Agent) admit(t *task, now time.Time) {
-	if reason := a.refusalReason(t); reason != "" {
-		a.refuse(t, reason)
+	if reason := a.rejectionReason(t); reason != "" {
+		a.reject(t, reason)
 		return
 	}
 	reason := a.startBlocker(now)
@@ -186,7 +187,7 @@
 		if !t.size.Fits(a.capacity.Sub(a.committedResources())) {
 			reason = "no room"
 			if !t.mayEvict || !a.evictForTask(t, now) {
-				a.refuse(t, reason)
+				a.reject(t, reason)
 				return
 			}
 		} else {
@@ -195,7 +196,7 @@
 		}
 	}
 	if !now.Before(t.launchDeadline) {
-		a.refuse(t, reason)
+		a.reject(t, reason)
 	}
 }
 
@@ -226,9 +227,9 @@
 	return until
 }
 
-// refuse answers that the attempt was not started and will not be started under
+// reject replies that the attempt was not started and will not be started under
 // this epoch, and records that decision.
-func (a *Agent) refuse(t *task, reason string) {
+func (a *Agent) reject(t *task, reason string) {
 	if t.holder == "" { // the attempt of a standby runs on its holder
 		a.decisions.record(t.name, t.attempt, wire.Outcome_OUTCOME_REFUSED, reason)
 	}
--- a/internal/agent/lessee_test.go
+++ b/internal/agent/lessee_test.go
@@ -24,7 +24,7 @@
 // Guards against a lessee that never requests a lease from its new lessor because
 // a request to the former, paused lessor is in flight when the term changes. In an
 // acceptance run such a worker changed its lessor every 4.6 s.
-func TestNewLessorIsRequestedWhileTheOldOneIsSilent(t *testing.T) {
+func TestNewLessorIsRequestedWhileTheOldOneIsUnresponsive(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dialled := make(chan string, 4)
 	a := &Agent{
--- a/internal/agent/lessor.go
+++ b/internal/agent/lessor.go
@@ -30,7 +30,7 @@
 // the lessee. One that does not may have applied a change of lessor that the
 // others have not applied yet.
 func (l *lessee) listedByAll(now time.Time) bool {
-	return now.Sub(l.listedAt) < maxAnswerAge && now.Sub(l.omittedAt) >= maxAnswerAge
+	return now.Sub(l.listedAt) < maxReplyAge && now.Sub(l.omittedAt) >= maxReplyAge
 }
 
 // applyLessees applies the lessees that an entry process lists. A lower epoch or
--- a/internal/agent/reservation.go
+++ b/internal/agent/reservation.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// reservationRetention is how long the resources of an endpoint that has gone
+	// reservationRetention is how long the resources of an endpoint that has stopped
 	// stay reserved for its replacement, which starts within minutes and uses its
 	// processors whether or not they are free.
 	reservationRetention = 5 * time.Minute
@@ -61,9 +61,10 @@
 }
 
 // reserve commits the resources of the service's endpoint once they fit, and
-// adjusts them when the document changes. It reports whether a reservation is held.
+// adjusts them when the document changes. It reports whether the endpoint has a
+// reservation.
 func (a *Agent) reserve(name units.ServiceName, now time.Time) bool {
-	held, ok := a.reservations[name]
+	reserved, ok := a.reservations[name]
 	if !a.adopted || a.config.document == nil {
 		return ok
 	}
@@ -72,10 +73,10 @@
 		delete(a.reservations, name)
 		return false
 	}
-	if ok && held == service.PerEndpoint {
+	if ok && reserved == service.PerEndpoint {
 		return true
 	}
-	increase := service.PerEndpoint.Sub(held)
+	increase := service.PerEndpoint.Sub(reserved)
 	if increase.Fits(a.capacity.Sub(a.committedResources())) {
 		a.reservations[name] = service.PerEndpoint
 		return true
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against a watcher that stays down when its worker dies during a log
+// Guards against a watcher that does not run when its worker fails during a log
 // outage, and against one that runs twice once the log is reachable again.
 func TestStandbyRunsWhileTheLogIsDown(t *testing.T) {
 	expectNoViolations(t, simulate(t, 4, 0, func(sim *simulation) {
@@ -77,15 +77,15 @@
 		sim.platform.SetLogReachable(false)
 		time.Sleep(3 * time.Second)
 		sim.processGates[holder].kill()
-		died := time.Now()
-		for time.Since(died) < 12*time.Second {
+		failedAt := time.Now()
+		for time.Since(failedAt) < 12*time.Second {
 			time.Sleep(200 * time.Millisecond)
 			for name, core := range sim.cores {
 				runs := core.Runs()
 				if name == holder || len(runs) == 0 {
 					continue
 				}
-				t.Logf("the standby runs %s after the holder died", runs[0].Start.Sub(died).Round(time.Millisecond))
+				t.Logf("the standby runs %s after the holder failed", runs[0].Start.Sub(failedAt).Round(time.Millisecond))
 				sim.platform.SetLogReachable(true)
 				time.Sleep(20 * time.Second)
 				if attempt, now := sim.platform.Attempt(units.Task{Job: "job"}); now != name || attempt != runs[0].Attempt {
@@ -94,7 +94,7 @@
 				return
 			}
 		}
-		sim.t.Error("no standby runs 12 s after the holder died")
+		sim.t.Error("no standby runs 12 s after the holder failed")
 	}))
 }
 
@@ -117,8 +117,8 @@
 		{Task: &wire.TaskRef{Job: "x", Index: index, Attempt: attempt}, Spec: spec, MayEvict: mayEvict}}}
 }
 
-// Guards against an answer that changes when a message arrives late, repeatedly,
-// out of order or for another epoch.
+// Guards against a launch result that changes when a message arrives late,
+// repeatedly, out of order or for another epoch.
 func TestLaunchAnswersDoNotChange(t *testing.T) {
 	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
@@ -128,7 +128,7 @@
 		steps := []struct {
 			name   string
 			launch *wire.Launch
-			want   wire.Outcome // UNSPECIFIED for no answer
+			want   wire.Outcome // UNSPECIFIED for no result
 		}{
 			{"first", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
 			{"repeated", newLaunch(1, false, 0, 2, newBatchSpec(time.Second, 1000)), wire.Outcome_OUTCOME_STARTED},
@@ -156,7 +156,7 @@
 		time.Sleep(5 * time.Second) // the task has ended and is forgotten
 		check("after the task ended")
 		if err := send("/link/launch", newLaunch(2, false, 6, 1, newBatchSpec(time.Second, 1000)), &wire.LaunchReply{}); err == nil {
-			t.Error("launch of a newer epoch: got an answer, want an error")
+			t.Error("launch of a newer epoch: got a reply, want an error")
 		}
 		if got := len(sim.cores["w1"].Runs()); got != 1 {
 			t.Errorf("got %d runs, want 1", got)
@@ -189,8 +189,8 @@
 			}
 			got = append(got, reply.Results[0].Outcome)
 		}
-		started, refused := wire.Outcome_OUTCOME_STARTED, wire.Outcome_OUTCOME_REFUSED
-		if want := []wire.Outcome{started, started, started, refused, refused}; !slices.Equal(got, want) {
+		started, rejected := wire.Outcome_OUTCOME_STARTED, wire.Outcome_OUTCOME_REFUSED
+		if want := []wire.Outcome{started, started, started, rejected, rejected}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
 		for _, r := range sim.cores["w1"].Runs() {
--- a/internal/agent/standby.go
+++ b/internal/agent/standby.go
@@ -55,7 +55,7 @@
 	case t.phase == phaseEnded:
 		return false
 	case number <= t.attempt && t.activateAs == 0 && t.phase == phaseStandby:
-		return true // the holder runs this attempt; its outcome is not known here
+		return true // the holder runs this attempt and reports its outcome
 	case t.phase != phaseStandby || t.intent != intentKeep:
 		return true // undecided; the entry process repeats the launch
 	case units.Epoch(l.Epoch) != a.epoch || t.activateAs != 0 && t.activateAs != number:
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -13,7 +13,7 @@
 
 // serveStop answers POST /link/stop. The ledger has recorded that the named
 // attempts must end, so the call is valid under any epoch. An attempt that has not
-// been launched yet is recorded as refused, because its launch may still arrive.
+// been launched yet is recorded as rejected, because its launch may still arrive.
 func (a *Agent) serveStop(ctx context.Context, s *wire.Stop) (*wire.StopReply, error) {
 	return runOnLoop(ctx, a, func() (*wire.StopReply, error) {
 		a.observeClock(s.Clock)
@@ -43,7 +43,7 @@
 			a.tasks[name] = absent
 		}
 	case t.phase == phasePending:
-		a.refuse(t, "stopped before it was started: "+reason)
+		a.reject(t, "stopped before it was started: "+reason)
 	case t.phase != phaseEnded:
 		t.intent, t.reason, t.failedCalls = intentStop, reason, 0
 		a.reconcile(t, now)
@@ -107,7 +107,7 @@
 	for _, t := range a.tasks {
 		switch t.phase {
 		case phasePending:
-			a.refuse(t, reason)
+			a.reject(t, reason)
 		case phaseStandby:
 			if t.intent == intentKeep {
 				t.intent, t.reason = intentStop, reason
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -31,8 +31,8 @@
 	phaseEnded // no longer running; its end is being reported
 )
 
-// committedPhases holds the phases in which the resources of a task are committed.
-// They include a start without a known result, because the worker may run the task.
+// committedPhases are the phases in which the resources of a task are committed.
+// They include a start whose result is unknown, because the worker may run the task.
 var committedPhases = map[phase]bool{phaseStarting: true, phaseStartUnknown: true, phaseStandby: true, phaseRunning: true}
 
 // intent is what the agent intends to do with a task.
@@ -60,7 +60,7 @@
 	failedCalls  int       // failed calls for the current intent
 
 	mayEvict        bool
-	launchDeadline  time.Time       // a pending launch is refused then
+	launchDeadline  time.Time       // a pending launch is rejected then
 	startValidUntil workerapi.Clock // the start has no effect after this reading of the worker's clock
 	resultChannels  []chan<- *wire.LaunchResult
 
@@ -163,8 +163,8 @@
 	return spec, neverRan, activated
 }
 
-// committedResources returns the resources of tasks that the worker may hold plus
-// the reservations of announced services.
+// committedResources returns the resources of tasks that may be on the worker
+// plus the reservations of the endpoints of services.
 func (a *Agent) committedResources() units.Resources {
 	var sum units.Resources
 	for _, t := range a.tasks {
@@ -178,7 +178,7 @@
 	return sum
 }
 
-// phaseHandlers holds the function that acts on a task in each phase.
+// phaseHandlers contains the function that acts on a task in each phase.
 var phaseHandlers map[phase]func(*Agent, *task, time.Time)
 
 // The handlers reconcile other tasks and so refer to phaseHandlers themselves,
@@ -210,8 +210,8 @@
 // reconcile acts on the task according to its phase, unless a call for it is in
 // flight or its retry is not due.
 func (a *Agent) reconcile(t *task, now time.Time) {
-	if driver := phaseHandlers[t.phase]; driver != nil && !t.callInFlight && !now.Before(t.retryAt) {
-		driver(a, t, now)
+	if handler := phaseHandlers[t.phase]; handler != nil && !t.callInFlight && !now.Before(t.retryAt) {
+		handler(a, t, now)
 	}
 }
 
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -56,7 +56,7 @@
 	return clock < w.workerClockAt(sent)-workerapi.Clock(time.Second)
 }
 
-// handleFencedCall is called when the worker has refused a command as fenced. The
+// handleFencedCall is called when the worker has rejected a command as fenced. The
 // next table read shows whether another agent holds the worker or the worker is a
 // new instance. Until then this agent grants no lease.
 func (a *Agent) handleFencedCall() {
@@ -190,7 +190,7 @@
 }
 
 // recordStandbyEnd records the end of a standby that never ran. The outcome of its
-// attempt is reported by the holder. A requested activation is refused.
+// attempt is reported by the holder. A requested activation is rejected.
 func (a *Agent) recordStandbyEnd(t *task, now time.Time) {
 	if t.activateAs != 0 {
 		reason := "the standby ended before it was activated"
@@ -352,13 +352,13 @@
 	}
 }
 
-// handleMissingRow handles a task that the table does not list. The task is gone
-// only if the table was read after the task was seen on the worker, and it can
-// never start only if the worker's clock is past the lease of the start.
+// handleMissingRow handles a task that the table does not list. A task counts
+// as ended only if the table was read after the task was seen on the worker, and as
+// one that can never start only if the worker's clock is past the lease of the start.
 func (a *Agent) handleMissingRow(t *task, clock workerapi.Clock, sent, received time.Time) {
 	switch {
 	case t.phase == phaseStartUnknown && clock >= t.startValidUntil:
-		a.refuse(t, "the worker did not start the task")
+		a.reject(t, "the worker did not start the task")
 	case t.phase == phaseStartUnknown:
 		a.worker.pollSoon = true
 	case (t.phase == phaseRunning || t.phase == phaseStandby) && sent.After(t.phaseSince):
--- a/internal/agent/workercalls.go
+++ b/internal/agent/workercalls.go
@@ -69,7 +69,7 @@
 	case err == nil:
 		a.recordStart(t, now)
 	case isRejection(err):
-		a.refuse(t, err.Error())
+		a.reject(t, err.Error())
 	default:
 		t.setPhase(phaseStartUnknown, now)
 	}
