--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -35,7 +35,7 @@
 		running = append(running, f.tick()...)
 	}
 	if len(running) < workers*7 {
-		b.Fatalf("got %d running", len(running))
+		b.Fatalf("got %d running tasks, want at least 7 on each worker", len(running))
 	}
 	b.ReportAllocs()
 	var rows, jobs, assigned float64
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
 // Package dispatch assigns tasks to workers. Each tick reads the ledger, the
 // configuration document and one row per worker, and returns proposals to
 // append to the jobs stream. A proposal takes effect only when the ledger
-// accepts its entry, so a proposal that conflicts with another one is harmless.
+// accepts its entry, so of two conflicting proposals the later one has no effect.
 package dispatch
 
 import (
@@ -104,7 +104,7 @@
 	Preemptions    int
 }
 
-// Dispatcher holds the state kept between ticks. It is not safe for concurrent
+// Dispatcher stores the state between ticks. It is not safe for concurrent
 // use.
 type Dispatcher struct {
 	// Random is the source for sampling and jitter; a fixed seed makes ticks
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -172,7 +172,7 @@
 }
 
 // TestReclaim guards against tasks within quota that wait forever while borrowed
-// tasks hold the capacity.
+// tasks occupy the capacity.
 func TestReclaim(t *testing.T) {
 	f := newFixture(t, 1)
 	f.document.Teams[0].Quota = cores(4)
@@ -300,7 +300,7 @@
 	}
 	f.input.LogReachable = true
 	if got := len(f.run(time.Second)); got > 20*DefaultStartsPerTick/4 {
-		t.Errorf("got %d starts in the first second after the outage", got)
+		t.Errorf("got %d starts in the first second after the outage, want at most 300", got)
 	}
 	f.run(15 * time.Second)
 	f.document = &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "d0", State: environment.DomainOut}, {Name: "d1", State: environment.DomainIn}},
@@ -315,7 +315,7 @@
 	back.FailureDomains = []environment.FailureDomain{{Name: "d0", State: environment.DomainIn}}
 	f.input.Document = &back
 	if got := f.tick(); count(got, in) == 0 || count(got, in) > 10*2 {
-		t.Errorf("got %d starts in the first tick of the returning domain", count(got, in))
+		t.Errorf("got %d starts in the first tick of the returning domain, want 1 to 20", count(got, in))
 	}
 	f.run(20 * time.Second)
 	if free := f.input.Workers[0].Capacity.Sub(f.input.Workers[0].Committed); free.Processors > 2000 {
@@ -426,10 +426,10 @@
 	f.submit("j", "a", normal, 6, cores(1))
 	f.run(time.Second)
 	f.input.EpochEnded = func(h ledger.WorkerEpoch) bool { return h.Worker == "w0" }
-	held := len(f.ledger.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
+	open := len(f.ledger.TasksOn(ledger.WorkerEpoch{Worker: "w0", Epoch: 1}))
 	all := f.run(2 * time.Second)
-	if got := count(all, func(p Proposal) bool { return p.Action == Release }); got != held || held == 0 {
-		t.Errorf("got %d releases, want %d", got, held)
+	if got := count(all, func(p Proposal) bool { return p.Action == Release }); got != open || open == 0 {
+		t.Errorf("got %d releases, want %d", got, open)
 	}
 	for i := range 2000 {
 		f.submit(fmt.Sprint("c", i), "a", high, 1, cores(1))
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -5,11 +5,11 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// policy holds lookup tables built from the configuration document. They are
+// policy contains lookup tables built from the configuration document. They are
 // rebuilt when the document is replaced.
 type policy struct {
 	document      *environment.Document
-	outOfService  map[units.DomainName]bool // false for domains in service, absent for unknown ones
+	outOfService  map[units.DomainName]bool // false for domains in service, absent for domains not in the document
 	drained       map[units.WorkerID]bool
 	teams         map[units.TeamName]environment.Team
 	services      map[units.ServiceName]units.Resources
@@ -40,6 +40,6 @@
 // inService reports whether tasks may start in the failure domain. A domain that
 // the document does not list is out of service.
 func (p *policy) inService(name units.DomainName) bool {
-	out, known := p.outOfService[name]
-	return known && !out
+	out, listed := p.outOfService[name]
+	return listed && !out
 }
--- a/internal/dispatch/queues.go
+++ b/internal/dispatch/queues.go
@@ -47,7 +47,7 @@
 	notBefore time.Time
 }
 
-// walk holds the options and remaining limits of one walk over the queues of a
+// walk contains the options and remaining limits of one walk over the queues of a
 // priority.
 type walk struct {
 	borrowing       bool // places only tasks that exceed their team's quota
--- a/internal/dispatch/quota.go
+++ b/internal/dispatch/quota.go
@@ -26,7 +26,7 @@
 func (d *Dispatcher) buildTeamRows() {
 	d.teams = d.teams[:0]
 	for _, name := range d.in.Ledger.Teams() {
-		t := d.policy.teams[name] // an unknown team has no quota, so its tasks wait
+		t := d.policy.teams[name] // a team that is not in the document has no quota, so its tasks wait
 		row := teamRow{name: name, quota: t.Quota, mayBorrow: t.MayBorrow, used: d.in.Ledger.TeamUsage(name)}
 		d.teams = append(d.teams, row)
 	}
--- a/internal/dispatch/reservation.go
+++ b/internal/dispatch/reservation.go
@@ -23,15 +23,16 @@
 }
 
 // recordUnplaced records that no worker was found for the task, and reserves a
-// worker if the task has waited for capacity for reserveAfter. A task that is
-// kept out by interference gets none, because a reservation would not end it.
+// worker if the task has waited for capacity for reserveAfter. A task that
+// only interference keeps off the workers gets none, because a reservation would
+// not end the interference.
 func (d *Dispatcher) recordUnplaced(q *request) {
 	// While a task of higher priority is unplaced, the size of this one is not
 	// the reason why it waits.
 	d.highestUnplaced = max(d.highestUnplaced, q.job.Priority)
 	task := q.task()
-	first, known := d.unplacedSince[task]
-	if !known {
+	first, ok := d.unplacedSince[task]
+	if !ok {
 		if len(d.unplacedSince) < maxUnplacedTasks {
 			d.unplacedSince[task] = d.in.Now
 		}
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -102,19 +102,19 @@
 	f.submit("plain", "a", normal, 200, cores(4))
 	want := cores(1)
 	want.Accelerators = 2
-	f.submit("learning", "a", normal, 16, want)
-	plain, learning := 0, 0
+	f.submit("accelerated", "a", normal, 16, want)
+	plain, accelerated := 0, 0
 	for _, p := range f.run(5 * time.Second) {
 		w := f.worker(p.WorkerEpoch.Worker)
 		switch {
-		case p.Task.Job == "learning":
-			learning++
+		case p.Task.Job == "accelerated":
+			accelerated++
 		case w.Capacity.Accelerators > 0:
 			plain++
 		}
 	}
-	if learning != 16 || plain != 0 {
-		t.Errorf("got %d of 16 accelerator tasks started and %d plain tasks on accelerator workers, want 16 and 0", learning, plain)
+	if accelerated != 16 || plain != 0 {
+		t.Errorf("got %d of 16 accelerator tasks started and %d plain tasks on accelerator workers, want 16 and 0", accelerated, plain)
 	}
 }
 
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -29,7 +29,8 @@
 }
 
 // updateSuspects updates the suspects from the failure counts of the ledger. A
-// suspect backs off, runs a single task as a probe, and returns if that survives.
+// suspect backs off, then runs a single task as a probe, and gets tasks again if the probe completes
+// or runs for minProbeRunTime.
 func (d *Dispatcher) updateSuspects() {
 	for i := range d.rows {
 		r := &d.rows[i]
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -12,7 +12,7 @@
 	// heartbeat get no tasks, because their state is too stale.
 	maxHeartbeatAge = 2 * time.Second
 	// maxLaunching limits the starts in progress on one worker, so that stale
-	// heartbeats do not direct a whole burst to the same worker.
+	// heartbeats do not direct an entire burst to the same worker.
 	maxLaunching = 6
 	// proposalTimeout is the time after which a proposal that has not appeared in
 	// the ledger is considered lost. An append with group commit takes well under
@@ -97,8 +97,8 @@
 }
 
 func (d *Dispatcher) addCapacity(c units.Resources) {
-	for _, known := range d.capacities {
-		if c == known {
+	for _, listed := range d.capacities {
+		if c == listed {
 			return
 		}
 	}
