--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -202,7 +202,7 @@
 
 // checkIndexes compares the indexes with the tasks.
 func checkIndexes(t *rapid.T, l *Ledger) {
-	waiting, open, held, launching := 0, 0, 0, 0
+	waiting, open, indexed, launching := 0, 0, 0, 0
 	var used units.Resources
 	for _, j := range l.jobs {
 		for i := range j.Tasks {
@@ -219,7 +219,7 @@
 		}
 	}
 	for h, tasks := range l.openTasksByEpoch {
-		held += len(tasks)
+		indexed += len(tasks)
 		for _, task := range tasks {
 			if row := l.Task(task); row == nil || row.Worker != h.Worker || row.Epoch != h.Epoch {
 				t.Errorf("index lists %v on %v, where it has no open attempt", task, h)
@@ -234,9 +234,9 @@
 		queued += len(j.Waiting())
 	}
 	_, gotWaiting, gotOpen := l.Counts()
-	if gotWaiting != waiting || queued != waiting || gotOpen != open || held != open || launching != 0 || l.TeamUsage("moulds")[units.PriorityNormal] != used {
+	if gotWaiting != waiting || queued != waiting || gotOpen != open || indexed != open || launching != 0 || l.TeamUsage("moulds")[units.PriorityNormal] != used {
 		t.Errorf("jobs have %d waiting and %d open tasks; indexes have %d and %d waiting, %d and %d open, and lack %d launching",
-			waiting, open, gotWaiting, queued, gotOpen, held, launching)
+			waiting, open, gotWaiting, queued, gotOpen, indexed, launching)
 	}
 }
 
@@ -268,11 +268,11 @@
 			n.apply(e)
 		}
 		histories++
-		broken := map[string]bool{}
+		violated := map[string]bool{}
 		for _, v := range c.violations {
-			broken[v.guarantee] = true
+			violated[v.guarantee] = true
 		}
-		for guarantee := range broken {
+		for guarantee := range violated {
 			caught[guarantee]++
 		}
 	})
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -9,7 +9,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// teamIndexes holds the jobs and usage of one team.
+// teamIndexes contains the jobs and usage of one team.
 type teamIndexes struct {
 	jobs      []*Job                                    // by sequence, including ended jobs
 	waiting   [units.PriorityUrgent + 1][]*Job          // jobs with waiting tasks, by sequence
@@ -149,7 +149,7 @@
 // Job returns the job with the id, or nil. It is valid until the next Apply.
 func (l *Ledger) Job(id units.JobID) *Job { return l.jobs[id] }
 
-// Task returns the task, or nil if its job is unknown or has ended. It is valid
+// Task returns the task, or nil if it does not exist or its job has ended. It is valid
 // until the next Apply.
 func (l *Ledger) Task(t units.Task) *Task {
 	j := l.jobs[t.Job]
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -28,7 +28,7 @@
 type State uint8
 
 // The states of a task. A task in Stopping is cancelled but its last attempt has
-// not been reported as stopped: it never starts again but still holds resources.
+// not been reported as stopped: it never starts again but may still use resources.
 const (
 	Pending State = iota + 1
 	EvictedPending
@@ -54,7 +54,7 @@
 // Waiting reports whether a task in s may be assigned.
 func (s State) Waiting() bool { return s == Pending || s == EvictedPending }
 
-// Open reports whether a task in s has an attempt that may hold resources.
+// Open reports whether a task in s has an attempt that may use resources.
 func (s State) Open() bool { return s == Assigned || s == Running || s == Stopping }
 
 // Terminal reports whether s is final.
@@ -144,7 +144,7 @@
 type Change struct {
 	Offset  units.Offset
 	Kind    string     // entry kind, such as "assigned"
-	Task    units.Task // Index is 0 for entries about a whole job
+	Task    units.Task // Index is 0 for entries about a job
 	Attempt units.Attempt
 	Reason  Reason // empty when the entry took effect
 }
--- a/internal/ledger/usage.go
+++ b/internal/ledger/usage.go
@@ -34,7 +34,7 @@
 
 type bucketWeight struct{ bucket, weight uint32 }
 
-// KindUsage holds usage statistics of the completed tasks of one job kind.
+// KindUsage contains usage statistics of the completed tasks of one job kind.
 type KindUsage struct {
 	UpdatedOffset units.Offset
 	Processors    Histogram // millicores
@@ -174,8 +174,8 @@
 
 func (l *Ledger) recordSuccess(w units.WorkerID) { delete(l.failureStreaks, w) }
 
-// ConsecutiveFailures returns how many attempts of different jobs have failed on
-// the worker since an attempt last completed there.
+// ConsecutiveFailures returns how many attempts have failed on the worker since one
+// last completed there. Consecutive failures of the same job count once.
 func (l *Ledger) ConsecutiveFailures(w units.WorkerID) int {
 	if f := l.failureStreaks[w]; f != nil {
 		return int(f.consecutive)
