--- a/internal/roster/encode.go
+++ b/internal/roster/encode.go
@@ -15,7 +15,7 @@
 }
 
 // EncodeEntryAnnounced returns the entry with which an entry process announces that
-// it is alive.
+// it is running.
 func EncodeEntryAnnounced(e Entry) []byte {
 	return encode(&wire.MembersEntry{Kind: &wire.MembersEntry_EntryAnnounced{EntryAnnounced: &wire.EntryAnnounced{
 		Entry: string(e.ID), LinkAddress: e.LinkAddress, FailureDomain: string(e.Domain), Region: string(e.Region)}}})
--- a/internal/roster/liveness.go
+++ b/internal/roster/liveness.go
@@ -6,7 +6,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// EntryTimeout is how long an entry process is considered alive after its last
+// EntryTimeout is how long an entry process is considered live after its last
 // announcement: three intervals of 5 s.
 const EntryTimeout = 15 * time.Second
 
@@ -24,7 +24,7 @@
 
 // Update records the announcements that were added to the roster since the last
 // call. An entry process that is new here, for example after a snapshot was
-// restored, is considered alive from now.
+// restored, is considered live from now.
 func (l *EntryLiveness) Update(r *Roster, now time.Time) {
 	if l.announcements == nil {
 		l.announcements = map[units.EntryID]announcement{}
@@ -48,7 +48,7 @@
 	return ok && now.Sub(a.appliedAt) <= EntryTimeout
 }
 
-// LiveEntries returns the entry processes that are alive, sorted by id.
+// LiveEntries returns the live entry processes, sorted by id.
 func (l *EntryLiveness) LiveEntries(r *Roster, now time.Time) []Entry {
 	var live []Entry
 	for _, e := range r.Entries() {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -167,9 +167,10 @@
 
 // ExpirableSince reports whether the worker's lessor has itself ended, and the
 // offset by which both the lessor and its end were recorded. An entry process may
-// record the expiry of the worker with its current term once the lease duration
-// plus the margin have passed since it applied that offset, unless the worker has
-// changed its lessor or left.
+// record the expiry of the worker with its current term once
+// leases.ExpiredLessorWait, or leases.ReplacedLessorWait if a higher epoch has
+// replaced that of the lessor, has passed since it applied that offset, unless the
+// worker has changed its lessor or left.
 func (r *Roster) ExpirableSince(id units.WorkerID) (units.Offset, bool) {
 	w := r.workers[id]
 	if w == nil || !w.Active() || w.Lessor == (WorkerEpoch{}) {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestEntries guards against entry processes that are considered alive after they
+// TestEntries guards against entry processes that are considered live after they
 // stopped, against unbounded growth by replaced ones, and against keys that move
 // between the remaining owners.
 func TestEntries(t *testing.T) {
