--- a/internal/timeline/collector.go
+++ b/internal/timeline/collector.go
@@ -22,7 +22,7 @@
 	processes  map[string]*processEvents
 }
 
-// processEvents holds the events of one process by ascending sequence.
+// processEvents contains the events of one process by ascending sequence.
 type processEvents struct {
 	events      []Event
 	droppedUpTo uint64 // highest dropped sequence; events up to it are not added again
--- a/internal/timeline/latest.go
+++ b/internal/timeline/latest.go
@@ -6,7 +6,7 @@
 // dropped, and the next event of each subject has no cause.
 const maxSubjects = 16_384
 
-// LatestEvents holds the newest event about each subject, from this process or
+// LatestEvents stores the newest event about each subject, from this process or
 // another, so that the next event about the subject can refer to it as its cause.
 // It is safe for concurrent use, and its zero value is ready to use.
 type LatestEvents struct {
