--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,7 +18,7 @@
 	"wasabihill.example/wasabihill/pkg/workerapi"
 )
 
-// process is an agent of a worker: the real one or a faulty variant.
+// process is the agent of a worker, real or naive.
 type process interface{ Run(context.Context) error }
 
 // simulation contains three workers, one per failure domain, their agents, and a
--- a/internal/agent/benchmark_test.go
+++ b/internal/agent/benchmark_test.go
@@ -126,10 +126,10 @@
 
 // BenchmarkSteadyState measures the cost of agents that run ten tasks each and
 // start no others: payload on the network, and processor time and heap of the
-// entire process. The latter two are upper bounds, because the process also contains
-// the entry processes, the workers and, when bytes are counted, the relays. Lean
-// agents omit unchanged fields, and lean entry processes list each other only
-// every 10 s.
+// entire process. The latter two are upper bounds, because the process also
+// contains the entry processes, the workers and, when bytes are counted, the
+// relays. Lean agents omit unchanged fields, and lean entry processes list each
+// other only every 10 s.
 func BenchmarkSteadyState(b *testing.B) {
 	for _, c := range []struct {
 		agents, entries int
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -22,7 +22,7 @@
 	for range 12 {
 		group.Go(func() {
 			if d, err := a.parse(7, []byte("first")); err != nil || d.Environment != "first" {
-				t.Errorf("got %v, %v", d, err)
+				t.Errorf("parse: got document %v and error %v, want the first document", d, err)
 			}
 		})
 	}
--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -61,7 +61,7 @@
 	wantRunning         bool      // the next heartbeat lists all running tasks
 	wantConfig          bool      // the next heartbeat carries the document
 	runningListSent     bool      // the heartbeat in flight lists them
-	hasDescription      bool      // it has answered a heartbeat that described the worker
+	hasDescription      bool      // it has answered a heartbeat that listed the running tasks and so described the worker
 	interferenceVersion uint64    // version that it has received
 	interferenceSent    uint64    // version in the heartbeat in flight
 }
--- a/internal/agent/lessee.go
+++ b/internal/agent/lessee.go
@@ -123,8 +123,9 @@
 	a.event("lessorChanged", string(a.WorkerID), string(l.lessor))
 }
 
-// tickLease requests the lease every quarter of its duration, and requests
-// another lessor after half the duration without a grant.
+// tickLease requests the lease every quarter of its duration. It requests another
+// lessor after half the duration without a grant, or if a better one is available
+// while more than half of the lease remains.
 func (a *Agent) tickLease(now time.Time) {
 	l := &a.lease
 	if !l.registered || l.term == 0 {
@@ -171,7 +172,7 @@
 
 // requestLessor requests another lessor and stops renewing with the present one
 // for the rest of the term. It must not be called while the log is unreachable,
-// when no other lessor could be assigned.
+// because no other lessor could be assigned then.
 func (a *Agent) requestLessor(now time.Time) {
 	l := &a.lease
 	l.lessorRequested, l.lessorRequestedAt = true, now
--- a/internal/agent/reservation_test.go
+++ b/internal/agent/reservation_test.go
@@ -30,9 +30,9 @@
 	}{
 		{"new agent before the first announcement", time.Second, 0, units.Resources{}, true},
 		{"ready", 1500 * time.Millisecond, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
-		{"gone for a minute", time.Minute, wire.EndpointState_ENDPOINT_STATE_GONE, size, false},
+		{"stopped for a minute", time.Minute, wire.EndpointState_ENDPOINT_STATE_GONE, size, false},
 		{"back after two minutes", 2 * time.Minute, wire.EndpointState_ENDPOINT_STATE_READY, size, false},
-		{"gone for longer than reservationRetention", 2*time.Minute + reservationRetention + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
+		{"stopped for longer than reservationRetention", 2*time.Minute + reservationRetention + time.Second, wire.EndpointState_ENDPOINT_STATE_GONE, units.Resources{}, false},
 	} {
 		reports = nil
 		if c.state != 0 {
--- a/internal/agent/scenario_test.go
+++ b/internal/agent/scenario_test.go
@@ -119,7 +119,7 @@
 
 // Guards against a launch result that changes when a message arrives late,
 // repeatedly, out of order or for another epoch.
-func TestLaunchAnswersDoNotChange(t *testing.T) {
+func TestLaunchResultsDoNotChange(t *testing.T) {
 	withSingleAgent(t, func(sim *simulation, send func(string, Message, Message) error) {
 		stop := &wire.Stop{Worker: "w1", Epoch: 1, Tasks: []*wire.TaskRef{{Job: "x", Index: 2, Attempt: 1}}}
 		if err := send("/link/stop", stop, &wire.StopReply{}); err != nil {
@@ -185,13 +185,13 @@
 		for _, l := range launches {
 			reply := &wire.LaunchReply{}
 			if err := send("/link/launch", l, reply); err != nil || len(reply.Results) != 1 {
-				t.Fatalf("launch: got %v, %v", reply, err)
+				t.Fatalf("launch: got reply %v and error %v, want one result", reply, err)
 			}
 			got = append(got, reply.Results[0].Outcome)
 		}
 		started, rejected := wire.Outcome_OUTCOME_STARTED, wire.Outcome_OUTCOME_REFUSED
 		if want := []wire.Outcome{started, started, started, rejected, rejected}; !slices.Equal(got, want) {
-			t.Errorf("got %v, want %v", got, want)
+			t.Errorf("got launch outcomes %v, want %v", got, want)
 		}
 		for _, r := range sim.cores["w1"].Runs() {
 			if evicted := r.State == workerapi.Checkpointed; evicted != (r.Task == "x/1") {
