--- a/internal/dispatch/queues.go
+++ b/internal/dispatch/queues.go
@@ -10,8 +10,8 @@
 const (
 	// maxJobVisits limits the waiting jobs that one walk reads. It is divided
 	// among the teams, so that each of 150 teams is reached in every tick even if
-	// other teams have many tasks that cannot be placed. The last attempt for a
-	// team uses a random job from the rest of its queue, so that small tasks
+	// other teams have many tasks that cannot be placed. The last search for a
+	// team takes a random job from the rest of its queue, so that small tasks
 	// behind many large ones are tried as well.
 	maxJobVisits        = 512
 	minMissesPerTeam    = 3
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -29,8 +29,8 @@
 }
 
 // updateSuspects updates the suspects from the failure counts of the ledger. A
-// suspect backs off, then runs a single task as a probe, and gets tasks again if the probe completes
-// or runs for minProbeRunTime.
+// suspect backs off, then runs a single task as a probe, and gets tasks again if
+// the probe completes or runs for minProbeRunTime.
 func (d *Dispatcher) updateSuspects() {
 	for i := range d.rows {
 		r := &d.rows[i]
