--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -132,9 +132,15 @@
 	negativeMemory := submission("b", 1)
 	negativeMemory.Spec.Size.MemoryBytes = -1
 	batchWithWatcherID := submission(WatcherPrefix+"b", 1)
-	cases := [][]byte{nil, {0xff}, EncodeSubmitted(tooManyTasks), EncodeSubmitted(negativeMemory), EncodeSubmitted(batchWithWatcherID),
-		EncodeAssigned(task0, 0, workerEpoch, units.Resources{}, false), EncodeAssigned(task0, 1, WorkerEpoch{}, units.Resources{}, false),
-		EncodeAssigned(task0, 1, workerEpoch, units.Resources{Memory: -5}, false), EncodeCancelled("", "")}
+	cases := [][]byte{
+		nil,    // no kind
+		{0xff}, // not protobuf
+		EncodeSubmitted(tooManyTasks), EncodeSubmitted(negativeMemory), EncodeSubmitted(batchWithWatcherID),
+		EncodeAssigned(task0, 0, workerEpoch, units.Resources{}, false),           // attempt 0
+		EncodeAssigned(task0, 1, WorkerEpoch{}, units.Resources{}, false),         // no worker
+		EncodeAssigned(task0, 1, workerEpoch, units.Resources{Memory: -5}, false), // negative memory
+		EncodeCancelled("", ""), // no job
+	}
 	for i, c := range cases {
 		if err := g.ledger.Apply(9, c); !fault.Is(err, Malformed) {
 			t.Errorf("case %d: got error %v, want kind %q", i, err, Malformed)
@@ -168,7 +174,7 @@
 	}
 	g.apply(EncodeEvicted(b1, 1, "c1", "noisy"))
 	if got := queue[0].Waiting(); fmt.Sprint(got) != "[0 1 2]" {
-		t.Errorf("got waiting %v after eviction, want all three in order", got)
+		t.Errorf("got waiting tasks %v after the eviction, want all three in order", got)
 	}
 	if _, waiting, open := g.ledger.Counts(); waiting != 4 || open != 0 || !g.ledger.TeamUsage("moulds")[units.PriorityNormal].IsZero() || g.ledger.JobByKey("moulds", "key-a").ID != "a" {
 		t.Errorf("got %d waiting, %d open, %v used; want 4, 0 and zero", waiting, open, g.ledger.TeamUsage("moulds"))
@@ -207,9 +213,9 @@
 	}
 }
 
-// TestLearned guards against quantiles that are below the samples or do not follow
-// a change of the samples.
-func TestLearned(t *testing.T) {
+// TestUsageQuantiles guards against quantiles that are below the samples or do not
+// follow a change of the samples.
+func TestUsageQuantiles(t *testing.T) {
 	var h Histogram
 	for v := range uint64(1 << 12) {
 		if up := bucketUpperBound(bucketOf(v)); up < v || up > v+v/bucketsPerOctave {
