--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -10,7 +10,7 @@
 	Duration = 8 * time.Second
 	// Margin allows for clock drift and for scheduling pauses of the lessor. The
 	// lessor waits for Duration plus Margin after its last grant before it
-	// attests that the lease has expired.
+	// reports that the lease has expired.
 	Margin = time.Second
 	// GrantWindow is how long a lessor may grant leases after its last evidence
 	// that its own epoch is in force. It is long enough for an outage of the log,
