--- a/internal/node/advice.go
+++ b/internal/node/advice.go
@@ -16,12 +16,14 @@
 	Advise(ctx context.Context, request scheduler.AdviceRequest) (tickets map[string]string, valid time.Duration, err error)
 }
 
-// adviceTimeout bounds one request. The service processes the requests of a
-// machine one after the other and takes some milliseconds per worker listed.
+// adviceTimeout bounds one request to the advice service. The service processes
+// the requests of one machine sequentially and takes some milliseconds per worker
+// listed.
 const adviceTimeout = 5 * time.Second
 
 // requestAdvice sends the scheduler's advice requests to the advice service in
-// the background.
+// the background. A failed request is passed on without tickets, so that the
+// scheduler repeats it after a delay.
 func (l *leader) requestAdvice(at scheduler.Timestamp) {
 	if l.advisor == nil {
 		return
@@ -32,7 +34,7 @@
 			defer cancel()
 			tickets, valid, err := l.advisor.Advise(ctx, request)
 			if err != nil {
-				klog.InfoS("advice request failed", "job", request.Step.Job, "step", request.Step.Step, "workers", len(request.RunnerIDs), "err", err)
+				klog.InfoS("advice request failed; the scheduler will repeat it", "job", request.Step.Job, "step", request.Step.Step, "workers", len(request.RunnerIDs), "err", err)
 			}
 			l.enqueue(func() { l.scheduler.SetAdvice(request.Step, tickets, valid, now()) })
 		}()
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -23,7 +23,8 @@
 )
 
 // Agent is the process that controls one runner on the same machine. Set the
-// exported fields before Run.
+// exported fields before Run. Its runs may continue for grantDuration after the last
+// report that the leader granted.
 type Agent struct {
 	Settings         *Settings
 	Store            durable.Store
@@ -36,7 +37,7 @@
 	attachment uint64
 	session    *link.Session
 	metrics    metrics
-	changed    chan struct{} // holds a token while there are changes to report
+	changed    chan struct{} // contains a token while there are changes to report
 	ctx        context.Context
 }
 
@@ -58,6 +59,8 @@
 		if err != nil {
 			return ignoreCancelled(ctx, err)
 		}
+		// The offset of the registration is higher for each later process of this
+		// machine, so the tokens of earlier processes are rejected.
 		a.Controller.BaseToken = runner.FencingToken(offset + 1)
 		listener := &link.Listener{Address: a.Settings.sessionAddress(), Handler: a.routes()}
 		group.Go(func() error { return runListener(ctx, listener) })
@@ -213,6 +216,8 @@
 	a.metrics.countReport(len(report.GetEnded()), rejections)
 	a.Controller.DropRejections(rejections)
 	if reply.GetGranted() {
+		// The grant counts from the sending of the report, which precedes the
+		// time from which the leader counts it.
 		a.Controller.ExtendGrant(sent.Add(grantDuration))
 	}
 	a.setEstimates(reply.GetPairs())
--- a/internal/node/agentconn.go
+++ b/internal/node/agentconn.go
@@ -127,10 +127,10 @@
 // handleReport passes an agent's report to the scheduler. A granted reply lets
 // the agent's runs continue.
 func (l *leader) handleReport(ctx context.Context, a *agentConn, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
-	answer := make(chan *wire.ReportReply, 1)
+	replies := make(chan *wire.ReportReply, 1)
 	l.enqueue(func() {
 		if in.GetAttachment() != attachment || a.attachment != attachment || !l.isCurrent(a) {
-			answer <- nil
+			replies <- nil
 			return
 		}
 		at := now()
@@ -141,10 +141,10 @@
 			l.scheduler.ExtendLease(a.worker, in, at)
 		}
 		born, number := l.scheduler.DurableEnds(a.worker)
-		answer <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
+		replies <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
 	})
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		if reply == nil {
 			return nil, fault.New("report", link.Rejected, "attachment %d of term %d is not in force", attachment, l.term)
 		}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -17,10 +17,10 @@
 	JobNotFound Outcome = "noJob"       // no such job exists
 	Rejected    Outcome = "refused"     // the request had no effect and never will
 	Unknown     Outcome = "undecided"   // the request may have taken effect, or may still do so
-	Unavailable Outcome = "unavailable" // no answer is possible now; the request had no effect
+	Unavailable Outcome = "unavailable" // the request cannot be processed now and had no effect
 )
 
-// Reply is the answer to a client request.
+// Reply is the result of a client request.
 type Reply struct {
 	Outcome    Outcome
 	State      workflow.State
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -38,9 +38,9 @@
 	metrics metrics
 
 	mu          sync.Mutex
-	leader      *leader       // nil while this process does not lead
-	session     *link.Session // to the leader; nil while disconnected
-	knownLeader leadership.Leader
+	leader      *leader           // nil while this process does not lead
+	session     *link.Session     // to the leader; nil while disconnected
+	knownLeader leadership.Leader // as last reported by the elector
 	peers       map[string]string // address of each other entry process by name
 	stopping    bool
 }
@@ -198,8 +198,8 @@
 	}
 }
 
-// maintainSession keeps a session to the leader open until another leader is
-// known.
+// maintainSession keeps a session to the leader open until the elector reports
+// another leader.
 func (e *Entry) maintainSession(leader leadership.Leader) {
 	for e.isKnownLeader(leader) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
@@ -321,9 +321,9 @@
 	return e.leader != nil || e.session != nil
 }
 
-// leaderExited queries the process at the leader's address. It returns
-// true when a process of the leader's name answers that it does not lead the
-// leader's term, as after a restart, and false without an answer.
+// leaderExited queries the process at the leader's address. It returns true when a
+// process of the leader's name answers that it does not lead the leader's term, as
+// after a restart, and false without a reply.
 func (e *Entry) leaderExited(ctx context.Context, leader leadership.Leader) bool {
 	ctx, cancel := context.WithTimeout(ctx, vacancyTimeout)
 	defer cancel()
@@ -353,9 +353,11 @@
 	e.peers[m.name] = m.address
 }
 
+// handlePromise answers another process's request for a promise not to claim the
+// leadership.
 func (e *Entry) handlePromise(_ context.Context, in *wire.SupportRequest) (*wire.SupportReply, error) {
-	promised, reachable, known := e.elector.Promise(leadership.Term(in.GetTerm()))
-	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(known)}, nil
+	promised, reachable, latestTerm := e.elector.Promise(leadership.Term(in.GetTerm()))
+	return &wire.SupportReply{Promised: promised, StoreReachable: reachable, Term: uint64(latestTerm)}, nil
 }
 
 // requestPromises requests a promise from every other entry process not to claim
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -48,7 +48,7 @@
 	settings  *Settings
 	store     durable.Store
 	feed      *operations.Follower
-	isLeading func() bool // reports whether this process holds the leadership now
+	isLeading func() bool // reports whether this process leads now
 	advisor   Advisor
 
 	metrics       metrics
@@ -140,7 +140,7 @@
 }
 
 // enqueue queues fn for the goroutine that runs the scheduler. It returns false
-// when the leader has ended.
+// when the term has ended.
 func (l *leader) enqueue(fn func()) bool {
 	select {
 	case l.events <- fn:
@@ -245,7 +245,7 @@
 	if m.address == "" {
 		return // the agent registers again, or its leases expire
 	}
-	if known := l.agents[id]; known != nil && known.address == m.address {
+	if existing := l.agents[id]; existing != nil && existing.address == m.address {
 		return
 	}
 	l.scheduler.AddWorker(id, now())
@@ -254,12 +254,12 @@
 
 // handleRequest answers a client request.
 func (l *leader) handleRequest(ctx context.Context, r Request) Reply {
-	answer := make(chan Reply, 1)
-	if !l.enqueue(func() { l.processRequest(r, answer) }) {
+	replies := make(chan Reply, 1)
+	if !l.enqueue(func() { l.processRequest(r, replies) }) {
 		return Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leader has ended"}
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply
 	case <-ctx.Done():
 	case <-l.ctx.Done():
@@ -271,25 +271,25 @@
 }
 
 // processRequest must be called in the goroutine that runs the scheduler.
-func (l *leader) processRequest(r Request, answer chan Reply) {
+func (l *leader) processRequest(r Request, replyTo chan Reply) {
 	if !l.isLeading() {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leadership is not certain"}
+		replyTo <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "leadership is not certain"}
 		return
 	}
 	switch r.Verb {
 	case Submit:
-		l.submit(r, answer)
+		l.submit(r, replyTo)
 	case Lookup:
-		state, known := l.scheduler.JobState(r.ID)
-		if !known {
-			answer <- l.replyUnknownJob(r.ID)
+		state, found := l.scheduler.JobState(r.ID)
+		if !found {
+			replyTo <- l.replyUnknownJob(r.ID)
 			return
 		}
-		answer <- Reply{Outcome: Found, State: state}
+		replyTo <- Reply{Outcome: Found, State: state}
 	case Cancel:
-		l.cancel(r, answer)
+		l.cancel(r, replyTo)
 	case Count:
-		answer <- Reply{Outcome: Found, Pending: l.scheduler.PendingJobs(r.Queue)}
+		replyTo <- Reply{Outcome: Found, Pending: l.scheduler.PendingJobs(r.Queue)}
 	}
 }
 
@@ -302,26 +302,26 @@
 	return Reply{Outcome: JobNotFound}
 }
 
-func (l *leader) submit(r Request, answer chan Reply) {
+func (l *leader) submit(r Request, replyTo chan Reply) {
 	id := r.ID
 	if l.scheduler.HasJob(id) {
-		answer <- Reply{Outcome: Accepted, Reason: "known"}
+		replyTo <- Reply{Outcome: Accepted, Reason: "known"}
 		return
 	}
 	if s := l.submissions[id]; s != nil {
-		s.waiters = append(s.waiters, answer)
+		s.waiters = append(s.waiters, replyTo)
 		return
 	}
 	if l.writer.Stalled() {
-		answer <- Reply{Outcome: Rejected, RetryAfter: unavailableRetryAfter, Reason: "store does not answer"}
+		replyTo <- Reply{Outcome: Rejected, RetryAfter: unavailableRetryAfter, Reason: "store does not answer"}
 		return
 	}
 	value, err := workflow.Encode(r.Job, r.Policy)
 	if err != nil {
-		answer <- Reply{Outcome: Rejected, Reason: err.Error()}
+		replyTo <- Reply{Outcome: Rejected, Reason: err.Error()}
 		return
 	}
-	s := &submission{waiters: []chan Reply{answer}}
+	s := &submission{waiters: []chan Reply{replyTo}}
 	l.submissions[id] = s
 	record := durable.Record{Key: scheduler.JobKey(id), Value: value}
 	l.writer.Write([]durable.Record{record}, func() { l.enqueue(func() { l.jobAccepted(r, s) }) })
@@ -336,21 +336,21 @@
 	}
 }
 
-func (l *leader) cancel(r Request, answer chan Reply) {
+func (l *leader) cancel(r Request, replyTo chan Reply) {
 	if l.submissions[r.ID] != nil {
-		answer <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
+		replyTo <- Reply{Outcome: Unavailable, RetryAfter: unavailableRetryAfter, Reason: "job is being accepted"}
 		return
 	}
 	if !l.scheduler.HasJob(r.ID) {
-		answer <- Reply{Outcome: JobNotFound}
+		replyTo <- Reply{Outcome: JobNotFound}
 		return
 	}
 	flush := l.scheduler.Cancel(r.ID, now())
 	if flush == 0 {
-		answer <- Reply{Outcome: Found} // already final, or cancelled before
+		replyTo <- Reply{Outcome: Found} // already final, or cancelled before
 		return
 	}
-	l.cancellations = append(l.cancellations, cancellation{flush, answer})
+	l.cancellations = append(l.cancellations, cancellation{flush, replyTo})
 }
 
 // isTermEnd reports whether err is nil or results from the end of the term.
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// membersTopic holds the address of every process, keyed by role and machine.
+	// membersTopic is the topic with the address of every process, keyed by role and
+	// machine.
 	membersTopic durable.Topic = "members"
 	// storeRetryDelay is the pause after a failed call to the store.
 	storeRetryDelay = 150 * time.Millisecond
@@ -57,7 +58,7 @@
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		klog.InfoS("registration failed; retrying", "err", err)
+		klog.InfoS("failed to register this process in the store; retrying", "err", err)
 		pause.Jittered(ctx, storeRetryDelay)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// latencyBuckets range from a reply within one instance to one that waits for a
-// slow store.
+// latencyBuckets range from 1 ms, for a reply within one instance, to 4 s, for one
+// that waits for a slow store.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 
 // metrics records what a process does. newMetrics(nil) discards all values.
@@ -53,5 +53,5 @@
 // countTerm counts the terms that this process leads.
 func (m metrics) countTerm() { m.scope.Counter("terms").Inc(1) }
 
-// countFailedCall counts failed calls between our processes.
+// countFailedCall counts failed calls between processes of the deployment.
 func (m metrics) countFailedCall() { m.scope.Counter("calls_unanswered").Inc(1) }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -13,7 +13,7 @@
 type Settings struct {
 	Name                 string // name of the machine, unique in the deployment
 	IP                   string
-	FirstPort            int    // first port for sessions between our processes
+	FirstPort            int    // first port for sessions between processes of the deployment
 	AdvertisedIP         string // IP to which other processes connect; defaults to IP
 	FailureDomain        units.DomainName
 	ClientAddress        string // listen address for clients; empty for an agent
@@ -33,7 +33,7 @@
 }
 
 const (
-	// grantDuration is how long an agent may continue without a granted report.
+	// grantDuration is how long an agent's runs may continue without a granted report.
 	// It covers a failover: detecting the loss of the leader, claiming the
 	// leadership, reading the records and attaching to the agents.
 	grantDuration = 6 * time.Second
@@ -45,7 +45,7 @@
 	// maxOperationsAge is the maximum age of the leader's copy of the
 	// operators' records at which it may start tasks.
 	maxOperationsAge = 2500 * time.Millisecond
-	// callTimeout bounds one call between our processes.
+	// callTimeout bounds one call between processes of the deployment.
 	callTimeout = 1200 * time.Millisecond
 	// vacancyTimeout bounds the check whether the leader's process has ended.
 	vacancyTimeout = 250 * time.Millisecond
@@ -62,11 +62,11 @@
 )
 
 const (
-	// claimDelayPerCore is the delay before a machine with half a core claims
+	// halfCoreClaimDelay is the delay before a machine with half a core claims
 	// the leadership. Smaller machines wait longer, because the scheduler's
 	// rules take longer on them.
-	claimDelayPerCore = 100 * time.Millisecond
-	maxClaimDelay     = 500 * time.Millisecond
+	halfCoreClaimDelay = 100 * time.Millisecond
+	maxClaimDelay      = 500 * time.Millisecond
 )
 
 // claimDelay returns how long this process waits before it claims the
@@ -75,5 +75,5 @@
 	if s.Processors <= 0 || s.Processors >= 1 {
 		return 0
 	}
-	return min(time.Duration(float64(claimDelayPerCore)*(1/s.Processors-1)), maxClaimDelay)
+	return min(time.Duration(float64(halfCoreClaimDelay)*(1/s.Processors-1)), maxClaimDelay)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// When two processes may claim the leadership, the one on the larger machine
-// should win. The delay must stay far below the time of a failover.
+// Guards against a small machine that wins the leadership over a larger one, and
+// against a claim delay that prolongs a failover noticeably.
 func TestSmallMachineClaimsLater(t *testing.T) {
 	large, small := &Settings{Processors: 0.8}, &Settings{Processors: 0.2}
 	if got, want := large.claimDelay(), small.claimDelay(); got >= want {
