--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -39,7 +39,7 @@
 	runningAttempts   map[units.Task]units.Attempt
 	runningEpoch      units.Epoch
 	runningListedAt   time.Time // when that list arrived
-	reportedSilent    bool      // the silent event has been recorded
+	unresponsive      bool      // its heartbeats have stopped, and an event has recorded that
 	callInFlightUntil time.Time // a launch or stop call may be in flight until then
 	retryAt           time.Time
 	sentEntryList     *ownership // ownership whose entry processes were listed to the agent last
@@ -127,7 +127,7 @@
 }{
 	{"membership", (*control).updateMembership},
 	{"document", (*control).updateDocument},
-	{"silence", (*control).findSilentWorkers},
+	{"silence", (*control).findUnresponsiveWorkers},
 	{"expiry", (*control).expireLesseesOfEndedLessors},
 	{"release", (*control).releaseEndedEpochs},
 	{"reconcile", (*control).reconcile},
@@ -166,7 +166,7 @@
 }
 
 // updateMembership announces this process and updates which entry processes are
-// alive.
+// live.
 func (c *control) updateMembership(now time.Time) {
 	c.members.View(func(r *roster.Roster) {
 		c.liveness.Update(r, now)
@@ -207,19 +207,19 @@
 }
 
 // findSilentWorkers records an event for each worker whose heartbeats have stopped
-// and removes workers that have been silent for silentWorkerRetention.
-func (c *control) findSilentWorkers(now time.Time) {
+// and removes workers that have been unresponsive for silentWorkerRetention.
+func (c *control) findUnresponsiveWorkers(now time.Time) {
 	for id, w := range c.workers {
 		switch age := now.Sub(w.lastHeartbeatAt); {
-		case age > silentWorkerRetention:
+		case age > unresponsiveRetention:
 			delete(c.workers, id)
 			c.descriptions.remove(id)
-		case age > maxHeartbeatAge && !w.reportedSilent:
-			w.reportedSilent = true
+		case age > maxHeartbeatAge && !w.unresponsive:
+			w.unresponsive = true
 			c.event("worker", "silent", string(id), "no heartbeat for "+maxHeartbeatAge.String(), "")
 		}
 	}
 }
 
 // silentWorkerRetention bounds the table of workers if worker IDs are not reused.
-const silentWorkerRetention = 10 * time.Minute
+const unresponsiveRetention = 10 * time.Minute
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -233,7 +233,7 @@
 		job, _ := c.backend().Job(t.Context(), id)
 		return job.Tasks.Running == 24
 	})
-	c.workers[0].SetFaults(worker.Faults{Unreachable: true}) // the instance is gone
+	c.workers[0].SetFaults(worker.Faults{Unreachable: true}) // the instance is lost
 	c.agents[0].stop()
 	c.agents[1].stop()
 	seeds := c.agents[1].part.EntryAddresses
@@ -397,7 +397,7 @@
 	c.log.SetFaults(logservice.Faults{Outage: true})
 	c.workers[0].SetFaults(worker.Faults{Unreachable: true})
 	c.agents[0].stop()
-	time.Sleep(45 * time.Second) // five leases: successive refusals would have stopped all workers
+	time.Sleep(45 * time.Second) // five leases: successive lease expiries would have stopped all workers
 	after := 0
 	for i, w := range c.workers {
 		if runningOn(w) > 0 && i > 0 {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// peerTimeout bounds the request to another entry process. An answer without
-	// the events of an unreachable process is better than none.
+	// peerTimeout bounds the request to another entry process. After it the response
+	// lacks the events of that process.
 	peerTimeout = time.Second
 	// maxPeerEvents keeps a reply below the size limit of a link message.
 	maxPeerEvents = 10_000
@@ -50,13 +50,13 @@
 	defer cancel()
 	session, err := link.Dial(ctx, peer.LinkAddress, nil)
 	if err != nil {
-		klog.V(1).InfoS("cannot connect to an entry process; its events are missing from the answer", "entry", peer.ID, "err", err)
+		klog.V(1).InfoS("cannot connect to an entry process; its events are missing from the response", "entry", peer.ID, "err", err)
 		return
 	}
 	defer session.Close()
 	var reply wire.EventsReply
 	if err := session.Call(ctx, "/link/events", &wire.EventsRequest{Limit: uint32(min(limit, maxPeerEvents))}, &reply); err != nil {
-		klog.V(1).InfoS("cannot read the events of an entry process; they are missing from the answer", "entry", peer.ID, "err", err)
+		klog.V(1).InfoS("cannot read the events of an entry process; they are missing from the response", "entry", peer.ID, "err", err)
 		return
 	}
 	e.collector.Add(timeline.FromWire(reply.GetEvents())...)
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -52,8 +52,8 @@
 	} else if m.GetEpoch() < w.heartbeat.GetEpoch() {
 		return // sent by an agent that has been replaced
 	}
-	if w.reportedSilent {
-		w.reportedSilent = false
+	if w.unresponsive {
+		w.unresponsive = false
 		c.event("worker", "heardAgain", string(id), "", "")
 	}
 	w.heartbeat, w.session, w.lastHeartbeatAt = m, session, now
@@ -92,7 +92,7 @@
 }
 
 // fillRegistration sets the registration of the worker, its lessor, its lessees, and
-// the watchers of the lessees, for which it holds standbys.
+// the watchers of the lessees, for which it keeps standbys.
 func (c *control) fillRegistration(r *roster.Roster, id units.WorkerID, m *wire.Heartbeat, reply *wire.HeartbeatReply) {
 	epoch := units.Epoch(m.GetEpoch())
 	w, ok := r.Worker(id)
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -17,14 +17,14 @@
 	callTimeout = 2 * time.Second
 	// callRetryDelay is the delay after a failed call to an agent.
 	callRetryDelay = 500 * time.Millisecond
-	// maxTasksPerCall bounds the tasks of one launch call, so that its answer does
+	// maxTasksPerCall bounds the tasks of one launch call, so that its reply does
 	// not wait for too many starts.
 	maxTasksPerCall = 64
 )
 
 // launchTasks sends the assigned attempts of the jobs that this process owns to
 // their agents, and requests the stop of attempts of cancelled jobs. A call is
-// repeated until it is answered; agents give a repeated call the same answer.
+// repeated until it is answered; agents give a repeated call the same reply.
 func (c *control) launchTasks(now time.Time) {
 	if c.catchingUp(now) && !c.logReachable(now) {
 		return
@@ -56,7 +56,9 @@
 	}
 }
 
-// callsForHolder returns the launch and the stop call for the attempts on a holder.
+// callsForHolder returns the launch and the stop call for the attempts on
+// worker epoch h. Stop calls have the current epoch of the worker, which has adopted
+// the attempts of earlier ones.
 func (c *control) callsForHolder(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
--- a/internal/entry/outbox.go
+++ b/internal/entry/outbox.go
@@ -11,7 +11,7 @@
 
 // outbox collects the entries that one tick proposes for a stream. It stores for a
 // while what was proposed, so that the next ticks do not propose again what is
-// about to be applied. A repeated proposal is harmless but costs an entry.
+// about to be applied. A repeated proposal has no effect but costs an entry.
 type outbox struct {
 	writer      *stream.Writer
 	entries     [][]byte
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -21,7 +21,7 @@
 }
 
 // maxEvictionPermissions bounds evictionAllowed. An attempt whose permission has
-// been dropped is refused by the agent, and its task is assigned again.
+// been dropped is rejected by the agent, and its task is assigned again.
 const maxEvictionPermissions = 4096
 
 func newPlanner() planner {
--- a/internal/entry/registration.go
+++ b/internal/entry/registration.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// chooseLessor chooses a lessor that is reachable and is not the current one, which
-// did not answer.
+// chooseLessor chooses a lessor that is reachable, is not draining and differs from
+// current.
 func (c *control) chooseLessor(id units.WorkerID, at roster.Location, current roster.WorkerEpoch, now time.Time) (chosen roster.WorkerEpoch, ok bool) {
 	c.members.View(func(r *roster.Roster) {
 		chosen, ok = r.ChooseLessor(id, at, func(h roster.WorkerEpoch) bool {
@@ -209,7 +209,7 @@
 	return w != nil && w.runningEpoch == lessor.Epoch && !c.unrecordedActivations(w)
 }
 
-// catchingUp reports whether the members stream may hold records that this
+// catchingUp reports whether the members stream may contain records that this
 // process has not applied.
 func (c *control) catchingUp(now time.Time) bool {
 	return c.members.Staleness(now) > maxLogStaleness
--- a/internal/entry/releases.go
+++ b/internal/entry/releases.go
@@ -68,7 +68,7 @@
 }
 
 // adoptedAttempts returns a function that reports whether an attempt of an ended
-// epoch may still run, or nil if that is not known yet.
+// epoch may still run, or nil until the newest epoch has sent its full list.
 func (c *control) adoptedAttempts(h ledger.WorkerEpoch, newest roster.Worker) func(units.Task, units.Attempt) bool {
 	w := c.workers[h.Worker]
 	if w == nil || w.runningEpoch != newest.Epoch || units.Epoch(w.heartbeat.GetEpoch()) != newest.Epoch {
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -83,8 +83,8 @@
 		r.GetOutcome() == wire.Outcome_OUTCOME_STARTED
 }
 
-// proposeReports proposes the entries for the reports of a heartbeat. Another
-// process than the owner of the job does so only after ownerTimeout.
+// proposeReports proposes the entries for the reports of a heartbeat. A
+// process that does not own the job does so only after ownerTimeout.
 func (c *control) proposeReports(w *workerState, now time.Time) {
 	if len(w.heartbeat.GetReports()) == 0 {
 		return
@@ -159,12 +159,12 @@
 // recorded for ownerTimeout.
 func (c *control) ownerTimedOut(key string, now time.Time) bool {
 	waitKey := "foreign/" + key
-	since, ok := c.jobsOutbox.retryableAt[waitKey]
+	deadline, ok := c.jobsOutbox.retryableAt[waitKey]
 	if !ok {
 		c.jobsOutbox.retryableAt[waitKey] = now.Add(ownerTimeout)
 		return false
 	}
-	return !now.Before(since)
+	return !now.Before(deadline)
 }
 
 // endedJobTimeout is the time after which an unknown job in reports counts as ended
--- a/internal/entry/watchers.go
+++ b/internal/entry/watchers.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// standbysOf returns the watchers that run on a holder, as standbys for its lessor.
+// standbysOf returns the watchers that run on worker epoch h, as standbys for its lessor.
 func (c *control) standbysOf(h roster.WorkerEpoch) []*wire.Standby {
 	var list []*wire.Standby
 	c.jobs.View(func(l *ledger.Ledger) {
