--- a/internal/stream/capacity_test.go
+++ b/internal/stream/capacity_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// appendState appends the entries of the whole state, a snapshot of it and 20,000 more
+// appendState appends the entries of the complete state, a snapshot of it and 20,000 more
 // entries. It returns the offset of the last record.
 func appendState(b *testing.B, ctx context.Context, w *stream.Writer, source *stream.Follower[*ledgerState]) (tail units.Offset) {
 	add := func(entries [][]byte) {
--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -59,7 +59,7 @@
 }
 
 // encodeCheckpoint encodes a state together with the last record of each writer.
-// The result is an Envelope whose snapshot holds the state and whose entries
+// The result is an Envelope whose snapshot contains the state and whose entries
 // describe the writers. Each entry is itself an Envelope, with the offset of the
 // writer's last record in its Snapshot.
 func encodeCheckpoint(state []byte, next units.Offset, records writerTable) ([]byte, error) {
--- a/internal/stream/record.go
+++ b/internal/stream/record.go
@@ -8,7 +8,7 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Record is the decoded payload of one log record. It holds either entries or a
+// Record is the decoded payload of one log record. It contains either entries or a
 // snapshot part.
 type Record struct {
 	Writer   string // empty when the record names no writer
--- a/internal/stream/recovery.go
+++ b/internal/stream/recovery.go
@@ -21,10 +21,10 @@
 	maxSnapshotBytes = 256 << 20
 	// maxPartialSnapshots bounds the snapshots of which parts are collected at a time.
 	maxPartialSnapshots = 8
-	// maxReplayRecords bounds the records that a reload holds in memory.
+	// maxReplayRecords bounds the records that a reload keeps in memory.
 	maxReplayRecords = 1 << 17
 	// snapshotTimeout is how long a Follower whose next record has expired waits
-	// for a snapshot before it continues with the records that the log still holds.
+	// for a snapshot before it continues with the records that the log still retains.
 	snapshotTimeout = time.Minute
 )
 
--- a/internal/stream/snapshotter.go
+++ b/internal/stream/snapshotter.go
@@ -21,8 +21,8 @@
 )
 
 // Snapshotter appends snapshots of a Follower's state while IsOwner reports that
-// this process is responsible for the stream. Two owners at the same time are
-// harmless.
+// this process is responsible for the stream. Two owners at the same time
+// only append more snapshots than necessary.
 type Snapshotter[S State] struct {
 	Follower      *Follower[S]
 	Writer        *Writer
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -26,7 +26,7 @@
 	Unavailable Kind = "unavailable" // not written; a later attempt may succeed
 	Unknown     Kind = "unknown"     // the entries may have taken effect or may still do so
 	Refused     Kind = "refused"     // not written; no attempt can succeed
-	Incomplete  Kind = "incomplete"  // the log no longer holds all records that the state needs
+	Incomplete  Kind = "incomplete"  // the log no longer contains all records that the state needs
 )
 
 // Error is the error type of this package.
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -295,7 +295,7 @@
 }
 
 // appendWithRetries appends payload under the current sequence until an attempt
-// confirms that it is in the log, it is refused, ctx ends or no attempts are left.
+// confirms that it is in the log, the log rejects it for good, ctx ends or no attempts are left.
 func (w *Writer) appendWithRetries(ctx context.Context, payload []byte) (units.Offset, error) {
 	pause := backoff{first: retryPause, limit: maxRetryPause}
 	attempts := orDefault(w.Attempts, defaultAttempts)
