--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -238,8 +238,8 @@
 }
 
 // checkVersions checks that each version has the previous one as its base, that
-// versions holds each version that Publish reported as accepted, and that it holds
-// none that Publish reported as not in force.
+// versions contains each version that Publish reported as accepted, and that it
+// contains none that Publish reported as not in force.
 func checkVersions(versions []configuration.Version, results []publishResult) error {
 	at := make(map[string]units.Offset)
 	previous := units.Offset(0)
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -91,8 +91,8 @@
 	return p.Follower.Wait(ctx, offset)
 }
 
-// append retries until the log confirms one copy of the record. Duplicates are
-// harmless: once one copy is accepted, the base of the others is no longer current.
+// append retries until the log confirms one copy of the record. Duplicates have
+// no effect: once one copy is accepted, the base of the others is no longer current.
 func (p *Publisher) append(ctx context.Context, op string, payload []byte) (units.Offset, error) {
 	kind, lastErr := Unavailable, error(nil)
 	for n := range publishAttempts {
