--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -47,6 +47,7 @@
 	return c.Conn.Close()
 }
 
+// fail records the first error and wakes the goroutines that wait.
 func (c *coalescingConn) fail(err error) {
 	c.mu.Lock()
 	if c.err == nil {
@@ -56,6 +57,8 @@
 	c.mu.Unlock()
 }
 
+// flush writes pending data to the connection until a write fails or Close is
+// called.
 func (c *coalescingConn) flush() {
 	var recycled []byte
 	for {
--- a/internal/link/keepalive_test.go
+++ b/internal/link/keepalive_test.go
@@ -13,7 +13,7 @@
 // during the pause while the reply was waiting in the socket.
 func TestKeepAliveSurvivesStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answers := []struct {
+		replies := []struct {
 			after time.Duration
 			err   error
 		}{
@@ -26,12 +26,12 @@
 		pings := 0
 		ended := false
 		keepAlive(nil, func() error {
-			a := answers[pings]
+			a := replies[pings]
 			pings++
 			time.Sleep(a.after)
 			return a.err
 		}, func() { ended = true })
-		if got, want := pings, len(answers); got != want || !ended {
+		if got, want := pings, len(replies); got != want || !ended {
 			t.Errorf("ended %t after %d pings, want true after %d", ended, got, want)
 		}
 	})
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -130,7 +130,7 @@
 	for _, side := range []string{"dialled", "accepted"} {
 		executed.Store(0)
 		s, l := newSessionPair(t, handler, handler)
-		var answered, cut atomic.Int64
+		var answered, interrupted atomic.Int64
 		var wait sync.WaitGroup
 		for range 32 {
 			wait.Go(func() {
@@ -140,7 +140,7 @@
 					case fault.Is(err, NotSent):
 						return
 					case err != nil:
-						cut.Add(1)
+						interrupted.Add(1)
 						return
 					}
 					response.Body.Close()
@@ -159,36 +159,36 @@
 		}
 		wait.Wait()
 		cancel()
-		if cut.Load() != 0 || answered.Load() != executed.Load() {
-			t.Errorf("%s side shuts down: got %d interrupted, %d answered, %d executed; want 0 interrupted and every execution answered", side, cut.Load(), answered.Load(), executed.Load())
+		if interrupted.Load() != 0 || answered.Load() != executed.Load() {
+			t.Errorf("%s side shuts down: got %d interrupted, %d answered, %d executed; want 0 interrupted and every execution answered", side, interrupted.Load(), answered.Load(), executed.Load())
 		}
 	}
 }
 
-// Guards against a session that stays open on a silent connection, and against
-// a request on it that is reported as not sent.
+// Guards against a session that stays open although the peer is unresponsive, and
+// against a request on it that is reported as not sent.
 func TestSilentConnectionEndsSession(t *testing.T) {
 	if got, want := keepAliveInterval+writeTimeout, 3*time.Second; got >= want {
-		t.Errorf("a silent connection is detected after %v, want less than %v", got, want)
+		t.Errorf("an unresponsive peer is detected after %v, want less than %v", got, want)
 	}
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	s, err := Dial(t.Context(), silent.Addr().String(), nil)
+	defer unresponsive.Close()
+	s, err := Dial(t.Context(), unresponsive.Addr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	if _, err := s.RoundTrip(newRequest(t.Context(), "/")); !fault.Is(err, Unknown) {
-		t.Errorf("request on a silent connection: got %v, want %s", err, Unknown)
+		t.Errorf("request to an unresponsive peer: got %v, want %s", err, Unknown)
 	}
 	<-s.Done()
 }
 
-// Checks the status of valid, truncated and oversized messages, and the errors
-// of calls.
+// Guards against a truncated or oversized message that is passed to the handler,
+// and against a rejected call that is reported as successful.
 func TestMalformedMessages(t *testing.T) {
 	handler := Handle(func(_ context.Context, q *wire.Stop) (*wire.StopReply, error) {
 		if q.Worker == "none" {
@@ -232,7 +232,7 @@
 	}
 }
 
-// Checks that a listener closes the connections above its session limit.
+// Guards against a listener that accepts more sessions than its limit.
 func TestSessionLimit(t *testing.T) {
 	l := &Listener{Address: "127.0.0.1:0", Handler: http.NotFoundHandler(), MaxSessions: 1}
 	address, err := l.Listen()
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -28,7 +28,7 @@
 
 const (
 	// keepAliveInterval and writeTimeout (which is also the timeout of a
-	// keepalive) bound the detection of a silent connection to 2.8 s. The lease
+	// keepalive) bound the detection of an unresponsive peer to 2.8 s. The lease
 	// duration allows for 3 s.
 	keepAliveInterval = time.Second
 	writeTimeout      = 1800 * time.Millisecond
@@ -68,7 +68,7 @@
 	NotSent  Kind = "notSent"  // no byte of the request left this process
 	Unknown  Kind = "unknown"  // the peer may have acted on the request
 	Rejected Kind = "rejected" // the peer answered with an error status
-	Invalid  Kind = "invalid"  // the peer's answer could not be decoded
+	Invalid  Kind = "invalid"  // the request could not be encoded, or the reply is too large or could not be decoded
 )
 
 // Error is the error type of this package.
@@ -112,7 +112,7 @@
 
 func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.EnableKeepAlive = false // keepAlive distinguishes a stall of this process from a silent peer
+	c.EnableKeepAlive = false // keepAlive distinguishes a stall of this process from an unresponsive peer
 	c.ConnectionWriteTimeout = writeTimeout
 	c.StreamOpenTimeout = 0 // requests carry their own deadlines
 	c.AcceptBacklog = acceptBacklog
