--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -26,7 +26,7 @@
 
 // Outcomes of a request.
 const (
-	Done    Outcome = "done"    // the endpoint's whole response follows
+	Done    Outcome = "done"    // the endpoint's complete response follows
 	NotRun  Outcome = "notRun"  // the request was not executed and never will be
 	Unknown Outcome = "unknown" // the request may have been executed
 )
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Checks that ParseTarget returns either an error or a valid service name and
-// path for any URI.
+// Guards against a URI for which ParseTarget returns neither an error nor a valid
+// service name and path.
 func FuzzTarget(f *testing.F) {
 	for _, s := range []string{"/services/desk/a?b", "/services/desk", "/services//", "/services/%2e/x", "http://h/services/a"} {
 		f.Add(s)
@@ -24,8 +24,8 @@
 	})
 }
 
-// Checks that invalid header values yield an error or a default within the
-// limits, and that hop-by-hop headers are not copied.
+// Guards against invalid header values that are accepted or yield a value outside
+// the limits, and against hop-by-hop headers that are copied.
 func FuzzHeaders(f *testing.F) {
 	f.Add("250ms", "true", "4", "close, X-A")
 	f.Add("-1h", "TRUE", "99999999999", "")
