--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// tickSteps holds the steps of a tick in their order: the state is updated first,
+// tickSteps are the steps of a tick in their order: the state is updated first,
 // then the actions that follow from it are taken.
 var tickSteps = []struct {
 	name string
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// planner holds the dispatcher and its inputs from this process.
+// planner contains the dispatcher and its inputs from this process.
 type planner struct {
 	dispatcher      *dispatch.Dispatcher
 	interference    dispatch.Interference
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// encodeReport holds the function that encodes the entry for a report with the
-// given outcome about the current attempt of a task. The function returns nil if
-// there is nothing to record.
+// encodeReport maps each outcome to the function that encodes the entry for a
+// report with that outcome about the current attempt of a task. The function
+// returns nil if there is nothing to record.
 var encodeReport = map[wire.Outcome]func(r *wire.TaskReport, t *ledger.Task) []byte{
 	wire.Outcome_OUTCOME_STARTED: func(r *wire.TaskReport, t *ledger.Task) []byte {
 		if t.State != ledger.Assigned {
