--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -23,7 +23,7 @@
 	offset   units.Offset
 }
 
-// writerTable holds the last accepted record of each writer. A writer appends one
+// writerTable contains the last accepted record of each writer. A writer appends one
 // record at a time in sequence order, so a sequence at or below the last one is
 // a duplicate, or an append that the writer has already abandoned. The table
 // depends only on the records of the stream, so that all readers evict the same
--- a/internal/stream/history_test.go
+++ b/internal/stream/history_test.go
@@ -120,7 +120,7 @@
 	return h
 }
 
-// appendResults holds the result that Append returned for each entry.
+// appendResults contains the result that Append returned for each entry.
 type appendResults struct {
 	sync.Mutex
 	errors map[string]error
@@ -223,7 +223,7 @@
 	a.View(func(c *counter) { x, _ = c.Snapshot() })
 	b.View(func(c *counter) { y, _ = c.Snapshot() })
 	if string(x) != string(y) {
-		return fmt.Errorf("followers disagree:\n%s\n%s", x, y)
+		return fmt.Errorf("followers have different states:\n%s\n%s", x, y)
 	}
 	return nil
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -106,10 +106,10 @@
 		load()
 		narrow := w.Stats()
 		if wide.Window <= 100*time.Millisecond || narrow.Window != 20*time.Millisecond {
-			t.Errorf("got windows %s and %s", wide.Window, narrow.Window)
+			t.Errorf("window: got %s while appends are rejected and %s after, want more than 100ms and 20ms", wide.Window, narrow.Window)
 		}
 		if got := narrow.Entries / (l.Counts().Appends); narrow.Entries != 2000 || got < 4 {
-			t.Errorf("got %d entries in %d records", narrow.Entries, l.Counts().Appends)
+			t.Errorf("got %d entries in %d records, want 2000 entries and at least 4 per record", narrow.Entries, l.Counts().Appends)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 		l := &standin.Log{}
 		f := follow(ctx, running, l)
 		if got := f.Staleness(time.Now()); got < time.Hour {
-			t.Errorf("before the first read: got %s", got)
+			t.Errorf("staleness before the first read: got %s, want at least 1h", got)
 		}
 		for name, c := range map[string]struct {
 			faults   standin.Faults
@@ -158,7 +158,7 @@
 	}
 }
 
-// newSnapshotter returns a Snapshotter with a Writer that it starts.
+// newSnapshotter returns a Snapshotter whose Writer it has started.
 func newSnapshotter(ctx context.Context, running *sync.WaitGroup, l *standin.Log, f *stream.Follower[*counter]) *stream.Snapshotter[*counter] {
 	w := &stream.Writer{Log: l, Stream: "s", ID: "snapshots"}
 	running.Go(func() { _ = w.Run(ctx) })
@@ -185,7 +185,7 @@
 		}
 		time.Sleep(time.Second)
 		if err := compareStates(early, late); err != nil || early.Stats().Duplicates != 3 || late.Stats().Duplicates != 3 || late.Stats().SnapshotBytes == 0 {
-			t.Errorf("got %v, %+v, %+v", err, early.Stats(), late.Stats())
+			t.Errorf("got states error %v, early reader %+v, late reader %+v; want equal states, 3 duplicates each and a late reader that loaded a snapshot", err, early.Stats(), late.Stats())
 		}
 	})
 }
@@ -214,7 +214,7 @@
 		running.Go(func() { _ = behind.Run(ctx) })
 		time.Sleep(10 * time.Second)
 		if got := behind.Applied(); got != 2 || !incomplete.Incomplete() || complete.Incomplete() {
-			t.Errorf("before a snapshot: got offset %d, incomplete %t and %t", got, incomplete.Incomplete(), complete.Incomplete())
+			t.Errorf("before a snapshot: got offset %d of the paused reader, incomplete %t for the new one and %t for the first; want 2, true, false", got, incomplete.Incomplete(), complete.Incomplete())
 		}
 		// Append a record between the encoding of the snapshot and its append.
 		l.SetFaults(standin.Faults{Script: []standin.Outcome{standin.OutcomeUnavailable}})
@@ -235,7 +235,7 @@
 			}
 		}
 		if lowest < 23 {
-			t.Errorf("a reader moved back to offset %d", lowest)
+			t.Errorf("the reader moved back to offset %d, want at least 23", lowest)
 		}
 		l.Expire("s", 23) // the snapshot covers only the records below 22
 		late := follow(ctx, running, l)
@@ -267,11 +267,11 @@
 		incomplete := last.Incomplete()
 		last.View(func(c *counter) {
 			if c.Applied["w/1"] != 1 || incomplete {
-				t.Errorf("after four hours: got %v, incomplete %t", c.Applied, incomplete)
+				t.Errorf("after four hours: got entries %v, incomplete %t; want w/1 once, false", c.Applied, incomplete)
 			}
 		})
 		if got := l.Counts().Appends; got > 100 {
-			t.Errorf("got %d records in four idle hours", got)
+			t.Errorf("got %d records in four idle hours, want at most 100", got)
 		}
 	})
 }
