--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -130,17 +130,17 @@
 		}
 		a.Follower.View(func(s *configuration.State) {
 			if v, ok := s.Current("trial"); !ok || v.Offset != 6 || v.Author != "badru" {
-				t.Errorf("current: got %+v", v)
+				t.Errorf("current version: got %+v, want offset 6 by badru", v)
 			}
 			if v, ok := s.InForce("trial", a.Check); !ok || v.Offset != 1 {
-				t.Errorf("in force: got %+v", v)
+				t.Errorf("version in force: got %+v, want offset 1", v)
 			}
 		})
 		if got := a.Follower.Stats().Malformed; got != 3 {
-			t.Errorf("malformed: got %d, want 3", got)
+			t.Errorf("malformed records: got %d, want 3", got)
 		}
 		if v, err := a.Publish(ctx, "trial", 6, "amina", "k2", []byte("{}")); err != nil || v.Offset != 7 {
-			t.Errorf("after the bad one: got %+v, %v", v, err)
+			t.Errorf("publication after the invalid document: got %+v, error %v, want offset 7", v, err)
 		}
 	})
 }
@@ -204,7 +204,7 @@
 		late.Follower.View(func(s *configuration.State) { a, _ = s.Snapshot(); versions = read(ctx, l, s) })
 		publishers[0].Follower.View(func(s *configuration.State) { b, _ = s.Snapshot() })
 		if !bytes.Equal(a, b) {
-			violation = fmt.Errorf("processes disagree:\n%s\n%s", a, b)
+			violation = fmt.Errorf("processes have different states:\n%s\n%s", a, b)
 			return
 		}
 		violation = checkVersions(versions, results)
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -28,7 +28,7 @@
 	Document    []byte                `json:"document,omitempty"` // nil in old versions
 }
 
-// State holds the accepted versions of the config stream. It implements
+// State contains the accepted versions of the config stream. It implements
 // stream.State; the zero value is the empty state.
 type State struct {
 	environments map[units.EnvironmentName][]Version // ascending offsets, never empty
