--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -46,7 +46,7 @@
 	sentEntryListAt   time.Time
 }
 
-func (w *workerState) holder() ledger.WorkerEpoch {
+func (w *workerState) workerEpoch() ledger.WorkerEpoch {
 	return ledger.WorkerEpoch{Worker: w.id, Epoch: units.Epoch(w.heartbeat.GetEpoch())}
 }
 
--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -41,7 +41,7 @@
 			if w == nil || now.Before(w.callInFlightUntil) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.heartbeat.GetEpoch()) < h.Epoch {
 				continue
 			}
-			launch, stop := c.callsForHolder(l, h, w)
+			launch, stop := c.callsForEpoch(l, h, w)
 			if len(launch.Tasks) > 0 || len(stop.Tasks) > 0 {
 				batches = append(batches, batch{w, launch, stop})
 			}
@@ -59,7 +59,7 @@
 // callsForHolder returns the launch and the stop call for the attempts on
 // worker epoch h. Stop calls have the current epoch of the worker, which has adopted
 // the attempts of earlier ones.
-func (c *control) callsForHolder(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
+func (c *control) callsForEpoch(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
 	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.heartbeat.GetEpoch(), Reason: "cancelled"}
--- a/internal/entry/lessor_test.go
+++ b/internal/entry/lessor_test.go
@@ -10,7 +10,7 @@
 // Guards against a pair of workers that remain each other's lessor, and against a
 // change of both at the same time, which could form another pair.
 func TestBetterLessorAvailable(t *testing.T) {
-	holder := func(id units.WorkerID) roster.WorkerEpoch { return roster.WorkerEpoch{Worker: id, Epoch: 1} }
+	epochOf := func(id units.WorkerID) roster.WorkerEpoch { return roster.WorkerEpoch{Worker: id, Epoch: 1} }
 	for _, c := range []struct {
 		name    string
 		lessors map[units.WorkerID]units.WorkerID
@@ -37,7 +37,7 @@
 		}
 		for id, lessor := range c.lessors {
 			if lessor != "" {
-				apply(roster.EncodeLessorChanged(holder(id), 2, holder(lessor)))
+				apply(roster.EncodeLessorChanged(epochOf(id), 2, epochOf(lessor)))
 			}
 		}
 		for id := range c.lessors {
--- a/internal/entry/ownership.go
+++ b/internal/entry/ownership.go
@@ -18,7 +18,7 @@
 	cache map[string]bool
 }
 
-// maxOwnershipCache is about twice the number of jobs per day.
+// maxOwnershipCache bounds cache. It is about twice the number of jobs per day.
 const maxOwnershipCache = 32_768
 
 func newOwnership(self units.EntryID, live []units.EntryID) *ownership {
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -53,7 +53,7 @@
 	c.jobs.View(func(l *ledger.Ledger) {
 		for h := range l.WorkerEpochs() {
 			w := c.workers[h.Worker]
-			if w == nil || !w.reachable(now) || w.holder() != h || w.runningEpoch != h.Epoch {
+			if w == nil || !w.reachable(now) || w.workerEpoch() != h || w.runningEpoch != h.Epoch {
 				continue
 			}
 			c.reconcileWorker(l, h, w, stillMissing, now)
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -127,13 +127,13 @@
 	wire.Outcome_OUTCOME_EXPIRED: "expired",
 }
 
-// proposeActivation proposes, in one append, the entries that end the holder's
-// attempt and record that the lessor runs the next one.
+// proposeActivation proposes, in one append, the entries that end the attempt of the
+// lost worker and record that the lessor w runs the next one.
 func (c *control) proposeActivation(l *ledger.Ledger, w *workerState, r *wire.TaskReport, key string, now time.Time) {
 	task, attempt := reportedAttempt(r)
 	row := l.Task(task)
 	entries := [][]byte{
-		ledger.EncodeAssigned(task, attempt, w.holder(), l.Job(task.Job).Size, row.Borrowed),
+		ledger.EncodeAssigned(task, attempt, w.workerEpoch(), l.Job(task.Job).Size, row.Borrowed),
 		ledger.EncodeStarted(task, attempt),
 	}
 	if row.State.Open() {
