--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -74,7 +74,8 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Session is one connection to a peer. It is safe for concurrent use.
+// Session is one connection to a peer. It ends when either side shuts it down or the
+// peer becomes unresponsive. It is safe for concurrent use.
 type Session struct {
 	mux           *yamux.Session
 	transport     *Transport
