--- a/internal/stream/follower.go
+++ b/internal/stream/follower.go
@@ -72,11 +72,11 @@
 
 // snapshotInfo describes the newest complete snapshot.
 type snapshotInfo struct {
-	offset     units.Offset // the snapshot covers all records below it
-	observedAt time.Time    // when this process read or loaded it; zero when there is none
-	ageUnknown bool         // the snapshot was in the log before the last load
-	entries    int64        // entries applied since
-	parts      map[snapshotKey]int
+	offset     units.Offset        // the snapshot covers all records below it
+	observedAt time.Time           // when this process read or loaded it; zero when there is none
+	ageUnknown bool                // the snapshot was in the log before the last load
+	entries    int64               // entries applied since
+	parts      map[snapshotKey]int // number of parts read of each later snapshot
 }
 
 // Run loads the state and applies new records until ctx ends.
--- a/internal/stream/history_test.go
+++ b/internal/stream/history_test.go
@@ -97,17 +97,17 @@
 
 // history is a generated sequence of steps with the settings of the run.
 type history struct {
-	Writers, Retain, Every int
-	Steps                  []step
+	Writers, Retain, EntryInterval int
+	Steps                          []step
 }
 
 func genHistory(t *rapid.T) history {
 	outcomes := []standin.Outcome{standin.OutcomeDone, standin.OutcomeDone, standin.OutcomeLost, standin.OutcomeLate, standin.OutcomeUnavailable}
 	kinds := []string{"append", "append", "append", "append", "append", "outage", "replay", "malformed", "pause"}
 	h := history{
-		Writers: rapid.IntRange(1, 4).Draw(t, "writers"),
-		Retain:  rapid.SampledFrom([]int{0, 60}).Draw(t, "retain"),
-		Every:   rapid.IntRange(5, 20).Draw(t, "every"),
+		Writers:       rapid.IntRange(1, 4).Draw(t, "writers"),
+		Retain:        rapid.SampledFrom([]int{0, 60}).Draw(t, "retain"),
+		EntryInterval: rapid.IntRange(5, 20).Draw(t, "every"),
 	}
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		h.Steps = append(h.Steps, step{
@@ -136,7 +136,7 @@
 		l := &standin.Log{RetainCount: h.Retain, ReadLimit: 7}
 		early := follow(ctx, &running, l)
 		snapshots := &stream.Writer{Log: l, Stream: "s", ID: "snapshots"}
-		snapshotter := &stream.Snapshotter[*counter]{Follower: early, Writer: snapshots, EntryInterval: h.Every, PartBytes: 700, CheckInterval: 50 * time.Millisecond}
+		snapshotter := &stream.Snapshotter[*counter]{Follower: early, Writer: snapshots, EntryInterval: h.EntryInterval, PartBytes: 700, CheckInterval: 50 * time.Millisecond}
 		running.Go(func() { _ = snapshots.Run(ctx) })
 		running.Go(func() { _ = snapshotter.Run(ctx) })
 		results := h.runSteps(ctx, &running, l, newWriter)
