--- a/internal/node/agentconn.go
+++ b/internal/node/agentconn.go
@@ -81,6 +81,8 @@
 		return
 	}
 	defer session.Close()
+	// The scheduler resets its state of the worker before the attach call, after
+	// which the agent may report on this session.
 	l.enqueue(func() { l.agentAttached(a, session) })
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	err = session.Call(callCtx, pathAttach, &wire.Attach{Term: uint64(l.term), Leader: l.settings.Name, Attachment: number}, &wire.OrdersReply{})
