--- a/internal/entry/launches.go
+++ b/internal/entry/launches.go
@@ -17,14 +17,14 @@
 	callTimeout = 2 * time.Second
 	// callRetryDelay is the delay after a failed call to an agent.
 	callRetryDelay = 500 * time.Millisecond
-	// maxTasksPerCall bounds the tasks of one launch call, so that its answer does
+	// maxTasksPerCall bounds the tasks of one launch call, so that its reply does
 	// not wait for too many starts.
 	maxTasksPerCall = 64
 )
 
 // launchTasks sends the assigned attempts of the jobs that this process owns to
 // their agents, and requests the stop of attempts of cancelled jobs. A call is
-// repeated until it is answered; agents give a repeated call the same answer.
+// repeated until it is answered; agents give a repeated call the same reply.
 func (c *control) launchTasks(now time.Time) {
 	if c.catchingUp(now) && !c.logReachable(now) {
 		return
@@ -41,7 +41,7 @@
 			if w == nil || now.Before(w.callInFlightUntil) || !w.reachable(now) || now.Before(w.retryAt) || units.Epoch(w.heartbeat.GetEpoch()) < h.Epoch {
 				continue
 			}
-			launch, stop := c.callsForHolder(l, h, w)
+			launch, stop := c.callsForEpoch(l, h, w)
 			if len(launch.Tasks) > 0 || len(stop.Tasks) > 0 {
 				batches = append(batches, batch{w, launch, stop})
 			}
@@ -56,8 +56,10 @@
 	}
 }
 
-// callsForHolder returns the launch and the stop call for the attempts on a holder.
-func (c *control) callsForHolder(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
+// callsForHolder returns the launch and the stop call for the attempts on
+// worker epoch h. Stop calls have the current epoch of the worker, which has adopted
+// the attempts of earlier ones.
+func (c *control) callsForEpoch(l *ledger.Ledger, h ledger.WorkerEpoch, w *workerState) (*wire.Launch, *wire.Stop) {
 	_, offset := c.Document()
 	launch := &wire.Launch{Entry: string(c.Settings.ID), Worker: string(h.Worker), Epoch: uint64(h.Epoch), ConfigOffset: uint64(offset)}
 	stop := &wire.Stop{Worker: string(h.Worker), Epoch: w.heartbeat.GetEpoch(), Reason: "cancelled"}
--- a/internal/entry/placement.go
+++ b/internal/entry/placement.go
@@ -12,7 +12,7 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// planner holds the dispatcher and its inputs from this process.
+// planner contains the dispatcher and its inputs from this process.
 type planner struct {
 	dispatcher      *dispatch.Dispatcher
 	interference    dispatch.Interference
@@ -21,7 +21,7 @@
 }
 
 // maxEvictionPermissions bounds evictionAllowed. An attempt whose permission has
-// been dropped is refused by the agent, and its task is assigned again.
+// been dropped is rejected by the agent, and its task is assigned again.
 const maxEvictionPermissions = 4096
 
 func newPlanner() planner {
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -9,9 +9,9 @@
 	"wasabihill.example/wasabihill/pkg/units"
 )
 
-// encodeReport holds the function that encodes the entry for a report with the
-// given outcome about the current attempt of a task. The function returns nil if
-// there is nothing to record.
+// encodeReport maps each outcome to the function that encodes the entry for a
+// report with that outcome about the current attempt of a task. The function
+// returns nil if there is nothing to record.
 var encodeReport = map[wire.Outcome]func(r *wire.TaskReport, t *ledger.Task) []byte{
 	wire.Outcome_OUTCOME_STARTED: func(r *wire.TaskReport, t *ledger.Task) []byte {
 		if t.State != ledger.Assigned {
@@ -83,8 +83,8 @@
 		r.GetOutcome() == wire.Outcome_OUTCOME_STARTED
 }
 
-// proposeReports proposes the entries for the reports of a heartbeat. Another
-// process than the owner of the job does so only after ownerTimeout.
+// proposeReports proposes the entries for the reports of a heartbeat. A
+// process that does not own the job does so only after ownerTimeout.
 func (c *control) proposeReports(w *workerState, now time.Time) {
 	if len(w.heartbeat.GetReports()) == 0 {
 		return
@@ -127,13 +127,13 @@
 	wire.Outcome_OUTCOME_EXPIRED: "expired",
 }
 
-// proposeActivation proposes, in one append, the entries that end the holder's
-// attempt and record that the lessor runs the next one.
+// proposeActivation proposes, in one append, the entries that end the attempt of the
+// lost worker and record that the lessor w runs the next one.
 func (c *control) proposeActivation(l *ledger.Ledger, w *workerState, r *wire.TaskReport, key string, now time.Time) {
 	task, attempt := reportedAttempt(r)
 	row := l.Task(task)
 	entries := [][]byte{
-		ledger.EncodeAssigned(task, attempt, w.holder(), l.Job(task.Job).Size, row.Borrowed),
+		ledger.EncodeAssigned(task, attempt, w.workerEpoch(), l.Job(task.Job).Size, row.Borrowed),
 		ledger.EncodeStarted(task, attempt),
 	}
 	if row.State.Open() {
@@ -159,12 +159,12 @@
 // recorded for ownerTimeout.
 func (c *control) ownerTimedOut(key string, now time.Time) bool {
 	waitKey := "foreign/" + key
-	since, ok := c.jobsOutbox.retryableAt[waitKey]
+	deadline, ok := c.jobsOutbox.retryableAt[waitKey]
 	if !ok {
 		c.jobsOutbox.retryableAt[waitKey] = now.Add(ownerTimeout)
 		return false
 	}
-	return !now.Before(since)
+	return !now.Before(deadline)
 }
 
 // endedJobTimeout is the time after which an unknown job in reports counts as ended
--- a/internal/node/agentconn.go
+++ b/internal/node/agentconn.go
@@ -81,6 +81,8 @@
 		return
 	}
 	defer session.Close()
+	// The scheduler resets its state of the worker before the attach call, after
+	// which the agent may report on this session.
 	l.enqueue(func() { l.agentAttached(a, session) })
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	err = session.Call(callCtx, pathAttach, &wire.Attach{Term: uint64(l.term), Leader: l.settings.Name, Attachment: number}, &wire.OrdersReply{})
@@ -127,10 +129,10 @@
 // handleReport passes an agent's report to the scheduler. A granted reply lets
 // the agent's runs continue.
 func (l *leader) handleReport(ctx context.Context, a *agentConn, attachment uint64, in *wire.WorkerReport) (*wire.ReportReply, error) {
-	answer := make(chan *wire.ReportReply, 1)
+	replies := make(chan *wire.ReportReply, 1)
 	l.enqueue(func() {
 		if in.GetAttachment() != attachment || a.attachment != attachment || !l.isCurrent(a) {
-			answer <- nil
+			replies <- nil
 			return
 		}
 		at := now()
@@ -141,10 +143,10 @@
 			l.scheduler.ExtendLease(a.worker, in, at)
 		}
 		born, number := l.scheduler.DurableEnds(a.worker)
-		answer <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
+		replies <- &wire.ReportReply{Granted: granted, Recorded: number, RecordedBornUnixMs: born, Pairs: estimatesToWire(l.scheduler.Estimates(a.worker, at))}
 	})
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		if reply == nil {
 			return nil, fault.New("report", link.Rejected, "attachment %d of term %d is not in force", attachment, l.term)
 		}
--- a/internal/stream/deduplication.go
+++ b/internal/stream/deduplication.go
@@ -23,7 +23,7 @@
 	offset   units.Offset
 }
 
-// writerTable holds the last accepted record of each writer. A writer appends one
+// writerTable contains the last accepted record of each writer. A writer appends one
 // record at a time in sequence order, so a sequence at or below the last one is
 // a duplicate, or an append that the writer has already abandoned. The table
 // depends only on the records of the stream, so that all readers evict the same
@@ -59,7 +59,7 @@
 }
 
 // encodeCheckpoint encodes a state together with the last record of each writer.
-// The result is an Envelope whose snapshot holds the state and whose entries
+// The result is an Envelope whose snapshot contains the state and whose entries
 // describe the writers. Each entry is itself an Envelope, with the offset of the
 // writer's last record in its Snapshot.
 func encodeCheckpoint(state []byte, next units.Offset, records writerTable) ([]byte, error) {
