--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -27,7 +27,7 @@
 	status        int
 	header        http.Header
 	contentLength int64         // as declared by the endpoint; -1 if undeclared
-	body          []byte        // the whole body, or its beginning when remainder is set
+	body          []byte        // the complete body, or its beginning when remainder is set
 	remainder     io.ReadCloser // the rest of a large response after body
 	cancel        context.CancelFunc
 	hedge         bool
@@ -43,7 +43,7 @@
 	}
 }
 
-// execute sends the request until a whole response has arrived or no further
+// execute sends the request until an attempt returns a response or no further
 // attempt is allowed. A request that is not idempotent is retried only after
 // proof that it did not run.
 func (g *Gateway) execute(ctx context.Context, in *inbound) *result {
@@ -159,7 +159,8 @@
 }
 
 // cancelLosers cancels the attempts that lost and returns the winner, whose
-// attempt continues until its body has been copied to the caller.
+// attempt continues until its body has been copied to the caller. In cancels,
+// the first attempt has index 0 and the hedge index 1.
 func (g *Gateway) cancelLosers(winner *result, results <-chan *result, pending int, cancels []context.CancelFunc) *result {
 	winnerIndex := 0
 	if winner.hedge {
@@ -290,7 +291,8 @@
 	return res
 }
 
-// readUpTo reads at most limit+1 bytes of the body.
+// readUpTo reads at most limit+1 bytes of the body. The extra byte shows that
+// the body is longer than limit.
 func readUpTo(response *http.Response, limit int64) ([]byte, error) {
 	if n := response.ContentLength; n >= 0 && n <= limit && response.Request.Method != http.MethodHead {
 		body := make([]byte, n)
--- a/internal/gateway/differential_test.go
+++ b/internal/gateway/differential_test.go
@@ -145,9 +145,9 @@
 }
 
 // Guards against a second execution when the connection between entry process
-// and agent breaks or goes silent while requests are in flight.
+// and agent is closed or becomes unresponsive while requests are in flight.
 func TestBrokenConnectionRunsRequestsAtMostOnce(t *testing.T) {
-	for _, fault := range []string{"silent", "closed"} {
+	for _, fault := range []string{"unresponsive", "closed"} {
 		e := newEntry(t, gateway.Options{})
 		proxy := newFaultyProxy(t, e)
 		broken := newAgentThrough(t, 1, endpoint.Options{ServiceTime: 100 * time.Millisecond}, proxy.address, e)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
 // Package gateway serves the requests of callers at an entry process: it admits
 // them, chooses endpoints, retries and hedges where that is safe, and returns
-// whole responses only.
+// complete responses only.
 package gateway
 
 import (
@@ -29,7 +29,7 @@
 	MaxRequests         int                          // concurrent requests; default 4096
 	MaxServiceRequests  int                          // concurrent requests of one service; default 2048
 	MaxBodyBytes        int64                        // largest request body; default 1 MiB
-	ResponseBufferBytes int64                        // responses up to this size are buffered whole before they are returned; default 1 MiB
+	ResponseBufferBytes int64                        // responses up to this size are buffered completely before they are returned; default 1 MiB
 	DefaultTimeout      time.Duration                // for a request without a deadline; default 10 s
 	MaxTimeout          time.Duration                // longer deadlines are shortened to it; default 5 min
 }
@@ -70,7 +70,7 @@
 	active             atomic.Int64
 	draining           atomic.Bool
 	services           sync.Map       // units.ServiceName -> *serviceState
-	backgroundAttempts sync.WaitGroup // attempts of idempotent requests; those that lost are ending
+	backgroundAttempts sync.WaitGroup // attempts of idempotent requests, including cancelled ones that have not ended
 }
 
 // serviceState is the state of one service at this entry process.
@@ -255,7 +255,7 @@
 	}, 0, nil
 }
 
-// readBody reads the whole body, so that a retry can send it again and a caller
+// readBody reads the complete body, so that a retry can send it again and a caller
 // that stops sending does not occupy an endpoint.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, in *inbound) (int, error) {
 	if r.ContentLength == 0 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 	reason  headers.Reason
 	header  http.Header
 	body    []byte
-	err     error // set if the response is not whole
+	err     error // set if the response is not complete
 }
 
 func newClient(t testing.TB) *http.Client {
@@ -51,16 +51,16 @@
 	for i := 0; i < len(pairs); i += 2 {
 		r.Header.Set(pairs[i], pairs[i+1])
 	}
-	reply, err := c.Do(r)
+	received, err := c.Do(r)
 	if err != nil {
 		return response{err: err}
 	}
-	defer reply.Body.Close()
-	data, err := io.ReadAll(reply.Body)
-	return response{reply.StatusCode, headers.Outcome(reply.Header.Get(headers.OutcomeHeader)), headers.Reason(reply.Header.Get(headers.ReasonHeader)), reply.Header, data, err}
+	defer received.Body.Close()
+	data, err := io.ReadAll(received.Body)
+	return response{received.StatusCode, headers.Outcome(received.Header.Get(headers.OutcomeHeader)), headers.Reason(received.Header.Get(headers.ReasonHeader)), received.Header, data, err}
 }
 
-// verify returns why a response with outcome done is not the whole response to
+// verify returns why a response with outcome done is not the complete response to
 // request id, or an empty string.
 func (r *response) verify(id string) string {
 	switch {
@@ -69,7 +69,7 @@
 	case r.header.Get(endpoint.RequestIDHeader) != id:
 		return "response to request " + r.header.Get(endpoint.RequestIDHeader)
 	case r.header.Get(endpoint.ResponseDigestHeader) != fmt.Sprintf("%016x", xxhash.Sum64(r.body)):
-		return "body is not whole"
+		return "body does not match its digest"
 	}
 	return ""
 }
@@ -111,7 +111,7 @@
 }
 
 // Guards against a second execution of a request that must run at most once,
-// against truncated responses that look whole, and against an outcome notRun
+// against truncated responses that look complete, and against an outcome notRun
 // for a request that ran. Each fault occurs at the endpoint.
 func TestEndpointFaults(t *testing.T) {
 	e := newEntry(t, gateway.Options{})
@@ -229,7 +229,7 @@
 	newAgent(t, 1, endpoint.Options{ResponseBytes: 5 << 20}, e)
 	c := newClient(t)
 	if r := send(c, "GET", e.url+"/services/desk/", nil, endpoint.RequestIDHeader, "1"); r.outcome != headers.Done || r.verify("1") != "" {
-		t.Errorf("whole response: got outcome %q, %s", r.outcome, r.verify("1"))
+		t.Errorf("complete response: got outcome %q, %s", r.outcome, r.verify("1"))
 	}
 	for _, method := range []string{"GET", "POST"} {
 		if r := send(c, method, e.url+"/services/desk/", nil, endpoint.FaultHeader, "truncated"); r.err == nil {
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -20,11 +20,11 @@
 		{false, headers.NotRun, headers.NotRun},
 	}
 	for _, c := range cases {
-		a := (&result{outcome: c.last, freeRetry: true}).withEarlierUnknown(c.unknown)
-		if a.outcome != c.want {
-			t.Errorf("earlier attempt unknown %t, last attempt %s: got %s, want %s", c.unknown, c.last, a.outcome, c.want)
+		res := (&result{outcome: c.last, freeRetry: true}).withEarlierUnknown(c.unknown)
+		if res.outcome != c.want {
+			t.Errorf("earlier attempt unknown %t, last attempt %s: got %s, want %s", c.unknown, c.last, res.outcome, c.want)
 		}
-		if a.outcome == headers.Unknown && c.last == headers.NotRun && a.freeRetry {
+		if res.outcome == headers.Unknown && c.last == headers.NotRun && res.freeRetry {
 			t.Error("an unknown outcome allows a free retry, want it to use the retry budget")
 		}
 	}
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -170,7 +170,7 @@
 // injects faults.
 type faultyProxy struct {
 	address string
-	silent  atomic.Bool
+	drop    atomic.Bool // discard relayed data
 	mu      sync.Mutex
 	conns   []net.Conn
 }
@@ -220,16 +220,17 @@
 		if err != nil {
 			return
 		}
-		if !h.silent.Load() {
+		if !h.drop.Load() {
 			_, _ = to.Write(buffer[:n])
 		}
 	}
 }
 
-// inject makes the connections silent or closes them.
+// inject drops all further data on the connections (fault unresponsive) or
+// closes them.
 func (h *faultyProxy) inject(fault string) {
-	if fault == "silent" {
-		h.silent.Store(true)
+	if fault == "unresponsive" {
+		h.drop.Store(true)
 		return
 	}
 	h.mu.Lock()
