--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Withdraw takes the price of one retry or hedge. It returns false, and takes
+// Withdraw deducts the cost of one retry or hedge. It returns false, and deducts
 // nothing, when the budget is too low.
 func (b *RetryBudget) Withdraw() bool {
 	for {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -12,8 +12,8 @@
 
 // Results of an attempt.
 const (
-	Succeeded Result = iota // a whole response arrived
-	Failed                  // no whole response, or a server error
+	Succeeded Result = iota // a complete response arrived
+	Failed                  // no complete response, or a server error
 	Rejected                // the agent confirmed that the request did not run
 	Leaving                 // like Rejected, because the endpoint is leaving
 	NotSent                 // no byte was sent; the session is ending
@@ -53,7 +53,8 @@
 const maxDraws = 8
 
 // Choose returns an endpoint for the request, or nil when none is eligible. It
-// takes the better of two random candidates.
+// takes the better of two random candidates, unless the request serves as a
+// probe of an ejected endpoint.
 func (t *Table) Choose(r Request, now time.Time) *Choice {
 	all := t.endpoints(r.Service)
 	if len(all) == 0 {
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -120,9 +120,9 @@
 	return load*float64(e.expectedLatency(now)) + float64(e.localityCost.Load())
 }
 
-// recordLatency adds the latency of one whole response. A response slower than
-// the average has more weight than a faster one, so that a slowdown shows
-// early.
+// recordLatency adds the duration of one attempt to the average. A duration
+// above the average has more weight than one below it, so that a slowdown shows
+// early. The caller holds e.mu.
 func (e *Endpoint) recordLatency(d time.Duration, now time.Time) {
 	weight := 0.1
 	if float64(d) > e.measuredLatency {
@@ -136,11 +136,11 @@
 }
 
 // recordResult records a success or a failure and reports whether the endpoint
-// should be ejected.
+// should be ejected. The caller holds e.mu.
 func (e *Endpoint) recordResult(failed bool) bool {
-	const memory = 0.95 // about the last 20 results
-	e.recentResults = e.recentResults*memory + 1
-	e.recentFailures *= memory
+	const decay = 0.95 // about the last 20 results
+	e.recentResults = e.recentResults*decay + 1
+	e.recentFailures *= decay
 	if !failed {
 		e.consecutiveFailures = 0
 		return false
@@ -151,7 +151,7 @@
 }
 
 // eject excludes the endpoint from the choice for a time that doubles with each
-// ejection.
+// ejection. The caller holds e.mu.
 func (e *Endpoint) eject(now time.Time) {
 	d := min(e.table.settings.BaseEjectionTime<<min(e.ejections, 10), maxEjection)
 	e.ejections++
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -72,11 +72,11 @@
 		return &environment.Document{FailureDomains: []environment.FailureDomain{{Name: "a", Region: "r", State: state}}, DrainedWorkers: drained}
 	}
 	for _, c := range []struct {
-		name     string
-		beat     *wire.Heartbeat
-		document *environment.Document
-		age      time.Duration
-		want     bool
+		name      string
+		heartbeat *wire.Heartbeat
+		document  *environment.Document
+		age       time.Duration
+		want      bool
 	}{
 		{"ready", ready, document(environment.DomainIn), 2 * time.Second, true},
 		{"old heartbeat", ready, document(environment.DomainIn), 2*time.Second + 1, false},
@@ -92,7 +92,7 @@
 			if documentFirst {
 				table.SetDocument(c.document, start)
 			}
-			table.RecordHeartbeat("worker-0", &fakeSession{}, c.beat, start)
+			table.RecordHeartbeat("worker-0", &fakeSession{}, c.heartbeat, start)
 			if !documentFirst {
 				table.SetDocument(c.document, start)
 			}
@@ -255,8 +255,9 @@
 	})
 }
 
-// Exercises heartbeats, removals, choices and results concurrently. Run it with
-// -race.
+// Guards against attempts that stay counted as outstanding, and with -race
+// against data races, when heartbeats, removals, choices and results happen
+// concurrently.
 func TestConcurrentUse(t *testing.T) {
 	table, s := newTable(8)
 	var wait sync.WaitGroup
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -7,10 +7,10 @@
 	"wasabihill.example/wasabihill/internal/wire"
 )
 
-// Guards against an entry process that rejects every request as without
-// endpoint when it resumes after a pause, because all heartbeats have become
-// old meanwhile. It also guards against sending requests to an agent that stays
-// silent after the pause.
+// Guards against an entry process that finds no endpoint for any request when
+// it resumes after a pause, because all heartbeats have become old meanwhile. It
+// also guards against sending requests to an agent that sends no heartbeat after
+// the pause.
 func TestStallOfThisProcessDoesNotMakeEndpointsStale(t *testing.T) {
 	const heartbeatTimeout = 2 * time.Second
 	table, session := newTable(2)
@@ -35,8 +35,8 @@
 	table.RecordHeartbeat(workerName(0), session, newHeartbeat("a", "r", wire.EndpointState_ENDPOINT_STATE_READY, 0), at)
 	run(heartbeatTimeout)
 	if got := table.CountEligible("s", at); got != 1 {
-		t.Errorf("got %d eligible endpoints, want 1: the other stayed silent", got)
+		t.Errorf("got %d eligible endpoints, want 1: the other sent no heartbeat", got)
 	}
 	run(heartbeatTimeout)
-	chosen(false, "after both were silent for longer than the limit while the process ran")
+	chosen(false, "after both sent no heartbeat for longer than the timeout while the process ran")
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Table holds the endpoints of every service. It is safe for concurrent use.
+// Table contains the endpoints of every service. It is safe for concurrent use.
 type Table struct {
 	settings Settings
 	origin   time.Time // times are kept relative to it, on the monotonic clock
@@ -67,7 +67,7 @@
 	workers  map[units.WorkerID]*worker
 }
 
-// worker holds the endpoints that one agent reports.
+// worker is the state of one agent according to its heartbeats.
 type worker struct {
 	epoch         uint64
 	lastHeartbeat time.Time
