--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -19,7 +19,7 @@
 	busy        int
 	queue       waitQueue
 	serviceTime time.Duration // moving average; 0 before the first response
-	closed      bool          // the endpoint is leaving or gone
+	closed      bool          // the endpoint is leaving or misses its announcements
 }
 
 // waiter is one queued request. Its decision is sent once; an empty reason
@@ -121,7 +121,7 @@
 	}
 }
 
-// release returns a slot. A positive serviceTime is the duration of a whole
+// release returns a slot. A positive serviceTime is the duration of a complete
 // response and updates the average.
 func (a *admission) release(serviceTime time.Duration) {
 	a.mu.Lock()
--- a/internal/forward/announce.go
+++ b/internal/forward/announce.go
@@ -106,7 +106,8 @@
 // applyAnnouncement applies a valid announcement and returns the number of
 // admitted requests that the endpoint has not answered yet. While one endpoint
 // of a service is ready, a second ready one is rejected, because the agent
-// admits work to a single endpoint. A leaving or gone endpoint is replaced.
+// admits work to a single endpoint. An endpoint that is leaving or misses its
+// announcements is replaced.
 func (f *Forwarder) applyAnnouncement(a announcement, now time.Time) (admitted int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// responseBufferBytes is the size up to which a response is buffered whole
-	// before it is sent on. A request whose buffered response is truncated can
-	// still be answered with an error or retried.
+	// responseBufferBytes is the size up to which a response is buffered
+	// completely before it is sent on. A request whose buffered response is
+	// truncated can still be answered with an error or retried.
 	responseBufferBytes = 64 << 10
 	// maxAttempts bounds the connections tried for one request.
 	maxAttempts = 3
-	// A connection counts as silent when no response header arrives within
-	// silenceFactor times the service time, but not before minSilence, which
-	// covers pauses of the endpoint.
-	silenceFactor = 10
-	minSilence    = 500 * time.Millisecond
+	// A connection counts as unresponsive when no response header arrives within
+	// unresponsiveFactor times the service time, but not before
+	// minUnresponsiveTime, which covers pauses of the endpoint.
+	unresponsiveFactor  = 10
+	minUnresponsiveTime = 500 * time.Millisecond
 )
 
-// errSilentConnection cancels an attempt on a silent connection.
-var errSilentConnection = errors.New("connection is silent while the endpoint announces itself")
+// errUnresponsive cancels an attempt on an unresponsive connection.
+var errUnresponsive = errors.New("no response header in time although the endpoint announces itself")
 
 // call is one admitted request. It holds a slot.
 type call struct {
@@ -42,7 +42,7 @@
 	body        []byte
 	idempotent  bool
 	deadline    time.Time
-	serviceTime time.Duration // service time of a whole response, 0 otherwise
+	serviceTime time.Duration // duration of a complete response, 0 otherwise
 }
 
 // run sends the request until it has written a response or no further attempt
@@ -80,7 +80,7 @@
 	defer cancel(nil)
 	c.endpoint.budget.Deposit()
 	start := time.Now()
-	stop := c.cancelIfSilent(start, cancel)
+	stop := c.cancelIfUnresponsive(start, cancel)
 	response, err := c.endpoint.transport.Load().RoundTrip(c.newRequest(ctx))
 	stop()
 	if err != nil {
@@ -90,10 +90,10 @@
 	return c.writeResponse(w, response, start)
 }
 
-// cancelIfSilent cancels the attempt when no response header arrives in time
-// although the endpoint announces itself. The retry then opens a new
+// cancelIfUnresponsive cancels the attempt when no response header arrives in
+// time although the endpoint announces itself. The retry then opens a new
 // connection. The returned function stops the timer.
-func (c *call) cancelIfSilent(start time.Time, cancel context.CancelCauseFunc) (stop func()) {
+func (c *call) cancelIfUnresponsive(start time.Time, cancel context.CancelCauseFunc) (stop func()) {
 	if !c.idempotent {
 		return func() {} // it may have been executed and cannot be retried, so wait for its response
 	}
@@ -103,17 +103,17 @@
 	stopped := false
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(max(minSilence, silenceFactor*serviceTime), func() {
+	timer = time.AfterFunc(max(minUnresponsiveTime, unresponsiveFactor*serviceTime), func() {
 		if !c.endpoint.announcedSince(start) {
 			mu.Lock()
 			if !stopped {
-				timer.Reset(minSilence)
+				timer.Reset(minUnresponsiveTime)
 			}
 			mu.Unlock()
 			return
 		}
-		c.forwarder.silentConnections.Inc(1)
-		cancel(errSilentConnection)
+		c.forwarder.unresponsiveConnections.Inc(1)
+		cancel(errUnresponsive)
 	})
 	return func() {
 		mu.Lock()
--- a/internal/forward/endpoint.go
+++ b/internal/forward/endpoint.go
@@ -48,9 +48,9 @@
 
 // newTransport returns a transport that opens a connection for each request. On
 // a reused connection, a late duplicate of an earlier response would be taken
-// for the response to the next request, and a connection that went silent while
-// idle would show only after the request was sent. Avoiding both is worth a
-// local connect per request.
+// for the response to the next request, and a connection that became
+// unresponsive while idle would show only after the request was sent. Avoiding
+// both is worth a local connect per request.
 func (e *endpoint) newTransport() *link.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	address := e.address
@@ -79,7 +79,7 @@
 }
 
 // stateAt returns the state at now. An endpoint that misses its announcements
-// is gone.
+// is in state GONE.
 func (e *endpoint) stateAt(now time.Time) wire.EndpointState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,8 +90,8 @@
 }
 
 // announcedSince reports whether the endpoint announced itself after t. If so,
-// the endpoint is alive, and a connection without a response is silent or its
-// request is slow.
+// the endpoint is running, and a connection without a response is unresponsive
+// or its request is slow.
 func (e *endpoint) announcedSince(t time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -116,8 +116,8 @@
 	return fmt.Appendf(nil, `{"service":"desk","address":%q,"slots":2,"connections":4,"state":%q}`, address, state)
 }
 
-// Guards against new requests for a leaving or silent endpoint, and against two
-// ready endpoints of one service at an agent.
+// Guards against new requests for an endpoint that is leaving or misses its
+// announcements, and against two ready endpoints of one service at an agent.
 func TestEndpointStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(Options{})
@@ -181,22 +181,22 @@
 	return w, e
 }
 
-// Guards against waiting for a TCP timeout on a connection that went silent
-// while the endpoint is alive. An idempotent request is retried on a new
-// connection.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// Guards against waiting for a TCP timeout on a connection that became
+// unresponsive while the endpoint is running. An idempotent request is retried
+// on a new connection.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	f := New(Options{})
 	agent := httptest.NewServer(f.AnnounceHandler())
 	defer agent.Close()
-	silent := make(chan struct{})
+	release := make(chan struct{})
 	var requests atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if requests.Add(1) == 1 {
-			<-silent
+			<-release
 		}
 	}))
 	defer server.Close()
-	defer close(silent)
+	defer close(release)
 	a, err := parseAnnouncement(announcementBody("ready", strings.TrimPrefix(server.URL, "http://")))
 	if err != nil {
 		t.Fatal(err)
@@ -263,7 +263,7 @@
 }
 
 // Guards against an endpoint that closes while an admitted request is still on
-// its way to it, because the agent had answered that it may close.
+// its way to it, because the agent had told it that it may close.
 func TestLeavingEndpointSeesAdmittedRequests(t *testing.T) {
 	f := New(Options{})
 	h := f.AnnounceHandler()
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -27,11 +27,11 @@
 // Forwarder admits requests and forwards them to the endpoints. It is safe for
 // concurrent use.
 type Forwarder struct {
-	options           Options
-	outcomes          map[headers.Outcome]tally.Counter
-	rejections        map[headers.Reason]tally.Counter
-	retries           tally.Counter
-	silentConnections tally.Counter
+	options                 Options
+	outcomes                map[headers.Outcome]tally.Counter
+	rejections              map[headers.Reason]tally.Counter
+	retries                 tally.Counter
+	unresponsiveConnections tally.Counter
 
 	mu        sync.Mutex
 	endpoints map[units.ServiceName]*endpoint
@@ -53,7 +53,7 @@
 	f := &Forwarder{
 		options: o, endpoints: make(map[units.ServiceName]*endpoint),
 		outcomes: make(map[headers.Outcome]tally.Counter), rejections: make(map[headers.Reason]tally.Counter),
-		retries: o.Scope.Counter("forwardRetries"), silentConnections: o.Scope.Counter("silentConnections"),
+		retries: o.Scope.Counter("forwardRetries"), unresponsiveConnections: o.Scope.Counter("silentConnections"),
 	}
 	for _, r := range []headers.Outcome{headers.Done, headers.NotRun, headers.Unknown} {
 		f.outcomes[r] = o.Scope.Tagged(map[string]string{"outcome": string(r)}).Counter("forwarded")
@@ -65,7 +65,7 @@
 }
 
 // EndpointReports returns the state of the endpoints for the next heartbeat. It
-// closes endpoints that are gone, and deletes them when they are idle and have
+// closes endpoints in state GONE, and deletes them when they are idle and have
 // not announced themselves for a minute.
 func (f *Forwarder) EndpointReports() []*wire.EndpointReport {
 	f.mu.Lock()
