--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -69,7 +69,7 @@
 
 	{"runnerSilent", agents, false, false, 5 * time.Second, onRunner(taskrunner.Fault{NoReply: true}), onRunner(taskrunner.Fault{})},
 	{"runnerRefuses", agents, false, false, 4 * time.Second, onRunner(taskrunner.Fault{Status: 503}), onRunner(taskrunner.Fault{})},
-	{"runnerLate", agents, false, false, 4 * time.Second, onRunner(taskrunner.Fault{OrderDelay: 1500 * time.Millisecond}), onRunner(taskrunner.Fault{})},
+	{"runnerLate", agents, false, false, 4 * time.Second, onRunner(taskrunner.Fault{ApplyDelay: 1500 * time.Millisecond}), onRunner(taskrunner.Fault{})},
 	{"runnerMute", agents, false, false, 5 * time.Second, onRunner(taskrunner.Fault{NoHeartbeats: true}), onRunner(taskrunner.Fault{})},
 	{"runnerCrash", agents, false, false, 4 * time.Second, func(_ *Run, h *host) { h.runner.Crash() }, func(_ *Run, h *host) { h.runner.Restart() }},
 	{"runnerReborn", agents, false, false, time.Millisecond, func(_ *Run, h *host) { h.runner.Restart() }, nil},
--- a/internal/standin/taskrunner/runner.go
+++ b/internal/standin/taskrunner/runner.go
@@ -57,7 +57,7 @@
 type Fault struct {
 	NoReply      bool          // do not reply
 	Status       int           // reject every call with this HTTP status
-	OrderDelay   time.Duration // execute starts, stops and pace changes after this time, without a reply
+	ApplyDelay   time.Duration // execute starts, stops and pace changes after this time, without a reply
 	FailRuns     bool          // new runs fail after a millisecond
 	NoHeartbeats bool          // send no heartbeats
 }
--- a/internal/standin/taskrunner/serve.go
+++ b/internal/standin/taskrunner/serve.go
@@ -100,18 +100,18 @@
 			return
 		}
 		r.mu.Lock()
-		f, down, expected := r.fault, r.crashed, r.ID
+		f, crashed, expected := r.fault, r.crashed, r.ID
 		r.mu.Unlock()
 		changesRuns := q.URL.Path != "/api/hold"
 		switch {
-		case down:
+		case crashed:
 			panic(http.ErrAbortHandler)
 		case f.NoReply:
 			<-q.Context().Done()
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
-		case f.OrderDelay > 0 && changesRuns:
-			time.AfterFunc(f.OrderDelay, func() { serve(&discardWriter{}, q, body) })
+		case f.ApplyDelay > 0 && changesRuns:
+			time.AfterFunc(f.ApplyDelay, func() { serve(&discardWriter{}, q, body) })
 			<-q.Context().Done()
 		case q.Header.Get("X-Expected-Instance") != expected:
 			w.WriteHeader(http.StatusMisdirectedRequest)
