--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -96,7 +96,7 @@
 	reason    string
 }
 
-// loadGenerator holds the callers of a run and the jobs that they submitted.
+// loadGenerator contains the callers of a run and the jobs that they submitted.
 type loadGenerator struct {
 	fleet   *fleet
 	callers []*caller
@@ -194,7 +194,7 @@
 }
 
 // send sends a request to the next entry process and records its outcome.
-func (c *caller) send(request func(*callers.Client) callers.Answer) callers.Answer {
+func (c *caller) send(request func(*callers.Client) callers.Result) callers.Result {
 	n := c.nextClient % len(c.clients)
 	c.nextClient++
 	a := request(c.clients[n])
@@ -223,7 +223,7 @@
 	rejections, attempts := 0, 0
 	for deadline := time.Now().Add(submitTimeout); time.Now().Before(deadline) && ctx.Err() == nil; {
 		attempts++
-		a := c.send(func(client *callers.Client) callers.Answer { return client.Submit(ctx, j.path, j.template.job) })
+		a := c.send(func(client *callers.Client) callers.Result { return client.Submit(ctx, j.path, j.template.job) })
 		switch a.Status {
 		case http.StatusOK:
 			j.accepted = time.Now()
@@ -244,7 +244,7 @@
 
 // queryState queries the state of the job and checks it against earlier ones.
 func (c *caller) queryState(ctx context.Context, j *job) {
-	a := c.send(func(client *callers.Client) callers.Answer { return client.State(ctx, j.path) })
+	a := c.send(func(client *callers.Client) callers.Result { return client.State(ctx, j.path) })
 	switch {
 	case a.Malformed:
 		c.generator.recordUnexpected(j, "answers are whole", "the response to a state query is malformed")
@@ -263,7 +263,7 @@
 	if j.cancelSent.IsZero() {
 		j.cancelSent = time.Now()
 	}
-	a := c.send(func(client *callers.Client) callers.Answer { return client.Cancel(ctx, j.path) })
+	a := c.send(func(client *callers.Client) callers.Result { return client.Cancel(ctx, j.path) })
 	if a.Status == http.StatusOK && j.cancelled.IsZero() {
 		j.cancelled = time.Now()
 	}
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -30,13 +30,13 @@
 	Steps []Step
 }
 
-// Answer is the result of a request.
-type Answer struct {
+// Result is the result of a request.
+type Result struct {
 	Status     int // 0 if no complete response was received
 	RetryAfter string
 	State      string        // state of the job, for a request by State
 	Malformed  bool          // the body cannot be decoded
-	SentAt     time.Time     // time at which the whole request had been written; zero if it was not
+	SentAt     time.Time     // time at which the complete request had been written; zero if it was not
 	Elapsed    time.Duration // time from SentAt to the end of the request
 	Err        error
 }
@@ -55,7 +55,7 @@
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Submit submits the job.
-func (c *Client) Submit(ctx context.Context, path string, job Job) Answer {
+func (c *Client) Submit(ctx context.Context, path string, job Job) Result {
 	steps := make([]map[string]any, len(job.Steps))
 	for i, s := range job.Steps {
 		steps[i] = map[string]any{"count": s.Tasks, "cpu": 1000, "memMb": 10, "estimateMs": 100}
@@ -68,24 +68,24 @@
 	}
 	body, err := json.Marshal(map[string]any{"spec": job.Spec, "steps": steps})
 	if err != nil {
-		return Answer{Err: err}
+		return Result{Err: err}
 	}
 	return c.send(ctx, http.MethodPost, path, string(body))
 }
 
 // State queries the state of the job.
-func (c *Client) State(ctx context.Context, path string) Answer {
+func (c *Client) State(ctx context.Context, path string) Result {
 	return c.send(ctx, http.MethodGet, path, "")
 }
 
 // Cancel cancels the job.
-func (c *Client) Cancel(ctx context.Context, path string) Answer {
+func (c *Client) Cancel(ctx context.Context, path string) Result {
 	return c.send(ctx, http.MethodDelete, path, "")
 }
 
 var errIncomplete = errors.New("response is incomplete")
 
-func (c *Client) send(ctx context.Context, method, path, body string) (a Answer) {
+func (c *Client) send(ctx context.Context, method, path, body string) (a Result) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	var written atomic.Int64
@@ -98,7 +98,7 @@
 	})
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
-		return Answer{Err: err}
+		return Result{Err: err}
 	}
 	request.Host, request.ContentLength = c.Host, int64(len(body))
 	request.GetBody = nil // prevents net/http from retrying the request
@@ -111,14 +111,14 @@
 	}()
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return Answer{Err: err}
+		return Result{Err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{Err: errors.Join(errIncomplete, err)}
+		return Result{Err: errors.Join(errIncomplete, err)}
 	}
-	a = Answer{Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After")}
+	a = Result{Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After")}
 	if method == http.MethodGet && a.Status == http.StatusOK {
 		var in struct {
 			State string `json:"state"`
@@ -130,9 +130,9 @@
 }
 
 // CutOff reports whether the server dropped a request that it had read: the
-// connection ended more than slack after the whole request had been sent. The
+// connection ended more than slack after the complete request had been sent. The
 // caller's own timeout or cancellation does not count.
-func (a Answer) CutOff(slack time.Duration) bool {
+func (a Result) CutOff(slack time.Duration) bool {
 	var timeout net.Error
 	if a.Err == nil || errors.As(a.Err, &timeout) && timeout.Timeout() || errors.Is(a.Err, context.Canceled) {
 		return false
--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -20,11 +20,11 @@
 		want    bool
 	}{
 		{"answered", func(http.ResponseWriter, *http.Request) {}, false},
-		{"broken off after a while", func(w http.ResponseWriter, _ *http.Request) {
+		{"closed by the server after the request was read", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(3 * slack)
 			panic(http.ErrAbortHandler)
 		}, true},
-		{"silent until the caller gives up", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false},
+		{"no response until the caller's timeout", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false},
 	} {
 		server := httptest.NewServer(c.handler)
 		client := &Client{Host: "desk.example", Address: strings.TrimPrefix(server.URL, "http://"), Timeout: 300 * time.Millisecond}
@@ -53,7 +53,7 @@
 
 // Guards against a state that is read from a response without a valid one.
 func TestMalformedStateIsReported(t *testing.T) {
-	for body, want := range map[string]Answer{`{"state":"running"}`: {Status: 200, State: "running"}, `{`: {Status: 200, Malformed: true}} {
+	for body, want := range map[string]Result{`{"state":"running"}`: {Status: 200, State: "running"}, `{`: {Status: 200, Malformed: true}} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if _, err := w.Write([]byte(body)); err != nil {
 				t.Error(err)
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -36,7 +36,7 @@
 	RunnerAddress string // empty for an entry process
 	Service       string
 	MemoryMb      int
-	FirstStart    bool // first start of the whole system
+	FirstStart    bool // first start of the system
 }
 
 func (p Process) address(port int) string { return net.JoinHostPort(p.IP, strconv.Itoa(port)) }
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint is a substitute for a service's endpoint (runner). It spends a
+// Package endpoint is a stand-in for a service's endpoint (runner). It spends a
 // configurable time on each request, records the requests that it executed, and
 // can inject the faults of real endpoints and their connections.
 package endpoint
@@ -23,7 +23,7 @@
 	"wasabihill.example/wasabihill/internal/pause"
 )
 
-// HTTP headers of the substitute.
+// HTTP headers of the stand-in.
 const (
 	RequestIDHeader      = "Request-Id"  // request id of the caller; echoed, and recorded on execution
 	BodyDigestHeader     = "Body-Digest" // on a response: xxhash of the request body
@@ -46,7 +46,7 @@
 	Seed          uint64
 }
 
-// Endpoint is a substitute for a service's endpoint.
+// Endpoint is a stand-in for a service's endpoint.
 type Endpoint struct {
 	options  Options
 	listener net.Listener
@@ -57,11 +57,11 @@
 	active   atomic.Int64
 	lastBusy atomic.Int64
 
-	mu          sync.Mutex // guards the rest
-	random      *rand.Rand
-	executed    map[string]int
-	unnamed     int
-	silentConns []net.Conn
+	mu                sync.Mutex // guards the rest
+	random            *rand.Rand
+	executed          map[string]int
+	unnamed           int
+	unresponsiveConns []net.Conn
 }
 
 // maxExecutedIDs limits the memory used for executed request ids.
@@ -114,8 +114,8 @@
 const (
 	announceInterval = time.Second
 	// leaveIdleTime is the time for which the endpoint must be idle before it exits,
-	// after it announced that it is leaving. It matters if the agent does not reply:
-	// a request may then still be in transit.
+	// after it announced that it is leaving. It matters if the agent does not
+	// respond: a request may then still be in transit.
 	leaveIdleTime = 200 * time.Millisecond
 	leaveTimeout  = 30 * time.Second
 )
@@ -143,7 +143,7 @@
 }
 
 // leave announces that the endpoint is leaving and shuts the server down once the
-// agent expects no more replies and the endpoint is idle.
+// agent expects no more responses and the endpoint is idle.
 func (e *Endpoint) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
@@ -159,11 +159,12 @@
 	_ = e.server.Shutdown(ctx)
 }
 
-// close closes the server and the connections on which a fault stopped replies.
+// close closes the server and the connections on which a fault withholds
+// responses.
 func (e *Endpoint) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, c := range e.silentConns {
+	for _, c := range e.unresponsiveConns {
 		c.Close()
 	}
 	e.server.Close()
@@ -172,7 +173,7 @@
 
 // announce sends the endpoint's state to the agent. It ignores failures, because
 // announcements are periodic. It reports whether the agent has admitted requests
-// to which the endpoint has not replied.
+// to which the endpoint has not responded.
 func (e *Endpoint) announce(state string) (expected bool) {
 	if e.options.Agent == "" {
 		return false
@@ -279,12 +280,12 @@
 	if inject != nil && inject(e, w, r, afterExecution) {
 		return
 	}
-	answer := e.responseBody(r, body)
+	responseBody := e.responseBody(r, body)
 	w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
 	w.Header().Set(BodyDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(body)))
-	w.Header().Set(ResponseDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(answer)))
-	w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-	_, _ = w.Write(answer)
+	w.Header().Set(ResponseDigestHeader, fmt.Sprintf("%016x", xxhash.Sum64(responseBody)))
+	w.Header().Set("Content-Length", fmt.Sprint(len(responseBody)))
+	_, _ = w.Write(responseBody)
 }
 
 // waitServiceTime waits for the service time. It reports false if the client
@@ -292,9 +293,9 @@
 func waitServiceTime(r *http.Request, d time.Duration) bool { return pause.For(r.Context(), d) }
 
 func (e *Endpoint) responseBody(r *http.Request, body []byte) []byte {
-	answer := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestIDHeader), xxhash.Sum64(body))
-	if n := e.options.ResponseBytes - len(answer); n > 0 {
-		answer = append(answer, bytes.Repeat([]byte("x"), n)...)
+	data := fmt.Appendf(nil, "{\"requestId\":%q,\"digest\":\"%016x\"}\n", r.Header.Get(RequestIDHeader), xxhash.Sum64(body))
+	if n := e.options.ResponseBytes - len(data); n > 0 {
+		data = append(data, bytes.Repeat([]byte("x"), n)...)
 	}
-	return answer
+	return data
 }
--- a/internal/standin/endpoint/faults.go
+++ b/internal/standin/endpoint/faults.go
@@ -37,10 +37,10 @@
 		return false
 	},
 	"silentBefore": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m phase) bool {
-		return m == beforeExecution && e.stopAnswering(w)
+		return m == beforeExecution && e.withholdResponse(w)
 	},
 	"silent": func(e *Endpoint, w http.ResponseWriter, _ *http.Request, m phase) bool {
-		return m == afterExecution && e.stopAnswering(w)
+		return m == afterExecution && e.withholdResponse(w)
 	},
 	"slow": func(_ *Endpoint, _ http.ResponseWriter, r *http.Request, m phase) bool {
 		return m == afterExecution && !waitServiceTime(r, slowDelay)
@@ -49,9 +49,9 @@
 		if m == beforeExecution {
 			return false
 		}
-		answer := e.responseBody(r, nil)
+		data := e.responseBody(r, nil)
 		w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
-		_, _ = w.Write(answer[:len(answer)/2])
+		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	},
@@ -85,14 +85,14 @@
 	},
 }
 
-// stopAnswering keeps the connection open without ever replying on it.
-func (e *Endpoint) stopAnswering(w http.ResponseWriter) bool {
+// withholdResponse keeps the connection open without ever responding on it.
+func (e *Endpoint) withholdResponse(w http.ResponseWriter) bool {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return false
 	}
 	e.mu.Lock()
-	e.silentConns = append(e.silentConns, conn)
+	e.unresponsiveConns = append(e.unresponsiveConns, conn)
 	e.mu.Unlock()
 	return true
 }
--- a/internal/standin/entries/platform.go
+++ b/internal/standin/entries/platform.go
@@ -153,6 +153,7 @@
 	return mux
 }
 
+// heartbeat applies a heartbeat and returns the reply. p.mu must be held.
 func (p *Platform) heartbeat(h *wire.Heartbeat) *wire.HeartbeatReply {
 	p.lastHeartbeat[h.Worker] = time.Now()
 	if !p.logUnreachable && !p.configurationFrozen {
--- a/internal/standin/logservice/log.go
+++ b/internal/standin/logservice/log.go
@@ -1,4 +1,4 @@
-// Package logservice is an in-memory substitute for the platform's log service,
+// Package logservice is an in-memory stand-in for the platform's log service,
 // for tests and `make run`. It has the limits and faults of the real service that
 // the product must handle: a limited append rate, a maximum record size, limited
 // retention, outages, slow operations, and replies that are lost after the append
--- a/internal/standin/logservice/server.go
+++ b/internal/standin/logservice/server.go
@@ -17,7 +17,7 @@
 const maxFaultsBody = 1 << 20
 
 // Handler returns a handler for the HTTP interface of the log service and for
-// /v1/faults and /v1/counts, which only the substitute has.
+// /v1/faults and /v1/counts, which only the stand-in has.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
--- a/internal/standin/metastore/log.go
+++ b/internal/standin/metastore/log.go
@@ -70,7 +70,7 @@
 	return t
 }
 
-// appendRequest holds the arguments of an append. expectedEnd is nil for an
+// appendRequest contains the arguments of an append. expectedEnd is nil for an
 // unconditional append; producer is empty for one that is not idempotent.
 type appendRequest struct {
 	topic       string
@@ -121,8 +121,8 @@
 	case r.epoch < p.epoch:
 		return nil, 0, errFenced
 	default:
-		if a, ok := p.replies[r.sequence]; ok {
-			return &a, 0, nil
+		if reply, ok := p.replies[r.sequence]; ok {
+			return &reply, 0, nil
 		}
 		if r.sequence != p.nextSequence {
 			return nil, p.nextSequence, errOutOfOrder
@@ -131,9 +131,9 @@
 	return nil, 0, nil
 }
 
-func (p *producer) retainReply(sequence uint64, a appendReply) {
+func (p *producer) retainReply(sequence uint64, reply appendReply) {
 	p.nextSequence = sequence + 1
-	p.replies[sequence] = a
+	p.replies[sequence] = reply
 	if sequence >= retainedReplies {
 		delete(p.replies, sequence-retainedReplies)
 	}
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -128,13 +128,13 @@
 	if err != nil {
 		return
 	}
-	repeated := r.Clone(context.Background())
-	repeated.Body = io.NopCloser(bytes.NewReader(body))
+	detached := r.Clone(context.Background())
+	detached.Body = io.NopCloser(bytes.NewReader(body))
 	if delay == 0 {
-		handler(httptest.NewRecorder(), repeated)
+		handler(httptest.NewRecorder(), detached)
 		return
 	}
-	time.AfterFunc(delay, func() { handler(httptest.NewRecorder(), repeated) })
+	time.AfterFunc(delay, func() { handler(httptest.NewRecorder(), detached) })
 }
 
 // wait returns after d or when ctx ends.
--- a/internal/standin/worker/commands.go
+++ b/internal/standin/worker/commands.go
@@ -75,8 +75,8 @@
 	return c.loseReply("stop")
 }
 
-// Forget implements workerapi.Worker. It has no effect on an unknown task, so a
-// repeated call is harmless.
+// Forget implements workerapi.Worker. It has no effect on a task that is not in
+// the table, and so none when it is repeated.
 func (c *Core) Forget(ctx context.Context, e units.Epoch, t units.Task, a units.Attempt) error {
 	if err := c.applyFaults(ctx, "forget"); err != nil {
 		return err
--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -148,7 +148,7 @@
 		op      string
 		prepare func(context.Context, *fixture) error
 		call    func(context.Context, *fixture) error
-		want    workerapi.TaskState // "" when the row is gone
+		want    workerapi.TaskState // "" when the row has been removed
 	}{
 		{"start", nil, func(ctx context.Context, f *fixture) error { return f.Start(ctx, f.request(1)) }, workerapi.Running},
 		{"renew", startTask, func(ctx context.Context, f *fixture) error {
--- a/internal/standin/worker/core.go
+++ b/internal/standin/worker/core.go
@@ -66,7 +66,7 @@
 	usage units.Resources
 }
 
-// active reports whether the task holds resources and a lease.
+// active reports whether the task occupies resources and has a lease.
 func (r *row) active() bool {
 	return r.State == workerapi.Running || r.State == workerapi.Standby
 }
--- a/internal/standin/worker/faults.go
+++ b/internal/standin/worker/faults.go
@@ -63,8 +63,8 @@
 }
 
 // Restart simulates a new instance of the worker under the same name: all running
-// tasks have failed, the table is empty, no agent holds the new epoch, and the
-// monotonic clock starts again at 0 unless Clock is set.
+// tasks have failed, the table is empty, no agent has acquired the new epoch, and
+// the monotonic clock starts again at 0 unless Clock is set.
 func (c *Core) Restart() {
 	c.lockAndAdvance()
 	defer c.mu.Unlock()
