--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -149,7 +149,7 @@
 }
 
 // Guards against a planned stop of an endpoint, an agent or an entry process
-// that interrupts a request, and against an outcome notRun for a request that
+// that aborts a request, and against an outcome notRun for a request that
 // an endpoint executed.
 func TestPlannedStopsCutOffNoRequest(t *testing.T) {
 	for _, kind := range []string{"endpoint", "agent", "entry"} {
--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// Guards against tasks that run past the end of their lease, that a late renewal
-// revives, or that make progress past the lease while the worker's process is
-// paused.
-func TestLeaseLapses(t *testing.T) {
+// Guards against tasks that run past the end of their lease, that run again after
+// a late renewal, or that make progress past the lease while the worker's process
+// is paused.
+func TestLeaseExpires(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
 		f.advance(time.Second)
