--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -20,7 +20,7 @@
 	evacuationBound   = 5 * time.Second
 	drainBound        = 3 * time.Second
 	abortTolerance    = 200 * time.Millisecond
-	plannedStopMargin = time.Second // after the grace period; requests cut until then count against the planned stop
+	plannedStopMargin = time.Second // after the grace period; requests aborted until then count against the planned stop
 )
 
 // noStartPeriod is a period in which no task may start in a failure domain or on a
@@ -107,17 +107,18 @@
 	return all
 }
 
-// recordFailure records a violation that was found outside the checks.
+// recordFailure records a violation that was found outside the checks, such as a
+// process that does not restart.
 func (r *Run) recordFailure(promise string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, Broken{Promise: promise, At: time.Now(), Text: err.Error()})
 }
 
-// faultFree reports whether no unplanned fault affected the host from before
-// earlier than at until at.
-func (o *observations) faultFree(host string, at time.Time, before time.Duration) bool {
-	from := at.Add(-before)
+// faultFree reports whether no unplanned fault affected the host during the period
+// that ends at the given time.
+func (o *observations) faultFree(host string, at time.Time, period time.Duration) bool {
+	from := at.Add(-period)
 	return !slices.ContainsFunc(o.faults, func(f injectedFault) bool {
 		touches := f.Host == "" || f.Host == host
 		return touches && !f.Planned && f.Began.Before(at) && (f.Ended.IsZero() || f.Ended.After(from))
@@ -156,27 +157,27 @@
 	return done
 }
 
-func (o *observations) checkOrder(broken violationReporter) {
+func (o *observations) checkOrder(report violationReporter) {
 	done := o.firstCompletions()
 	for _, x := range o.runs {
 		id, step := parseTaskName(x.Task)
 		j := o.jobs[id]
 		if j == nil || step >= len(j.template.job.Steps) {
-			broken(x.StartTime, id, "%s started on %s, but no caller submitted it", x.Task, x.Runner)
+			report(x.StartTime, id, "%s started on %s, but no caller submitted it", x.Task, x.Runner)
 			continue
 		}
 		for _, before := range j.template.job.Steps[step].After {
 			for index := range j.template.job.Steps[before].Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", id, before, index)
 				if at, ok := done[name]; !ok || at.After(x.StartTime) {
-					broken(x.StartTime, id, "%s started on %s before %s completed", x.Task, x.Runner, name)
+					report(x.StartTime, id, "%s started on %s before %s completed", x.Task, x.Runner, name)
 				}
 			}
 		}
 	}
 }
 
-func (o *observations) checkCapacity(broken violationReporter) {
+func (o *observations) checkCapacity(report violationReporter) {
 	type change struct {
 		at   time.Time
 		by   int
@@ -195,13 +196,13 @@
 		running := 0
 		for _, c := range list {
 			if running += c.by; c.by > 0 && running > runnerCores {
-				broken(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with %d cores", c.task, name, running, runnerCores)
+				report(c.at, jobID(c.task), "%s started on %s, which then ran %d tasks with %d cores", c.task, name, running, runnerCores)
 			}
 		}
 	}
 }
 
-func (o *observations) checkAttempts(broken violationReporter) {
+func (o *observations) checkAttempts(report violationReporter) {
 	failures := make(map[string][]time.Time)
 	for _, x := range o.runs {
 		if x.End == "failed" && x.Acknowledged {
@@ -216,50 +217,50 @@
 			}
 		}
 		if n >= maxAttempts {
-			broken(x.StartTime, jobID(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
+			report(x.StartTime, jobID(x.Task), "%s started on %s after %d recorded failures", x.Task, x.Runner, n)
 		}
 	}
 }
 
-func (o *observations) checkCancellations(broken violationReporter) {
+func (o *observations) checkCancellations(report violationReporter) {
 	for _, x := range o.runs {
 		j := o.jobs[jobID(x.Task)]
 		if j == nil || j.cancelled.IsZero() || !x.StartTime.After(j.cancelled.Add(cancellationBound)) || !o.faultFree(hostName(x.Runner), x.StartTime, minFaultFreeTime) {
 			continue
 		}
-		broken(x.StartTime, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.StartTime.Sub(j.cancelled).Round(time.Millisecond))
+		report(x.StartTime, j.id, "%s started on %s %v after its cancellation was acknowledged", x.Task, x.Runner, x.StartTime.Sub(j.cancelled).Round(time.Millisecond))
 	}
 }
 
-func (o *observations) checkDomains(broken violationReporter) {
+func (o *observations) checkDomains(report violationReporter) {
 	for _, x := range o.runs {
 		for _, a := range o.domainsOut {
 			if a.domain == x.Domain && a.covers(x.StartTime, evacuationBound) && o.faultFree(hostName(x.Runner), x.StartTime, minFaultFreeTime) {
-				broken(x.StartTime, jobID(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond), a.domain)
+				report(x.StartTime, jobID(x.Task), "%s started on %s %v after %s was taken out", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond), a.domain)
 			}
 		}
 	}
 }
 
-func (o *observations) checkDrains(broken violationReporter) {
+func (o *observations) checkDrains(report violationReporter) {
 	for _, x := range o.runs {
 		for _, a := range o.draining {
 			if a.runner == x.Runner && a.covers(x.StartTime, drainBound) && o.faultFree(a.host, x.StartTime, minFaultFreeTime) {
-				broken(x.StartTime, jobID(x.Task), "%s started on %s %v after its agent received its draining state", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond))
+				report(x.StartTime, jobID(x.Task), "%s started on %s %v after its agent received its draining state", x.Task, x.Runner, x.StartTime.Sub(a.from).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-func (o *observations) checkRejections(broken violationReporter) {
+func (o *observations) checkRejections(report violationReporter) {
 	for _, x := range o.runs {
 		if j := o.jobs[jobID(x.Task)]; j != nil && j.rejected {
-			broken(x.StartTime, j.id, "%s started on %s although every submission was rejected", x.Task, x.Runner)
+			report(x.StartTime, j.id, "%s started on %s although every submission was rejected", x.Task, x.Runner)
 		}
 	}
 }
 
-func (o *observations) checkCompleted(broken violationReporter) {
+func (o *observations) checkCompleted(report violationReporter) {
 	done := o.firstCompletions()
 	for _, j := range o.jobs {
 		i := slices.IndexFunc(j.states, func(o observedState) bool { return o.state == completed })
@@ -270,7 +271,7 @@
 			for index := range s.Tasks {
 				name := fmt.Sprintf("%s.0.%d.%d", j.id, step, index)
 				if at, ok := done[name]; !ok || at.After(j.states[i].at) {
-					broken(j.states[i].at, j.id, "state was completed before %s completed", name)
+					report(j.states[i].at, j.id, "state was completed before %s completed", name)
 				}
 			}
 		}
@@ -279,7 +280,7 @@
 
 // checkFinalStates compares the final state of a job with the one that its spec
 // and cancellation imply.
-func (o *observations) checkFinalStates(broken violationReporter) {
+func (o *observations) checkFinalStates(report violationReporter) {
 	for _, j := range o.jobs {
 		state := j.lastState()
 		if !finalStates[state] {
@@ -290,19 +291,19 @@
 			want = completed
 		}
 		if state != want && (state != cancelled || j.cancelSent.IsZero()) {
-			broken(j.states[len(j.states)-1].at, j.id, "final state of a %s job is %s", j.template.job.Spec, state)
+			report(j.states[len(j.states)-1].at, j.id, "final state of a %s job is %s", j.template.job.Spec, state)
 		}
 	}
 }
 
-func (o *observations) checkPlannedStops(broken violationReporter) {
+func (o *observations) checkPlannedStops(report violationReporter) {
 	for _, c := range o.abortedRequests {
 		for _, f := range o.faults {
 			if f.Kind != terminateKind || f.Host != c.host || c.abortedAt.Before(f.Began) || c.abortedAt.After(f.Began.Add(gracePeriod+plannedStopMargin)) {
 				continue
 			}
 			if o.faultFree(c.host, c.abortedAt, minFaultFreeTime+c.abortedAt.Sub(c.sent)) {
-				broken(c.abortedAt, "", "%s aborted a request %v after it was sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
+				report(c.abortedAt, "", "%s aborted a request %v after it was sent: %s", c.host, c.abortedAt.Sub(c.sent).Round(time.Millisecond), c.reason)
 			}
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -46,15 +46,15 @@
 	{"hangup", anyHost, false, true, time.Millisecond, (*Run).changeSettings, nil},
 	{"settingsChange", anyHost, false, true, time.Millisecond, (*Run).rewriteSettings, nil},
 
-	{"sessionsSilent", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, true, true), restoreLink(sessionLink)},
-	{"sessionsOneWay", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, true, false), restoreLink(sessionLink)},
-	{"sessionsNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(sessionLink, false, true), restoreLink(sessionLink)},
+	{"sessionsSilent", anyHost, false, false, 6 * time.Second, blackholeLink(sessionLink, true, true), restoreLink(sessionLink)},
+	{"sessionsOneWay", anyHost, false, false, 6 * time.Second, blackholeLink(sessionLink, true, false), restoreLink(sessionLink)},
+	{"sessionsNoAnswers", anyHost, false, false, 6 * time.Second, blackholeLink(sessionLink, false, true), restoreLink(sessionLink)},
 	{"sessionsReset", anyHost, false, false, time.Millisecond, resetLink(sessionLink), nil},
 	{"sessionsSlow", anyHost, false, false, 5 * time.Second, delayLink(sessionLink, 150*time.Millisecond), restoreLink(sessionLink)},
 	{"sessionsRefused", anyHost, false, false, 5 * time.Second, refuseLink(sessionLink), restoreLink(sessionLink)},
 
-	{"storeLinkSilent", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, true, true), restoreLink(storeLink)},
-	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, silenceLink(storeLink, false, true), restoreLink(storeLink)},
+	{"storeLinkSilent", anyHost, false, false, 6 * time.Second, blackholeLink(storeLink, true, true), restoreLink(storeLink)},
+	{"storeLinkNoAnswers", anyHost, false, false, 6 * time.Second, blackholeLink(storeLink, false, true), restoreLink(storeLink)},
 	{"storeLinkReset", anyHost, false, false, time.Millisecond, resetLink(storeLink), nil},
 	{"storeRefuses", anyHost, false, false, 5 * time.Second, onStore(metastore.Fault{Status: 503}), onStore(metastore.Fault{})},
 	{"storeLosesAnswers", anyHost, false, false, 4 * time.Second, onStore(metastore.Fault{DropReply: true, OnlyAppends: true}), onStore(metastore.Fault{})},
@@ -75,7 +75,7 @@
 	{"runnerReborn", agents, false, false, time.Millisecond, func(_ *Run, h *host) { h.runner.Restart() }, nil},
 	{"runnerDrains", agents, false, true, 6 * time.Second, func(_ *Run, h *host) { h.runner.Drain() }, (*Run).replaceRunner},
 	{"runnerLinkReset", agents, false, false, time.Millisecond, resetLink(runnerLink), nil},
-	{"runnerLinkSilent", agents, false, false, 5 * time.Second, silenceLink(runnerLink, true, true), restoreLink(runnerLink)},
+	{"runnerLinkSilent", agents, false, false, 5 * time.Second, blackholeLink(runnerLink, true, true), restoreLink(runnerLink)},
 
 	{"configuration", entries, false, true, time.Millisecond, (*Run).configure, nil},
 	{"evacuation", agents, false, true, 8 * time.Second, (*Run).evacuate, (*Run).endEvacuation},
@@ -122,7 +122,7 @@
 func clientLink(h *host) *relay.Relay  { return h.clients }
 func runnerLink(h *host) *relay.Relay  { return h.toRunner }
 
-func silenceLink(l linkSelector, forward, backward bool) func(*Run, *host) {
+func blackholeLink(l linkSelector, forward, backward bool) func(*Run, *host) {
 	return func(_ *Run, h *host) { l(h).SetBlackhole(forward, backward) }
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// evacuate takes the host's failure domain out, unless another evacuation has
-// taken it out already.
+// evacuate takes the host's failure domain out of service, unless another
+// evacuation has done so already.
 func (r *Run) evacuate(h *host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // endEvacuation ends one evacuation of the host's failure domain. The end of the
-// last one brings the domain back.
+// last one puts the domain back into service.
 func (r *Run) endEvacuation(h *host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,11 +191,11 @@
 // recordDrain records the period since the agent received the draining state of
 // its runner.
 func (r *Run) recordDrain(h *host) {
-	known := h.runner.DrainAcknowledgedAt()
-	if known.IsZero() {
+	acknowledgedAt := h.runner.DrainAcknowledgedAt()
+	if acknowledgedAt.IsZero() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.draining = append(r.draining, noStartPeriod{runner: h.runner.ID, host: h.name, from: known, until: time.Now()})
+	r.draining = append(r.draining, noStartPeriod{runner: h.runner.ID, host: h.name, from: acknowledgedAt, until: time.Now()})
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -89,14 +89,14 @@
 	f.stop = stop
 	// Each process of a run has its own loopback address, and a second one on which
 	// the relay of its sessions listens.
-	net := fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, deploymentCount.Add(1)%250)
+	subnet := fmt.Sprintf("127.%d.%d", 64+os.Getpid()%128, deploymentCount.Add(1)%250)
 	for i := range r.Entries + r.Agents {
 		role, n := "entry", i
 		if i >= r.Entries {
 			role, n = "agent", i-r.Entries
 		}
 		h := &host{name: fmt.Sprintf("%s-%d", role, n), role: role, domain: fmt.Sprintf("zone-%d", n%domainCount), store: store.NewServer()}
-		if err := h.connect(r, fmt.Sprintf("%s.%d", net, 2*i+1), fmt.Sprintf("%s.%d", net, 2*i+2)); err != nil {
+		if err := h.connect(r, fmt.Sprintf("%s.%d", subnet, 2*i+1), fmt.Sprintf("%s.%d", subnet, 2*i+2)); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -248,8 +248,8 @@
 	return all
 }
 
-// clearFaults clears every fault, resumes paused processes and brings all failure
-// domains back.
+// clearFaults clears every fault, resumes paused processes and puts all failure
+// domains back into service.
 func (f *fleet) clearFaults(r *Run) {
 	for _, h := range f.hosts() {
 		h.store.Set(metastore.Fault{})
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -23,14 +23,14 @@
 )
 
 // excerpt returns the lines of a process's log around a violation. When there are
-// too many, lines that contain the job ID are preferred.
+// more than maxLinesPerProcess, lines that contain the job ID are preferred.
 func (r *Result) excerpt(process string, b Broken) []string {
 	file, err := os.Open(filepath.Join(r.Dir, process+".log"))
 	if err != nil {
 		return []string{err.Error()}
 	}
 	defer file.Close()
-	var naming, others []string
+	var withJob, others []string
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -39,13 +39,13 @@
 			continue
 		}
 		if b.Job != "" && strings.Contains(lines.Text(), b.Job) {
-			naming = append(naming, lines.Text())
+			withJob = append(withJob, lines.Text())
 		} else {
 			others = append(others, lines.Text())
 		}
 	}
-	others = others[max(0, len(others)-max(0, maxLinesPerProcess-len(naming))):]
-	kept := append(naming[:min(len(naming), maxLinesPerProcess)], others...)
+	others = others[max(0, len(others)-max(0, maxLinesPerProcess-len(withJob))):]
+	kept := append(withJob[:min(len(withJob), maxLinesPerProcess)], others...)
 	slices.SortStableFunc(kept, func(a, b string) int { return strings.Compare(a[1:min(len(a), 21)], b[1:min(len(b), 21)]) })
 	return kept
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -60,7 +60,7 @@
 
 	mu         sync.Mutex // guards the fields below
 	injected   []injectedFault
-	domainsOut []noStartPeriod // periods in which failure domains were out
+	domainsOut []noStartPeriod // periods in which failure domains were out of service
 	// evacuations counts the current evacuations of each failure domain.
 	evacuations map[string]int
 	draining    []noStartPeriod // periods in which runners were draining
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -186,7 +186,7 @@
 	quick, hopeless := &jobTemplates[0], &jobTemplates[2]
 	for _, c := range []struct {
 		name, promise string
-		e             observations
+		o             observations
 	}{
 		{"attempts", "failed attempts are counted", observations{jobs: map[string]*job{"j": {id: "j", template: hopeless}}, runs: []taskrunner.Run{
 			{Task: "j.0.0.0", Runner: "runner-a", StartTime: at(0), EndTime: at(1), End: "failed", Acknowledged: true},
@@ -207,7 +207,7 @@
 		{"unknown job", "steps run in their order", observations{runs: []taskrunner.Run{{Task: "x.0.0.0", StartTime: at(0)}}}},
 	} {
 		found := false
-		for _, b := range c.e.findViolations() {
+		for _, b := range c.o.findViolations() {
 			found = found || b.Promise == c.promise
 		}
 		if !found {
