--- a/internal/standin/worker/contract_test.go
+++ b/internal/standin/worker/contract_test.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// Guards against tasks that run past the end of their lease, that a late renewal
-// revives, or that make progress past the lease while the worker's process is
-// paused.
-func TestLeaseLapses(t *testing.T) {
+// Guards against tasks that run past the end of their lease, that run again after
+// a late renewal, or that make progress past the lease while the worker's process
+// is paused.
+func TestLeaseExpires(t *testing.T) {
 	eachImplementation(t, func(t *testing.T, ctx context.Context, f *fixture) {
 		wantErrorKind(t, "start", f.Start(ctx, f.request(1)), "")
 		f.advance(time.Second)
@@ -148,7 +148,7 @@
 		op      string
 		prepare func(context.Context, *fixture) error
 		call    func(context.Context, *fixture) error
-		want    workerapi.TaskState // "" when the row is gone
+		want    workerapi.TaskState // "" when the row has been removed
 	}{
 		{"start", nil, func(ctx context.Context, f *fixture) error { return f.Start(ctx, f.request(1)) }, workerapi.Running},
 		{"renew", startTask, func(ctx context.Context, f *fixture) error {
