--- a/internal/administration/backend.go
+++ b/internal/administration/backend.go
@@ -1,6 +1,6 @@
 // Package administration implements the server of the administration API, which
 // teams and operators use to manage documents, failure domains, workers and jobs and
-// to read the time line. It authenticates, limits and checks requests; the entry
+// to read the timeline. It authenticates, limits and checks requests; the entry
 // process executes them behind the interface Backend.
 package administration
 
--- a/internal/administration/server_test.go
+++ b/internal/administration/server_test.go
@@ -103,7 +103,7 @@
 		{name: "wrong token", method: "GET", path: "/v1/jobs", token: operator + "x", status: 401, want: `"kind":"unauthorized"`},
 		{name: "team publishes", method: "PUT", path: production + "/document?base=1", token: moulds, key: "k", body: document, status: 403, want: `"kind":"forbidden"`},
 		{name: "team sees workers", method: "GET", path: "/v1/workers", token: moulds, status: 403, want: `"kind":"forbidden"`},
-		{name: "team sees time line", method: "GET", path: "/v1/timeline", token: moulds, status: 403, want: `"kind":"forbidden"`},
+		{name: "team sees timeline", method: "GET", path: "/v1/timeline", token: moulds, status: 403, want: `"kind":"forbidden"`},
 		{name: "team sees itself", method: "GET", path: "/v1/teams", token: moulds, status: 200, want: `[{"name":"moulds"`},
 		{name: "team sees another's job", method: "GET", path: "/v1/jobs/job-1", token: cold, status: 404, want: `no job \"job-1\"`},
 		{name: "team cancels another's job", method: "POST", path: "/v1/jobs/job-1/cancel", token: cold, key: "k", status: 404, want: `no job \"job-1\"`},
@@ -156,8 +156,8 @@
 		{name: "drain unknown worker", method: "POST", path: production + "/workers/worker-9/drain", token: operator, key: "k", status: 404, want: "unknown worker"},
 		{name: "promote nothing", method: "POST", path: production + "/promote?from=trial&base=1", token: operator, key: "k", status: 404, want: `"kind":"notFound"`},
 		{name: "promote", method: "POST", path: "/v1/environments/trial/promote?from=production&base=0", token: operator, key: "k", status: 200, want: `"environment":"trial","version":2`},
-		{name: "time line", method: "GET", path: "/v1/timeline?format=html", token: operator, status: 200, want: "<svg"},
-		{name: "time line format", method: "GET", path: "/v1/timeline?format=pdf", token: operator, status: 400, want: "want text, json or html"},
+		{name: "timeline", method: "GET", path: "/v1/timeline?format=html", token: operator, status: 200, want: "<svg"},
+		{name: "timeline format", method: "GET", path: "/v1/timeline?format=pdf", token: operator, status: 400, want: "want text, json or html"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/administration/views.go
+++ b/internal/administration/views.go
@@ -68,7 +68,7 @@
 	return renderedTimeline{format.contentType, body.Bytes()}, nil
 }
 
-// renderedTimeline is a time line in one of the formats.
+// renderedTimeline is a timeline in one of the formats.
 type renderedTimeline struct {
 	contentType string
 	body        []byte
--- a/internal/faulttest/fault_test.go
+++ b/internal/faulttest/fault_test.go
@@ -54,7 +54,7 @@
 
 const (
 	// jobsTimeout bounds how long jobs may take to end after the faults: an entry
-	// process is declared dead after 15 s and a lease expires after 9 s.
+	// process counts as lost after 15 s and a lease expires after 9 s.
 	jobsTimeout = 60 * time.Second
 	// agentPause exceeds the lease of 8 s and the further 1 s that the lessor waits.
 	agentPause = 12 * time.Second
@@ -84,7 +84,7 @@
 }
 
 // TestLeasesEnd guards against a task that is lost, or runs on two workers, when
-// the lease of its worker expires because the agent or the worker is dead, paused
+// the lease of its worker expires because the agent or the worker is lost, paused
 // or partitioned.
 func TestLeasesEnd(t *testing.T) {
 	t.Parallel()
--- a/internal/faulttest/watcher_test.go
+++ b/internal/faulttest/watcher_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestWatcherInLogOutage guards against a watcher that stays down, or that runs
-// twice, when its agent dies during a log outage. The lessor must activate the
+// twice, when its agent is killed during a log outage. The lessor must activate the
 // standby without the log.
 func TestWatcherInLogOutage(t *testing.T) {
 	s := startSystem(t)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -24,11 +24,11 @@
 // Entry is a process that serves client requests and may be elected leader. Set
 // the exported fields before Run.
 type Entry struct {
-	Settings *Settings
-	Store    durable.Store
-	Feed     *operations.Follower
-	Scope    tally.Scope // nil disables metrics
-	Advisor  Advisor     // nil when the deployment has no advice service
+	Settings   *Settings
+	Store      durable.Store
+	Operations *operations.Follower
+	Scope      tally.Scope // nil disables metrics
+	Advisor    Advisor     // nil when the deployment has no advice service
 	// ClientHandler and ReadinessHandler return the handlers of the platform's
 	// interfaces.
 	ClientHandler    func(*Entry) http.Handler
@@ -96,7 +96,7 @@
 func (e *Entry) startComponents(ctx context.Context, group *errgroup.Group, readiness net.Listener) {
 	listener := &link.Listener{Address: e.Settings.sessionAddress(), Handler: e.routes()}
 	group.Go(func() error { return runListener(ctx, listener) })
-	group.Go(func() error { return e.Feed.Run(ctx) })
+	group.Go(func() error { return e.Operations.Run(ctx) })
 	group.Go(func() error { return serve(ctx, readiness, e.ReadinessHandler(e)) })
 	group.Go(func() error {
 		followMembers(ctx, e.Store, e.handleMember)
@@ -142,7 +142,7 @@
 func (e *Entry) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopping || e.Feed.State().Configuration == nil {
+	if e.stopping || e.Operations.State().Configuration == nil {
 		return false
 	}
 	return e.leader != nil || e.session != nil
@@ -152,12 +152,12 @@
 // leads.
 func (e *Entry) lead(ctx context.Context, term leadership.Term) {
 	l := &leader{
-		term: term, settings: e.Settings, store: e.Store, feed: e.Feed, advisor: e.Advisor,
+		term: term, settings: e.Settings, store: e.Store, operations: e.Operations, advisor: e.Advisor,
 		isLeading: func() bool { return e.elector.Leads(term) },
 		metrics:   e.metrics, events: make(chan func(), eventQueueSize),
 	}
 	l.group, l.ctx = errgroup.WithContext(ctx)
-	e.Feed.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperatorState(state) }) })
+	e.Operations.SetOnChange(func(state operations.State) { l.enqueue(func() { l.scheduler.SetOperatorState(state) }) })
 	e.metrics.countTerm()
 	e.setLeader(l)
 	defer e.setLeader(nil)
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -44,12 +44,12 @@
 // leader runs the scheduler for one term. Only one of its goroutines accesses
 // scheduler, agents, submissions and cancellations; the others send it events.
 type leader struct {
-	term      leadership.Term
-	settings  *Settings
-	store     durable.Store
-	feed      *operations.Follower
-	isLeading func() bool // reports whether this process leads now
-	advisor   Advisor
+	term       leadership.Term
+	settings   *Settings
+	store      durable.Store
+	operations *operations.Follower
+	isLeading  func() bool // reports whether this process leads now
+	advisor    Advisor
 
 	metrics       metrics
 	events        chan func()
@@ -99,7 +99,7 @@
 		return err
 	}
 	l.scheduler = scheduler.New(grantDuration+grantMargin, l.settings.FinishedJobRetention)
-	l.scheduler.SetOperatorState(l.feed.State())
+	l.scheduler.SetOperatorState(l.operations.State())
 	if err := l.scheduler.Recover(items, now()); err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 // mayStart reports whether tasks may start now: this process leads, and its
 // copy of the operators' records is recent.
 func (l *leader) mayStart(at scheduler.Timestamp) bool {
-	current, ok := l.feed.CompleteUntil()
+	current, ok := l.operations.CompleteUntil()
 	return ok && l.isLeading() && at.Boot.Sub(current) < maxOperationsAge
 }
 
--- a/internal/runner/controller.go
+++ b/internal/runner/controller.go
@@ -86,9 +86,9 @@
 	API API
 	// BaseToken is higher for each later agent process of the machine. The
 	// fencing tokens of calls are derived from it.
-	BaseToken    FencingToken
-	LongestLease time.Duration // upper limit of the duration of a lease
-	OnChange     func()        // called without locks after a change that the scheduler must receive promptly
+	BaseToken FencingToken
+	MaxLease  time.Duration // upper limit of the duration of a lease
+	OnChange  func()        // called without locks after a change that the scheduler must receive promptly
 
 	mu                  sync.Mutex
 	info                *Info        // nil before the first announcement
@@ -240,7 +240,7 @@
 	if !now.Before(c.grantedUntil) || c.runnerClock == 0 {
 		return 0, false
 	}
-	remaining := min(c.grantedUntil.Sub(c.clockReadAt), c.LongestLease)
+	remaining := min(c.grantedUntil.Sub(c.clockReadAt), c.MaxLease)
 	until := c.runnerClock + ClockTime(float64(remaining.Milliseconds())*(1-maxClockDrift))
 	c.leaseUntil = max(c.leaseUntil, until)
 	return c.leaseUntil, true
@@ -252,7 +252,7 @@
 	if c.leaseUntil == 0 {
 		// An earlier agent process may have granted a lease, or a start sent to
 		// an earlier incarnation with this id may have carried one.
-		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.LongestLease+c.LongestLease/10))
+		return c.startedAt != 0 && now.After(max(c.startedAt, c.restartedAt).Add(c.MaxLease+c.MaxLease/10))
 	}
 	remaining := time.Duration(c.leaseUntil-c.runnerClock) * time.Millisecond
 	end := c.clockReadAt.Add(time.Duration(float64(remaining)*(1+2*maxClockDrift)) + leaseExpiryMargin)
--- a/internal/runner/start_test.go
+++ b/internal/runner/start_test.go
@@ -50,7 +50,7 @@
 // newReadyController returns a controller that has read the runner's lists and has a
 // grant of one minute.
 func newReadyController(api API) *Controller {
-	c := &Controller{API: api, LongestLease: 10 * time.Second}
+	c := &Controller{API: api, MaxLease: 10 * time.Second}
 	c.info, c.listed = &Info{Incarnation: Incarnation{ID: "r"}}, true
 	c.runs = make(map[workflow.TaskID]*run)
 	c.setClock(1000)
@@ -198,7 +198,7 @@
 	if r := report.GetRunner(); !r.GetSilent() || r.GetEmpty() {
 		t.Errorf("after the restart: got silent %t, empty %t; want true, false", r.GetSilent(), r.GetEmpty())
 	}
-	c.restartedAt = c.restartedAt.Add(-2 * c.LongestLease)
+	c.restartedAt = c.restartedAt.Add(-2 * c.MaxLease)
 	report, _ = c.Report()
 	if !report.GetRunner().GetEmpty() {
 		t.Error("after the longest lease: got not empty, want empty")
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -40,7 +40,7 @@
 	AdminTimeout      time.Duration // maximum duration of one administration request
 	HeaderBytes       units.Bytes   // size of the header of any request
 	Connections       int           // connections per listener
-	TimelineEvents    int           // events kept for the time line
+	TimelineEvents    int           // events kept for the timeline
 	StreamsPerSession int           // concurrent requests over one agent's session
 }
 
@@ -126,7 +126,7 @@
 	durationField("adminTimeout", "longest time for one administration request; 10s when omitted", func(l *EntryLimits) *time.Duration { return &l.AdminTimeout }),
 	memoryField("headerBytes", "header of any request; 16KiB when omitted", func(l *EntryLimits) *units.Bytes { return &l.HeaderBytes }),
 	countField("connections", "connections of each listener; 20000 when omitted", func(l *EntryLimits) *int { return &l.Connections }),
-	countField("timelineEvents", "events kept for the time line; 20000 when omitted", func(l *EntryLimits) *int { return &l.TimelineEvents }),
+	countField("timelineEvents", "events kept for the timeline; 20000 when omitted", func(l *EntryLimits) *int { return &l.TimelineEvents }),
 	countField("streamsPerSession", "requests at a time over the session of one agent; 1024 when omitted", func(l *EntryLimits) *int { return &l.StreamsPerSession }),
 }
 
--- a/pkg/administration/client.go
+++ b/pkg/administration/client.go
@@ -354,7 +354,7 @@
 	Limit   int // number of the newest events; 500 when zero
 }
 
-// Timeline returns the time line in the given format: text, json or html.
+// Timeline returns the timeline in the given format: text, json or html.
 func (c *Client) Timeline(ctx context.Context, f TimelineFilter, format string) ([]byte, error) {
 	query := url.Values{"format": {format}, "subject": {f.Subject}, "lane": {f.Lane}}
 	if f.Limit > 0 {
